--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build test quickstart simulate prove scale generate soak soak-short
+.PHONY: build test quickstart simulate prove generate soak soak-short
 
 build:
 	go build -o bin/ ./cmd/...
@@ -16,9 +16,6 @@
 prove:
 	go test -count=1 -timeout 60m -parallel 4 -tags prove -v -run TestGuards ./internal/mutation
 
-scale:
-	go run ./cmd/stiletrail-rehearsal scale
-
 generate:
 	go generate ./api
 
--- a/cmd/stiletrail-rehearsal/commands.go
+++ b/cmd/stiletrail-rehearsal/commands.go
@@ -18,7 +18,6 @@
 	"stiletrail/internal/failure"
 	"stiletrail/internal/platform"
 	"stiletrail/internal/rehearsal"
-	"stiletrail/internal/simulation"
 	"stiletrail/internal/standin"
 )
 
@@ -48,25 +47,6 @@
 	}
 }
 
-func addScale(app *kingpin.Application, commands map[string]func() error) {
-	command := app.Command("scale", "Measure what control costs a node, with many hollow nodes in this process on a virtual clock, at several sizes.")
-	only := command.Flag("only", "Only the runs whose name contains this.").String()
-	commands[command.FullCommand()] = func() error {
-		simulation.ScaleReport(os.Stdout, *only)
-		return nil
-	}
-}
-
-func addHollow(app *kingpin.Application, commands map[string]func() error) {
-	command := app.Command("hollow", "Run many nodes without back ends in this process, over real connections on loopback, beside a platform; for real nodes to join.")
-	nodes := command.Flag("nodes", "How many.").Default("60").Int()
-	zones := command.Flag("zones", "Over how many zones.").Default("3").Int()
-	duration := command.Flag("duration", "How long.").Default("60s").Duration()
-	commands[command.FullCommand()] = func() error {
-		return rehearsal.RunHollow(os.Stdout, *nodes, *zones, *duration)
-	}
-}
-
 func addPlatform(app *kingpin.Application, commands map[string]func() error) {
 	command := app.Command("platform", "Serve a stand-in of the key-value service and the machine list. POST /control?down=true|slow=2s|lose-answers=1 sets faults.")
 	listen := command.Flag("listen", "IP address and port.").Default("127.0.0.1:7900").String()
--- a/cmd/stiletrail-rehearsal/main.go
+++ b/cmd/stiletrail-rehearsal/main.go
@@ -21,8 +21,6 @@
 	app := kingpin.New("stiletrail-rehearsal", "Stand-ins of the platform and of back ends, load, and rehearsals on loopback.")
 	commands := map[string]func() error{}
 	addQuickstart(app, commands)
-	addScale(app, commands)
-	addHollow(app, commands)
 	addPlatform(app, commands)
 	addBackEnd(app, commands)
 	addLoad(app, commands)
--- a/internal/rehearsal/cluster.go
+++ b/internal/rehearsal/cluster.go
@@ -50,8 +50,6 @@
 	// Deadline of searches.
 	Deadline time.Duration
 	Platform PlatformOptions
-	// Seeds bounds how many earlier nodes a node is told of; zero for all.
-	Seeds int
 }
 
 // Cluster is nodes, back ends and the platform in one process, talking over loopback.
@@ -122,11 +120,7 @@
 	given := settings.Default()
 	given.HTTPAddress, given.PeerAddress = loopback, loopback
 	given.Zone = zone
-	known := c.Nodes
-	if c.options.Seeds > 0 && len(known) > c.options.Seeds {
-		known = known[:c.options.Seeds]
-	}
-	for _, other := range known {
+	for _, other := range c.Nodes {
 		given.Seeds = append(given.Seeds, other.PeerAddress())
 	}
 	client := platform.NewClient(c.client, c.Platform.URL())
--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -7,7 +7,6 @@
 	"stiletrail/internal/catalog"
 	"stiletrail/internal/engine"
 	"stiletrail/internal/failure"
-	"stiletrail/internal/message"
 	"stiletrail/internal/query"
 	"stiletrail/internal/standin"
 )
@@ -51,18 +50,14 @@
 	// BlindDrains counts work sent to a leaving back end by a node that had no way to know.
 	BlindDrains int
 	// Reasons counts the missing shards by reason.
-	Reasons                       map[query.Reason]int
-	ControlBytes, ControlMessages uint64
-	QueryBytes, QueryMessages     uint64
-	// BytesByKind splits ControlBytes.
-	BytesByKind map[message.Kind]uint64
+	Reasons map[query.Reason]int
 }
 
 func newChecker(w *World) *Checker {
 	return &Checker{
 		world: w, ran: map[string]int{}, refused: map[string]bool{}, executions: map[string]*execution{},
 		acceptedOperations: map[string]uint64{}, deniedOperations: map[string]failure.Code{},
-		Reasons: map[query.Reason]int{}, BytesByKind: map[message.Kind]uint64{}, writtenOperations: map[string]bool{}, baseWinners: map[string]string{},
+		Reasons: map[query.Reason]int{}, writtenOperations: map[string]bool{}, baseWinners: map[string]string{},
 	}
 }
 
@@ -72,23 +67,6 @@
 	c.Violations = append(c.Violations, text)
 }
 
-func (c *Checker) traffic(m message.Message, size int) {
-	if message.Control(m) {
-		c.BytesByKind[m.Kind()] += uint64(size)
-		c.ControlMessages++
-		c.ControlBytes += uint64(size)
-		return
-	}
-	c.QueryMessages++
-	c.QueryBytes += uint64(size)
-}
-
-// resetTraffic starts the traffic figures anew.
-func (c *Checker) resetTraffic() {
-	c.ControlBytes, c.ControlMessages, c.QueryBytes, c.QueryMessages = 0, 0, 0, 0
-	clear(c.BytesByKind)
-}
-
 // arrived sees each request at a back end.
 func (c *Checker) arrived(a *simAttempt, works bool) {
 	b := a.backEnd
--- a/internal/simulation/nodes.go
+++ b/internal/simulation/nodes.go
@@ -92,26 +92,12 @@
 // step runs one call of a node's engine and carries out its output.
 func (w *World) step(n *simNode, call func() engine.Output) {
 	w.inNode(n, func() {
-		output := w.timed(call)
-		w.perform(n, output)
-		if !w.hollow {
-			w.Check.node(n)
-		}
+		w.perform(n, call())
+		w.Check.node(n)
 		w.scheduleWake(n)
 	})
 }
 
-// timed runs an engine call; in a hollow world its real time is added up.
-func (w *World) timed(call func() engine.Output) engine.Output {
-	if !w.hollow {
-		return call()
-	}
-	started := time.Now()
-	output := call()
-	w.cpu += time.Since(started)
-	return output
-}
-
 func (w *World) scheduleWake(n *simNode) {
 	wake := n.engine.NextWake()
 	if n.wakeAt > w.now && wake >= n.wakeAt {
@@ -142,9 +128,6 @@
 		w.cancelAttempt(n, number)
 	}
 	for _, describe := range output.Describes {
-		if w.hollow {
-			continue
-		}
 		w.describe(n, describe.Service, describe.BackEnd)
 	}
 	for _, read := range output.StoreReads {
@@ -161,14 +144,9 @@
 
 // sendPeer carries a message to another node through the model of TCP: on a path that is cut it is undelivered.
 func (w *World) sendPeer(n *simNode, to string, m message.Message) {
-	if !w.hollow {
-		w.note("send", n.address, to, m.Kind())
-	}
+	w.note("send", n.address, to, m.Kind())
 	// The message is encoded and decoded as on a real connection.
-	started := time.Now()
 	frame := message.Encode(m)
-	w.cpu += time.Since(started)
-	w.Check.traffic(m, len(frame))
 	target := w.nodes[to]
 	if target == nil || target.dead || !w.reachable(n.zone.Name, target.zone.Name) {
 		w.undelivered(n, to, m)
@@ -198,7 +176,6 @@
 func (w *World) deliver(n, target *simNode, frame []byte, delay time.Duration) {
 	from := n.address
 	w.after(delay, func() {
-		started := time.Now()
 		header, err := message.DecodeHeader(frame)
 		if err != nil {
 			panic("simulation: frame does not decode: " + err.Error())
@@ -207,7 +184,6 @@
 		if err != nil {
 			panic("simulation: frame does not decode: " + err.Error())
 		}
-		w.cpu += time.Since(started)
 		w.step(target, func() engine.Output { return target.engine.Receive(w.now, from, m) })
 	})
 }
@@ -225,7 +201,7 @@
 	})
 }
 
-// Kill ends a node's process without a word. Peers notice broken connections if they can.
+// kill ends a node's process without a word. Peers notice broken connections if they can.
 func (w *World) kill(n *simNode) {
 	w.note("kill", n.address)
 	n.dead = true
--- a/internal/simulation/storecalls.go
+++ b/internal/simulation/storecalls.go
@@ -10,7 +10,6 @@
 
 // storeDelay is the time of a request to the store; false where it does not get there.
 func (w *World) storeDelay(n *simNode) (time.Duration, bool) {
-	w.storeRequests++
 	if w.storeDown || !w.reachable(n.zone.Name, "") {
 		return 0, false
 	}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -139,10 +139,6 @@
 	machines  []machinesAt
 	callers   map[engine.Caller]*call
 	nextCall  engine.Caller
-	// hollow worlds have no back ends: they measure what control costs. cpu is the real time spent in engines and codecs.
-	hollow        bool
-	cpu           time.Duration
-	storeRequests int
 	// Check is the independent checker.
 	Check *Checker
 	// Answered is told each search's outcome, for measurements.
@@ -184,9 +180,6 @@
 	return w
 }
 
-// Now is the virtual time.
-func (w *World) Now() time.Duration { return w.now }
-
 // after runs something later.
 func (w *World) after(delay time.Duration, run func()) {
 	w.order++
