--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -68,12 +68,3 @@
 		Quarantine:          quarantine.Settings{Rounds: 3, For: 600 * clock.Second},
 	}
 }
-
-// PlainSettings gives the plain fan-out baseline: no hedges, no retries, no windows.
-func PlainSettings() Settings {
-	settings := DefaultSettings()
-	settings.Hedging = false
-	settings.Retries = false
-	settings.Windows = false
-	return settings
-}
