--- a/internal/rehearsal/backend.go
+++ b/internal/rehearsal/backend.go
@@ -35,25 +35,20 @@
 	Shards      []uint32
 	Total       uint32
 	Latency     standin.Latency
-	// Distance is added to each request: the way there and back.
-	Distance time.Duration
 }
 
 // BackEnd serves a model of a back end.
 type BackEnd struct {
-	server   *server
-	distance time.Duration
-	mutex    sync.Mutex
-	model    *standin.BackEnd
-	// Stragglers, where set, says whether this back end straggles for a query.
-	stragglers func(body []byte) bool
+	server *server
+	mutex  sync.Mutex
+	model  *standin.BackEnd
 }
 
 // StartBackEnd serves on the address.
 func StartBackEnd(address string, options BackEndOptions) (*BackEnd, error) {
 	index := standin.Index{Service: options.Service, Keys: options.Keys}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	b := &BackEnd{distance: options.Distance}
+	b := &BackEnd{}
 	b.model = standin.NewBackEnd(index, address, options.Slots, options.Latency, options.Total, options.Shards, random)
 	mux := http.NewServeMux()
 	mux.Handle(stiletrailv1connect.NewBackEndServiceHandler(b))
@@ -80,13 +75,6 @@
 	use(b.model)
 }
 
-// SetStragglers says for which queries this back end straggles.
-func (b *BackEnd) SetStragglers(straggles func(body []byte) bool) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	b.stragglers = straggles
-}
-
 // control changes the back end over HTTP: state=draining|serving|cold, lie=serving, version=7, straggler-factor=20,
 // straggler-chance=0.1, epoch=2&total=8&shards=0,1.
 func (b *BackEnd) control(w http.ResponseWriter, r *http.Request) {
@@ -143,15 +131,9 @@
 		Shards: request.Msg.GetShards(), Snapshot: query.Snapshot{Version: request.Msg.GetVersion(), Epoch: request.Msg.GetEpoch()},
 		Body: request.Msg.GetQuery(), Execute: request.Msg.GetExecute(),
 	}
-	if err := wait(ctx, b.distance); err != nil {
-		return nil, err
-	}
 	b.mutex.Lock()
 	remaining := time.Duration(request.Msg.GetRemainingMilliseconds()) * time.Millisecond
 	result, serviceTime, works := b.model.Arrive(attempt, remaining)
-	if works && b.stragglers != nil && b.stragglers(attempt.Body) {
-		serviceTime = time.Duration(float64(serviceTime) * b.model.Latency.StragglerFactor)
-	}
 	b.mutex.Unlock()
 	if works {
 		err := wait(ctx, serviceTime)
@@ -202,10 +184,7 @@
 }
 
 // Describe implements the back-end service.
-func (b *BackEnd) Describe(ctx context.Context, _ *connect.Request[stiletrailv1.DescribeRequest]) (*connect.Response[stiletrailv1.DescribeResponse], error) {
-	if err := wait(ctx, b.distance); err != nil {
-		return nil, err
-	}
+func (b *BackEnd) Describe(_ context.Context, _ *connect.Request[stiletrailv1.DescribeRequest]) (*connect.Response[stiletrailv1.DescribeResponse], error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return connect.NewResponse(&stiletrailv1.DescribeResponse{Holding: toHolding(b.model.Holding())}), nil
--- a/internal/rehearsal/cluster.go
+++ b/internal/rehearsal/cluster.go
@@ -18,35 +18,15 @@
 	"stiletrail/internal/node"
 	"stiletrail/internal/platform"
 	"stiletrail/internal/settings"
-	"stiletrail/internal/standin"
 )
 
 const loopback = "127.0.0.1:0"
 
-// ServiceShape describes a service of a rehearsal.
-type ServiceShape struct {
-	Name        string
-	BackEnds    int
-	Slots       int
-	Connections int
-	Latency     standin.Latency
-	Coverage    bool
-}
-
-// Deployment is a set of services with zones.
-type Deployment struct {
-	Name     string
-	Zones    []string
-	Services []ServiceShape
-}
-
 // ClusterOptions of a rehearsal cluster in one process.
 type ClusterOptions struct {
 	Deployment   Deployment
 	NodesPerZone int
-	// Engine settings of all nodes; nil takes the defaults.
-	Engine *engine.Settings
-	Log    io.Writer
+	Log          io.Writer
 	// Deadline of searches.
 	Deadline time.Duration
 	Platform PlatformOptions
@@ -125,7 +105,7 @@
 	}
 	client := platform.NewClient(c.client, c.Platform.URL())
 	started, err := node.Start(node.Options{
-		Settings: given, Engine: c.options.Engine, BackEnds: node.NewBackEnds(given), Store: client, Machines: client, Log: c.log,
+		Settings: given, BackEnds: node.NewBackEnds(given), Store: client, Machines: client, Log: c.log,
 	})
 	if err == nil {
 		c.Nodes = append(c.Nodes, started)
@@ -164,15 +144,9 @@
 
 // Intent returns the intent for a service of the deployment, as an operator would write it.
 func (c *Cluster) Intent(shape ServiceShape) string {
-	preference, coverage, tail := "latency", "0.5", ""
-	if shape.Coverage {
-		preference, coverage = "coverage", "0.9"
-	}
-	if !shape.Coverage {
-		tail = fmt.Sprintf("tail_budget_milliseconds: %d\n", c.options.Deadline.Milliseconds()*3/4)
-	}
-	text := fmt.Sprintf("service: %s\npreference: %s\nminimum_coverage: %s\ndeadline_milliseconds: %d\n%sback_ends:\n",
-		shape.Name, preference, coverage, c.options.Deadline.Milliseconds(), tail)
+	deadline := c.options.Deadline.Milliseconds()
+	text := fmt.Sprintf("service: %s\npreference: latency\nminimum_coverage: 0.5\ndeadline_milliseconds: %d\ntail_budget_milliseconds: %d\nback_ends:\n",
+		shape.Name, deadline, deadline*3/4)
 	for i, b := range c.BackEnds[shape.Name] {
 		zone := c.options.Deployment.Zones[i%len(c.options.Deployment.Zones)]
 		text += fmt.Sprintf("  - {address: \"%s\", zone: %s, slots: %d, connections: %d}\n", b.Address(), zone, shape.Slots, shape.Connections)
--- a/internal/rehearsal/contract_test.go
+++ b/internal/rehearsal/contract_test.go
@@ -122,7 +122,7 @@
 	t.Helper()
 	shape := ServiceShape{Name: "lookup", BackEnds: 4, Slots: 5, Connections: 75, Latency: lookupLatency}
 	cluster, err := StartCluster(ClusterOptions{
-		Deployment: Deployment{Name: "small", Zones: []string{"zone-a"}, Services: []ServiceShape{shape}}, NodesPerZone: 2,
+		Deployment: Deployment{Zones: []string{"zone-a"}, Services: []ServiceShape{shape}}, NodesPerZone: 2,
 		Log: io.Discard, Deadline: 2 * time.Second,
 	})
 	if err != nil {
--- a/internal/rehearsal/deployment.go
+++ b/internal/rehearsal/deployment.go
@@ -7,63 +7,47 @@
 	"stiletrail/internal/standin"
 )
 
+// Deployment is a set of services with zones.
+type Deployment struct {
+	Zones    []string
+	Services []ServiceShape
+}
+
+// ServiceShape describes a service of a rehearsal.
+type ServiceShape struct {
+	Name     string
+	BackEnds int
+	// Slots and Connections are those of each back end.
+	Slots       int
+	Connections int
+	Latency     standin.Latency
+}
+
 // Service times of the stand-ins: small look-ups and wider searches.
 var (
 	lookupLatency = standin.Latency{Median: 4 * time.Millisecond, Sigma: 0.35, PerShard: 0.15, StragglerFactor: 20}
 	searchLatency = standin.Latency{Median: 8 * time.Millisecond, Sigma: 0.4, PerShard: 0.15, StragglerFactor: 20}
 )
 
-func services(prefix string, count, backEnds, slots, connections int, latency standin.Latency, coverage bool) []ServiceShape {
-	var shapes []ServiceShape
-	for i := range count {
-		name := prefix
-		if count > 1 {
-			name = fmt.Sprintf("%s-%d", prefix, i+1)
-		}
-		shapes = append(shapes, ServiceShape{
-			Name: name, BackEnds: backEnds, Slots: slots, Connections: connections, Latency: latency, Coverage: coverage,
-		})
-	}
-	return shapes
-}
-
-func join(groups ...[]ServiceShape) []ServiceShape {
-	var all []ServiceShape
-	for _, group := range groups {
-		all = append(all, group...)
-	}
-	return all
-}
-
-// SavedGames is the first deployment at the brief's sizes of today: latency first.
-func SavedGames() Deployment {
-	const smallConnections, wideConnections = 75, 110
+// quickstartDeployment has small services, and two whose searches go over many shards.
+func quickstartDeployment() Deployment {
+	small := ServiceShape{BackEnds: 4, Slots: 5, Connections: 75, Latency: lookupLatency}
+	services := append(named("lookup", 4, small), named("trade", 6, small)...)
 	return Deployment{
-		Name: "saved-games", Zones: []string{"zone-a", "zone-b", "zone-c"},
-		Services: join(
-			services("lookup", 4, 4, 5, smallConnections, lookupLatency, false),
-			services("trade", 6, 4, 5, smallConnections, lookupLatency, false),
-			services("archive", 1, 25, 3, wideConnections, searchLatency, false),
-			services("account", 1, 13, 3, wideConnections, searchLatency, false),
+		Zones: []string{"zone-a", "zone-b", "zone-c"},
+		Services: append(services,
+			ServiceShape{Name: "archive", BackEnds: 25, Slots: 3, Connections: 110, Latency: searchLatency},
+			ServiceShape{Name: "account", BackEnds: 13, Slots: 3, Connections: 110, Latency: searchLatency},
 		),
 	}
 }
 
-// CourtListings is the second deployment at the brief's sizes of today: coverage first.
-func CourtListings() Deployment {
-	const smallConnections, wideConnections = 65, 95
-	return Deployment{
-		Name: "court-listings", Zones: []string{"zone-a", "zone-b", "zone-c"},
-		Services: join(
-			services("portal", 4, 4, 5, smallConnections, lookupLatency, true),
-			services("desk", 6, 4, 5, smallConnections, lookupLatency, true),
-			services("judgments", 1, 20, 4, wideConnections, searchLatency, true),
-			services("console", 1, 10, 4, wideConnections, searchLatency, true),
-		),
+// named returns so many services of one shape: NAME-1, NAME-2 and so on.
+func named(name string, count int, shape ServiceShape) []ServiceShape {
+	shapes := make([]ServiceShape, count)
+	for i := range shapes {
+		shapes[i] = shape
+		shapes[i].Name = fmt.Sprintf("%s-%d", name, i+1)
 	}
-}
-
-// Deployments returns the deployments by name.
-func Deployments() map[string]Deployment {
-	return map[string]Deployment{"saved-games": SavedGames(), "court-listings": CourtListings()}
+	return shapes
 }
--- a/internal/rehearsal/platform.go
+++ b/internal/rehearsal/platform.go
@@ -63,8 +63,6 @@
 	lists    []machineListAt
 	leases   map[uint64]*lease
 	nextID   uint64
-	// requests counts what was asked, by kind.
-	requests map[string]int
 }
 
 // StartPlatform serves on the address.
@@ -75,7 +73,7 @@
 	}
 	p := &Platform{
 		options: options, limiter: rate.NewLimiter(limit, max(1, int(options.RequestsPerSecond))), store: standin.NewStore(),
-		watchers: map[chan platform.Entry]string{}, leases: map[uint64]*lease{}, requests: map[string]int{},
+		watchers: map[chan platform.Entry]string{}, leases: map[uint64]*lease{},
 	}
 	mux := http.NewServeMux()
 	mux.Handle(stiletrailv1connect.NewKeyValueServiceHandler(p))
@@ -116,17 +114,6 @@
 	use(p.store)
 }
 
-// Requests returns how many requests of each kind came.
-func (p *Platform) Requests() map[string]int {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	copied := make(map[string]int, len(p.requests))
-	for kind, count := range p.requests {
-		copied[kind] = count
-	}
-	return copied
-}
-
 // control sets faults over HTTP: down=true, slow=2s, lose-answers=1, lose-events=true.
 func (p *Platform) control(w http.ResponseWriter, r *http.Request) {
 	values := r.URL.Query()
@@ -142,10 +129,9 @@
 var errDown = failure.New(failure.StoreUnavailable, "the platform stand-in is down")
 
 // enter applies the faults and the rate limit to a request.
-func (p *Platform) enter(ctx context.Context, kind string) error {
+func (p *Platform) enter(ctx context.Context) error {
 	p.mutex.Lock()
 	faults := p.faults
-	p.requests[kind]++
 	p.mutex.Unlock()
 	if faults.Down {
 		return connect.NewError(connect.CodeUnavailable, errDown)
@@ -168,7 +154,7 @@
 
 // Get implements the key-value service.
 func (p *Platform) Get(ctx context.Context, request *connect.Request[stiletrailv1.GetRequest]) (*connect.Response[stiletrailv1.GetResponse], error) {
-	if err := p.enter(ctx, "get"); err != nil {
+	if err := p.enter(ctx); err != nil {
 		return nil, err
 	}
 	p.mutex.Lock()
@@ -182,7 +168,7 @@
 
 // List implements the key-value service.
 func (p *Platform) List(ctx context.Context, request *connect.Request[stiletrailv1.ListRequest]) (*connect.Response[stiletrailv1.ListResponse], error) {
-	if err := p.enter(ctx, "list"); err != nil {
+	if err := p.enter(ctx); err != nil {
 		return nil, err
 	}
 	p.mutex.Lock()
@@ -199,7 +185,7 @@
 
 // CompareAndSwap implements the key-value service.
 func (p *Platform) CompareAndSwap(ctx context.Context, request *connect.Request[stiletrailv1.CompareAndSwapRequest]) (*connect.Response[stiletrailv1.CompareAndSwapResponse], error) {
-	if err := p.enter(ctx, "compare-and-swap"); err != nil {
+	if err := p.enter(ctx); err != nil {
 		return nil, err
 	}
 	p.mutex.Lock()
@@ -235,7 +221,7 @@
 
 // Watch implements the key-value service.
 func (p *Platform) Watch(ctx context.Context, request *connect.Request[stiletrailv1.WatchRequest], stream *connect.ServerStream[stiletrailv1.WatchResponse]) error {
-	if err := p.enter(ctx, "watch"); err != nil {
+	if err := p.enter(ctx); err != nil {
 		return err
 	}
 	const queueLength = 256
@@ -264,7 +250,7 @@
 
 // GrantLease implements the key-value service.
 func (p *Platform) GrantLease(ctx context.Context, request *connect.Request[stiletrailv1.GrantLeaseRequest]) (*connect.Response[stiletrailv1.GrantLeaseResponse], error) {
-	if err := p.enter(ctx, "lease"); err != nil {
+	if err := p.enter(ctx); err != nil {
 		return nil, err
 	}
 	p.mutex.Lock()
@@ -277,7 +263,7 @@
 
 // KeepAlive implements the key-value service.
 func (p *Platform) KeepAlive(ctx context.Context, request *connect.Request[stiletrailv1.KeepAliveRequest]) (*connect.Response[stiletrailv1.KeepAliveResponse], error) {
-	if err := p.enter(ctx, "lease"); err != nil {
+	if err := p.enter(ctx); err != nil {
 		return nil, err
 	}
 	p.mutex.Lock()
@@ -305,7 +291,7 @@
 
 // ListMachines implements the machine list: the newest list that is as old as the lag.
 func (p *Platform) ListMachines(ctx context.Context, _ *connect.Request[stiletrailv1.ListMachinesRequest]) (*connect.Response[stiletrailv1.ListMachinesResponse], error) {
-	if err := p.enter(ctx, "machines"); err != nil {
+	if err := p.enter(ctx); err != nil {
 		return nil, err
 	}
 	p.mutex.Lock()
--- a/internal/rehearsal/quickstart.go
+++ b/internal/rehearsal/quickstart.go
@@ -61,7 +61,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), quickstartTimeout)
 	defer cancel()
 	cluster, err := StartCluster(ClusterOptions{
-		Deployment: SavedGames(), NodesPerZone: 2, Log: log, Deadline: quickstartDeadline,
+		Deployment: quickstartDeployment(), NodesPerZone: 2, Log: log, Deadline: quickstartDeadline,
 		Platform: PlatformOptions{RequestsPerSecond: 200, MachineListLag: time.Second},
 	})
 	if err != nil {
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -68,12 +68,8 @@
 	warmed int
 	// Ran counts the executions of each body of a request that is not repeatable.
 	Ran map[string]int
-	// Started counts the requests that took a slot, DrainedWork those that came while draining; Peak is the most at once.
-	Started     int
-	ShedCount   int
+	// DrainedWork counts the requests that came while draining.
 	DrainedWork int
-	Peak        int
-	Arrivals    int
 }
 
 // NewBackEnd returns a back end that holds version 1 of the given shards.
@@ -114,7 +110,6 @@
 // Arrive takes a request. Where it is refused, the result is final and works is false; otherwise it takes a slot for
 // the returned time, after which the caller calls Finish.
 func (b *BackEnd) Arrive(attempt query.Attempt, remaining time.Duration) (result query.AttemptResult, serviceTime time.Duration, works bool) {
-	b.Arrivals++
 	result = query.AttemptResult{
 		Attempt: attempt.Number, Snapshot: query.Snapshot{Version: attempt.Snapshot.Version, Epoch: b.Epoch},
 		Holding: b.Holding(), HasHolding: true,
@@ -122,14 +117,11 @@
 	result.Status = b.refusal(attempt, remaining)
 	if result.Status != query.StatusNone {
 		if result.Status == query.StatusShed {
-			b.ShedCount++
 			result.RetryAfter = shedRetryAfter
 		}
 		return result, 0, false
 	}
 	b.busy++
-	b.Started++
-	b.Peak = max(b.Peak, b.busy)
 	serviceTime = b.Latency.Draw(b.random, len(attempt.Shards))
 	if b.State == query.StateCold && b.warmed < coldRequests {
 		serviceTime *= coldFactor
