--- a/internal/simulation/world.go
+++ b/internal/simulation/world_test.go
@@ -1,6 +1,9 @@
-// Package simulation runs many nodes, the very engines that stiletraild runs, against models of back ends, store, machine list
-// and network on a virtual clock. A seed decides everything; the same seed gives the same trace. An independent checker
-// looks at every step.
+// Package simulation tests the own interface's nodes as a whole: it runs many of them, the very engines that stiletraild runs, in a
+// virtual world under faults, and an independent checker looks at every step. It holds test files alone.
+//
+// World owns the virtual clock, the event queue and one seeded source of randomness that decides everything: the same seed gives
+// the same trace. Around the engines stand models of the network, back ends, store and machine list. There is no I/O, no lock and
+// no goroutine.
 package simulation
 
 import (
