--- /dev/null
+++ b/internal/gateway/call.go
@@ -0,0 +1,49 @@
+package gateway
+
+import (
+	"context"
+	"time"
+
+	"stiletrail/internal/forward"
+	"stiletrail/internal/quarantine"
+	"stiletrail/internal/replica"
+)
+
+// Call is a request of a caller.
+type Call struct {
+	// ID is the caller's own id of the request.
+	ID   string
+	Host string
+	Path string
+	// Deadline is when the caller stops waiting; zero if it did not say.
+	Deadline time.Time
+	// Identity is what the request is known by when it comes again with another id; Caller is the address it came from, without the port.
+	Identity quarantine.Identity
+	Caller   string
+	// Message is the request as the adapter holds it, handed through to the back-end client.
+	Message any
+}
+
+// Send is an attempt to be carried out.
+type Send struct {
+	Call    *Call
+	Attempt *forward.Attempt
+	// Entry of the back end, as it was when the attempt was decided.
+	Entry replica.Entry
+	// Deadline is when the work is of no more use, unless the machine is suspended before; Left is what is left of it at the moment of a call.
+	Deadline time.Time
+	Left     func() time.Duration
+	// Prove has a new connection prove first that the back end takes it.
+	Prove bool
+	// Once: the request cannot be sent again if its connection carries no answer.
+	Once bool
+	// Rest says which connections to the back end may rest for later requests.
+	Rest replica.Rest
+}
+
+// BackEnds carries out attempts. One attempt reaches a back end at most once.
+type BackEnds interface {
+	Exchange(ctx context.Context, send Send) forward.Outcome
+	// Prune closes idle connections to addresses that no back end has any more.
+	Prune(inUse func(address string) bool)
+}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -6,7 +6,6 @@
 package gateway
 
 import (
-	"context"
 	"math/rand/v2"
 	"sync"
 	"sync/atomic"
@@ -26,45 +25,6 @@
 	"stiletrail/internal/spread"
 )
 
-// Call is a request of a caller.
-type Call struct {
-	// ID is the caller's own id of the request.
-	ID   string
-	Host string
-	Path string
-	// Deadline is when the caller stops waiting; zero if it did not say.
-	Deadline time.Time
-	// Identity is what the request is known by when it comes again with another id; Caller is the address it came from, without the port.
-	Identity quarantine.Identity
-	Caller   string
-	// Message is the request as the adapter holds it, handed through to the back-end client.
-	Message any
-}
-
-// Send is an attempt to be carried out.
-type Send struct {
-	Call    *Call
-	Attempt *forward.Attempt
-	// Entry of the back end, as it was when the attempt was decided.
-	Entry replica.Entry
-	// Deadline is when the work is of no more use, unless the machine is suspended before; Left is what is left of it at the moment of a call.
-	Deadline time.Time
-	Left     func() time.Duration
-	// Prove has a new connection prove first that the back end takes it.
-	Prove bool
-	// Once: the request cannot be sent again if its connection carries no answer.
-	Once bool
-	// Rest says which connections to the back end may rest for later requests.
-	Rest replica.Rest
-}
-
-// BackEnds carries out attempts. One attempt reaches a back end at most once.
-type BackEnds interface {
-	Exchange(ctx context.Context, send Send) forward.Outcome
-	// Prune closes idle connections to addresses that no back end has any more.
-	Prune(inUse func(address string) bool)
-}
-
 // Settings of a gateway.
 type Settings struct {
 	Forward forward.Settings
@@ -248,41 +208,6 @@
 	return budget
 }
 
-// world is the gateway as a request sees it; the lock is held.
-type world struct {
-	gateway *Gateway
-	now     time.Duration
-	run     *run
-}
-
-// Pick implements forward.World.
-func (w world) Pick(service string, choice replica.Choice) (*replica.Replica, bool) {
-	return w.gateway.replicas.Pick(w.now, service, choice)
-}
-
-// Recovers implements forward.World.
-func (w world) Recovers(service string, choice replica.Choice) (time.Duration, bool) {
-	return w.gateway.replicas.Recovers(service, choice)
-}
-
-// SpendHedge implements forward.World.
-func (w world) SpendHedge(service string) bool {
-	return w.gateway.budget(service).Spend(w.now, w.gateway.settings.Load().HedgeReserve, w.gateway.retrySlack())
-}
-
-// ExtrasLeft implements forward.World.
-func (w world) ExtrasLeft(service string) float64 {
-	return w.gateway.budget(service).Left(w.now, w.gateway.retrySlack())
-}
-
-// SpendRetry implements forward.World.
-func (w world) SpendRetry(service string) bool {
-	return w.gateway.budget(service).Spend(w.now, 0, w.gateway.retrySlack())
-}
-
-// Met implements forward.World.
-func (w world) Met(seen admit.Seen) { w.gateway.gate.Note(w.now, seen) }
-
 // Version of the configuration in force, 0 without one.
 func (g *Gateway) Version() uint64 {
 	table := g.table.Load()
