--- /dev/null
+++ b/internal/decisionlog/kept_test.go
@@ -0,0 +1,116 @@
+package decisionlog_test
+
+import (
+	"errors"
+	"os"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"stiletrail/internal/admit"
+	"stiletrail/internal/decisionlog"
+	"stiletrail/internal/failure"
+	"stiletrail/internal/follow"
+	"stiletrail/internal/forward"
+	"stiletrail/internal/gateway"
+	"stiletrail/internal/history"
+	"stiletrail/internal/quarantine"
+	"stiletrail/internal/replica"
+	"stiletrail/internal/routing"
+)
+
+// timestamp is what differs between two runs that log the same.
+var timestamp = regexp.MustCompile(`"time":"[^"]*"`)
+
+// TestLinesOfOld: a line of each kind has the fields and the form that it has had. What reads the logs, here and at the users', goes by them.
+func TestLinesOfOld(t *testing.T) {
+	table, err := routing.Compile(routing.Configuration{Version: 21})
+	if err != nil {
+		t.Fatal(err)
+	}
+	mark := quarantine.Mark{0x1a, 0x2b, 0x3c, 0x4d, 0x5e, 0x6f, 0x70, 0x81}
+	call := &gateway.Call{ID: "request-1", Caller: "10.0.0.9", Identity: quarantine.Identity{Question: mark}}
+	at, later := history.At(2, 68), history.At(3, 70)
+	answered, lost, open := attempts()
+	down := failure.New(failure.StoreUnavailable, "down")
+	lines := logged(func(log *decisionlog.Log) {
+		log.Lifecycle(decisionlog.EventStart, map[string]any{"settings": "s"})
+		log.Lifecycle(decisionlog.EventReload, map[string]any{"reason": "not valid"})
+		log.Lifecycle(decisionlog.EventStop, map[string]any{"reason": "terminated"})
+		log.Request(call, ended(forward.Answer{Total: 3, Reason: forward.TargetReached}, answered))
+		log.Request(call, ended(forward.Answer{Total: 3, Missing: 1, Reason: forward.TargetReached}, answered, lost, open))
+		log.Request(call, &gateway.Result{
+			Answer:   forward.Answer{Failure: failure.Refused(failure.Overloaded, "", time.Second), Reason: forward.TurnedAway},
+			Overload: admit.Level{Lacking: 1.9, Shed: 0.126, TurnedAway: 0.5},
+		})
+		log.Ejected(lost, lost.Outcome)
+		log.BackEndEnded(call, lost, 12)
+		log.Judged(mark, quarantine.Quarantined, "own", 600_000)
+		log.Retrial(mark, "v2")
+		log.QuarantineLost(mark, down)
+		log.Configuration(table, at)
+		log.Rejected(&gateway.Item{Key: "key", Revision: at, Err: errors.New("unreadable")})
+		log.BackEnd(replica.Entry{ID: "back-end-1", Service: "service", Zone: "zone-a"}, at)
+		log.BackEnd(replica.Entry{ID: "back-end-1", Service: "service", Zone: "zone-a", Draining: true}, at)
+		log.Vanished("back-end-1", true)
+		log.Vanished("back-end-1", false)
+		log.Evacuated("zone-a", at)
+		log.TakenBack("zone-a")
+		log.Listed(12, at)
+		log.WentBack(later, at)
+		log.Returned(3)
+		log.Older("key", at, later, 4)
+		log.StoreLost(follow.Unavailable, down, 1500*time.Millisecond)
+		log.StoreAnswered(20 * time.Millisecond)
+		log.CopyStale(2100)
+		log.CopyFresh()
+		log.Suspended(3000)
+		log.Members(6)
+		log.Learned("10.0.0.2:1", 5, at)
+		log.PeerSilent("10.0.0.2:1")
+		log.PeerMalformed("10.0.0.2:1", errors.New("a short frame"))
+		log.Fault("a fault")
+		_, _ = log.Write([]byte("of a library\n"))
+	})
+	compareKept(t, "testdata/lines.txt", timestamp.ReplaceAllString(strings.Join(lines, "\n"), `"time":""`)+"\n")
+}
+
+// attempts that were answered, lost, and have not ended.
+func attempts() (answered, lost, open *forward.Attempt) {
+	attempt := func(id string, purpose forward.Purpose, outcome forward.Outcome) *forward.Attempt {
+		return &forward.Attempt{
+			Service: "service", Replica: &replica.Replica{Entry: replica.Entry{ID: id}}, Purpose: purpose,
+			StartedAt: 1010 * time.Millisecond, EndedAt: 1022 * time.Millisecond, Outcome: outcome,
+		}
+	}
+	answered = attempt("back-end-1", forward.First, forward.Outcome{
+		Kind: forward.Answered, Load: replica.Load{Told: true, Running: 3, Waiting: 1, Slots: 4, Pace: 1.25},
+	})
+	lost = attempt("back-end-2", forward.Hedge, forward.Outcome{Kind: forward.Lost, Detail: "reset"})
+	open = attempt("back-end-3", forward.Retry, forward.Outcome{})
+	return answered, lost, open
+}
+
+func ended(answer forward.Answer, attempts ...*forward.Attempt) *gateway.Result {
+	return &gateway.Result{
+		Answer: answer, Route: &routing.Route{Name: "route"}, Version: 21, CopyAge: 340, Attempts: attempts,
+		Arrived: time.Second, Elapsed: 95 * time.Millisecond,
+		Denied: func(attempt *forward.Attempt) forward.Denied {
+			if attempt.Purpose == forward.Hedge {
+				return forward.DeniedBudget
+			}
+			return ""
+		},
+	}
+}
+
+func compareKept(t *testing.T, path, got string) {
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("written is\n%s\nwant as in %s\n%s", got, path, want)
+	}
+}
