--- /dev/null
+++ b/internal/replica/trace_test.go
@@ -0,0 +1,183 @@
+package replica_test
+
+import (
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"stiletrail/internal/clock"
+	"stiletrail/internal/region"
+	"stiletrail/internal/replica"
+)
+
+// TestChoicesOfOld: what a set picks and tells over a long random history, hashed, is what it was when the hashes were taken. A change that is to leave the
+// choice as it is leaves them too; one that is not takes new ones, and says why.
+func TestChoicesOfOld(t *testing.T) {
+	for seed, want := range []uint64{0x52a811eeaf462f18, 0xcbdd04bbc72506a0, 0x21700929de7a07b8, 0x5a51d291be112cce} {
+		if got := trace(uint64(seed)); got != want {
+			t.Errorf("seed %d: hash %#x, want %#x", seed, got, want)
+		}
+	}
+}
+
+// trace plays a random history on a set and hashes all that it answers.
+func trace(seed uint64) uint64 {
+	random := rand.New(rand.NewPCG(seed, 9))
+	set := replica.NewSet(traceSettings(random), tracePlaces, rand.New(rand.NewPCG(seed, 10)))
+	set.SetWarmups(map[string]replica.Warmup{"s": {For: 3 * clock.Second, Rate: 12.5}})
+	sum := fnv.New64a()
+	note := func(values ...any) { _, _ = fmt.Fprintln(sum, values...) }
+	var running []started
+	now, distrustedUntil := time.Duration(0), time.Duration(0)
+	for step := range 20_000 {
+		now += time.Duration(random.IntN(int(40 * millisecond)))
+		id := fmt.Sprint("back-end-", random.IntN(12))
+		switch what := random.IntN(100); {
+		case what < 40:
+			chosen, busy := set.Pick(now, "s", traceChoice(random, set, id))
+			note("pick", name(chosen), busy)
+			if chosen != nil {
+				chosen.Start(now)
+				running = append(running, started{chosen, now})
+			}
+		case what < 75 && len(running) > 0:
+			i := random.IntN(len(running))
+			ending := running[i]
+			running = append(running[:i], running[i+1:]...)
+			if random.IntN(2) == 0 {
+				ending.at.Tell(now, replica.Load{Told: true, Running: random.IntN(5), Waiting: random.IntN(2), Slots: 4, Pace: 0.5 + 3*random.Float64()})
+			}
+			verdict := replica.Answered
+			if random.IntN(4) == 0 {
+				verdict = replica.Verdict(random.IntN(int(replica.Neutral) + 1))
+			}
+			if verdict == replica.Misdirected && random.IntN(10) > 0 {
+				verdict = replica.Failed
+			}
+			note("finish", verdict, ending.at.Finish(now, ending.when, verdict))
+		case what < 80:
+			if now < distrustedUntil {
+				// More than one entry that is put aside would be taken back in the random order of a map.
+				id = "back-end-0"
+			}
+			entry := traceEntry(random, id)
+			note("put", set.Put(now, entry))
+		case what < 82:
+			until := now
+			if random.IntN(2) == 0 && !anyDoubtful(set) {
+				until = now + time.Second + time.Duration(step)
+			}
+			note("remove", set.Remove(now, id, until))
+		case what < 84:
+			note("expire", set.Expire(now))
+		case what < 88 && set.Get(id) != nil:
+			set.Hear(now, set.Get(id).Key(), 1+4*random.Float64(), random.Float64(), now-time.Duration(random.IntN(int(time.Second))))
+		case what < 90:
+			tracePlace(random, now, set, note)
+		case what < 91 && step%5 == 0:
+			distrustedUntil = now + 2*time.Second
+			set.DoubtOld(distrustedUntil)
+		case what < 91:
+			traceNodes(random, set)
+		case what < 92 && step%7 == 0:
+			set.Reconfigure(traceSettings(random), tracePlaces)
+		case set.Get(id) != nil:
+			r := set.Get(id)
+			slowdown, faults := r.Met(now)
+			note(r.Latency(), r.Floor(), r.Least(now), r.Expected(now), r.InFlight(), r.Ejected(now), r.Doubtful(), r.Cold(now), r.Evacuated(), slowdown, faults)
+			note(set.Crowded(now, r), set.Rest(r))
+			at, known := set.Recovers("s", replica.Choice{})
+			note(at, known, set.Known("s", region.Of("b")), set.Versions("s", region.Set{}), set.Len(), set.Draw())
+		}
+	}
+	return sum.Sum64()
+}
+
+// started is an attempt under way.
+type started struct {
+	at   *replica.Replica
+	when time.Duration
+}
+
+var tracePlaces = replica.Places{
+	Node: "node-0", Zone: "a1", Regions: map[string]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c"},
+}
+
+func traceSettings(random *rand.Rand) replica.Settings {
+	often := func() bool { return random.IntN(4) > 0 }
+	return replica.Settings{
+		Connections: 1 + random.IntN(4), FarPrice: random.Float64(), FaultPrice: 3 * random.Float64(), GoByPace: often(),
+		SubsetSize: random.IntN(3), FewRest: often(), Ejection: often(), WithdrawnFactor: 1 + random.Float64(), Prove: often(),
+	}
+}
+
+func traceEntry(random *rand.Rand, id string) replica.Entry {
+	zones := []string{"a1", "a2", "b1", "b2", "c1", "unknown"}
+	entry := replica.Entry{ID: id, Service: "s", Address: "127.0.0.1:1", Zone: zones[random.IntN(len(zones))], Slots: 4}
+	entry.Version = fmt.Sprint("v", random.IntN(3))
+	entry.Draining = random.IntN(20) == 0
+	if random.IntN(3) == 0 {
+		entry.ColdFor = time.Duration(random.IntN(int(3 * time.Second)))
+	}
+	if random.IntN(20) == 0 {
+		entry.Service = "other"
+	}
+	return entry
+}
+
+func traceChoice(random *rand.Rand, set *replica.Set, id string) replica.Choice {
+	choice := replica.Choice{Target: time.Duration(random.IntN(4)) * 100 * millisecond}
+	switch known := set.Get(id); {
+	case random.IntN(3) > 0:
+	case known != nil && random.IntN(2) == 0:
+		choice.Excluded = []*replica.Replica{known}
+	case known != nil && random.IntN(2) == 0:
+		choice.Only = []*replica.Replica{known}
+	case random.IntN(2) == 0:
+		choice.Versions = []string{"v0", "v1"}
+	default:
+		choice.Regions = region.Of("a", "c")
+	}
+	return choice
+}
+
+// anyDoubtful reports whether some entry has vanished in doubt. More than one would expire in the random order of a map.
+func anyDoubtful(set *replica.Set) (found bool) {
+	set.All(func(r *replica.Replica) { found = found || r.Doubtful() })
+	return found
+}
+
+// tracePlace has a zone evacuated or taken back, or entries that were put aside taken in.
+func tracePlace(random *rand.Rand, now time.Duration, set *replica.Set, note func(...any)) {
+	zone := []string{"a2", "b2", "c1"}[random.IntN(3)]
+	switch random.IntN(5) {
+	case 0:
+		note("evacuate", set.Evacuate(zone))
+	case 1, 2, 3:
+		note("take back", set.Return(now, zone), set.Evacuated())
+	default:
+		readmitted := set.Readmit(now)
+		note("readmit", len(readmitted))
+	}
+}
+
+// traceNodes changes what the other nodes leave to this one.
+func traceNodes(random *rand.Rand, set *replica.Set) {
+	var nodes []string
+	for i := range random.IntN(20) {
+		nodes = append(nodes, fmt.Sprint("node-", i))
+	}
+	set.SetFleet("node-0", nodes)
+	set.SetYoung(random.IntN(3) == 0)
+	share := replica.NewShare(1+random.IntN(80), 1+random.IntN(40), 1+random.IntN(10), 8)
+	set.SetShares(map[string]replica.Share{"s": share})
+}
+
+func name(r *replica.Replica) string {
+	if r == nil {
+		return ""
+	}
+	return r.ID
+}
