--- a/internal/intent/intent_test.go
+++ b/internal/intent/intent_test.go
@@ -123,3 +123,15 @@
 		}
 	})
 }
+
+// TestDigestsAreKept: a plan that was made by one release may be confirmed at another.
+func TestDigestsAreKept(t *testing.T) {
+	base := catalog.Document{Version: 3}
+	const expires = 1700000000
+	if got := NewPlan(parse(t, valid), base, expires).Digest; got != "d4c6e728b96dc6687367d0e78cb37a02" {
+		t.Errorf("digest %s", got)
+	}
+	if got := NewPlan(Intent{Service: "lookup", Delete: true}, base, expires).Digest; got != "126993757fbaf9e671ff496d429132cc" {
+		t.Errorf("digest of a deletion %s", got)
+	}
+}
--- a/internal/ticket/ticket_test.go
+++ b/internal/ticket/ticket_test.go
@@ -1,6 +1,7 @@
 package ticket
 
 import (
+	"encoding/hex"
 	"testing"
 	"time"
 
@@ -80,3 +81,16 @@
 		t.Errorf("use %d, outcome %v", use, outcome)
 	}
 }
+
+// TestTicketsKeepTheirForm: callers hold tickets, and nodes of another release pass them on by their address.
+func TestTicketsKeepTheirForm(t *testing.T) {
+	const minted = "0102030405060708000000000000000100000000b2d05e0031302e302e302e313a3731303082ac8ee00ea8afded25bdf9f9df03b90"
+	ticket := NewTable("10.0.0.1:7100", 0x0102030405060708, []byte("key")).Mint(3 * time.Second)
+	if got := hex.EncodeToString(ticket); got != minted {
+		t.Errorf("ticket %s, want %s", got, minted)
+	}
+	want := Ticket{Address: "10.0.0.1:7100", Generation: 0x0102030405060708, Sequence: 1, MintedAt: 3 * time.Second}
+	if got, err := Parse(ticket); err != nil || got != want {
+		t.Errorf("read as %+v, error %v", got, err)
+	}
+}
