--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -16,7 +16,7 @@
 	"stiletrail/internal/clock"
 	"stiletrail/internal/follow"
 	"stiletrail/internal/forward"
-	"stiletrail/internal/hearsay"
+	"stiletrail/internal/healthreport"
 	"stiletrail/internal/limit"
 	"stiletrail/internal/membership"
 	"stiletrail/internal/message"
@@ -150,7 +150,7 @@
 	// keeping is what is to be written to the store of them.
 	keeping keeping
 	// reports is what nodes tell each other of back ends; reporting is signalled when there is something to tell.
-	reports   *hearsay.Core
+	reports   *healthreport.Core
 	reporting chan struct{}
 	// reportsTo are the nodes that are told, chosen for a version of the members.
 	reportsTo      []string
@@ -183,7 +183,7 @@
 	g := &Gateway{
 		backEnds: backEnds, store: store, journal: journal, clock: clock.Start(), givenUp: make(chan struct{}),
 		firstListing: make(chan struct{}),
-		starved:      make(chan struct{}, 1), reports: hearsay.New(), reporting: make(chan struct{}, 1),
+		starved:      make(chan struct{}, 1), reports: healthreport.New(), reporting: make(chan struct{}, 1),
 		replicas: replica.NewSet(settings.Replica, settings.Places, random),
 		budgets:  map[string]*limit.SlidingBudget{}, splitter: routing.NewSplitter(),
 		follower: follow.New(settings.Follow, random.Float64), listedKeys: map[string]bool{}, returning: map[string]time.Duration{},
--- a/internal/gateway/reports.go
+++ b/internal/gateway/reports.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"stiletrail/internal/clock"
-	"stiletrail/internal/hearsay"
+	"stiletrail/internal/healthreport"
 	"stiletrail/internal/message"
 	"stiletrail/internal/replica"
 )
@@ -32,7 +32,7 @@
 		return
 	}
 	pace, faults := r.Met(now)
-	if g.reports.Note(clock.Of(now), hearsay.Report{BackEnd: r.Key(), Pace: pace, Faults: faults, SeenAt: clock.Of(now)}) {
+	if g.reports.Observe(clock.Of(now), healthreport.Report{BackEnd: r.Key(), Pace: pace, Faults: faults, SeenAt: clock.Of(now)}) {
 		g.reportsDue()
 	}
 }
@@ -53,7 +53,7 @@
 		case <-g.reporting:
 		}
 		g.mutex.Lock()
-		if m := g.reports.Take(clock.Of(g.now())); m != nil {
+		if m := g.reports.NextMessage(clock.Of(g.now())); m != nil {
 			for _, peer := range g.reportPeers() {
 				g.peers.Send(peer, m)
 			}
@@ -103,7 +103,7 @@
 
 // receiveReports takes in what another node tells of back ends; the lock is held.
 func (g *Gateway) receiveReports(now time.Duration, m *message.BackEndReports) {
-	news := g.reports.Hear(clock.Of(now), m)
+	news := g.reports.Receive(clock.Of(now), m)
 	for _, r := range news {
 		g.replicas.Hear(now, r.BackEnd, r.Pace, r.Faults, r.SeenAt.Duration())
 	}
--- a/internal/hearsay/hearsay_test.go
+++ b/internal/healthreport/healthreport_test.go
@@ -1,23 +1,23 @@
-package hearsay_test
+package healthreport_test
 
 import (
 	"math/rand/v2"
 	"testing"
 
 	"stiletrail/internal/clock"
-	"stiletrail/internal/hearsay"
+	"stiletrail/internal/healthreport"
 	"stiletrail/internal/message"
 )
 
 const slowBackEnd = 7
 
-func slow(seenAt clock.Ms) hearsay.Report {
-	return hearsay.Report{BackEnd: slowBackEnd, Pace: 8.5, SeenAt: seenAt}
+func slow(seenAt clock.Ms) healthreport.Report {
+	return healthreport.Report{BackEnd: slowBackEnd, Pace: 8.5, SeenAt: seenAt}
 }
 
 // fleet is some nodes that each tell three others each 50 ms what is news to them: the next two in a ring and a random one.
 type fleet struct {
-	nodes  []*hearsay.Core
+	nodes  []*healthreport.Core
 	heard  []bool
 	sent   []int
 	random *rand.Rand
@@ -26,7 +26,7 @@
 func newFleet(count int) *fleet {
 	f := &fleet{heard: make([]bool, count), sent: make([]int, count), random: rand.New(rand.NewPCG(uint64(count), 1))}
 	for range count {
-		f.nodes = append(f.nodes, hearsay.New())
+		f.nodes = append(f.nodes, healthreport.New())
 	}
 	return f
 }
@@ -35,7 +35,7 @@
 func (f *fleet) round(now clock.Ms) (heard int) {
 	due := make([]*message.BackEndReports, len(f.nodes))
 	for i, node := range f.nodes {
-		due[i] = node.Take(now)
+		due[i] = node.NextMessage(now)
 	}
 	for i, m := range due {
 		if m == nil {
@@ -44,7 +44,7 @@
 		for _, peer := range []int{i + 1, i + 2, f.random.IntN(len(f.nodes))} {
 			peer %= len(f.nodes)
 			f.sent[i]++
-			if len(f.nodes[peer].Hear(now, m)) > 0 {
+			if len(f.nodes[peer].Receive(now, m)) > 0 {
 				f.heard[peer] = true
 			}
 		}
@@ -62,7 +62,7 @@
 func TestStragglerIsKnownToAll(t *testing.T) {
 	for count, rounds := range map[int]int{22: 7, 65: 9, 300: 11, 2000: 14} {
 		f := newFleet(count)
-		f.heard[0] = f.nodes[0].Note(0, slow(0))
+		f.heard[0] = f.nodes[0].Observe(0, slow(0))
 		needed := 0
 		for heard := 1; heard < count && needed < 100; needed++ {
 			heard = f.round(clock.Ms(50 * needed))
@@ -80,38 +80,38 @@
 
 // TestOnlyChangesAreTold: a sound back end is no news, a slow one is told again each second while it is met, and so is that it is well again, once.
 func TestOnlyChangesAreTold(t *testing.T) {
-	c := hearsay.New()
+	c := healthreport.New()
 	steps := []struct {
 		at     clock.Ms
-		report hearsay.Report
+		report healthreport.Report
 		told   bool
 		why    string
 	}{
-		{0, hearsay.Report{BackEnd: 1, Pace: 1}, false, "sound"},
-		{10, hearsay.Report{BackEnd: 1, Pace: 1.2, Faults: 0.3}, false, "a little slower, one failure"},
-		{20, hearsay.Report{BackEnd: 1, Pace: 4}, true, "slow"},
-		{500, hearsay.Report{BackEnd: 1, Pace: 4.2}, false, "still slow"},
-		{1100, hearsay.Report{BackEnd: 1, Pace: 4.2}, true, "slow for a second"},
-		{1200, hearsay.Report{BackEnd: 1, Pace: 8.5}, true, "slower"},
-		{1300, hearsay.Report{BackEnd: 1, Pace: 1}, true, "well again"},
-		{1400, hearsay.Report{BackEnd: 1, Pace: 1}, false, "well"},
-		{1500, hearsay.Report{BackEnd: 1, Pace: 1, Faults: 0.5}, true, "faulty"},
+		{0, healthreport.Report{BackEnd: 1, Pace: 1}, false, "sound"},
+		{10, healthreport.Report{BackEnd: 1, Pace: 1.2, Faults: 0.3}, false, "a little slower, one failure"},
+		{20, healthreport.Report{BackEnd: 1, Pace: 4}, true, "slow"},
+		{500, healthreport.Report{BackEnd: 1, Pace: 4.2}, false, "still slow"},
+		{1100, healthreport.Report{BackEnd: 1, Pace: 4.2}, true, "slow for a second"},
+		{1200, healthreport.Report{BackEnd: 1, Pace: 8.5}, true, "slower"},
+		{1300, healthreport.Report{BackEnd: 1, Pace: 1}, true, "well again"},
+		{1400, healthreport.Report{BackEnd: 1, Pace: 1}, false, "well"},
+		{1500, healthreport.Report{BackEnd: 1, Pace: 1, Faults: 0.5}, true, "faulty"},
 	}
 	for _, step := range steps {
 		step.report.SeenAt = step.at
-		if got := c.Note(step.at, step.report); got != step.told {
+		if got := c.Observe(step.at, step.report); got != step.told {
 			t.Errorf("at %d, %s: told %v", step.at, step.why, got)
 		}
-		c.Take(step.at)
+		c.NextMessage(step.at)
 	}
 }
 
 // TestBadReportsAreDropped: what is old, known already or out of its range is neither believed nor passed on; what is newer is.
 func TestBadReportsAreDropped(t *testing.T) {
-	c := hearsay.New()
+	c := healthreport.New()
 	now := 10 * clock.Second
 	hear := func(r message.BackEndReport) bool {
-		return len(c.Hear(now, &message.BackEndReports{Reports: []message.BackEndReport{r}})) > 0
+		return len(c.Receive(now, &message.BackEndReports{Reports: []message.BackEndReport{r}})) > 0
 	}
 	good := message.BackEndReport{BackEnd: 1, Pace: 136, AgeMs: 100}
 	if !hear(good) || hear(good) {
@@ -134,13 +134,13 @@
 
 // TestManyReports: a message is bounded, and what does not fit comes with the next ones.
 func TestManyReports(t *testing.T) {
-	c := hearsay.New()
+	c := healthreport.New()
 	for i := range 100 {
-		c.Note(0, hearsay.Report{BackEnd: uint64(i), Pace: 8})
+		c.Observe(0, healthreport.Report{BackEnd: uint64(i), Pace: 8})
 	}
 	seen := map[uint64]bool{}
 	for range 4 {
-		m := c.Take(0)
+		m := c.NextMessage(0)
 		if len(m.Reports) > 32 {
 			t.Fatalf("a message has %d reports", len(m.Reports))
 		}
@@ -148,11 +148,11 @@
 			seen[r.BackEnd] = true
 		}
 	}
-	if len(seen) != 100 || c.Pending() || c.Take(0) != nil {
+	if len(seen) != 100 || c.Pending() || c.NextMessage(0) != nil {
 		t.Errorf("%d of 100 were told, more is due: %v", len(seen), c.Pending())
 	}
 	c.Forget(10 * clock.Second)
-	if !c.Note(10*clock.Second, hearsay.Report{BackEnd: 1, Pace: 8, SeenAt: 10 * clock.Second}) {
+	if !c.Observe(10*clock.Second, healthreport.Report{BackEnd: 1, Pace: 8, SeenAt: 10 * clock.Second}) {
 		t.Error("a slow back end is no news after all was forgotten")
 	}
 }
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -332,9 +332,9 @@
 		"./internal/replica", "TestHeardToBeSlow",
 	},
 	{
-		"old reports are believed", "internal/hearsay/hearsay.go",
-		"clock.Ms(told.AgeMs) > mostAge ||", "",
-		"./internal/hearsay", "TestBadReportsAreDropped",
+		"old reports are believed", "internal/healthreport/healthreport.go",
+		"age > maximumAge ||", "",
+		"./internal/healthreport", "TestBadReportsAreDropped",
 	},
 	{
 		"reports are not told on", "internal/gateway/reports.go",
