--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,7 +1,8 @@
 // Package follow decides how a node reads the store that holds what the operator and the back ends state: a listing first,
 // then one watch after another, and a new listing whenever something may have been missed.
 //
-// It does no I/O and reads no clock.
+// It owns the state of the reading: the revision to go on from, a listing under way, the pause after failures, and when the store
+// last answered. It does no I/O, reads no clock and has no lock: callers carry out its calls, give the time and serialise calls.
 package follow
 
 import (
@@ -38,16 +39,16 @@
 	// may cut it without a word, and only the next one says that a change was missed. So it is kept shorter than the time
 	// in which changes must be in force.
 	WatchFor time.Duration
-	// GatherFor is the pause after changes came, so that changes close to each other cost one call.
-	GatherFor time.Duration
+	// CoalesceFor is the pause after changes came, so that changes close to each other cost one call.
+	CoalesceFor time.Duration
 	// FirstBackoff and LongestBackoff bound the pause after trouble.
 	FirstBackoff   time.Duration
 	LongestBackoff time.Duration
 	// FirstTimeout and LongestTimeout bound the wait for the answer to a listing, and to a watch beyond the time that it waits for changes.
 	FirstTimeout   time.Duration
 	LongestTimeout time.Duration
-	// LookTimeout is the first one for a look.
-	LookTimeout time.Duration
+	// PollTimeout is the first one for a poll: a watch that does not wait for changes.
+	PollTimeout time.Duration
 }
 
 // Kind of a Call.
@@ -61,8 +62,8 @@
 	Watch
 	// Pause: do nothing for Call.For.
 	Pause
-	// Gather: let changes pile up for Call.For, or for less if they are needed.
-	Gather
+	// Coalesce: let changes pile up for Call.For, or for less if they are needed.
+	Coalesce
 )
 
 // Call is what to do next.
@@ -75,14 +76,14 @@
 	Timeout time.Duration
 }
 
-// mostFailures in a row make a difference.
-const mostFailures = 10
-
-// shortestWatch is worth a call.
-const shortestWatch = 200 * time.Millisecond
-
-// lookFor is how long a look waits for changes: not at all, as near as a store's watch comes to that.
-const lookFor = time.Millisecond
+const (
+	// maximumFailures in a row are counted for the timeout of the next call.
+	maximumFailures = 10
+	// minimumWatch is the shortest wait for changes that is worth a call.
+	minimumWatch = 200 * time.Millisecond
+	// pollWait is how long a poll waits for changes: the least that a store's watch can be asked for.
+	pollWait = time.Millisecond
+)
 
 // Core holds the state of the reading.
 type Core struct {
@@ -98,10 +99,11 @@
 	after    string
 	listing  bool
 	listedAt history.Revision
-	pause    time.Duration
-	gather   bool
-	// turnNext: the pause ends at this node's turn, at which it tells others what the store says.
-	turnNext bool
+	// pause before the next call; coalescing: it is one that may be cut short.
+	pause      time.Duration
+	coalescing bool
+	// pollNext: the pause ends at this node's turn, at which it tells others what the store says.
+	pollNext bool
 	backoff  time.Duration
 	failures int
 	// historyLost: the store has forgotten its history since a watch last ended well. Another listing at once would meet the same.
@@ -129,24 +131,18 @@
 	return now - c.contactAt
 }
 
-// Hearing is what a node hears of the store beside its own calls.
-type Hearing struct {
+// CopyState is how the node's copy of the store stands, by its own calls and by what other nodes tell.
+type CopyState struct {
 	// Stale: nobody has confirmed for long that the node knows all changes. The store is asked for those that there are, without a wait for more.
 	Stale bool
-	// Alone: no other node has told anything of late. The node's watches end by themselves before its copy turns stale.
-	Alone bool
+	// PeersSilent: no other node has told anything of late. The node's watches end by themselves before its copy turns stale.
+	PeersSilent bool
 }
 
 // Next returns what to do now. Of the clock only the phase within a period counts.
-func (c *Core) Next(clock time.Duration, hearing Hearing) Call {
+func (c *Core) Next(clock time.Duration, state CopyState) Call {
 	if c.pause > 0 {
-		call := Call{Kind: Pause, For: c.pause}
-		if c.gather {
-			call.Kind = Gather
-			call.For, c.turnNext = c.untilTurn(clock, c.pause)
-		}
-		c.pause, c.gather = 0, false
-		return call
+		return c.takePause(clock)
 	}
 	if !c.listed || c.listing {
 		known := c.revision
@@ -155,12 +151,23 @@
 		}
 		return Call{Kind: List, After: c.after, Revision: known, Timeout: c.timeout(c.settings.FirstTimeout)}
 	}
-	turn := c.turnNext
-	c.turnNext = false
-	if hearing.Stale || turn {
-		return Call{Kind: Watch, Revision: c.revision, For: lookFor, Timeout: c.timeout(c.settings.LookTimeout)}
+	poll := c.pollNext || state.Stale
+	c.pollNext = false
+	if poll {
+		return Call{Kind: Watch, Revision: c.revision, For: pollWait, Timeout: c.timeout(c.settings.PollTimeout)}
+	}
+	return Call{Kind: Watch, Revision: c.revision, For: c.watchFor(clock, state), Timeout: c.timeout(c.settings.FirstTimeout)}
+}
+
+// takePause returns the pause that is due.
+func (c *Core) takePause(clock time.Duration) Call {
+	call := Call{Kind: Pause, For: c.pause}
+	if c.coalescing {
+		call.Kind = Coalesce
+		call.For, c.pollNext = c.untilTurn(clock, c.pause)
 	}
-	return Call{Kind: Watch, Revision: c.revision, For: c.watchFor(clock, hearing), Timeout: c.timeout(c.settings.FirstTimeout)}
+	c.pause, c.coalescing = 0, false
+	return call
 }
 
 // Page takes in a page of a listing: its last key, the store's revision, and whether there is more. It reports whether the
@@ -206,7 +213,7 @@
 	c.historyLost = false
 	c.revision = history.Latest(c.revision, at)
 	if count > 0 {
-		c.pause, c.gather = c.settings.GatherFor, true
+		c.pause, c.coalescing = c.settings.CoalesceFor, true
 	}
 	return true
 }
@@ -241,19 +248,19 @@
 	if c.period == 0 {
 		return pause, false
 	}
-	if wait := c.period - (clock-c.phase)%c.period; wait < pause+shortestWatch {
+	if wait := c.period - (clock-c.phase)%c.period; wait < pause+minimumWatch {
 		return wait, true
 	}
 	return pause, false
 }
 
 // watchFor is the time until this node's next turn, by a clock that nodes share well enough for that.
-func (c *Core) watchFor(clock time.Duration, hearing Hearing) time.Duration {
-	if c.period == 0 || hearing.Alone {
+func (c *Core) watchFor(clock time.Duration, state CopyState) time.Duration {
+	if c.period == 0 || state.PeersSilent {
 		return c.settings.WatchFor
 	}
 	wait := c.period - (clock-c.phase)%c.period
-	if wait < shortestWatch {
+	if wait < minimumWatch {
 		wait += c.period
 	}
 	return wait
@@ -265,21 +272,21 @@
 	if c.failures > 0 {
 		return false
 	}
-	return c.contactAt < 0 || now-c.contactAt < max(c.settings.WatchFor, c.period)+c.settings.GatherFor+c.settings.LongestBackoff
+	return c.contactAt < 0 || now-c.contactAt < max(c.settings.WatchFor, c.period)+c.settings.CoalesceFor+c.settings.LongestBackoff
 }
 
 // Failed takes in that a call went wrong.
 func (c *Core) Failed(now time.Duration, trouble Trouble) {
-	c.gather = false
+	c.coalescing = false
 	if trouble == HistoryLost {
 		c.relist()
-		again := c.historyLost
+		repeated := c.historyLost
 		c.historyLost = true
-		if !again {
+		if !repeated {
 			return
 		}
 	}
-	c.failures = min(c.failures+1, mostFailures)
+	c.failures = min(c.failures+1, maximumFailures)
 	if c.backoff == 0 {
 		c.backoff = c.settings.FirstBackoff
 	} else {
@@ -298,6 +305,7 @@
 	c.Failed(now, Outdated)
 }
 
+// relist has the next call begin a new listing.
 func (c *Core) relist() {
 	c.listed = false
 	c.listing = false
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -10,9 +10,9 @@
 )
 
 var settings = follow.Settings{
-	WatchFor: 2 * time.Second, GatherFor: time.Second,
+	WatchFor: 2 * time.Second, CoalesceFor: time.Second,
 	FirstBackoff: 100 * time.Millisecond, LongestBackoff: time.Second,
-	FirstTimeout: time.Second, LongestTimeout: 4 * time.Second, LookTimeout: 600 * time.Millisecond,
+	FirstTimeout: time.Second, LongestTimeout: 4 * time.Second, PollTimeout: 600 * time.Millisecond,
 }
 
 // at is a revision of the first era.
@@ -23,7 +23,7 @@
 func listed(t *testing.T) *follow.Core {
 	t.Helper()
 	core := follow.New(settings, half)
-	if call := core.Next(0, follow.Hearing{}); call.Kind != follow.List || call.After != "" {
+	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.After != "" {
 		t.Fatalf("begins with %+v", call)
 	}
 	if !core.Page(0, "k", at(7), false) {
@@ -35,33 +35,33 @@
 // TestListThenWatch: pages one after the other, then watches from the revision of the first page.
 func TestListThenWatch(t *testing.T) {
 	core := follow.New(settings, half)
-	core.Next(0, follow.Hearing{})
+	core.Next(0, follow.CopyState{})
 	if core.Page(0, "b", at(7), true) {
 		t.Error("a first page with more behind it is no whole listing")
 	}
-	if call := core.Next(0, follow.Hearing{}); call.Kind != follow.List || call.After != "b" {
+	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.After != "b" {
 		t.Errorf("goes on with %+v", call)
 	}
 	if !core.Page(0, "d", at(9), false) {
 		t.Error("the last page ends the listing")
 	}
-	if call := core.Next(0, follow.Hearing{}); call.Kind != follow.Watch || call.Revision != at(7) || call.For != settings.WatchFor {
+	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Watch || call.Revision != at(7) || call.For != settings.WatchFor {
 		t.Errorf("goes on with %+v: changes between the pages would be missed", call)
 	}
 }
 
-// TestChangesAreGathered: after changes there is a pause that may be cut short; after silence there is none.
-func TestChangesAreGathered(t *testing.T) {
+// TestChangesAreCoalesced: after changes there is a pause that may be cut short; after silence there is none.
+func TestChangesAreCoalesced(t *testing.T) {
 	core := listed(t)
 	core.Changes(0, core.Revision(), at(9), 2)
-	if call := core.Next(0, follow.Hearing{}); call.Kind != follow.Gather || call.For != settings.GatherFor {
+	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Coalesce || call.For != settings.CoalesceFor {
 		t.Errorf("after changes: %+v", call)
 	}
-	if call := core.Next(0, follow.Hearing{}); call.Kind != follow.Watch || call.Revision != at(9) {
+	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Watch || call.Revision != at(9) {
 		t.Errorf("then: %+v", call)
 	}
 	core.Changes(0, core.Revision(), at(9), 0)
-	if call := core.Next(0, follow.Hearing{}); call.Kind != follow.Watch {
+	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Watch {
 		t.Errorf("after silence: %+v", call)
 	}
 }
@@ -71,31 +71,31 @@
 	t.Run("the history is lost", func(t *testing.T) {
 		core := listed(t)
 		core.Failed(time.Second, follow.HistoryLost)
-		if call := core.Next(0, follow.Hearing{}); call.Kind != follow.List || call.After != "" {
+		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.After != "" {
 			t.Errorf("goes on with %+v", call)
 		}
 	})
 	t.Run("the history is lost again before a watch has ended well", func(t *testing.T) {
 		core := listed(t)
 		core.Failed(time.Second, follow.HistoryLost)
-		core.Next(0, follow.Hearing{})
+		core.Next(0, follow.CopyState{})
 		core.Page(time.Second, "b", at(8), false)
 		core.Failed(time.Second, follow.HistoryLost)
-		if call := core.Next(0, follow.Hearing{}); call.Kind != follow.Pause || call.For != 100*time.Millisecond {
+		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Pause || call.For != 100*time.Millisecond {
 			t.Errorf("goes on with %+v", call)
 		}
-		if call := core.Next(0, follow.Hearing{}); call.Kind != follow.List || call.After != "" {
+		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.After != "" {
 			t.Errorf("then %+v", call)
 		}
 		core.Failed(time.Second, follow.HistoryLost)
-		if call := core.Next(0, follow.Hearing{}); call.Kind != follow.Pause || call.For != 200*time.Millisecond {
+		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Pause || call.For != 200*time.Millisecond {
 			t.Errorf("a listing that says so: goes on with %+v", call)
 		}
-		core.Next(0, follow.Hearing{})
+		core.Next(0, follow.CopyState{})
 		core.Page(time.Second, "b", at(9), false)
 		core.Changes(time.Second, core.Revision(), at(10), 0)
 		core.Failed(time.Second, follow.HistoryLost)
-		if call := core.Next(0, follow.Hearing{}); call.Kind != follow.List {
+		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List {
 			t.Errorf("after a watch: goes on with %+v", call)
 		}
 	})
@@ -104,26 +104,26 @@
 		want := []time.Duration{100, 200, 400, 800, 1000, 1000}
 		for _, milliseconds := range want {
 			core.Failed(time.Second, follow.Unavailable)
-			if call := core.Next(0, follow.Hearing{}); call.Kind != follow.Pause || call.For != milliseconds*time.Millisecond {
+			if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Pause || call.For != milliseconds*time.Millisecond {
 				t.Errorf("pauses %+v, want %d ms", call, milliseconds)
 			}
-			if call := core.Next(0, follow.Hearing{}); call.Kind != follow.Watch || call.Revision != at(7) {
+			if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Watch || call.Revision != at(7) {
 				t.Errorf("then %+v", call)
 			}
 		}
 		core.Changes(time.Second, core.Revision(), at(8), 0)
 		core.Failed(time.Second, follow.Throttled)
-		if call := core.Next(0, follow.Hearing{}); call.For != settings.FirstBackoff {
+		if call := core.Next(0, follow.CopyState{}); call.For != settings.FirstBackoff {
 			t.Errorf("the pause does not begin anew after an answer: %+v", call)
 		}
 	})
 	t.Run("within a listing", func(t *testing.T) {
 		core := follow.New(settings, half)
-		core.Next(0, follow.Hearing{})
+		core.Next(0, follow.CopyState{})
 		core.Page(0, "b", at(7), true)
 		core.Failed(0, follow.Unavailable)
-		core.Next(0, follow.Hearing{})
-		if call := core.Next(0, follow.Hearing{}); call.Kind != follow.List || call.After != "" {
+		core.Next(0, follow.CopyState{})
+		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.After != "" {
 			t.Errorf("goes on with %+v", call)
 		}
 	})
@@ -143,19 +143,19 @@
 func TestStaleCopyIsLookedAt(t *testing.T) {
 	core := listed(t)
 	core.TakeTurns(time.Minute, 0)
-	stale := follow.Hearing{Stale: true}
-	if call := core.Next(time.Second, stale); call.Kind != follow.Watch || call.For > 10*time.Millisecond || call.Timeout != settings.LookTimeout {
+	stale := follow.CopyState{Stale: true}
+	if call := core.Next(time.Second, stale); call.Kind != follow.Watch || call.For > 10*time.Millisecond || call.Timeout != settings.PollTimeout {
 		t.Errorf("stale: %+v", call)
 	}
 	core.Failed(time.Second, follow.Unavailable)
 	core.Next(time.Second, stale)
-	if call := core.Next(time.Second, stale); call.Timeout != 2*settings.LookTimeout {
+	if call := core.Next(time.Second, stale); call.Timeout != 2*settings.PollTimeout {
 		t.Errorf("stale, after a failure: %+v", call)
 	}
-	if call := core.Next(time.Second, follow.Hearing{Alone: true}); call.For != settings.WatchFor {
+	if call := core.Next(time.Second, follow.CopyState{PeersSilent: true}); call.For != settings.WatchFor {
 		t.Errorf("alone: %+v", call)
 	}
-	if call := core.Next(time.Second, follow.Hearing{}); call.For != 59*time.Second {
+	if call := core.Next(time.Second, follow.CopyState{}); call.For != 59*time.Second {
 		t.Errorf("among others: %+v", call)
 	}
 }
@@ -165,14 +165,14 @@
 	core := listed(t)
 	core.TakeTurns(10*time.Second, 0)
 	for _, c := range []struct{ clock, pause time.Duration }{
-		{2 * time.Second, settings.GatherFor}, {9600 * time.Millisecond, 400 * time.Millisecond}, {8900 * time.Millisecond, 1100 * time.Millisecond},
+		{2 * time.Second, settings.CoalesceFor}, {9600 * time.Millisecond, 400 * time.Millisecond}, {8900 * time.Millisecond, 1100 * time.Millisecond},
 	} {
 		core.Changes(0, core.Revision(), at(9), 1)
-		if call := core.Next(c.clock, follow.Hearing{}); call.Kind != follow.Gather || call.For != c.pause {
+		if call := core.Next(c.clock, follow.CopyState{}); call.Kind != follow.Coalesce || call.For != c.pause {
 			t.Errorf("at %v: %+v, want a pause of %v", c.clock, call, c.pause)
 		}
-		call := core.Next(c.clock+c.pause, follow.Hearing{})
-		if look := call.For <= 10*time.Millisecond; call.Kind != follow.Watch || look != (c.pause != settings.GatherFor) {
+		call := core.Next(c.clock+c.pause, follow.CopyState{})
+		if look := call.For <= 10*time.Millisecond; call.Kind != follow.Watch || look != (c.pause != settings.CoalesceFor) {
 			t.Errorf("at %v, after the pause: %+v", c.clock, call)
 		}
 	}
@@ -187,7 +187,7 @@
 		core.TakeTurns(nodes*gap, time.Duration(node)*gap)
 		clock := 10*time.Second + time.Duration(node)*37*time.Millisecond
 		for range 3 {
-			clock += core.Next(clock, follow.Hearing{}).For
+			clock += core.Next(clock, follow.CopyState{}).For
 			ends = append(ends, clock)
 		}
 	}
@@ -203,18 +203,18 @@
 func TestListTimeout(t *testing.T) {
 	core := follow.New(settings, half)
 	for _, want := range []time.Duration{1, 2, 4, 4, 4} {
-		call := core.Next(0, follow.Hearing{})
+		call := core.Next(0, follow.CopyState{})
 		if call.Kind == follow.Pause {
-			call = core.Next(0, follow.Hearing{})
+			call = core.Next(0, follow.CopyState{})
 		}
 		if call.Kind != follow.List || call.Timeout != want*time.Second {
 			t.Errorf("%+v, want a timeout of %d s", call, want)
 		}
 		core.Failed(0, follow.Unavailable)
 	}
-	core.Next(0, follow.Hearing{})
+	core.Next(0, follow.CopyState{})
 	core.Page(0, "k", at(1), true)
-	if call := core.Next(0, follow.Hearing{}); call.Timeout != time.Second {
+	if call := core.Next(0, follow.CopyState{}); call.Timeout != time.Second {
 		t.Errorf("%+v after an answer", call)
 	}
 }
@@ -226,19 +226,19 @@
 	if core.Changes(0, at(7), history.At(2, 9), 2) {
 		t.Error("what a store that was asked in another era tells is taken for all changes since")
 	}
-	if call := core.Next(0, follow.Hearing{}); call.Kind != follow.List || call.After != "" {
+	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.After != "" {
 		t.Fatalf("goes on with %+v", call)
 	}
 	if core.Page(0, "b", history.At(2, 5), true) {
 		t.Error("a first page with more behind it is no whole listing")
 	}
-	if call := core.Next(0, follow.Hearing{}); call.Kind != follow.List || call.After != "b" || call.Revision != history.At(2, 5) {
+	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.After != "b" || call.Revision != history.At(2, 5) {
 		t.Errorf("the next page is asked for with %+v", call)
 	}
 	if core.Page(0, "d", history.At(3, 4), false) {
 		t.Error("pages of two eras make a listing")
 	}
-	if call := core.Next(0, follow.Hearing{}); call.Kind != follow.List || call.After != "" {
+	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.After != "" {
 		t.Fatalf("then goes on with %+v", call)
 	}
 	if !core.Page(0, "d", history.At(3, 4), false) || core.Revision() != history.At(3, 4) {
@@ -248,7 +248,7 @@
 	if core.Page(0, "d", history.At(3, 9), false) || core.Revision() != history.At(4, 2) {
 		t.Errorf("a listing of an earlier era than others have told ends at %v", core.Revision())
 	}
-	if call := core.Next(0, follow.Hearing{}); call.Kind != follow.Pause {
+	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Pause {
 		t.Errorf("asks a store that goes on telling an earlier era again at once: %+v", call)
 	}
 	core.Advance(history.At(3, 99))
--- a/internal/gateway/news.go
+++ b/internal/gateway/news.go
@@ -89,9 +89,9 @@
 	}
 }
 
-// hearing is what the node hears of the store beside its own calls; the lock is held.
-func (g *Gateway) hearing(now time.Duration) follow.Hearing {
-	return follow.Hearing{Stale: !g.fresh(now), Alone: !g.view.Heard(now, g.settings.Load().Waits.StaleAfter)}
+// copyState is how the copy of the store stands, for the next call to it; the lock is held.
+func (g *Gateway) copyState(now time.Duration) follow.CopyState {
+	return follow.CopyState{Stale: !g.fresh(now), PeersSilent: !g.view.Heard(now, g.settings.Load().Waits.StaleAfter)}
 }
 
 // endWhenStale ends a watch at the moment at which the copy turns stale: its connection may carry nothing any more, and the store is asked over
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -55,8 +55,8 @@
 			SubsetSize: s.SubsetSize, FewRest: s.FewRest, Ejection: s.Ejection, Prove: s.ProveConnections, WithdrawnFactor: s.WithdrawnFactor,
 		},
 		Follow: follow.Settings{
-			WatchFor: min(watchFor, clock.Ms(watchPart*float64(waits.StaleAfter))).Duration(), GatherFor: gatherFor, FirstBackoff: firstBackoff, LongestBackoff: longestBackoff,
-			FirstTimeout: firstTimeout, LongestTimeout: longestTimeout, LookTimeout: waits.LookTimeout.Duration(),
+			WatchFor: min(watchFor, clock.Ms(watchPart*float64(waits.StaleAfter))).Duration(), CoalesceFor: gatherFor, FirstBackoff: firstBackoff, LongestBackoff: longestBackoff,
+			FirstTimeout: firstTimeout, LongestTimeout: longestTimeout, PollTimeout: waits.LookTimeout.Duration(),
 		},
 		Spread: spread.Settings{
 			Interval: digestInterval, Fanout: digestFanout, Patience: waits.Patience.Duration(), AnswerWithin: waits.AnswerWithin.Duration(), KeepGone: keepGone,
--- a/internal/gateway/store.go
+++ b/internal/gateway/store.go
@@ -94,12 +94,12 @@
 			continue
 		}
 		g.mutex.Lock()
-		call := g.follower.Next(time.Duration(time.Now().UnixNano()), g.hearing(g.now()))
+		call := g.follower.Next(time.Duration(time.Now().UnixNano()), g.copyState(g.now()))
 		g.mutex.Unlock()
 		switch call.Kind {
 		case follow.Pause:
 			pause(ctx, call.For)
-		case follow.Gather:
+		case follow.Coalesce:
 			g.gather(ctx, call.For)
 		case follow.List:
 			g.list(ctx, call)
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,4 +1,5 @@
-// Package history orders what the store says.
+// Package history orders what the store says: which of two revisions is later, also where the store has come back from a copy of its data. It holds no
+// state and does no I/O.
 package history
 
 import "cmp"
@@ -29,9 +30,9 @@
 // Unknown reports whether r stands for knowing nothing of the store.
 func (r Revision) Unknown() bool { return r == Revision{} }
 
-// Untold is the revision of an answer that gives a number and no era, to a call made when r was known. A store that answers linearizably gives a lower number
-// than was known before the call only if it has come back from a copy since.
-func (r Revision) Untold(number uint64) Revision {
+// InferEra is the revision of an answer that gives a number and no era, to a call made when r was known. A store that answers linearizably gives a lower
+// number than was known before the call only if it has come back from a copy since.
+func (r Revision) InferEra(number uint64) Revision {
 	if number < r.Number {
 		return At(r.Era+1, number)
 	}
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -19,7 +19,7 @@
 			}
 		}
 	}
-	if known := history.At(2, 65); known.Untold(65) != known || known.Untold(66) != history.At(2, 66) || known.Untold(64) != history.At(3, 64) {
+	if known := history.At(2, 65); known.InferEra(65) != known || known.InferEra(66) != history.At(2, 66) || known.InferEra(64) != history.At(3, 64) {
 		t.Error("an answer without an era is of the next one only where its number is lower")
 	}
 	if !ordered[0].Unknown() || ordered[1].Unknown() {
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -141,7 +141,7 @@
 	},
 	{
 		"a node whose copy is stale waits for changes", "internal/follow/follow.go",
-		"if hearing.Stale || turn {", "if turn {",
+		"poll := c.pollNext || state.Stale", "poll := c.pollNext",
 		"./internal/follow", "TestStaleCopyIsLookedAt",
 	},
 	{
@@ -207,7 +207,7 @@
 	},
 	{
 		"a lost history is listed again and again without a pause", "internal/follow/follow.go",
-		"		if !again {\n			return\n		}\n", "		_ = again\n		return\n",
+		"		if !repeated {\n			return\n		}\n", "		_ = repeated\n		return\n",
 		"./internal/follow", "TestTrouble",
 	},
 	{
