--- a/internal/standin/network_test.go
+++ b/internal/networktest/network_test.go
@@ -1,4 +1,4 @@
-package standin_test
+package networktest_test
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 	"testing/synctest"
 	"time"
 
-	"stiletrail/internal/standin"
+	"stiletrail/internal/networktest"
 )
 
 // dial opens a connection on a network and returns both ends.
-func dial(t *testing.T, n *standin.Network, l net.Listener) (near, far net.Conn) {
+func dial(t *testing.T, n *networktest.Network, l net.Listener) (near, far net.Conn) {
 	t.Helper()
 	near, err := n.Dial(context.Background(), l.Addr().String())
 	if err != nil {
@@ -30,7 +30,7 @@
 // neither, and one opened later does.
 func TestNetwork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := standin.NewNetwork(10)
+		n := networktest.New(10)
 		l, err := n.Listen("a")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/serving/accept_test.go
+++ b/internal/serving/accept_test.go
@@ -10,8 +10,8 @@
 	"testing/synctest"
 	"time"
 
+	"stiletrail/internal/networktest"
 	"stiletrail/internal/routing"
-	"stiletrail/internal/standin"
 )
 
 // lacking is a listener whose process has no descriptors left for a while.
@@ -32,7 +32,7 @@
 // TestConnectionsAreTakenAgain: callers' connections are taken again once there are descriptors, and none is lost to a change of the limits.
 func TestConnectionsAreTakenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network := standin.NewNetwork(1)
+		network := networktest.New(1)
 		l, err := network.Listen("node:1")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/transport/silence_test.go
+++ b/internal/transport/silence_test.go
@@ -7,7 +7,7 @@
 
 	"stiletrail/internal/history"
 	"stiletrail/internal/message"
-	"stiletrail/internal/standin"
+	"stiletrail/internal/networktest"
 )
 
 // noticedWithin is the time after which what is sent on a silent connection has led to a new one.
@@ -16,7 +16,7 @@
 // TestSilentConnectionIsReplaced: a connection that has fallen silent, which no write tells, is given up soon, and what is sent later arrives.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network := standin.NewNetwork(12)
+		network := networktest.New(12)
 		sender, receiver := on(t, network, "a:1"), on(t, network, "b:1")
 		heard := newEvents()
 		receiver.Serve(heard)
@@ -40,7 +40,7 @@
 // TestSoundConnectionIsKept: a connection whose frames are acknowledged carries all of them, also after a rest and when many come at once.
 func TestSoundConnectionIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network := standin.NewNetwork(300)
+		network := networktest.New(300)
 		sender, receiver := on(t, network, "a:1"), on(t, network, "b:1")
 		heard := newEvents()
 		receiver.Serve(heard)
@@ -63,7 +63,7 @@
 // TestLargeFrameHasItsTime: a frame that a slow link takes seconds for does not count as silence, also with others acknowledged meanwhile.
 func TestLargeFrameHasItsTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network := standin.NewNetwork(12).WithRate(300 << 10)
+		network := networktest.New(12).WithRate(300 << 10)
 		sender, receiver := on(t, network, "a:1"), on(t, network, "b:1")
 		heard := newEvents()
 		receiver.Serve(heard)
@@ -87,7 +87,7 @@
 // TestAgeGrowsWhileWaiting: what a message says of an age is true when it is sent, also where it waited for a connection.
 func TestAgeGrowsWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network := standin.NewNetwork(200)
+		network := networktest.New(200)
 		sender, receiver := on(t, network, "a:1"), on(t, network, "b:1")
 		heard := newEvents()
 		receiver.Serve(heard)
