--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -17,6 +17,7 @@
 	stiletrailv1 "stiletrail/api/stiletrail/v1"
 	"stiletrail/api/stiletrail/v1/stiletrailv1connect"
 	"stiletrail/internal/query"
+	"stiletrail/internal/testio"
 )
 
 // scripted is a back end that answers as a test says.
@@ -154,12 +155,7 @@
 
 // TestNotSentIsProved: only where no connection was had is an attempt reported as not sent.
 func TestNotSentIsProved(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	address := listener.Addr().String()
-	_ = listener.Close()
+	address := testio.FreeAddress(t)
 	if result := run(t, address); result.Status != query.StatusNotSent {
 		t.Errorf("refused connection: status %d, want not sent", result.Status)
 	}
--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -17,6 +16,7 @@
 	"stiletrail/internal/gateway"
 	"stiletrail/internal/replica"
 	"stiletrail/internal/routing"
+	"stiletrail/internal/testio"
 )
 
 // stuck blocks every write until it is released.
@@ -47,25 +47,12 @@
 	writer.Close(time.Minute)
 }
 
-// collected is an output that keeps what is written.
-type collected struct {
-	mutex sync.Mutex
-	text  bytes.Buffer
-}
-
-// Write implements io.Writer.
-func (c *collected) Write(data []byte) (int, error) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	return c.text.Write(data)
-}
-
 func logged(write func(*decisionlog.Log)) []string {
-	output := &collected{}
+	output := &testio.Output{}
 	writer := decisionlog.NewWriter(output)
 	write(decisionlog.New(writer, logrus.InfoLevel, "node-1"))
 	writer.Close(time.Minute)
-	return strings.Split(strings.TrimSpace(output.text.String()), "\n")
+	return strings.Split(strings.TrimSpace(output.String()), "\n")
 }
 
 func result(failed *failure.Failure, missing int, purpose forward.Purpose) *gateway.Result {
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"stiletrail/internal/exchange"
+	"stiletrail/internal/testio"
 )
 
 // server answers each request on a connection by a function, and counts requests and connections.
@@ -116,12 +117,7 @@
 
 // TestUnreachable: without a connection nothing was sent.
 func TestUnreachable(t *testing.T) {
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	address := listener.Addr().String()
-	_ = listener.Close()
+	address := testio.FreeAddress(t)
 	if result := exchange.NewPool().Do(context.Background(), request(address)); result.Stage != exchange.NotSent || result.Err == nil {
 		t.Errorf("%+v", result)
 	}
--- a/internal/serving/serving_test.go
+++ b/internal/serving/serving_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"io"
-	"net"
 	"net/http"
 	"strings"
 	"sync/atomic"
@@ -11,6 +10,7 @@
 
 	"stiletrail/internal/routing"
 	"stiletrail/internal/serving"
+	"stiletrail/internal/testio"
 )
 
 // fakeNode has one request under way until it is released or given up.
@@ -26,19 +26,9 @@
 func (n *fakeNode) UnderWay() int64                { return n.underWay.Load() }
 func (n *fakeNode) Limits() (routing.Limits, bool) { return routing.Limits{}, false }
 
-func freeAddress(t *testing.T) string {
-	t.Helper()
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() { _ = listener.Close() }()
-	return listener.Addr().String()
-}
-
 func start(t *testing.T, node *fakeNode) (*serving.Server, serving.Addresses) {
 	t.Helper()
-	addresses := serving.Addresses{Callers: freeAddress(t), Ready: freeAddress(t), Metrics: freeAddress(t)}
+	addresses := serving.Addresses{Callers: testio.FreeAddress(t), Ready: testio.FreeAddress(t), Metrics: testio.FreeAddress(t)}
 	hello := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("hello")) })
 	server, err := serving.Start(node, addresses, hello, hello, io.Discard)
 	if err != nil {
@@ -105,7 +95,7 @@
 func TestLimitsFollowTheConfiguration(t *testing.T) {
 	node := &limitedNode{}
 	node.limits.Store(&routing.Limits{HeaderBytes: 8 << 10})
-	addresses := serving.Addresses{Callers: freeAddress(t), Ready: freeAddress(t)}
+	addresses := serving.Addresses{Callers: testio.FreeAddress(t), Ready: testio.FreeAddress(t)}
 	hello := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("hello")) })
 	if _, err := serving.Start(node, addresses, hello, nil, io.Discard); err != nil {
 		t.Fatal(err)
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"stiletrail/internal/message"
+	"stiletrail/internal/testio"
 )
 
 const patience = time.Minute
@@ -87,12 +88,7 @@
 
 // TestUndelivered tells of a peer that is not there, of work whose time ran out, and of what is too large, as not written.
 func TestUndelivered(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	nobody := listener.Addr().String()
-	_ = listener.Close()
+	nobody := testio.FreeAddress(t)
 	receiver, got := start(t)
 	large := subQuery(60_000_000)
 	large.Body = make([]byte, message.MaximumPayload+1)
--- a/test/process_test.go
+++ b/test/process_test.go
@@ -22,6 +22,7 @@
 	"stiletrail/api/stiletrail/v1/stiletrailv1connect"
 	"stiletrail/internal/api"
 	"stiletrail/internal/failure"
+	"stiletrail/internal/testio"
 )
 
 // patience bounds every wait; it is far above what any step needs.
@@ -105,21 +106,6 @@
 	t.Fatalf("never came: %s", what)
 }
 
-// ports returns addresses that were free a moment ago.
-func ports(t *testing.T, count int) []string {
-	t.Helper()
-	var addresses []string
-	for range count {
-		listener, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer func() { _ = listener.Close() }()
-		addresses = append(addresses, listener.Addr().String())
-	}
-	return addresses
-}
-
 type node struct {
 	*process
 	http, peer, zone string
@@ -167,7 +153,7 @@
 
 func deploy(t *testing.T) *deployment {
 	t.Helper()
-	addresses := ports(t, 11)
+	addresses := testio.FreeAddresses(t, 11)
 	d := &deployment{platformURL: "http://" + addresses[0]}
 	d.platform = start(t, "stiletrail-rehearsal", "platform", "--listen", addresses[0])
 	d.intent = "service: lookup\npreference: coverage\nminimum_coverage: 0.25\ndeadline_milliseconds: 2000\nback_ends:\n"
