--- a/cmd/stiletrail-gateway/main.go
+++ b/cmd/stiletrail-gateway/main.go
@@ -93,13 +93,22 @@
 		Gateway: node, BackEndConnections: pool.Open.Load, BackEndConnectionsOpened: pool.Opened.Load, LogLinesDropped: writer.Dropped, MalformedLoads: backEnds.MalformedLoads,
 		PeerFrames: frames,
 	})
-	log.Lifecycle(decisionlog.EventStart, map[string]any{"settings": loaded})
+	log.Lifecycle(decisionlog.EventStart, inForce(loaded))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go node.Run(ctx)
 	return wait(newReloader(file, loaded, node, store, log), server, log)
 }
 
+// inForce are the fields of a log line that tells which settings are in force, and which ones of the file have no effect.
+func inForce(loaded settings.Gateway) map[string]any {
+	fields := map[string]any{"settings": loaded}
+	if names := loaded.WithoutEffect(); len(names) > 0 {
+		fields["settings_without_effect"] = names
+	}
+	return fields
+}
+
 // join listens for other nodes and makes the node a member, where the settings name an address for that. It returns the count of what is
 // exchanged with them, nil where they name none.
 func join(node *gateway.Gateway, loaded settings.Gateway) (closePeers func(), frames *transport.Counters, err error) {
--- a/cmd/stiletrail-gateway/reload.go
+++ b/cmd/stiletrail-gateway/reload.go
@@ -47,5 +47,5 @@
 	r.inUse = changed
 	r.store.SetAddress(changed.StoreAddress)
 	r.node.Reconfigure(gateway.FromSettings(changed))
-	r.log.Lifecycle(decisionlog.EventReload, map[string]any{"settings": changed})
+	r.log.Lifecycle(decisionlog.EventReload, inForce(changed))
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -50,8 +50,6 @@
 	// Reports has nodes tell each other of slow and faulty back ends: 0.01 of worth on a day with 15% slow back ends, 0.04 where many refuse, nothing where
 	// back ends do not tell their load.
 	Reports bool
-	// Linger is how long an attempt whose answer is of no more use may go on before its connection is closed.
-	Linger time.Duration
 	// ShareConnections divides the connections of a back end among the nodes; one in YoungPart of them while many nodes are young.
 	ShareConnections bool
 	YoungPart        int
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -239,7 +239,7 @@
 		case action.Send != nil:
 			r.send(now, action.Send)
 		case action.Cancel != nil:
-			r.cancel(action.Cancel)
+			r.cancels[action.Cancel]()
 		case action.Finish != nil:
 			r.answer = action.Finish
 		}
@@ -280,17 +280,6 @@
 	return g.backEnds.Exchange(ctx, send)
 }
 
-// cancel withdraws an attempt: at once where the caller has left, since nobody may work for it any more; else after the time that it may
-// linger, if any.
-func (r *run) cancel(attempt *forward.Attempt) {
-	cancel := r.cancels[attempt]
-	if r.gone || r.gateway.settings.Load().Linger == 0 {
-		cancel()
-		return
-	}
-	time.AfterFunc(r.gateway.settings.Load().Linger, cancel)
-}
-
 func (g *Gateway) attemptEnded(call *Call, attempt *forward.Attempt, outcome forward.Outcome, cancelled bool) {
 	g.mutex.Lock()
 	now := g.now()
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -67,7 +67,7 @@
 		RetryShare: s.RetryShare * (1 - retryMargin), RetryWindow: s.RetryWindow, HedgeReserve: hedgeReserve,
 		ShareConnections: s.ShareConnections, YoungPart: s.YoungPart, StoreTurns: s.StoreTurns, PeerCopies: s.PeerCopies,
 		Watchers: s.Watchers, StartingHold: s.StartingHold, Reports: s.Reports,
-		Linger: s.Linger, TurnAway: s.TurnAway, Quarantine: quarantine.Settings{Rounds: s.QuarantineRounds, For: clock.Of(s.QuarantineFor)},
+		TurnAway: s.TurnAway, Quarantine: quarantine.Settings{Rounds: s.QuarantineRounds, For: clock.Of(s.QuarantineFor)},
 		MaximumRequests: s.MaximumRequests, Seed: rand.Uint64(),
 	}
 }
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -190,8 +190,8 @@
 		"./internal/gateway", "TestFirstListing",
 	},
 	{
-		"attempts of no more use go on for a while", "internal/gateway/settings.go",
-		"Linger: s.Linger,", "Linger: 150 * time.Millisecond,",
+		"attempts of no more use go on for a while", "internal/gateway/serve.go",
+		"r.cancels[action.Cancel]()", "time.AfterFunc(150*time.Millisecond, r.cancels[action.Cancel])",
 		"./internal/gateway", "TestLosersAreWithdrawn",
 	},
 	{
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -1,6 +1,7 @@
 package settings
 
 import (
+	"slices"
 	"strings"
 	"time"
 )
@@ -91,11 +92,16 @@
 	GoByPace bool
 	// Reports has nodes tell each other of back ends that turn slow or faulty.
 	Reports bool
-	// Linger is how long an attempt whose answer is of no more use may go on before its connection is closed. 0 closes it at once: the work that
-	// it saves a back end under load is worth more than the connection.
-	Linger time.Duration
+	// withoutEffect are the removed settings that the file names.
+	withoutEffect []string
 }
 
+// WithoutEffect returns the names of settings that the file gives and that have been removed since.
+func (s Gateway) WithoutEffect() []string { return s.withoutEffect }
+
+// removed are the names of settings that earlier releases had. A file that names one stays valid.
+var removed = []string{"linger"}
+
 // DefaultGateway gives the settings of fields that are not set.
 func DefaultGateway() Gateway {
 	return Gateway{
@@ -156,7 +162,6 @@
 	{"reports", switchAllowed, false, onOff(func(s *Gateway) *bool { return &s.Reports })},
 	{"far_price", "0 to 10", false, fraction(0, 10, func(s *Gateway) *float64 { return &s.FarPrice })},
 	{"fault_price", "0 to 10", false, fraction(0, 10, func(s *Gateway) *float64 { return &s.FaultPrice })},
-	{"linger", "0s to 10s", false, duration(0, 10*time.Second, func(s *Gateway) *time.Duration { return &s.Linger })},
 	{"starting_hold", "0s to 10s", false, duration(0, 10*time.Second, func(s *Gateway) *time.Duration { return &s.StartingHold })},
 }
 
@@ -184,12 +189,24 @@
 
 // LoadGateway reads the settings file of a gateway and the overrides. The failure, of code SETTINGS_INVALID, lists all problems.
 func LoadGateway(path string, overrides []Override) (Gateway, error) {
-	return load(path, overrides, DefaultGateway(), gatewayFields)
+	return load(path, overrides, DefaultGateway(), accepted())
 }
 
 // ParseGateway reads the settings of a gateway from the text of a file, and returns all problems.
 func ParseGateway(file string, text []byte, overrides []Override) (Gateway, []Problem) {
-	return parse(file, text, overrides, DefaultGateway(), gatewayFields)
+	return parse(file, text, overrides, DefaultGateway(), accepted())
+}
+
+// accepted are the fields that a file may name, removed ones included.
+func accepted() []field[Gateway] {
+	fields := slices.Clone(gatewayFields)
+	for _, name := range removed {
+		fields = append(fields, field[Gateway]{name, "anything: it has no effect", false, func(s *Gateway, _ string) bool {
+			s.withoutEffect = append(s.withoutEffect, name)
+			return true
+		}})
+	}
+	return fields
 }
 
 // GatewayNames returns the names of all fields of a gateway.
