--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -28,7 +28,7 @@
 func (r *Request) tryFirst(now time.Duration, number int) {
 	s := &r.shards[number]
 	if r.world.LeftOut(s.service) {
-		s.failed, s.denied = true, DeniedQuarantined
+		s.waiting, s.failed, s.denied = false, true, DeniedQuarantined
 		return
 	}
 	chosen, busy := r.world.Pick(s.service, r.choice(s))
