--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -32,8 +32,8 @@
 	comeBackTo   = 0.32
 )
 
-// Seen is what one request over many shards met by its target.
-type Seen struct {
+// Sample is what one request over many shards met by its target.
+type Sample struct {
 	// Lacking shards at the target, of those that the route lets lack.
 	Lacking, MayLack int
 	// Shed attempts, refused by full back ends, of all attempts.
@@ -49,10 +49,10 @@
 }
 
 // Note takes in what a request met.
-func (g *Gate) Note(now time.Duration, seen Seen) {
+func (g *Gate) Note(now time.Duration, sample Sample) {
 	g.age(now)
-	g.lack += float64(seen.Lacking) / float64(max(seen.MayLack, 1))
-	g.shed += float64(seen.Shed) / float64(max(seen.Attempts, 1))
+	g.lack += float64(sample.Lacking) / float64(max(sample.MayLack, 1))
+	g.shed += float64(sample.Shed) / float64(max(sample.Attempts, 1))
 	g.weight++
 }
 
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -16,13 +16,13 @@
 
 // Requests of 30 shards, of which 3 may lack.
 var (
-	calm     = admit.Seen{Lacking: 0, MayLack: 3, Shed: 0, Attempts: 31}
-	slow     = admit.Seen{Lacking: 3, MayLack: 3, Shed: 0, Attempts: 33}
-	overload = admit.Seen{Lacking: 6, MayLack: 3, Shed: 5, Attempts: 36}
+	calm     = admit.Sample{Lacking: 0, MayLack: 3, Shed: 0, Attempts: 31}
+	slow     = admit.Sample{Lacking: 3, MayLack: 3, Shed: 0, Attempts: 33}
+	overload = admit.Sample{Lacking: 6, MayLack: 3, Shed: 5, Attempts: 36}
 )
 
 // met notes the same for so many requests, one each 400 ms, and returns the time.
-func met(gate *admit.Gate, now time.Duration, seen admit.Seen, count int) time.Duration {
+func met(gate *admit.Gate, now time.Duration, seen admit.Sample, count int) time.Duration {
 	for range count {
 		now += 400 * time.Millisecond
 		gate.Note(now, seen)
@@ -33,7 +33,7 @@
 // TestTurnedAway: which share is turned away by what requests met.
 func TestTurnedAway(t *testing.T) {
 	for name, c := range map[string]struct {
-		seen        admit.Seen
+		seen        admit.Sample
 		count       int
 		least, most float64
 	}{
@@ -42,8 +42,8 @@
 		"one request in trouble is too few":   {overload, 1, 0, 0.65},
 		"slow back ends, and none sheds":      {slow, 10, 0, 0},
 		"overload":                            {overload, 10, 0.5, 0.75},
-		"back ends shed, and parts are there": {admit.Seen{Lacking: 1, MayLack: 3, Shed: 5, Attempts: 36}, 10, 0, 0},
-		"nothing may lack":                    {admit.Seen{Lacking: 4, Shed: 5, Attempts: 36}, 10, 0.7, 0.7},
+		"back ends shed, and parts are there": {admit.Sample{Lacking: 1, MayLack: 3, Shed: 5, Attempts: 36}, 10, 0, 0},
+		"nothing may lack":                    {admit.Sample{Lacking: 4, Shed: 5, Attempts: 36}, 10, 0.7, 0.7},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var gate admit.Gate
--- a/internal/forward/caution.go
+++ b/internal/forward/caution.go
@@ -6,17 +6,23 @@
 	"stiletrail/internal/quarantine"
 )
 
-// endsToWithdraw back ends that ended under a request none has answered yet are no accident of one of them: its other attempts are withdrawn before they
-// end more. With one, requests whose back end just ended by itself would lose the work of all other shards; with ten shards asked at once 4 back ends
-// end in place of 10 until the request is known (measured on a virtual clock, ends 2 to 22 ms after the arrival).
-const endsToWithdraw = 2
-
-// trialPatience is the share of the target latency after which another trial begins beside one that was not answered. It is twice what a hedge waits for: a
-// back end that is about to end takes its time too, and one more trial may end one more.
-const trialPatience = 0.9
+// The rule of caution: how a request is sent on under which back ends end, so that it ends no more of them than it takes to know it.
+//   - A shard whose back end ended is held until another shard has answered.
+//   - With endsToWithdraw ends and no answer, all attempts under way are withdrawn, their shards held, and the request is suspected.
+//   - A request that is suspected, also when it comes, is tried at one back end at a time: once nothing is under way, or trialPatience after
+//     the last trial began.
+//   - The first answer clears it: all shards that are held are asked.
+//   - Put under quarantine, or tried in vain as one that is, it ends with what is there.
+const (
+	// endsToWithdraw back ends that ended are no accident of one of them; with one, requests whose back end ended by itself would lose the
+	// work of all other shards.
+	endsToWithdraw = 2
+	// trialPatience is the share of the target latency after which another trial begins beside one that was not answered. It is twice what a
+	// hedge waits for: a back end that is about to end takes its time too, and one more trial may end one more.
+	trialPatience = 0.9
+)
 
-// caution is how carefully a request is sent on under which back ends have ended, none of which has answered it: to one back end at a time, until one
-// answers or the request is put under quarantine.
+// caution is what is known of the back ends that have ended under a request, none of which has answered it.
 type caution struct {
 	// suspect: no more than one attempt is begun at a time.
 	suspect bool
@@ -35,34 +41,38 @@
 // backEndEnded decides what becomes of a request under which a back end has ended. Once a shard has answered, the end says nothing of the request.
 func (r *Request) backEndEnded(now time.Duration, attempt *Attempt) {
 	s := &r.shards[attempt.Shard]
-	verdict := r.world.Ended(attempt)
+	verdict := r.node.BackEndEnded(attempt)
 	if r.answered > 0 {
-		r.tryAgain(now, attempt.Shard)
+		r.retryOrGiveUp(now, attempt.Shard)
 		return
 	}
 	r.caution.ends++
 	if verdict == quarantine.Quarantined {
-		r.stopAll()
+		r.giveUpAllShards()
 		return
 	}
 	if !r.mayRepeat(now, s) {
-		s.failed = s.live == 0
+		if s.live() == 0 {
+			s.become(failed{})
+		}
 		return
 	}
-	s.held = s.live == 0
+	if s.live() == 0 {
+		s.become(held{})
+	}
 	if r.caution.suspect || r.caution.ends >= endsToWithdraw {
 		r.caution.suspect = true
 		r.withdrawAll()
 	}
 }
 
-// withdrawAll takes back all attempts under way, whose shards are tried again later. They may have run. Shards that pause go on to.
+// withdrawAll takes back all attempts under way, whose shards are asked again later. They may have run. Shards that pause go on to.
 func (r *Request) withdrawAll() {
 	r.mayHaveRun = true
 	for i := range r.shards {
-		if s := &r.shards[i]; s.live > 0 {
-			r.cancelShard(i)
-			s.held = true
+		if s := &r.shards[i]; s.live() > 0 {
+			r.cancelAttempts(i)
+			s.become(held{})
 		}
 	}
 }
@@ -70,66 +80,64 @@
 // holdAll has all shards wait for the first one's answer.
 func (r *Request) holdAll() {
 	for i := range r.shards {
-		r.shards[i].held = true
+		r.shards[i].become(held{})
 	}
 }
 
-// stopAll ends all attempts and shards without an answer.
-func (r *Request) stopAll() {
+// giveUpAllShards ends all attempts, and all shards without an answer.
+func (r *Request) giveUpAllShards() {
 	r.caution.quarantined = true
-	r.cancelAll()
+	r.cancelAllAttempts()
 	for i := range r.shards {
-		if s := &r.shards[i]; s.response == nil {
-			s.held, s.failed, s.denied = false, true, DeniedQuarantined
+		if s := &r.shards[i]; s.response() == nil {
+			s.fail(DeniedQuarantined)
 		}
 	}
 }
 
-// release has all shards that are held go on: a back end has answered the request, so that it does not end what runs it.
-func (r *Request) release(now time.Duration) {
+// clear has all shards that are held asked: a back end has answered the request, so that it does not end what runs it.
+func (r *Request) clear(now time.Duration) {
 	r.caution = caution{from: r.caution.from}
 	for i := range r.shards {
-		if s := &r.shards[i]; s.held {
-			r.goOn(now, i)
+		if r.shards[i].held() {
+			r.askHeld(now, i)
 		}
 	}
 }
 
-// goOn tries a shard that was held.
-func (r *Request) goOn(now time.Duration, number int) {
+// askHeld asks a shard that was held.
+func (r *Request) askHeld(now time.Duration, number int) {
 	s := &r.shards[number]
-	s.held = false
 	switch {
 	case len(s.asked) == 0:
-		r.tryFirst(now, number)
+		r.askFirst(now, number)
 	case !r.mayRepeat(now, s):
-		s.failed = true
+		s.become(failed{})
 	case !r.retry(now, number):
-		r.tryLater(now, number)
+		r.pauseOrGiveUp(now, number)
 	}
 }
 
-// try begins the next trial of a request whose shards are held: at one of them, once nothing is under way, or what is takes as long as it would be waited for
-// before a hedge.
-func (r *Request) try(now time.Duration) {
+// beginTrial begins the next trial, if it is due, at the first shard from which on one is looked for that is held and can be asked.
+func (r *Request) beginTrial(now time.Duration) {
 	if r.done {
 		return
 	}
 	if at, due := r.nextTrial(); !due || now < at {
 		return
 	}
-	if r.caution.ends > 0 && r.world.Verdict() == quarantine.Quarantined {
-		r.stopAll()
+	if r.caution.ends > 0 && r.node.Verdict() == quarantine.Quarantined {
+		r.giveUpAllShards()
 		return
 	}
 	for step := range r.shards {
 		i := (r.caution.from + step) % len(r.shards)
 		s := &r.shards[i]
-		if !s.held {
+		if !s.held() {
 			continue
 		}
 		r.caution.trialAt = now
-		if r.goOn(now, i); s.live > 0 {
+		if r.askHeld(now, i); s.live() > 0 {
 			r.caution.from = i + 1
 			return
 		}
@@ -138,15 +146,10 @@
 
 // nextTrial is when the next trial is due; false if none is.
 func (r *Request) nextTrial() (at time.Duration, due bool) {
-	held, live := false, false
-	for i := range r.shards {
-		held = held || r.shards[i].held
-		live = live || r.shards[i].live > 0
-	}
 	switch {
-	case !held:
+	case !r.anyHeld():
 		return 0, false
-	case !live:
+	case !r.anyUnderWay():
 		return 0, true
 	case !r.caution.suspect:
 		// Others of the first attempts may still answer.
@@ -156,7 +159,16 @@
 	return r.caution.trialAt + patience, !r.caution.retrial
 }
 
-// retried ends a request under quarantine whose one attempt reached a back end and was not answered.
-func (r *Request) retried(outcome Outcome) bool {
+func (r *Request) anyHeld() bool {
+	for i := range r.shards {
+		if r.shards[i].held() {
+			return true
+		}
+	}
+	return false
+}
+
+// retrialOver: a request under quarantine is not sent on once its one attempt has reached a back end.
+func (r *Request) retrialOver(outcome Outcome) bool {
 	return r.caution.retrial && outcome.Kind != NotSent
 }
--- a/internal/forward/caution_test.go
+++ b/internal/forward/caution_test.go
@@ -20,7 +20,7 @@
 
 // TestOneEndIsRetriedAfterAnAnswer: a shard whose back end ended is asked again once another one has answered.
 func TestOneEndIsRetriedAfterAnAnswer(t *testing.T) {
-	w := newWorld(9, "a", "b", "c")
+	w := newNode(9, "a", "b", "c")
 	w.verdict = quarantine.Clear
 	s := start(t, fanOut("a", "b", "c"), w)
 	w.verdict = quarantine.Suspect
@@ -37,7 +37,7 @@
 
 // TestTwoEndsWithdrawTheOthers: with a second end before any answer the other attempts are withdrawn, one shard is tried, and all go on once it has answered.
 func TestTwoEndsWithdrawTheOthers(t *testing.T) {
-	w := newWorld(9, "a", "b", "c", "d")
+	w := newNode(9, "a", "b", "c", "d")
 	s := start(t, fanOut("a", "b", "c", "d"), w)
 	w.verdict = quarantine.Suspect
 	s.end(0, gone).end(1, gone)
@@ -57,7 +57,7 @@
 
 // TestTrialsEnd: one trial at a time until the request is under quarantine, and then its final answer at once, which does not say that nothing has run.
 func TestTrialsEnd(t *testing.T) {
-	w := newWorld(9, "a", "b", "c", "d")
+	w := newNode(9, "a", "b", "c", "d")
 	s := start(t, fanOut("a", "b", "c", "d"), w)
 	w.verdict = quarantine.Suspect
 	s.end(0, gone).end(1, gone).end(4, gone).wantSends(6)
@@ -70,7 +70,7 @@
 
 // TestSuspectIsTried: a request that is suspected when it comes goes to one back end first, with no hedge beside, and another trial begins late.
 func TestSuspectIsTried(t *testing.T) {
-	w := newWorld(9, "a", "b", "c")
+	w := newNode(9, "a", "b", "c")
 	w.verdict = quarantine.Suspect
 	s := start(t, fanOut("a", "b", "c"), w)
 	s.wantSends(1)
@@ -91,7 +91,7 @@
 		"not sent": {ended(forward.NotSent), 2, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(9, "a", "b", "c")
+			w := newNode(9, "a", "b", "c")
 			w.verdict = quarantine.Quarantined
 			s := &scene{t: t}
 			request, actions := forward.Start(0, forward.Parameters{Route: fanOut("a", "b", "c"), Retrial: true}, settings, w)
@@ -110,7 +110,7 @@
 
 // TestLeftOutShard: a shard whose back ends the request ends is missing from the answer, and is asked for nothing.
 func TestLeftOutShard(t *testing.T) {
-	w := newWorld(9, "a", "b", "c")
+	w := newNode(9, "a", "b", "c")
 	w.leftOut = map[string]bool{"b": true}
 	s := start(t, fanOut("a", "b", "c"), w)
 	s.wantSends(2)
@@ -122,7 +122,7 @@
 
 // TestNotRepeatableIsNotTriedAgain: an end leaves it unknown whether it has run.
 func TestNotRepeatableIsNotTriedAgain(t *testing.T) {
-	w := newWorld(9, "a")
+	w := newNode(9, "a")
 	s := start(t, single(false), w)
 	w.verdict = quarantine.Suspect
 	s.end(0, gone).wantSends(1)
@@ -133,9 +133,9 @@
 
 // TestPauseOutlastsCaution: a shard that pauses after a failure of its own is not tried again earlier because back ends end at others.
 func TestPauseOutlastsCaution(t *testing.T) {
-	w := newWorld(0, "a", "b", "c", "d")
+	w := newNode(0, "a", "b", "c", "d")
 	paced := settings
-	paced.Pace = 25 * millisecond
+	paced.RetryPause = 25 * millisecond
 	s := &scene{t: t}
 	request, actions := forward.Start(0, forward.Parameters{Route: fanOut("a", "b", "c", "d")}, paced, w)
 	s.request = request
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -43,7 +43,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			route := single(c.repeatable)
 			route.MaximumAttempts = c.most
-			s := start(t, route, newWorld(c.budget, "a")).end(0, ended(c.kind))
+			s := start(t, route, newNode(c.budget, "a")).end(0, ended(c.kind))
 			if again := len(s.sent) == 2; again != c.again {
 				t.Fatalf("sent %v", s.sends())
 			}
@@ -66,9 +66,9 @@
 		route := fanOut("a", "b", "c")
 		route.MaximumAttempts = rapid.IntRange(1, 3).Draw(rt, "most")
 		budget := rapid.IntRange(0, 10).Draw(rt, "budget")
-		world := newWorld(budget, "a", "b", "c")
+		node := newNode(budget, "a", "b", "c")
 		s := &scene{t: t}
-		request, actions := forward.Start(0, forward.Parameters{Route: route}, settings, world)
+		request, actions := forward.Start(0, forward.Parameters{Route: route}, settings, node)
 		s.request = request
 		s.take(actions)
 		written := map[int]int{}
@@ -109,7 +109,7 @@
 
 // TestHedge: another replica is asked after a share of the target, once, and the first answer wins.
 func TestHedge(t *testing.T) {
-	s := start(t, single(true), newWorld(9, "a"))
+	s := start(t, single(true), newNode(9, "a"))
 	if s.at(49 * millisecond); len(s.sent) != 1 {
 		t.Fatalf("hedged too early: %v", s.sends())
 	}
@@ -129,10 +129,10 @@
 // any more extra attempts that is later, here at the share of the target at which any shard is hedged.
 func TestLateAgainstSiblings(t *testing.T) {
 	for few, want := range map[bool]time.Duration{false: 22 * millisecond, true: 50 * millisecond} {
-		world := newWorld(9, "a", "b")
-		world.few = few
+		node := newNode(9, "a", "b")
+		node.few = few
 		route := fanOut("a", "b")
-		s := start(t, route, world)
+		s := start(t, route, node)
 		s.at(5 * millisecond)
 		s.end(0, part("s", ""))
 		for now := 5 * millisecond; len(s.sent) == 2 && now < route.TargetLatency; now += millisecond {
@@ -151,7 +151,7 @@
 func TestOneAttemptIsNotHedged(t *testing.T) {
 	route := fanOut("a", "b")
 	route.MaximumAttempts = 1
-	s := start(t, route, newWorld(9, "a", "b")).end(0, part("sa", ""))
+	s := start(t, route, newNode(9, "a", "b")).end(0, part("sa", ""))
 	if wake := s.request.NextWake(s.now); wake != 190*millisecond {
 		t.Errorf("wakes at %v, want the target", wake)
 	}
@@ -166,9 +166,9 @@
 	once := single(true)
 	once.MaximumAttempts = 1
 	for name, s := range map[string]*scene{
-		"not repeatable": start(t, single(false), newWorld(9, "a")),
-		"one attempt":    start(t, once, newWorld(9, "a")),
-		"no budget":      start(t, single(true), newWorld(0, "a")),
+		"not repeatable": start(t, single(false), newNode(9, "a")),
+		"one attempt":    start(t, once, newNode(9, "a")),
+		"no budget":      start(t, single(true), newNode(0, "a")),
 	} {
 		for now := time.Duration(0); now < 900*millisecond; now += 10 * millisecond {
 			s.at(now)
@@ -182,13 +182,13 @@
 // TestFinish: when a gathered request is answered, and with what.
 func TestFinish(t *testing.T) {
 	t.Run("complete", func(t *testing.T) {
-		s := start(t, fanOut("a", "b"), newWorld(0, "a", "b")).end(0, part("sa", "")).end(1, part("sb", ""))
+		s := start(t, fanOut("a", "b"), newNode(0, "a", "b")).end(0, part("sa", "")).end(1, part("sb", ""))
 		if s.answer == nil || s.answer.Missing != 0 || s.answer.Reason != forward.Complete {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
 	t.Run("at the target with enough", func(t *testing.T) {
-		s := start(t, fanOut("a", "b"), newWorld(0, "a", "b")).end(0, part("sa", "")).at(189 * millisecond)
+		s := start(t, fanOut("a", "b"), newNode(0, "a", "b")).end(0, part("sa", "")).at(189 * millisecond)
 		if s.answer != nil {
 			t.Fatal("before the target")
 		}
@@ -198,38 +198,38 @@
 		}
 	})
 	t.Run("after the target as soon as there is enough", func(t *testing.T) {
-		s := start(t, fanOut("a", "b"), newWorld(0, "a", "b")).at(300*millisecond).end(0, part("sa", ""))
+		s := start(t, fanOut("a", "b"), newNode(0, "a", "b")).at(300*millisecond).end(0, part("sa", ""))
 		if s.answer == nil || s.answer.Missing != 1 {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
 	t.Run("at the deadline with too little", func(t *testing.T) {
-		s := start(t, fanOut("a", "b"), newWorld(0, "a", "b")).at(time.Second)
+		s := start(t, fanOut("a", "b"), newNode(0, "a", "b")).at(time.Second)
 		if s.answer == nil || s.answer.Failure == nil || s.answer.Failure.Code != failure.DeadlineExceeded || s.answer.Failure.NotRun {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
 	t.Run("as soon as there can't be enough", func(t *testing.T) {
-		s := start(t, fanOut("a", "b", "c"), newWorld(0, "a", "b", "c")).end(0, ended(forward.Lost)).end(1, ended(forward.Lost))
+		s := start(t, fanOut("a", "b", "c"), newNode(0, "a", "b", "c")).end(0, ended(forward.Lost)).end(1, ended(forward.Lost))
 		if s.answer == nil || s.answer.Failure == nil || s.answer.Failure.NotRun {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
 	t.Run("a part that is not signed does not count", func(t *testing.T) {
-		s := start(t, fanOut("a", "b"), newWorld(0, "a", "b")).end(0, part("", "")).end(1, part("sb", ""))
+		s := start(t, fanOut("a", "b"), newNode(0, "a", "b")).end(0, part("", "")).end(1, part("sb", ""))
 		if s.answer == nil || s.answer.Missing != 1 || !slices.Equal(s.answer.Signatures, []string{"sb"}) {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
 	t.Run("given up as the node stops", func(t *testing.T) {
-		s := start(t, fanOut("a", "b"), newWorld(0, "a", "b")).end(0, part("sa", ""))
+		s := start(t, fanOut("a", "b"), newNode(0, "a", "b")).end(0, part("sa", ""))
 		s.take(s.request.GiveUp(s.now))
 		if s.answer == nil || s.answer.Missing != 1 || s.answer.Reason != forward.GivenUp {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
 	t.Run("the caller left", func(t *testing.T) {
-		s := start(t, fanOut("a", "b"), newWorld(0, "a", "b"))
+		s := start(t, fanOut("a", "b"), newNode(0, "a", "b"))
 		s.take(s.request.CallerGone())
 		if s.answer != nil || len(s.cancels) != 2 || !s.request.Done() {
 			t.Errorf("answer %+v, cancelled %d", s.answer, len(s.cancels))
@@ -239,25 +239,25 @@
 
 // TestTooFewKnown: nothing is sent, the request did not run, and the caller is told when to come back.
 func TestTooFewKnown(t *testing.T) {
-	s := start(t, fanOut("a", "b", "c"), newWorld(9, "a"))
+	s := start(t, fanOut("a", "b", "c"), newNode(9, "a"))
 	if len(s.sent) != 0 || s.answer == nil || s.answer.Failure == nil {
 		t.Fatalf("sent %v, answer %+v", s.sends(), s.answer)
 	}
-	if f := s.answer.Failure; !f.NotRun || f.RetryAfter != settings.ComeBack {
+	if f := s.answer.Failure; !f.NotRun || f.RetryAfter != settings.RetryAfter {
 		t.Errorf("failure %+v", f)
 	}
 }
 
 // TestNoRoom: a request that no replica has room for is held for a part of its target only, and then refused.
 func TestNoRoom(t *testing.T) {
-	world := newWorld(9, "a")
-	world.full["a"] = true
-	s := start(t, single(true), world)
+	node := newNode(9, "a")
+	node.full["a"] = true
+	s := start(t, single(true), node)
 	if s.answer != nil {
 		t.Fatal("refused at once")
 	}
 	s.at(20 * millisecond)
-	world.full["a"] = false
+	node.full["a"] = false
 	wake := s.request.NextWake(s.now)
 	if wake > 40*millisecond {
 		t.Errorf("looks for room again only at %v", wake)
@@ -265,8 +265,8 @@
 	if s.at(wake); len(s.sent) != 1 {
 		t.Fatal("not sent when there is room")
 	}
-	world.full["a"] = true
-	s = start(t, single(true), world).at(40 * millisecond)
+	node.full["a"] = true
+	s = start(t, single(true), node).at(40 * millisecond)
 	if s.answer == nil || s.answer.Failure == nil || !s.answer.Failure.NotRun || s.answer.Failure.RetryAfter == 0 {
 		t.Errorf("answer %+v", s.answer)
 	}
@@ -277,7 +277,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		route := single(rapid.Bool().Draw(rt, "repeatable"))
 		s := &scene{t: t}
-		request, actions := forward.Start(0, forward.Parameters{Route: route, Service: "a"}, settings, newWorld(3, "a"))
+		request, actions := forward.Start(0, forward.Parameters{Route: route, Service: "a"}, settings, newNode(3, "a"))
 		s.request = request
 		s.take(actions)
 		for s.answer == nil {
@@ -308,7 +308,7 @@
 		route := fanOut("a", "b", "c", "d")
 		route.Shards = route.Shards[:len(parts)]
 		route.Top = top
-		s := start(t, route, newWorld(0, "a", "b", "c", "d"))
+		s := start(t, route, newNode(0, "a", "b", "c", "d"))
 		var all [][]byte
 		for i, body := range parts {
 			for rest := body; len(rest) >= forward.RecordSize; rest = rest[forward.RecordSize:] {
@@ -327,40 +327,40 @@
 // TestWhatARequestMet: a request tells once, at its target, how many shards it lacks and how many attempts were shed; before it where it succeeds.
 func TestWhatARequestMet(t *testing.T) {
 	t.Run("at the target", func(t *testing.T) {
-		world := newWorld(0, "a", "b", "c")
-		s := start(t, fanOut("a", "b", "c"), world).end(0, part("sa", "")).end(1, ended(forward.Refused))
-		if s.at(189 * millisecond); len(world.met) > 0 {
-			t.Errorf("told %+v before the target", world.met)
+		node := newNode(0, "a", "b", "c")
+		s := start(t, fanOut("a", "b", "c"), node).end(0, part("sa", "")).end(1, ended(forward.Refused))
+		if s.at(189 * millisecond); len(node.samples) > 0 {
+			t.Errorf("told %+v before the target", node.samples)
 		}
 		s.at(190 * millisecond)
 		s.at(400 * millisecond)
-		want := admit.Seen{Lacking: 2, MayLack: 1, Shed: 1, Attempts: 3}
-		if len(world.met) != 1 || world.met[0] != want {
-			t.Errorf("told %+v, want %+v once", world.met, want)
+		want := admit.Sample{Lacking: 2, MayLack: 1, Shed: 1, Attempts: 3}
+		if len(node.samples) != 1 || node.samples[0] != want {
+			t.Errorf("told %+v, want %+v once", node.samples, want)
 		}
 	})
 	t.Run("when it succeeds", func(t *testing.T) {
-		world := newWorld(0, "a", "b")
-		start(t, fanOut("a", "b"), world).end(0, part("sa", "")).end(1, part("sb", ""))
-		want := admit.Seen{Lacking: 0, MayLack: 1, Attempts: 2}
-		if len(world.met) != 1 || world.met[0] != want {
-			t.Errorf("told %+v, want %+v once", world.met, want)
+		node := newNode(0, "a", "b")
+		start(t, fanOut("a", "b"), node).end(0, part("sa", "")).end(1, part("sb", ""))
+		want := admit.Sample{Lacking: 0, MayLack: 1, Attempts: 2}
+		if len(node.samples) != 1 || node.samples[0] != want {
+			t.Errorf("told %+v, want %+v once", node.samples, want)
 		}
 	})
 	t.Run("refused though slots are free", func(t *testing.T) {
-		world := newWorld(0, "a", "b", "c")
+		node := newNode(0, "a", "b", "c")
 		refused := ended(forward.Refused)
 		refused.Load = replica.Load{Told: true, Running: 1, Slots: 4, Pace: 1}
-		start(t, fanOut("a", "b", "c"), world).end(0, part("sa", "")).end(1, refused).at(190 * millisecond)
-		if len(world.met) != 1 || world.met[0].Shed != 0 {
-			t.Errorf("told %+v: no back end was full", world.met)
+		start(t, fanOut("a", "b", "c"), node).end(0, part("sa", "")).end(1, refused).at(190 * millisecond)
+		if len(node.samples) != 1 || node.samples[0].Shed != 0 {
+			t.Errorf("told %+v: no back end was full", node.samples)
 		}
 	})
 	t.Run("of one back end", func(t *testing.T) {
-		world := newWorld(0, "a")
-		start(t, single(true), world).end(0, part("sa", ""))
-		if len(world.met) > 0 {
-			t.Errorf("told %+v", world.met)
+		node := newNode(0, "a")
+		start(t, single(true), node).end(0, part("sa", ""))
+		if len(node.samples) > 0 {
+			t.Errorf("told %+v", node.samples)
 		}
 	})
 }
--- a/internal/forward/left_out_test.go
+++ b/internal/forward/left_out_test.go
@@ -4,7 +4,7 @@
 
 // TestLeftOutWhileItWaits: a shard that waits for room and is then left out has failed, and is not looked for any more.
 func TestLeftOutWhileItWaits(t *testing.T) {
-	w := newWorld(9, "a", "b", "c")
+	w := newNode(9, "a", "b", "c")
 	w.full["b"] = true
 	s := start(t, fanOut("a", "b", "c"), w).end(0, part("a-1", ""))
 	w.leftOut = map[string]bool{"b": true}
--- /dev/null
+++ b/internal/forward/node.go
@@ -0,0 +1,33 @@
+package forward
+
+import (
+	"time"
+
+	"stiletrail/internal/admit"
+	"stiletrail/internal/quarantine"
+	"stiletrail/internal/replica"
+)
+
+// Node is what a request needs of the node that it runs on, at one moment.
+type Node interface {
+	// Pick returns a replica of the service that the choice allows, or nil; busy is set where each has its attempts.
+	Pick(service string, choice replica.Choice) (chosen *replica.Replica, busy bool)
+	// Recovers returns the first moment at which one of the replicas that the choice allows is not ejected; false if there is none.
+	Recovers(service string, choice replica.Choice) (at time.Duration, known bool)
+	// SpendHedge takes an extra attempt that only saves time out of the service's budget.
+	SpendHedge(service string) bool
+	// ExtrasLeft is how many extra attempts the service's budget allows now.
+	ExtrasLeft(service string) float64
+	// SpendRetry takes an extra attempt after a failure out of the service's budget.
+	SpendRetry(service string) bool
+	// BackEndEnded takes in that a back end ended under an attempt, and gives the verdict on the request.
+	BackEndEnded(attempt *Attempt) quarantine.Verdict
+	// Answered takes in that a back end answered an attempt.
+	Answered(attempt *Attempt)
+	// Verdict on the request as it is known by now.
+	Verdict() quarantine.Verdict
+	// LeftOut reports whether the request is to be kept from a service, whose back ends it ends.
+	LeftOut(service string) bool
+	// Sample takes in what a request over many shards lacks at its target, once.
+	Sample(sample admit.Sample)
+}
--- /dev/null
+++ b/internal/forward/pause.go
@@ -0,0 +1,47 @@
+package forward
+
+import "time"
+
+// longestPause bounds the pauses between retries, of which the first is Settings.RetryPause and each further one is twice as long.
+const longestPause = 200 * time.Millisecond
+
+// pauseOrGiveUp has a shard with no attempt under way asked again after a pause, and not before one of its replicas is expected to be
+// sound: a late answer is worth more than none, and what the shard lacks now (a replica, room, budget) it has often a little
+// later. The shard has failed where that cannot be in the time there is.
+func (r *Request) pauseOrGiveUp(now time.Duration, number int) {
+	s := &r.shards[number]
+	s.pause = min(max(2*s.pause, r.settings.RetryPause), longestPause)
+	s.tried = nil
+	recovery, known := r.node.Recovers(s.service, r.choice(s))
+	until := max(now+s.pause, recovery)
+	if r.settings.RetryPause > 0 && known && until < r.deadline && !r.ownFailure(s) && !r.node.LeftOut(s.service) {
+		s.become(paused{until: until})
+	} else {
+		s.become(failed{})
+	}
+}
+
+// ownFailure reports whether the only back end asked gave a failure of its own, which is the caller's answer.
+func (r *Request) ownFailure(s *shard) bool { return !r.route.FansOut() && s.last.Response != nil }
+
+// resume asks a shard again after its pause.
+func (r *Request) resume(now time.Duration, number int) {
+	if !r.retry(now, number) {
+		r.pauseOrGiveUp(now, number)
+	}
+}
+
+// worthWaiting reports whether a shard may still be answered by the moment at which the answer goes out with what is there.
+func (r *Request) worthWaiting() bool {
+	until := r.deadline
+	if r.settings.EarlyFinish {
+		until = r.target
+	}
+	for i := range r.shards {
+		s := &r.shards[i]
+		if pause, ok := s.state.(paused); s.open() && (!ok || pause.until < until) {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/forward/retry_test.go
+++ b/internal/forward/retry_test.go
@@ -16,14 +16,14 @@
 // paced returns the settings with pauses between tries.
 func paced() forward.Settings {
 	with := settings
-	with.Pace = 25 * millisecond
+	with.RetryPause = 25 * millisecond
 	with.HedgeShare = 0
 	return with
 }
 
-func startPaced(t *testing.T, route *routing.Route, world forward.World) *scene {
+func startPaced(t *testing.T, route *routing.Route, node forward.Node) *scene {
 	s := &scene{t: t}
-	request, actions := forward.Start(0, forward.Parameters{Route: route, Service: "a"}, paced(), world)
+	request, actions := forward.Start(0, forward.Parameters{Route: route, Service: "a"}, paced(), node)
 	s.request = request
 	s.take(actions)
 	return s
@@ -31,10 +31,10 @@
 
 // TestTriedAgainAfterAPause: a shard that lacks budget is tried again while there is time, and the request is not given up.
 func TestTriedAgainAfterAPause(t *testing.T) {
-	world := newWorld(0, "a", "b")
+	node := newNode(0, "a", "b")
 	route := fanOut("a", "b")
 	route.MinimumCoverage = 1
-	s := startPaced(t, route, world).end(0, part("sa", "")).end(1, ended(forward.Lost))
+	s := startPaced(t, route, node).end(0, part("sa", "")).end(1, ended(forward.Lost))
 	if s.answer != nil {
 		t.Fatalf("given up with a second left: %+v", s.answer)
 	}
@@ -44,7 +44,7 @@
 	if s.at(25 * millisecond); len(s.sent) != 2 {
 		t.Fatalf("sent without budget: %v", s.sends())
 	}
-	world.budget = 1
+	node.budget = 1
 	if s.at(75 * millisecond); !slices.Equal(s.sends(), []string{"a-1", "b-1", "b-1"}) {
 		t.Fatalf("sent %v", s.sends())
 	}
@@ -56,23 +56,23 @@
 // TestNothingCanCome: a request is answered at the first moment at which nothing can come any more in the time there is.
 func TestNothingCanCome(t *testing.T) {
 	t.Run("every replica is ejected beyond the deadline", func(t *testing.T) {
-		world := newWorld(0, "a")
-		world.recovers = map[string]time.Duration{"a": 2 * time.Second}
-		s := startPaced(t, single(true), world).end(0, ended(forward.Lost))
+		node := newNode(0, "a")
+		node.recovers = map[string]time.Duration{"a": 2 * time.Second}
+		s := startPaced(t, single(true), node).end(0, ended(forward.Lost))
 		if s.answer == nil || s.answer.Failure == nil || s.answer.Failure.Code != failure.OutcomeUnknown {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
 	t.Run("with enough, every replica is ejected beyond the target", func(t *testing.T) {
-		world := newWorld(0, "a", "b")
-		world.recovers = map[string]time.Duration{"b": 400 * millisecond}
-		s := startPaced(t, fanOut("a", "b"), world).end(1, ended(forward.Lost)).end(0, part("sa", ""))
+		node := newNode(0, "a", "b")
+		node.recovers = map[string]time.Duration{"b": 400 * millisecond}
+		s := startPaced(t, fanOut("a", "b"), node).end(1, ended(forward.Lost)).end(0, part("sa", ""))
 		if s.answer == nil || s.answer.Missing != 1 || s.answer.Reason != forward.ShardsFailed {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
 	t.Run("with enough, a replica may answer by the target", func(t *testing.T) {
-		s := startPaced(t, fanOut("a", "b"), newWorld(0, "a", "b")).end(1, ended(forward.Lost)).end(0, part("sa", ""))
+		s := startPaced(t, fanOut("a", "b"), newNode(0, "a", "b")).end(1, ended(forward.Lost)).end(0, part("sa", ""))
 		if s.answer != nil {
 			t.Fatalf("answer %+v", s.answer)
 		}
@@ -81,8 +81,8 @@
 		}
 	})
 	t.Run("nothing of it has run for a fifth of the target", func(t *testing.T) {
-		world := newWorld(0, "a")
-		s := startPaced(t, single(true), world).end(0, ended(forward.Refused))
+		node := newNode(0, "a")
+		s := startPaced(t, single(true), node).end(0, ended(forward.Refused))
 		if wake := s.request.NextWake(0); s.answer != nil || wake != 25*millisecond {
 			t.Fatalf("looks again at %v, answer %+v", wake, s.answer)
 		}
@@ -96,13 +96,13 @@
 	})
 	t.Run("the only back end's own failure", func(t *testing.T) {
 		failed := forward.Outcome{Kind: forward.Failed, Response: &forward.Response{Status: 500}}
-		s := startPaced(t, single(true), newWorld(0, "a")).end(0, failed)
+		s := startPaced(t, single(true), newNode(0, "a")).end(0, failed)
 		if s.answer == nil || s.answer.Passed == nil {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
 	t.Run("a request that is not repeatable may have run", func(t *testing.T) {
-		s := startPaced(t, single(false), newWorld(9, "a")).end(0, ended(forward.Lost))
+		s := startPaced(t, single(false), newNode(9, "a")).end(0, ended(forward.Lost))
 		if s.answer == nil || s.answer.Failure == nil || s.answer.Failure.NotRun {
 			t.Errorf("answer %+v", s.answer)
 		}
@@ -116,7 +116,7 @@
 		route := fanOut("a", "b", "c")
 		route.MaximumAttempts = rapid.IntRange(1, 3).Draw(rt, "most")
 		budget := rapid.IntRange(0, 10).Draw(rt, "budget")
-		s := startPaced(t, route, newWorld(budget, "a", "b", "c"))
+		s := startPaced(t, route, newNode(budget, "a", "b", "c"))
 		for step := 0; s.answer == nil && step < 400; step++ {
 			s.now += time.Duration(rapid.IntRange(0, 30).Draw(rt, "pass")) * millisecond
 			number := rapid.IntRange(-1, len(s.sent)-1).Draw(rt, "attempt")
@@ -159,8 +159,8 @@
 // has not run is then refused as not run.
 func TestNoSendThatCannotBeAnswered(t *testing.T) {
 	const floor = 60 * millisecond
-	far := func(services ...string) *fakeWorld {
-		w := newWorld(9, services...)
+	far := func(services ...string) *fakeNode {
+		w := newNode(9, services...)
 		for _, replicas := range w.replicas {
 			for _, r := range replicas {
 				r.Start(0)
@@ -172,7 +172,7 @@
 	begin := func(route *routing.Route, deadline time.Duration) *scene {
 		s := &scene{t: t}
 		paced := settings
-		paced.Pace = 25 * millisecond
+		paced.RetryPause = 25 * millisecond
 		request, actions := forward.Start(0, forward.Parameters{Route: route, Service: "a", Deadline: deadline}, paced, far("a", "b", "c"))
 		s.request = request
 		s.take(actions)
--- a/internal/forward/scene_test.go
+++ b/internal/forward/scene_test.go
@@ -14,15 +14,15 @@
 
 const millisecond = time.Millisecond
 
-// fakeWorld has replicas by service, in the order in which they are picked.
-type fakeWorld struct {
+// fakeNode has replicas by service, in the order in which they are picked.
+type fakeNode struct {
 	replicas map[string][]*replica.Replica
 	full     map[string]bool
 	budget   int
 	// recovers has the moment at which the replicas of a service are no longer ejected.
 	recovers map[string]time.Duration
-	// met has what requests have told.
-	met []admit.Seen
+	// samples has what requests have told.
+	samples []admit.Sample
 	// few: the budget allows hardly any more extra attempts.
 	few bool
 	// verdict on the request, leftOut are the services that it is kept from, ends the back ends that ended under it.
@@ -31,8 +31,8 @@
 	ends    []string
 }
 
-func newWorld(budget int, services ...string) *fakeWorld {
-	w := &fakeWorld{replicas: map[string][]*replica.Replica{}, full: map[string]bool{}, budget: budget}
+func newNode(budget int, services ...string) *fakeNode {
+	w := &fakeNode{replicas: map[string][]*replica.Replica{}, full: map[string]bool{}, budget: budget}
 	for _, service := range services {
 		for _, suffix := range []string{"-1", "-2", "-3"} {
 			w.replicas[service] = append(w.replicas[service], &replica.Replica{Entry: replica.Entry{ID: service + suffix, Service: service}})
@@ -41,8 +41,8 @@
 	return w
 }
 
-// Pick implements forward.World.
-func (w *fakeWorld) Pick(service string, choice replica.Choice) (*replica.Replica, bool) {
+// Pick implements forward.Node.
+func (w *fakeNode) Pick(service string, choice replica.Choice) (*replica.Replica, bool) {
 	if w.full[service] {
 		return nil, true
 	}
@@ -54,47 +54,47 @@
 	return nil, false
 }
 
-// Recovers implements forward.World.
-func (w *fakeWorld) Recovers(service string, _ replica.Choice) (time.Duration, bool) {
+// Recovers implements forward.Node.
+func (w *fakeNode) Recovers(service string, _ replica.Choice) (time.Duration, bool) {
 	return w.recovers[service], len(w.replicas[service]) > 0
 }
 
-func (w *fakeWorld) spend() bool {
+func (w *fakeNode) spend() bool {
 	w.budget--
 	return w.budget >= 0
 }
 
-// ExtrasLeft implements forward.World.
-func (w *fakeWorld) ExtrasLeft(string) float64 {
+// ExtrasLeft implements forward.Node.
+func (w *fakeNode) ExtrasLeft(string) float64 {
 	if w.few {
 		return 1
 	}
 	return 100
 }
 
-// SpendHedge implements forward.World.
-func (w *fakeWorld) SpendHedge(string) bool { return w.spend() }
+// SpendHedge implements forward.Node.
+func (w *fakeNode) SpendHedge(string) bool { return w.spend() }
 
-// SpendRetry implements forward.World.
-func (w *fakeWorld) SpendRetry(string) bool { return w.spend() }
+// SpendRetry implements forward.Node.
+func (w *fakeNode) SpendRetry(string) bool { return w.spend() }
 
-// Ended implements forward.World.
-func (w *fakeWorld) Ended(attempt *forward.Attempt) quarantine.Verdict {
+// BackEndEnded implements forward.Node.
+func (w *fakeNode) BackEndEnded(attempt *forward.Attempt) quarantine.Verdict {
 	w.ends = append(w.ends, attempt.Replica.ID)
 	return w.verdict
 }
 
-// Verdict implements forward.World.
-func (w *fakeWorld) Verdict() quarantine.Verdict { return w.verdict }
+// Verdict implements forward.Node.
+func (w *fakeNode) Verdict() quarantine.Verdict { return w.verdict }
 
-// Ran implements forward.World.
-func (w *fakeWorld) Ran(*forward.Attempt) { w.verdict = quarantine.Clear }
+// Answered implements forward.Node.
+func (w *fakeNode) Answered(*forward.Attempt) { w.verdict = quarantine.Clear }
 
-// LeftOut implements forward.World.
-func (w *fakeWorld) LeftOut(service string) bool { return w.leftOut[service] }
+// LeftOut implements forward.Node.
+func (w *fakeNode) LeftOut(service string) bool { return w.leftOut[service] }
 
-// Met implements forward.World.
-func (w *fakeWorld) Met(seen admit.Seen) { w.met = append(w.met, seen) }
+// Sample implements forward.Node.
+func (w *fakeNode) Sample(sample admit.Sample) { w.samples = append(w.samples, sample) }
 
 // scene is a request with what it has done so far.
 type scene struct {
@@ -106,7 +106,7 @@
 	now     time.Duration
 }
 
-var settings = forward.Settings{HedgeShare: 0.25, SiblingHedges: true, LastExtras: 2, EarlyFinish: true, AnswerMargin: 10 * millisecond, Caution: true, ComeBack: 600 * millisecond}
+var settings = forward.Settings{HedgeShare: 0.25, SiblingHedges: true, LastExtras: 2, EarlyFinish: true, AnswerMargin: 10 * millisecond, Caution: true, RetryAfter: 600 * millisecond}
 
 func fanOut(shards ...string) *routing.Route {
 	return &routing.Route{
@@ -122,9 +122,9 @@
 	}
 }
 
-func start(t *testing.T, route *routing.Route, world forward.World) *scene {
+func start(t *testing.T, route *routing.Route, node forward.Node) *scene {
 	s := &scene{t: t}
-	request, actions := forward.Start(0, forward.Parameters{Route: route, Service: "a"}, settings, world)
+	request, actions := forward.Start(0, forward.Parameters{Route: route, Service: "a"}, settings, node)
 	s.request = request
 	s.take(actions)
 	return s
@@ -132,16 +132,16 @@
 
 func (s *scene) take(actions []forward.Action) {
 	for _, action := range actions {
-		switch {
-		case action.Send != nil:
-			s.sent = append(s.sent, action.Send)
-		case action.Cancel != nil:
-			s.cancels = append(s.cancels, action.Cancel)
-		case action.Finish != nil:
+		switch action := action.(type) {
+		case forward.Send:
+			s.sent = append(s.sent, action.Attempt)
+		case forward.Cancel:
+			s.cancels = append(s.cancels, action.Attempt)
+		case forward.Finish:
 			if s.answer != nil {
 				s.t.Fatal("answered twice")
 			}
-			s.answer = action.Finish
+			s.answer = &action.Answer
 		}
 	}
 }
--- /dev/null
+++ b/internal/gateway/run_node.go
@@ -0,0 +1,87 @@
+package gateway
+
+import (
+	"time"
+
+	"stiletrail/internal/admit"
+	"stiletrail/internal/clock"
+	"stiletrail/internal/forward"
+	"stiletrail/internal/quarantine"
+	"stiletrail/internal/replica"
+)
+
+// runNode is the node as one run sees it at one moment; the lock is held.
+type runNode struct {
+	gateway *Gateway
+	now     time.Duration
+	run     *run
+}
+
+// Pick implements forward.Node.
+func (n runNode) Pick(service string, choice replica.Choice) (*replica.Replica, bool) {
+	return n.gateway.replicas.Pick(n.now, service, choice)
+}
+
+// Recovers implements forward.Node.
+func (n runNode) Recovers(service string, choice replica.Choice) (time.Duration, bool) {
+	return n.gateway.replicas.Recovers(service, choice)
+}
+
+// SpendHedge implements forward.Node.
+func (n runNode) SpendHedge(service string) bool {
+	return n.gateway.budget(service).Spend(n.now, n.gateway.settings.Load().HedgeReserve, n.gateway.retrySlack())
+}
+
+// ExtrasLeft implements forward.Node.
+func (n runNode) ExtrasLeft(service string) float64 {
+	return n.gateway.budget(service).Left(n.now, n.gateway.retrySlack())
+}
+
+// SpendRetry implements forward.Node.
+func (n runNode) SpendRetry(service string) bool {
+	return n.gateway.budget(service).Spend(n.now, 0, n.gateway.retrySlack())
+}
+
+// Sample implements forward.Node.
+func (n runNode) Sample(sample admit.Sample) { n.gateway.gate.Note(n.now, sample) }
+
+// BackEndEnded implements forward.Node.
+func (n runNode) BackEndEnded(attempt *forward.Attempt) quarantine.Verdict {
+	g, now := n.gateway, clock.Of(n.now)
+	if n.run.call.Identity == (quarantine.Identity{}) {
+		return quarantine.Clear
+	}
+	verdict, change := g.quarantine.Ended(now, n.run.call.Identity, quarantine.Run{
+		Service: attempt.Service, BackEnd: attempt.Replica.ID, Version: attempt.Replica.Version,
+		Began: clock.Of(attempt.StartedAt), Ended: clock.Of(attempt.EndedAt),
+	})
+	if change.First && n.run.route.FansOut() {
+		// Most often another shard answers soon, and nobody need hear of it.
+		n.run.untold = n.run.untold || len(change.Tell) > 0
+		change.Tell = nil
+	}
+	g.changed(now, change, byOwn)
+	return verdict
+}
+
+// Verdict implements forward.Node.
+func (n runNode) Verdict() quarantine.Verdict {
+	return n.gateway.quarantine.Verdict(clock.Of(n.now), n.run.call.Identity)
+}
+
+// LeftOut implements forward.Node.
+func (n runNode) LeftOut(service string) bool {
+	return n.gateway.quarantine.LeftOut(clock.Of(n.now), n.run.call.Identity, service)
+}
+
+// Answered implements forward.Node.
+func (n runNode) Answered(attempt *forward.Attempt) {
+	g, now := n.gateway, clock.Of(n.now)
+	n.run.untold = false
+	change := g.quarantine.Answered(now, n.run.call.Identity, attempt.Service, attempt.Replica.Version)
+	for _, mark := range change.Judged {
+		_, held := g.quarantine.Held(now, mark)
+		g.keeping.again(mark, !held)
+	}
+	g.changed(now, change, byOwn)
+}
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -217,7 +217,7 @@
 	if !r.call.Deadline.IsZero() {
 		parameters.Deadline = g.clock.Moment(r.call.Deadline)
 	}
-	request, actions := forward.Start(now, parameters, g.settings.Load().Forward, world{g, now, r})
+	request, actions := forward.Start(now, parameters, g.settings.Load().Forward, runNode{g, now, r})
 	r.request = request
 	r.due, r.deadline = request.Deadline(), g.at(request.Deadline())
 	r.carryOut(now, actions)
@@ -228,20 +228,21 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := g.now()
-	// The request holds the world of its last step; bring it up to date.
-	r.request.At(world{g, now, r})
+	r.request.Refresh(runNode{g, now, r})
 	r.carryOut(now, decide(now))
 }
 
 func (r *run) carryOut(now time.Duration, actions []forward.Action) {
 	for _, action := range actions {
-		switch {
-		case action.Send != nil:
-			r.send(now, action.Send)
-		case action.Cancel != nil:
-			r.cancels[action.Cancel]()
-		case action.Finish != nil:
-			r.answer = action.Finish
+		switch action := action.(type) {
+		case forward.Send:
+			r.send(now, action.Attempt)
+		case forward.Cancel:
+			r.cancels[action.Attempt]()
+		case forward.Finish:
+			r.answer = &action.Answer
+		default:
+			panic(fmt.Sprintf("an action of type %T", action))
 		}
 	}
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -48,7 +48,7 @@
 	waits := WaitsWithin(clock.Of(min(s.LeavingTime, s.ApplyWithin, s.EvacuateWithin)))
 	return Settings{
 		Forward: forward.Settings{
-			HedgeShare: s.HedgeShare, SiblingHedges: s.SiblingHedges, LastExtras: s.LastExtras, EarlyFinish: s.EarlyFinish, Pace: s.RetryPace, AnswerMargin: answerMargin, Caution: s.QuarantineRounds > 0, ComeBack: s.EntryInterval / 2,
+			HedgeShare: s.HedgeShare, SiblingHedges: s.SiblingHedges, LastExtras: s.LastExtras, EarlyFinish: s.EarlyFinish, RetryPause: s.RetryPace, AnswerMargin: answerMargin, Caution: s.QuarantineRounds > 0, RetryAfter: s.EntryInterval / 2,
 		},
 		Replica: replica.Settings{
 			Connections: s.Connections, FarPrice: s.FarPrice, FaultPrice: s.FaultPrice, GoByPace: s.GoByPace,
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -15,13 +15,13 @@
 		"./internal/gateway", "TestRandomFaults",
 	},
 	{
-		"a request that is not repeatable is hedged", "internal/forward/attempts.go",
+		"a request that is not repeatable is hedged", "internal/forward/hedge.go",
 		"r.settings.HedgeShare > 0 && r.route.Repeatable &&", "r.settings.HedgeShare > 0 &&",
 		"./internal/gateway", "TestRandomFaults",
 	},
 	{
-		"hedges beyond the attempts allowed", "internal/forward/attempts.go",
-		"s.live == 1 && s.sent < r.route.MaximumAttempts", "s.live == 1",
+		"hedges beyond the attempts allowed", "internal/forward/hedge.go",
+		"s.live() == 1 && s.sent < r.route.MaximumAttempts", "s.live() == 1",
 		"./internal/forward", "TestOneAttemptIsNotHedged",
 	},
 	{
@@ -90,12 +90,12 @@
 		"./internal/forward", "TestFinish",
 	},
 	{
-		"a request is sent though too few shards are known", "internal/forward/forward.go",
+		"a request is sent though too few shards are known", "internal/forward/refusal.go",
 		"if r.open() >= r.required() {", "if true {",
 		"./platform", "TestRefusedBeforeAnythingIsSent",
 	},
 	{
-		"a shard goes to more back ends than the route allows", "internal/forward/attempts.go",
+		"a shard goes to more back ends than the route allows", "internal/forward/attempt.go",
 		"if distinct(s.asked) >= r.route.MaximumAttempts {", "if false {",
 		"./internal/forward", "TestPacedTries",
 	},
@@ -105,18 +105,18 @@
 		"./internal/forward", "TestPacedTries",
 	},
 	{
-		"a shard is given up while there is time", "internal/forward/retry.go",
-		"s.paused = r.settings.Pace > 0 && known", "s.paused = false && known",
+		"a shard is given up while there is time", "internal/forward/pause.go",
+		"if r.settings.RetryPause > 0 && known", "if false && known",
 		"./internal/forward", "TestTriedAgainAfterAPause",
 	},
 	{
-		"a request waits for a shard that cannot come", "internal/forward/retry.go",
-		"s.lookAgainAt = max(now+s.pause, recovery)", "s.lookAgainAt = max(now+s.pause, min(recovery, 0))",
+		"a request waits for a shard that cannot come", "internal/forward/pause.go",
+		"until := max(now+s.pause, recovery)", "until := max(now+s.pause, min(recovery, 0))",
 		"./internal/forward", "TestNothingCanCome",
 	},
 	{
-		"a request of which nothing has run is held", "internal/forward/answer.go",
-		"case r.untouched() && now >= r.offerUntil():", "case false:",
+		"a request of which nothing has run is held", "internal/forward/finish.go",
+		"case r.nothingRan() && now >= r.roomUntil():", "case false:",
 		"./internal/forward", "TestNothingCanCome",
 	},
 	{
@@ -130,7 +130,7 @@
 		"./internal/replica", "TestTurnedAway",
 	},
 	{
-		"an attempt goes out that cannot be answered in time", "internal/forward/attempts.go",
+		"an attempt goes out that cannot be answered in time", "internal/forward/attempt.go",
 		"return now+chosen.Least(now) > r.deadline", "return false",
 		"./internal/forward", "TestNoSendThatCannotBeAnswered",
 	},
@@ -191,7 +191,7 @@
 	},
 	{
 		"attempts of no more use go on for a while", "internal/gateway/serve.go",
-		"r.cancels[action.Cancel]()", "time.AfterFunc(150*time.Millisecond, r.cancels[action.Cancel])",
+		"r.cancels[action.Attempt]()", "time.AfterFunc(150*time.Millisecond, r.cancels[action.Attempt])",
 		"./internal/gateway", "TestLosersAreWithdrawn",
 	},
 	{
@@ -282,8 +282,8 @@
 		"./internal/replica", "TestSubset",
 	},
 	{
-		"the last extra attempts go to shards that are just late", "internal/forward/attempts.go",
-		"r.world.ExtrasLeft(s.service) < float64(r.settings.LastExtras)", "false",
+		"the last extra attempts go to shards that are just late", "internal/forward/hedge.go",
+		"r.node.ExtrasLeft(s.service) < float64(r.settings.LastExtras)", "false",
 		"./internal/forward", "TestLateAgainstSiblings",
 	},
 	{
--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -61,7 +61,7 @@
 	},
 	{
 		"a suspected request goes to all shards at once", "internal/forward/forward.go",
-		"r.caution.suspect = world.Verdict() != quarantine.Clear; r.caution.suspect", "r.caution.suspect = world.Verdict() != quarantine.Clear; false",
+		"r.caution.suspect = node.Verdict() != quarantine.Clear; r.caution.suspect", "r.caution.suspect = node.Verdict() != quarantine.Clear; false",
 		"./internal/forward", "TestSuspectIsTried",
 	},
 	{
