--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -2,7 +2,8 @@
 // refutation (Das, Gupta, Motivala: "SWIM", 2002) and a local health score that slows down a member which is
 // itself slow (Dadgar, Phillips, Currey: "Lifeguard", 2018).
 //
-// The core does no I/O and reads no clock. Invariants:
+// The core owns what a node believes of each member. It does no I/O, reads no clock and has no lock: callers give the time, send
+// what it returns and serialise calls. Invariants:
 //   - an update replaces another only if Supersedes says so, so views converge whatever the order of messages;
 //   - only a member itself raises its incarnation;
 //   - a member that stops says Leaving and never refutes that.
@@ -84,28 +85,39 @@
 
 const (
 	maximumHealthScore = 8
-	// A gap between ticks of this many intervals means the process was frozen.
+	// freezeIntervals of probes between two ticks mean that the process was frozen.
 	freezeIntervals = 4
-	// One probe in this many goes to a dead member, so that zones cut apart meet again.
+	// leavingIntervals of probes after a member said that it leaves, and relayIntervals after a probe was relayed, it is over.
+	leavingIntervals = 60
+	relayIntervals   = 10
+	// deadEvery: one probe in so many goes to a dead member, so that zones cut apart meet again.
 	deadEvery = 8
-	// While joining, views are exchanged so many times per probe interval.
-	joinPace    = 4
+	// joinPace: while joining, views are exchanged so many times per probe interval.
+	joinPace = 4
+	// joinTimeout after its start a node goes on with the members that it has found.
 	joinTimeout = 10 * time.Second
-	// A view larger than this is synchronised in chunks of this many members.
+	// growingPart: a view grows while one in so many of its members is new since the last exchange.
+	growingPart = 20
+	// syncChunk is the most members that one message of an exchange holds.
 	syncChunk = 512
+	// transmissionFactor times the logarithm of the members an update is passed on.
+	transmissionFactor = 3
 )
 
+// record is a member as this node knows it.
 type record struct {
 	member Member
 	// since is when the state was taken on.
 	since time.Duration
 }
 
+// queued is an update about a member that is to be passed on so many times more.
 type queued struct {
 	address string
 	left    int
 }
 
+// probe is one that waits for its answer.
 type probe struct {
 	target   string
 	sequence uint64
@@ -127,6 +139,8 @@
 	pending   *probe
 	relayed   map[uint64]relay
 	sequence  uint64
+	// probes counts those begun; health is 0 while this node's probes are answered in time, and slows it down where it is itself
+	// slow.
 	probes    int
 	health    int
 	lastTick  time.Duration
@@ -147,6 +161,7 @@
 	startedAt time.Duration
 }
 
+// relay is a probe sent on behalf of another member.
 type relay struct {
 	origin   string
 	sequence uint64
@@ -157,7 +172,9 @@
 // than that of an earlier process at the address, or peers will make it refute.
 func New(now time.Duration, self Member, seeds []string, settings Settings, random *rand.Rand) *Core {
 	self.State = Alive
-	core := &Core{settings: settings, self: self, random: random, records: map[string]*record{}, relayed: map[uint64]relay{}, startedAt: now}
+	core := &Core{
+		settings: settings, self: self, random: random, records: map[string]*record{}, relayed: map[uint64]relay{}, startedAt: now,
+	}
 	for _, seed := range seeds {
 		core.AddSeed(seed)
 	}
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -3,8 +3,9 @@
 import (
 	"math"
 	"slices"
-	"stiletrail/internal/message"
 	"time"
+
+	"stiletrail/internal/message"
 )
 
 // Tick advances the core; call it several times per probe interval. Where the time since the last tick shows that the process
@@ -43,11 +44,10 @@
 // syncInterval is the wait until the next exchange of whole views. While the view grows by more than a part, as after a
 // start or when zones meet, views are exchanged at the pace of probes; then ever more rarely, down to the settled pace.
 func (c *Core) syncInterval() time.Duration {
-	const part = 20
 	settled := max(time.Duration(len(c.records))*c.settings.SyncPerMember, c.settings.MinimumSyncInterval)
 	grown := len(c.records) - c.syncedSize
 	c.syncedSize = len(c.records)
-	growing := len(c.records) == 0 || grown > len(c.records)/part
+	growing := len(c.records) == 0 || grown > len(c.records)/growingPart
 	switch {
 	case growing && !c.joined:
 		c.syncWait = c.settings.ProbeInterval / joinPace
@@ -160,7 +160,7 @@
 		found := c.records[address]
 		wait := limit
 		if found.member.State == Leaving {
-			wait = 60 * c.settings.ProbeInterval
+			wait = leavingIntervals * c.settings.ProbeInterval
 		}
 		if now-found.since >= wait {
 			dead := found.member
@@ -177,7 +177,7 @@
 		return forgotten
 	})
 	for sequence, relayed := range c.relayed {
-		if now-relayed.at > 10*c.settings.ProbeInterval {
+		if now-relayed.at > relayIntervals*c.settings.ProbeInterval {
 			delete(c.relayed, sequence)
 		}
 	}
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -3,8 +3,9 @@
 import (
 	"math"
 	"slices"
-	"stiletrail/internal/message"
 	"time"
+
+	"stiletrail/internal/message"
 )
 
 // Supersedes reports whether an update replaces what is known of the same member.
@@ -88,9 +89,9 @@
 	}
 }
 
-// enqueue queues an update about a member for passing on, three times the logarithm of the members.
+// enqueue queues an update about a member for passing on.
 func (c *Core) enqueue(address string) {
-	transmissions := 3 * int(math.Ceil(math.Log10(float64(len(c.records)+2))))
+	transmissions := transmissionFactor * int(math.Ceil(math.Log10(float64(len(c.records)+2))))
 	for i := range c.updates {
 		if c.updates[i].address == address {
 			c.updates[i].left = transmissions
