--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -88,7 +88,7 @@
 	ordinarySampleEvery = 20
 )
 
-// Log implements gateway.Journal.
+// Log implements gateway.DecisionLog.
 type Log struct {
 	log     *logrus.Entry
 	writer  *Writer
@@ -184,7 +184,7 @@
 	return lines
 }
 
-// Ejected implements gateway.Journal.
+// Ejected implements gateway.DecisionLog.
 func (l *Log) Ejected(attempt *forward.Attempt, outcome forward.Outcome) {
 	l.log.WithFields(logrus.Fields{
 		fieldEvent: EventEjected, fieldBackEnd: attempt.Replica.ID, fieldService: attempt.Service,
@@ -192,7 +192,7 @@
 	}).Info(EventEjected)
 }
 
-// BackEndEnded implements gateway.Journal. Lines of one mark are those of one request that came several times.
+// BackEndEnded implements gateway.DecisionLog. Lines of one mark are those of one request that came several times.
 func (l *Log) BackEndEnded(call *gateway.Call, attempt *forward.Attempt, ran clock.Ms) {
 	if !l.rate.allow(time.Now()) {
 		return
@@ -203,38 +203,38 @@
 	}).Warn(EventBackEndEnded)
 }
 
-// Judged implements gateway.Journal.
+// Judged implements gateway.DecisionLog.
 func (l *Log) Judged(mark quarantine.Mark, verdict quarantine.Verdict, by string, left clock.Ms) {
 	l.log.WithFields(logrus.Fields{
 		fieldEvent: EventJudged, fieldMark: mark.String(), fieldOutcome: verdict.String(), fieldReason: by, "left_ms": left,
 	}).Warn(EventJudged)
 }
 
-// Retrial implements gateway.Journal.
+// Retrial implements gateway.DecisionLog.
 func (l *Log) Retrial(mark quarantine.Mark, version string) {
 	l.log.WithFields(logrus.Fields{fieldEvent: EventRetrial, fieldMark: mark.String(), "software": version}).Info(EventRetrial)
 }
 
-// QuarantineLost implements gateway.Journal.
+// QuarantineLost implements gateway.DecisionLog.
 func (l *Log) QuarantineLost(mark quarantine.Mark, cause *failure.Failure) {
 	l.log.WithFields(logrus.Fields{fieldEvent: EventQuarantineLost, fieldMark: mark.String(), fieldReason: cause.Error()}).Warn(EventQuarantineLost)
 }
 
-// Configuration implements gateway.Journal.
+// Configuration implements gateway.DecisionLog.
 func (l *Log) Configuration(table *routing.Table, revision history.Revision) {
 	l.log.WithFields(logrus.Fields{
 		fieldEvent: EventConfiguration, fieldVersion: table.Version(), fieldRevision: revision.Number, fieldEra: revision.Era, "routes": table.RouteCount(),
 	}).Info(EventConfiguration)
 }
 
-// Rejected implements gateway.Journal.
+// Rejected implements gateway.DecisionLog.
 func (l *Log) Rejected(item *gateway.Item) {
 	l.log.WithFields(logrus.Fields{
 		fieldEvent: EventRejected, "key": item.Key, fieldRevision: item.Revision.Number, fieldEra: item.Revision.Era, fieldReason: item.Err.Error(),
 	}).Warn(EventRejected)
 }
 
-// BackEnd implements gateway.Journal.
+// BackEnd implements gateway.DecisionLog.
 func (l *Log) BackEnd(entry replica.Entry, revision history.Revision) {
 	state := "ready"
 	if entry.Draining {
@@ -246,7 +246,7 @@
 	}).Info(EventBackEnd)
 }
 
-// Vanished implements gateway.Journal.
+// Vanished implements gateway.DecisionLog.
 func (l *Log) Vanished(id string, certain bool) {
 	outcome := "doubtful"
 	if certain {
@@ -255,39 +255,39 @@
 	l.log.WithFields(logrus.Fields{fieldEvent: EventVanished, fieldBackEnd: id, fieldOutcome: outcome}).Info(EventVanished)
 }
 
-// Evacuated implements gateway.Journal.
+// Evacuated implements gateway.DecisionLog.
 func (l *Log) Evacuated(zone string, revision history.Revision) {
 	l.log.WithFields(logrus.Fields{fieldEvent: EventEvacuated, fieldZone: zone, fieldRevision: revision.Number, fieldEra: revision.Era}).Warn(EventEvacuated)
 }
 
-// TakenBack implements gateway.Journal.
+// TakenBack implements gateway.DecisionLog.
 func (l *Log) TakenBack(zone string) {
 	l.log.WithFields(logrus.Fields{fieldEvent: EventTakenBack, fieldZone: zone}).Info(EventTakenBack)
 }
 
-// Listed implements gateway.Journal.
+// Listed implements gateway.DecisionLog.
 func (l *Log) Listed(items int, revision history.Revision) {
 	l.log.WithFields(logrus.Fields{fieldEvent: EventListed, "items": items, fieldRevision: revision.Number, fieldEra: revision.Era}).Info(EventListed)
 }
 
-// WentBack implements gateway.Journal.
+// WentBack implements gateway.DecisionLog.
 func (l *Log) WentBack(known, told history.Revision) {
 	l.log.WithFields(logrus.Fields{fieldEvent: EventWentBack, fieldRevision: told.Number, fieldEra: told.Era, fieldKnown: known.Number, fieldKnownEra: known.Era}).Warn(EventWentBack)
 }
 
-// Returned implements gateway.Journal.
+// Returned implements gateway.DecisionLog.
 func (l *Log) Returned(era uint64) {
 	l.log.WithFields(logrus.Fields{fieldEvent: EventReturned, fieldEra: era}).Warn(EventReturned)
 }
 
-// Older implements gateway.Journal.
+// Older implements gateway.DecisionLog.
 func (l *Log) Older(key string, revision, known history.Revision, count int) {
 	l.log.WithFields(logrus.Fields{
 		fieldEvent: EventOlder, "key": key, fieldRevision: revision.Number, fieldEra: revision.Era, fieldKnown: known.Number, fieldKnownEra: known.Era, "items": count,
 	}).Info(EventOlder)
 }
 
-// StoreLost implements gateway.Journal. Only the first failure in a row is written.
+// StoreLost implements gateway.DecisionLog. Only the first failure in a row is written.
 func (l *Log) StoreLost(trouble follow.Trouble, cause *failure.Failure, contactAge time.Duration) {
 	if !l.lost.lose() {
 		return
@@ -297,7 +297,7 @@
 	}).Warn(EventStoreLost)
 }
 
-// StoreAnswered implements gateway.Journal. It writes a line where the store was lost before.
+// StoreAnswered implements gateway.DecisionLog. It writes a line where the store was lost before.
 func (l *Log) StoreAnswered(contactAge time.Duration) {
 	if !l.lost.regain() {
 		return
@@ -305,42 +305,42 @@
 	l.log.WithFields(logrus.Fields{fieldEvent: EventStoreRegained, fieldAge: contactAge.Milliseconds()}).Info(EventStoreRegained)
 }
 
-// CopyStale implements gateway.Journal.
+// CopyStale implements gateway.DecisionLog.
 func (l *Log) CopyStale(age clock.Ms) {
 	l.log.WithFields(logrus.Fields{fieldEvent: EventCopyStale, fieldAge: age}).Warn(EventCopyStale)
 }
 
-// CopyFresh implements gateway.Journal.
+// CopyFresh implements gateway.DecisionLog.
 func (l *Log) CopyFresh() { l.log.WithField(fieldEvent, EventCopyFresh).Info(EventCopyFresh) }
 
-// Suspended implements gateway.Journal.
+// Suspended implements gateway.DecisionLog.
 func (l *Log) Suspended(length clock.Ms) {
 	l.log.WithFields(logrus.Fields{fieldEvent: EventSuspended, fieldAge: length}).Warn(EventSuspended)
 }
 
-// Members implements gateway.Journal.
+// Members implements gateway.DecisionLog.
 func (l *Log) Members(alive int) {
 	l.log.WithFields(logrus.Fields{fieldEvent: EventMembers, "alive": alive}).Info(EventMembers)
 }
 
-// Learned implements gateway.Journal.
+// Learned implements gateway.DecisionLog.
 func (l *Log) Learned(from string, records int, revision history.Revision) {
 	l.log.WithFields(logrus.Fields{
 		fieldEvent: EventLearned, fieldPeer: from, "items": records, fieldRevision: revision.Number, fieldEra: revision.Era,
 	}).Info(EventLearned)
 }
 
-// PeerSilent implements gateway.Journal.
+// PeerSilent implements gateway.DecisionLog.
 func (l *Log) PeerSilent(peer string) {
 	l.log.WithFields(logrus.Fields{fieldEvent: EventPeerSilent, fieldPeer: peer}).Warn(EventPeerSilent)
 }
 
-// PeerMalformed implements gateway.Journal.
+// PeerMalformed implements gateway.DecisionLog.
 func (l *Log) PeerMalformed(remote string, err error) {
 	l.log.WithFields(logrus.Fields{fieldEvent: EventPeerMalformed, fieldPeer: remote, fieldReason: err.Error()}).Warn(EventPeerMalformed)
 }
 
-// Fault implements gateway.Journal.
+// Fault implements gateway.DecisionLog.
 func (l *Log) Fault(text string) {
 	l.log.WithFields(logrus.Fields{fieldEvent: EventFault, fieldReason: text}).Error(EventFault)
 }
--- a/internal/gateway/belief.go
+++ b/internal/gateway/belief.go
@@ -40,8 +40,8 @@
 
 // Belief returns what the gateway believes now.
 func (g *Gateway) Belief() Belief {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	now := g.now()
 	belief := Belief{
 		StoreRevision: g.view.Revision(), StoreContactAge: g.follower.ContactAge(now), CopyAge: g.copyAge(now), Nodes: g.nodes, BackEnds: map[string]int{},
--- a/internal/gateway/journal.go
+++ b/internal/gateway/decision_log.go
@@ -13,8 +13,8 @@
 	"stiletrail/internal/routing"
 )
 
-// Journal takes note of decisions. Its methods never block; some are called with the gateway's lock held.
-type Journal interface {
+// DecisionLog takes note of decisions. Its methods never block; some are called with the gateway's lock held.
+type DecisionLog interface {
 	Request(call *Call, result *Result)
 	Ejected(attempt *forward.Attempt, outcome forward.Outcome)
 	// BackEndEnded: a back end ended while it had an attempt of a call, so long after that was sent.
--- a/internal/gateway/era.go
+++ b/internal/gateway/era.go
@@ -16,14 +16,14 @@
 	}
 	g.era = era
 	g.replicas.DoubtOld(now + g.settings.Load().DoubtOldFor)
-	g.keeping.rewriteClaims()
-	g.journal.Returned(era)
+	g.quarantineWrites.rewriteClaims()
+	g.log.Returned(era)
 }
 
 // noteReturn notes that the store tells a revision of another era than was known, or in the same era an earlier one.
 func (g *Gateway) noteReturn(known, told history.Revision) {
 	if !known.Unknown() && (told.Era != known.Era || told.Before(known)) {
-		g.journal.WentBack(known, told)
+		g.log.WentBack(known, told)
 	}
 }
 
@@ -37,7 +37,7 @@
 	}
 	if count > 0 {
 		known, _ := g.view.Record(last.Key)
-		g.journal.Older(last.Key, last.Revision, known.Revision, count)
+		g.log.Older(last.Key, last.Revision, known.Revision, count)
 	}
 }
 
@@ -72,7 +72,7 @@
 	}
 	delete(g.returning, key)
 	if g.replicas.Return(now, zone) {
-		g.journal.TakenBack(zone)
+		g.log.TakenBack(zone)
 	}
 }
 
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -235,36 +235,36 @@
 	return answer(ctx, send)
 }
 
-// silentJournal takes no note.
-type silentJournal struct{}
+// silentLog takes no note.
+type silentLog struct{}
 
-func (silentJournal) Request(*gateway.Call, *gateway.Result)                 {}
-func (silentJournal) Ejected(*forward.Attempt, forward.Outcome)              {}
-func (silentJournal) BackEndEnded(*gateway.Call, *forward.Attempt, clock.Ms) {}
-func (silentJournal) Judged(quarantine.Mark, quarantine.Verdict, string, clock.Ms) {
+func (silentLog) Request(*gateway.Call, *gateway.Result)                 {}
+func (silentLog) Ejected(*forward.Attempt, forward.Outcome)              {}
+func (silentLog) BackEndEnded(*gateway.Call, *forward.Attempt, clock.Ms) {}
+func (silentLog) Judged(quarantine.Mark, quarantine.Verdict, string, clock.Ms) {
 }
-func (silentJournal) Retrial(quarantine.Mark, string)                           {}
-func (silentJournal) QuarantineLost(quarantine.Mark, *failure.Failure)          {}
-func (silentJournal) Configuration(*routing.Table, history.Revision)            {}
-func (silentJournal) Rejected(*gateway.Item)                                    {}
-func (silentJournal) BackEnd(replica.Entry, history.Revision)                   {}
-func (silentJournal) Vanished(string, bool)                                     {}
-func (silentJournal) Evacuated(string, history.Revision)                        {}
-func (silentJournal) TakenBack(string)                                          {}
-func (silentJournal) Listed(int, history.Revision)                              {}
-func (silentJournal) WentBack(history.Revision, history.Revision)               {}
-func (silentJournal) Returned(uint64)                                           {}
-func (silentJournal) Older(string, history.Revision, history.Revision, int)     {}
-func (silentJournal) StoreLost(follow.Trouble, *failure.Failure, time.Duration) {}
-func (silentJournal) StoreAnswered(time.Duration)                               {}
-func (silentJournal) CopyStale(clock.Ms)                                        {}
-func (silentJournal) Suspended(clock.Ms)                                        {}
-func (silentJournal) CopyFresh()                                                {}
-func (silentJournal) Members(int)                                               {}
-func (silentJournal) Learned(string, int, history.Revision)                     {}
-func (silentJournal) Fault(string)                                              {}
-func (silentJournal) PeerSilent(string)                                         {}
-func (silentJournal) PeerMalformed(string, error)                               {}
+func (silentLog) Retrial(quarantine.Mark, string)                           {}
+func (silentLog) QuarantineLost(quarantine.Mark, *failure.Failure)          {}
+func (silentLog) Configuration(*routing.Table, history.Revision)            {}
+func (silentLog) Rejected(*gateway.Item)                                    {}
+func (silentLog) BackEnd(replica.Entry, history.Revision)                   {}
+func (silentLog) Vanished(string, bool)                                     {}
+func (silentLog) Evacuated(string, history.Revision)                        {}
+func (silentLog) TakenBack(string)                                          {}
+func (silentLog) Listed(int, history.Revision)                              {}
+func (silentLog) WentBack(history.Revision, history.Revision)               {}
+func (silentLog) Returned(uint64)                                           {}
+func (silentLog) Older(string, history.Revision, history.Revision, int)     {}
+func (silentLog) StoreLost(follow.Trouble, *failure.Failure, time.Duration) {}
+func (silentLog) StoreAnswered(time.Duration)                               {}
+func (silentLog) CopyStale(clock.Ms)                                        {}
+func (silentLog) Suspended(clock.Ms)                                        {}
+func (silentLog) CopyFresh()                                                {}
+func (silentLog) Members(int)                                               {}
+func (silentLog) Learned(string, int, history.Revision)                     {}
+func (silentLog) Fault(string)                                              {}
+func (silentLog) PeerSilent(string)                                         {}
+func (silentLog) PeerMalformed(string, error)                               {}
 
 const shards = 4
 
@@ -305,7 +305,7 @@
 		loaded := settings.DefaultGateway()
 		loaded.Zone = "zone"
 		loaded.Regions = map[string]string{"zone": "a", "other": "b"}
-		s.gateway = gateway.New(seeded(loaded, 1), s.backEnds, s.store, silentJournal{})
+		s.gateway = gateway.New(seeded(loaded, 1), s.backEnds, s.store, silentLog{})
 		ctx, cancel := context.WithCancel(context.Background())
 		go s.gateway.Run(ctx)
 		synctest.Wait()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -78,26 +78,22 @@
 	settings atomic.Pointer[Settings]
 	backEnds BackEnds
 	store    Store
-	journal  Journal
+	log      DecisionLog
 	clock    clock.Clock
 	table    atomic.Pointer[routing.Table]
 	underWay atomic.Int64
 	leaving  atomic.Bool
-	// listed: a whole listing of the store was read.
-	listed atomic.Bool
-	// firstListedAt is when that was, as a time.Duration on the node's clock; 0 before.
-	firstListedAt atomic.Int64
-	// firstListing is closed when the node has its first configuration and has read or been told the store's whole content.
-	firstListing chan struct{}
+	// firstListing is how far the node has come to know the store's whole content.
+	firstListing firstListing
 	// givenUp is closed when all requests under way are to be answered at once.
 	givenUp    chan struct{}
 	giveUpOnce sync.Once
 	// wakes tells those that wait of a suspension of the machine that has just been noticed.
 	wakes wakes
-	// starved is signalled when a request was refused for want of known back ends: the next reading of the store is due soon.
-	starved chan struct{}
+	// storeWanted is signalled when a request lacks known back ends: the next reading of the store is due soon.
+	storeWanted chan struct{}
 
-	mutex    sync.Mutex
+	mu       sync.Mutex
 	replicas *replica.Set
 	budgets  map[string]*limit.SlidingBudget
 	splitter *routing.Splitter
@@ -107,8 +103,8 @@
 	// quarantine knows the requests that have ended back ends; trials are those that are sent to one back end at a time now, by how many calls.
 	quarantine *quarantine.Core
 	trials     map[quarantine.Mark]int
-	// keeping is what is to be written to the store of them.
-	keeping keeping
+	// quarantineWrites is what is to be written to the store of them.
+	quarantineWrites quarantineWrites
 	// reports is what nodes tell each other of back ends; reporting is signalled when there is something to tell.
 	reports   *healthreport.Core
 	reporting chan struct{}
@@ -124,7 +120,7 @@
 	// this node has not joined them.
 	nodes int
 	duty  duty
-	// stale: the journal was told that nothing confirms the copy of the store.
+	// stale: the log was told that nothing confirms the copy of the store.
 	stale bool
 	// view is this node's copy of the store; listedKeys collects what a listing under way has named so far.
 	view       *spread.Core
@@ -138,16 +134,15 @@
 }
 
 // New returns a gateway that knows nothing yet. Run makes it follow the store.
-func New(settings Settings, backEnds BackEnds, store Store, journal Journal) *Gateway {
+func New(settings Settings, backEnds BackEnds, store Store, log DecisionLog) *Gateway {
 	random := rand.New(rand.NewPCG(settings.Seed, settings.Seed))
 	g := &Gateway{
-		backEnds: backEnds, store: store, journal: journal, clock: clock.Start(), givenUp: make(chan struct{}),
-		firstListing: make(chan struct{}),
-		starved:      make(chan struct{}, 1), reports: healthreport.New(), reporting: make(chan struct{}, 1),
+		backEnds: backEnds, store: store, log: log, clock: clock.Start(), givenUp: make(chan struct{}),
+		firstListing: firstListing{complete: make(chan struct{})}, storeWanted: make(chan struct{}, 1), reports: healthreport.New(), reporting: make(chan struct{}, 1),
 		replicas: replica.NewSet(settings.Replica, settings.Places, random),
 		budgets:  map[string]*limit.SlidingBudget{}, splitter: routing.NewSplitter(),
 		follower: follow.New(settings.Follow, random.Float64), listedKeys: map[string]bool{}, returning: map[string]time.Duration{},
-		quarantine: quarantine.New(settings.Quarantine), trials: map[quarantine.Mark]int{}, keeping: newKeeping(random),
+		quarantine: quarantine.New(settings.Quarantine), trials: map[quarantine.Mark]int{}, quarantineWrites: newQuarantineWrites(random),
 	}
 	g.settings.Store(&settings)
 	g.view = spread.New(settings.Spread, g.somePeers)
@@ -156,8 +151,8 @@
 
 // Reconfigure puts other settings in force. Requests under way end with those that they began with.
 func (g *Gateway) Reconfigure(settings Settings) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	g.settings.Store(&settings)
 	g.replicas.Reconfigure(settings.Replica, settings.Places)
 	g.quarantine.Reconfigure(settings.Quarantine)
@@ -174,7 +169,7 @@
 
 // Ready reports whether the node should get requests: it has a configuration and back ends, and is not leaving.
 func (g *Gateway) Ready() bool {
-	return g.table.Load() != nil && g.listed.Load() && !g.leaving.Load()
+	return g.table.Load() != nil && g.firstListing.read.Load() && !g.leaving.Load()
 }
 
 // GiveUp answers all requests under way at once, with what is there.
@@ -219,7 +214,7 @@
 
 // BackEndsKnown is the number of back ends known, those in doubt included.
 func (g *Gateway) BackEndsKnown() int {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	return g.replicas.Len()
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -214,7 +214,7 @@
 func TestNotReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
-		g := gateway.New(gateway.FromSettings(settings.DefaultGateway()), &fakeBackEnds{}, store, silentJournal{})
+		g := gateway.New(gateway.FromSettings(settings.DefaultGateway()), &fakeBackEnds{}, store, silentLog{})
 		result := g.Serve(context.Background(), &gateway.Call{ID: "id", Host: "h", Path: "/all/x"})
 		if result.Failure == nil || !result.Failure.NotRun || result.Failure.RetryAfter == 0 || g.Ready() {
 			t.Errorf("answered %+v, ready %v", result.Failure, g.Ready())
@@ -256,7 +256,7 @@
 	loaded := settings.DefaultGateway()
 	loaded.Zone = "zone"
 	loaded.StartingHold = 2 * time.Second
-	g := gateway.New(gateway.FromSettings(loaded), &fakeBackEnds{answer: after(10 * time.Millisecond)}, store, silentJournal{})
+	g := gateway.New(gateway.FromSettings(loaded), &fakeBackEnds{answer: after(10 * time.Millisecond)}, store, silentLog{})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	time.AfterFunc(listing, func() { g.Run(ctx) })
--- a/internal/gateway/gone_test.go
+++ b/internal/gateway/gone_test.go
@@ -25,7 +25,7 @@
 				store.put(configuration(1))
 				loaded := settings.DefaultGateway()
 				loaded.Zone, loaded.StartingHold = "zone", 2*time.Second
-				g := gateway.New(gateway.FromSettings(loaded), backEnds, store, silentJournal{})
+				g := gateway.New(gateway.FromSettings(loaded), backEnds, store, silentLog{})
 				ctx, cancel := context.WithCancel(context.Background())
 				time.AfterFunc(c.entries, func() {
 					for i := range shards {
--- a/internal/gateway/keeping.go
+++ b/internal/gateway/keeping.go
@@ -23,15 +23,15 @@
 	heardLongest = 60 * clock.Second
 	// shortestKept is the shortest time for which something is written.
 	shortestKept = 2 * clock.Second
-	// otherEvery is the pause between the callers, of all that ask a question under quarantine for others, of whom one is let ask it: it may end one back
+	// otherCallerEvery is the pause between the callers, of all that ask a question under quarantine for others, of whom one is let ask it: it may end one back
 	// end a minute, and a sound caller is not kept waiting for the end of the quarantine.
-	otherEvery = 60 * clock.Second
+	otherCallerEvery = 60 * clock.Second
 	// mostRetrials that a node remembers to have asked for; older ones are asked for again, which the store answers.
 	mostRetrials = 1024
 )
 
-// keeping is what is to be written of quarantines, and what bounds the messages about them.
-type keeping struct {
+// quarantineWrites is what is to be written of quarantines, and what bounds the messages about them.
+type quarantineWrites struct {
 	random *rand.Rand
 	// dues are when a request's quarantine is written next, at the latest; removals are requests whose quarantine was lifted.
 	dues     map[quarantine.Mark]clock.Ms
@@ -50,22 +50,22 @@
 	changedAt   clock.Ms
 }
 
-func newKeeping(random *rand.Rand) keeping {
-	return keeping{
+func newQuarantineWrites(random *rand.Rand) quarantineWrites {
+	return quarantineWrites{
 		random: random, dues: map[quarantine.Mark]clock.Ms{}, rewrites: map[quarantine.Mark]bool{}, removals: map[quarantine.Mark]bool{},
 		retrials: map[string]clock.Ms{}, claims: map[string]clock.Ms{}, reclaims: map[string]bool{},
 	}
 }
 
 // rewriteClaims has what this node was let do be written again, since the store may have lost it: another node would be let do the same.
-func (k *keeping) rewriteClaims() {
+func (k *quarantineWrites) rewriteClaims() {
 	for key := range k.claims {
 		k.reclaims[key] = true
 	}
 }
 
 // won notes what this node was let do.
-func (k *keeping) won(key string, now, length clock.Ms) {
+func (k *quarantineWrites) won(key string, now, length clock.Ms) {
 	for known, over := range k.claims {
 		if now >= over {
 			delete(k.claims, known)
@@ -75,7 +75,7 @@
 }
 
 // dueClaims are what was won that is to be written again.
-func (k *keeping) dueClaims(now clock.Ms) (writes []Write) {
+func (k *quarantineWrites) dueClaims(now clock.Ms) (writes []Write) {
 	for key := range k.reclaims {
 		if left := k.claims[key] - now; left >= shortestKept {
 			writes = append(writes, claimOf(key, left))
@@ -91,19 +91,19 @@
 }
 
 // due has a request's quarantine written at a moment.
-func (k *keeping) due(mark quarantine.Mark, at clock.Ms) { k.dues[mark] = at }
+func (k *quarantineWrites) due(mark quarantine.Mark, at clock.Ms) { k.dues[mark] = at }
 
-// again has what the store says of a request written anew, or taken away where its quarantine is lifted.
-func (k *keeping) again(mark quarantine.Mark, lifted bool) {
-	if lifted {
-		k.removals[mark] = true
+// settle has the store say what a request's quarantine is now: it is written anew where it is held, else removed.
+func (k *quarantineWrites) settle(mark quarantine.Mark, held bool) {
+	if held {
+		k.rewrites[mark] = true
 		return
 	}
-	k.rewrites[mark] = true
+	k.removals[mark] = true
 }
 
 // mayAsk reports whether the store has not been asked for a retrial for so long, and notes that it is now.
-func (k *keeping) mayAsk(key string, now, length clock.Ms) bool {
+func (k *quarantineWrites) mayAsk(key string, now, length clock.Ms) bool {
 	if now < k.retrials[key] {
 		return false
 	}
@@ -115,7 +115,7 @@
 }
 
 // mayTell reports whether another message may begin in this second, and counts it.
-func (k *keeping) mayTell(now clock.Ms) bool {
+func (k *quarantineWrites) mayTell(now clock.Ms) bool {
 	if now-k.second >= clock.Second {
 		k.second, k.told = now, 0
 	}
@@ -124,7 +124,7 @@
 }
 
 // accountDue reports whether another full account is due, and notes that it is given.
-func (k *keeping) accountDue(now clock.Ms) bool {
+func (k *quarantineWrites) accountDue(now clock.Ms) bool {
 	pause := evidenceEvery
 	if now-k.changedAt > evidenceNews {
 		pause = evidenceQuiet
@@ -137,7 +137,7 @@
 }
 
 // next gives the writes that are due, and forgets those that are not needed any more.
-func (k *keeping) next(now clock.Ms, unstored map[quarantine.Mark]clock.Ms, nodes int) (marks []quarantine.Mark) {
+func (k *quarantineWrites) next(now clock.Ms, unstored map[quarantine.Mark]clock.Ms, nodes int) (marks []quarantine.Mark) {
 	for mark := range k.dues {
 		if _, needed := unstored[mark]; !needed {
 			delete(k.dues, mark)
@@ -181,8 +181,8 @@
 }
 
 func (g *Gateway) dueWrites() (writes []markedWrite) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	now := clock.Of(g.now())
 	unstored := g.quarantine.Unstored(now)
 	add := func(mark quarantine.Mark, first bool) {
@@ -192,20 +192,20 @@
 		}
 		writes = append(writes, markedWrite{mark, Write{Key: quarantine.KeyOf(mark), Value: g.quarantine.Encode(mark), For: length, First: first}})
 	}
-	for _, mark := range g.keeping.next(now, unstored, g.nodes) {
+	for _, mark := range g.quarantineWrites.next(now, unstored, g.nodes) {
 		add(mark, true)
 	}
-	for mark := range g.keeping.rewrites {
+	for mark := range g.quarantineWrites.rewrites {
 		add(mark, false)
 	}
-	clear(g.keeping.rewrites)
+	clear(g.quarantineWrites.rewrites)
 	return writes
 }
 
 func (g *Gateway) dueClaims() []Write {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	return g.keeping.dueClaims(clock.Of(g.now()))
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.quarantineWrites.dueClaims(clock.Of(g.now()))
 }
 
 // reclaim writes again what this node was let do, until the store has taken it.
@@ -215,18 +215,18 @@
 	if _, err := g.store.Write(bounded, w); err == nil || ctx.Err() != nil {
 		return
 	}
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.keeping.reclaims[w.Key] = true
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.quarantineWrites.reclaims[w.Key] = true
 }
 
 func (g *Gateway) dueRemovals() (marks []quarantine.Mark) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	for mark := range g.keeping.removals {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for mark := range g.quarantineWrites.removals {
 		marks = append(marks, mark)
 	}
-	clear(g.keeping.removals)
+	clear(g.quarantineWrites.removals)
 	return marks
 }
 
@@ -237,11 +237,11 @@
 	if err == nil || ctx.Err() != nil {
 		return
 	}
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.journal.QuarantineLost(w.mark, failure.From(err))
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.log.QuarantineLost(w.mark, failure.From(err))
 	if !w.First {
-		g.keeping.rewrites[w.mark] = true
+		g.quarantineWrites.rewrites[w.mark] = true
 	}
 }
 
@@ -252,40 +252,40 @@
 	if err == nil || ctx.Err() != nil {
 		return
 	}
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.journal.QuarantineLost(mark, failure.From(err))
-	g.keeping.removals[mark] = true
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.log.QuarantineLost(mark, failure.From(err))
+	g.quarantineWrites.removals[mark] = true
 }
 
 // claimRetrial asks the store to let this node be the one that sends a request under quarantine to a new version of the software, or with no version on
 // behalf of another caller. Without the store nobody does: several nodes that tried would end a back end each.
 func (g *Gateway) claimRetrial(ctx context.Context, mark quarantine.Mark, version string) bool {
 	key := quarantine.RetrialKey(mark, version)
-	g.mutex.Lock()
+	g.mu.Lock()
 	length := g.settings.Load().Quarantine.For
 	if version == "" {
-		length = min(length, otherEvery)
+		length = min(length, otherCallerEvery)
 	}
 	// A store that has just come back from a copy may have lost that another node was let do it.
-	mayAsk := g.view.RewriteLeft(g.now()) == 0 && g.keeping.mayAsk(key, clock.Of(g.now()), length)
-	g.mutex.Unlock()
+	mayAsk := g.view.RewriteLeft(g.now()) == 0 && g.quarantineWrites.mayAsk(key, clock.Of(g.now()), length)
+	g.mu.Unlock()
 	if !mayAsk {
 		return false
 	}
 	bounded, cancel := context.WithTimeout(ctx, keepWithin)
 	defer cancel()
 	won, err := g.store.Write(bounded, claimOf(key, length))
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	if err != nil {
-		g.journal.QuarantineLost(mark, failure.From(err))
+		g.log.QuarantineLost(mark, failure.From(err))
 		// The call may have been done: only a refusal that says that nothing was done lets this node ask again.
 		return false
 	}
 	if won {
-		g.keeping.won(key, clock.Of(g.now()), length)
-		g.journal.Retrial(mark, version)
+		g.quarantineWrites.won(key, clock.Of(g.now()), length)
+		g.log.Retrial(mark, version)
 	}
 	return won
 }
--- a/internal/gateway/news.go
+++ b/internal/gateway/news.go
@@ -83,9 +83,9 @@
 		return
 	}
 	if g.stale = stale; stale {
-		g.journal.CopyStale(g.copyAge(now))
+		g.log.CopyStale(g.copyAge(now))
 	} else {
-		g.journal.CopyFresh()
+		g.log.CopyFresh()
 	}
 }
 
@@ -125,15 +125,15 @@
 
 // watchWasSilent takes in that a watch was ended. That is no trouble of the store, which may be well: the next call is a look.
 func (g *Gateway) watchWasSilent(err error) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.journal.StoreLost(follow.Silent, failure.From(err), g.follower.ContactAge(g.now()))
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.log.StoreLost(follow.Silent, failure.From(err), g.follower.ContactAge(g.now()))
 }
 
 // staleIn is how long from now the copy turns stale if nobody confirms it.
 func (g *Gateway) staleIn() clock.Ms {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	return g.settings.Load().Waits.StaleAfter - g.copyAge(g.now()) + 1
 }
 
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -33,8 +33,8 @@
 
 // Join makes the gateway a member among the nodes that the seeds know. It is called before Run.
 func (g *Gateway) Join(self membership.Member, seeds []string, peers PeerTransport) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	random := rand.New(rand.NewPCG(g.settings.Load().Seed, self.Generation))
 	g.members = membership.New(g.now(), self, seeds, membership.DefaultSettings(), random)
 	g.peers = peers
@@ -79,7 +79,7 @@
 	joined, young := false, true
 	for ctx.Err() == nil {
 		pause(ctx, peerTick)
-		g.mutex.Lock()
+		g.mu.Lock()
 		now := g.now()
 		g.tellMembers(g.members.Tick(now))
 		g.tell(g.view.Tick(now, g.served(now), g.told(now)))
@@ -97,16 +97,16 @@
 				g.nodes = len(g.members.Members())
 			}
 			g.shareOut()
-			g.journal.Members(g.members.AliveCount())
+			g.log.Members(g.members.AliveCount())
 		}
-		g.mutex.Unlock()
+		g.mu.Unlock()
 	}
 }
 
 // Message implements transport.Handler.
 func (g *Gateway) Message(from string, m message.Message) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	now := g.now()
 	switch m := m.(type) {
 	case *message.Probe, *message.ProbeAck, *message.ProbeRequest, *message.MemberSync:
@@ -145,7 +145,7 @@
 	if received.Advanced {
 		g.follower.Advance(g.view.Revision())
 		g.noteListed()
-		g.journal.Learned(from, len(received.Records)+len(received.Gone), g.view.Revision())
+		g.log.Learned(from, len(received.Records)+len(received.Gone), g.view.Revision())
 	}
 	g.tell(received.Sends)
 }
@@ -154,13 +154,13 @@
 func (g *Gateway) Undelivered(string, message.Message, bool) {}
 
 // Silent implements transport.Handler.
-func (g *Gateway) Silent(peer string) { g.journal.PeerSilent(peer) }
+func (g *Gateway) Silent(peer string) { g.log.PeerSilent(peer) }
 
 // Disconnected implements transport.Handler.
 func (g *Gateway) Disconnected(string) {}
 
 // Malformed implements transport.Handler.
-func (g *Gateway) Malformed(remote string, err error) { g.journal.PeerMalformed(remote, err) }
+func (g *Gateway) Malformed(remote string, err error) { g.log.PeerMalformed(remote, err) }
 
 // shareOut divides what the nodes have in common among those known: the connections of each back end, and the calls to the
 // store. A node that has not joined the others yet goes by those it has heard of so far, and by the settings.
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -170,7 +170,7 @@
 	if c.regions != nil {
 		loaded.Regions = c.regions
 	}
-	g := gateway.New(seeded(loaded, uint64(number)+7), c.backEnds, c.paths[number], silentJournal{})
+	g := gateway.New(seeded(loaded, uint64(number)+7), c.backEnds, c.paths[number], silentLog{})
 	self := membership.Member{Address: address(number), Zone: loaded.Zone, Region: loaded.Regions[loaded.Zone], Generation: uint64(number) + 1, Incarnation: uint64(time.Now().UnixMilli())}
 	g.Join(self, []string{address(0), address(1)}, end{c.network, address(number)})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -41,20 +41,20 @@
 		if held {
 			verdict = quarantine.Quarantined
 		}
-		g.journal.Judged(mark, verdict, by, left)
+		g.log.Judged(mark, verdict, by, left)
 		if held && by == byOwn {
-			g.keeping.due(mark, now)
+			g.quarantineWrites.due(mark, now)
 		}
 	}
 	if len(change.Tell) > 0 {
-		g.keeping.changedAt = now
+		g.quarantineWrites.changedAt = now
 	}
 	g.tellEvidence(now, change.Tell...)
 }
 
 // tellEvidence tells other nodes what is known of requests; the lock is held.
 func (g *Gateway) tellEvidence(now clock.Ms, marks ...quarantine.Mark) {
-	if g.members == nil || len(marks) == 0 || !g.keeping.mayTell(now) {
+	if g.members == nil || len(marks) == 0 || !g.quarantineWrites.mayTell(now) {
 		return
 	}
 	m := g.quarantine.Tell(now, marks...)
@@ -86,7 +86,7 @@
 	if len(others) == 0 {
 		return picked
 	}
-	far := slices.Sorted(maps.Keys(others))[g.keeping.random.IntN(len(others))]
+	far := slices.Sorted(maps.Keys(others))[g.quarantineWrites.random.IntN(len(others))]
 	return append(picked, g.members.Pick(1, func(m membership.Member) bool { return m.Usable() && m.Region == far })...)
 }
 
@@ -110,7 +110,7 @@
 
 // compareEvidence tells a random node all that is known, each so often, where there is anything; the lock is held.
 func (g *Gateway) compareEvidence(now time.Duration) {
-	if !g.keeping.accountDue(clock.Of(now)) {
+	if !g.quarantineWrites.accountDue(clock.Of(now)) {
 		return
 	}
 	g.quarantine.Forget(clock.Of(now))
@@ -129,12 +129,12 @@
 func (g *Gateway) takeQuarantine(at time.Duration, mark quarantine.Mark, record message.StoreRecord) {
 	now := clock.Of(at)
 	if g.view.RewriteLeft(at) > 0 && g.quarantine.Lifted(mark) {
-		g.keeping.again(mark, true)
+		g.quarantineWrites.settle(mark, false)
 		return
 	}
 	convicted, err := g.quarantine.Store(now, mark, record.Value)
 	if err != nil {
-		g.journal.Rejected(&Item{Key: record.Key, Revision: record.Revision, Err: err})
+		g.log.Rejected(&Item{Key: record.Key, Revision: record.Revision, Err: err})
 		return
 	}
 	if convicted {
--- a/internal/gateway/reports.go
+++ b/internal/gateway/reports.go
@@ -52,7 +52,7 @@
 			return
 		case <-g.reporting:
 		}
-		g.mutex.Lock()
+		g.mu.Lock()
 		if m := g.reports.NextMessage(clock.Of(g.now())); m != nil {
 			for _, peer := range g.reportPeers() {
 				g.peers.Send(peer, m)
@@ -61,7 +61,7 @@
 		if g.reports.Pending() {
 			g.reportsDue()
 		}
-		g.mutex.Unlock()
+		g.mu.Unlock()
 		pause(ctx, reportPause.Duration())
 	}
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -44,24 +44,24 @@
 // Serve runs a call to its answer. The context ends when the caller leaves.
 func (g *Gateway) Serve(ctx context.Context, call *Call) Result {
 	arrived := g.now()
-	g.mutex.Lock()
+	g.mu.Lock()
 	age := g.copyAge(arrived)
-	g.mutex.Unlock()
+	g.mu.Unlock()
 	result := g.admit(ctx, call, arrived)
 	result.Arrived, result.CopyAge = arrived, age
 	result.Elapsed = g.now() - arrived
-	g.journal.Request(call, &result)
+	g.log.Request(call, &result)
 	return result
 }
 
 // Refuse notes a call that is wrong by itself and was answered with a failure.
 func (g *Gateway) Refuse(call *Call, refusal *failure.Failure) {
-	g.journal.Request(call, &Result{Answer: forward.Answer{Failure: refusal}, Version: g.Version(), Arrived: g.now()})
+	g.log.Request(call, &Result{Answer: forward.Answer{Failure: refusal}, Version: g.Version(), Arrived: g.now()})
 }
 
 func (g *Gateway) admit(ctx context.Context, call *Call, arrived time.Duration) Result {
 	until := g.holdUntil(call, arrived)
-	if !g.listed.Load() {
+	if !g.firstListing.read.Load() {
 		g.awaitFirstListing(ctx, until)
 	}
 	if ctx.Err() != nil {
@@ -107,7 +107,7 @@
 	defer run.endTrial()
 	answer := run.toEnd(ctx)
 	if answer.Reason == forward.NoBackEnd {
-		g.lookSoon()
+		g.readStoreSoon()
 	}
 	return Result{
 		Answer: answer, Version: table.Version(), Route: route, Attempts: run.request.Attempts(), Denied: run.request.Denied, Gone: run.gone,
@@ -119,8 +119,8 @@
 	if !g.settings.Load().TurnAway || !route.FansOut() || call.Deadline.IsZero() {
 		return admit.Decision{Admitted: true}
 	}
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	now := g.now()
 	return g.gate.Admit(now, route.Name, clock.Of(call.Deadline.Sub(g.at(now))), g.replicas.Draw)
 }
@@ -198,8 +198,8 @@
 
 func (r *run) start() {
 	g := r.gateway
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	now := g.now()
 	parameters := forward.Parameters{Route: r.route, Arrived: r.arrived, Versions: r.allowed.versions, Retrial: r.allowed.retrial}
 	r.beginTrial(now)
@@ -225,8 +225,8 @@
 
 func (r *run) step(decide func(now time.Duration) []forward.Action) {
 	g := r.gateway
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	now := g.now()
 	// The request holds the world of its last step; bring it up to date.
 	r.request.At(world{g, now, r})
@@ -273,7 +273,7 @@
 func (g *Gateway) exchange(ctx context.Context, send Send) (outcome forward.Outcome) {
 	defer func() {
 		if fault := recover(); fault != nil {
-			g.journal.Fault(fmt.Sprint(fault))
+			g.log.Fault(fmt.Sprint(fault))
 			outcome = forward.Outcome{Kind: forward.Lost, Detail: "a fault of this node"}
 		}
 	}()
@@ -292,19 +292,19 @@
 }
 
 func (g *Gateway) attemptEnded(call *Call, attempt *forward.Attempt, outcome forward.Outcome, cancelled bool) {
-	g.mutex.Lock()
+	g.mu.Lock()
 	now := g.now()
 	attempt.Replica.Tell(now, outcome.Load)
 	ejected := attempt.Replica.Finish(now, attempt.StartedAt, verdict(outcome, cancelled))
 	if !cancelled || outcome.Kind == forward.Answered {
 		g.noteMet(now, attempt.Replica)
 	}
-	g.mutex.Unlock()
+	g.mu.Unlock()
 	if outcome.BackEndEnded {
-		g.journal.BackEndEnded(call, attempt, clock.Of(now-attempt.StartedAt))
+		g.log.BackEndEnded(call, attempt, clock.Of(now-attempt.StartedAt))
 	}
 	if ejected {
-		g.journal.Ejected(attempt, outcome)
+		g.log.Ejected(attempt, outcome)
 	}
 }
 
--- a/internal/gateway/simulation_test.go
+++ b/internal/gateway/simulation_test.go
@@ -246,7 +246,7 @@
 	}
 	loaded.RetrySlack, loaded.RetryShare = s.slack, simulatedShare
 	c := s.cluster
-	g := gateway.New(seeded(loaded, s.random.Uint64()), c.backEnds, c.paths[number], silentJournal{})
+	g := gateway.New(seeded(loaded, s.random.Uint64()), c.backEnds, c.paths[number], silentLog{})
 	g.Join(membership.Member{
 		Address: address(number), Zone: loaded.Zone, Region: loaded.Regions[loaded.Zone], Generation: s.random.Uint64(),
 		Incarnation: uint64(time.Now().UnixMilli()),
--- a/internal/gateway/starting.go
+++ b/internal/gateway/starting.go
@@ -33,7 +33,7 @@
 	timer := time.NewTimer(min(until, longestStart) - g.now())
 	defer timer.Stop()
 	select {
-	case <-g.firstListing:
+	case <-g.firstListing.complete:
 	case <-timer.C:
 	case <-g.givenUp:
 	case <-ctx.Done():
@@ -46,7 +46,7 @@
 	ticker := time.NewTicker(holdLook)
 	defer ticker.Stop()
 	for g.backEndsMayReturn() && g.now() < until && !g.knowsEnough(route) {
-		g.lookSoon()
+		g.readStoreSoon()
 		select {
 		case <-ticker.C:
 		case <-g.givenUp:
@@ -59,14 +59,14 @@
 
 // backEndsMayReturn reports whether the first listing is so young that it may lack back ends that live.
 func (g *Gateway) backEndsMayReturn() bool {
-	listedAt := time.Duration(g.firstListedAt.Load())
+	listedAt := time.Duration(g.firstListing.readAt.Load())
 	return listedAt > 0 && g.now() < listedAt+g.settings.Load().StartingHold
 }
 
 // knowsEnough reports whether so many shards of a route have a back end that it can be answered.
 func (g *Gateway) knowsEnough(route *routing.Route) bool {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	if !route.FansOut() {
 		for _, target := range route.Targets {
 			if g.replicas.Known(target.Service, route.Regions) {
@@ -84,10 +84,10 @@
 	return known >= route.RequiredShards()
 }
 
-// lookSoon has the next reading of the store come early.
-func (g *Gateway) lookSoon() {
+// readStoreSoon has the next reading of the store come early.
+func (g *Gateway) readStoreSoon() {
 	select {
-	case g.starved <- struct{}{}:
+	case g.storeWanted <- struct{}{}:
 	default:
 	}
 }
--- a/internal/gateway/store.go
+++ b/internal/gateway/store.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"sync/atomic"
 	"time"
 
 	"stiletrail/internal/clock"
@@ -93,9 +94,9 @@
 			pause(ctx, standbyLook.Duration())
 			continue
 		}
-		g.mutex.Lock()
+		g.mu.Lock()
 		call := g.follower.Next(time.Duration(time.Now().UnixNano()), g.copyState(g.now()))
-		g.mutex.Unlock()
+		g.mu.Unlock()
 		switch call.Kind {
 		case follow.Pause:
 			pause(ctx, call.For)
@@ -117,7 +118,7 @@
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-g.starved:
+	case <-g.storeWanted:
 	}
 }
 
@@ -138,8 +139,8 @@
 		g.failed(ctx, err)
 		return
 	}
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	now := g.now()
 	g.regained(now)
 	if call.After == "" {
@@ -159,7 +160,7 @@
 // listedWhole takes every known key that a whole listing did not name as vanished.
 func (g *Gateway) listedWhole(now time.Duration) {
 	revision := g.follower.Revision()
-	g.journal.Listed(len(g.listedKeys), revision)
+	g.log.Listed(len(g.listedKeys), revision)
 	gone := g.view.Listed(now, g.listedKeys, revision)
 	age := g.copyAge(now)
 	// Whether the store has come back from a copy, which decides what it means that something is gone, is known from here on.
@@ -175,21 +176,33 @@
 	g.confirmed(now, revision, nil)
 }
 
-// noteListed notes that the node knows the whole content of the store; the lock is held. Requests that wait for it go on once there is a
-// configuration.
-func (g *Gateway) noteListed() {
-	if g.listed.CompareAndSwap(false, true) {
-		g.firstListedAt.Store(int64(g.now()))
+// firstListing is how far a node that starts has come to know the store. It is written with Gateway.mu held and read without.
+type firstListing struct {
+	// read: a whole listing was read, or told by another node.
+	read atomic.Bool
+	// readAt is when that was, as a time.Duration on the node's clock; 0 before.
+	readAt atomic.Int64
+	// complete is closed once it was read and a configuration is in force.
+	complete chan struct{}
+}
+
+// noteRead notes that the node knows the whole content of the store. Requests that wait for it go on once there is a configuration.
+func (l *firstListing) noteRead(now time.Duration, configured bool) {
+	if l.read.CompareAndSwap(false, true) {
+		l.readAt.Store(int64(now))
 	}
 	select {
-	case <-g.firstListing:
+	case <-l.complete:
 	default:
-		if g.table.Load() != nil {
-			close(g.firstListing)
+		if configured {
+			close(l.complete)
 		}
 	}
 }
 
+// noteListed notes that the node knows the whole content of the store.
+func (g *Gateway) noteListed() { g.firstListing.noteRead(g.now(), g.table.Load() != nil) }
+
 func (g *Gateway) watch(ctx context.Context, call follow.Call) {
 	bounded, cancel := context.WithTimeout(ctx, call.For+call.Timeout)
 	defer cancel()
@@ -203,8 +216,8 @@
 		g.failed(ctx, err)
 		return
 	}
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	now := g.now()
 	g.regained(now)
 	if !g.follower.Changes(now, call.Revision, at, len(records)) {
@@ -259,14 +272,14 @@
 	}
 	item := g.store.Decode(record)
 	if item.Err != nil {
-		g.journal.Rejected(&item)
+		g.log.Rejected(&item)
 	}
-	if item.BackEnd != nil && g.replicas.Put(now, *item.BackEnd) && (g.listed.Load() || item.BackEnd.Draining) {
+	if item.BackEnd != nil && g.replicas.Put(now, *item.BackEnd) && (g.firstListing.read.Load() || item.BackEnd.Draining) {
 		// Of what the first listing brings, one line tells how much it is.
-		g.journal.BackEnd(*item.BackEnd, item.Revision)
+		g.log.BackEnd(*item.BackEnd, item.Revision)
 	}
 	if item.EvacuatedZone != "" && g.replicas.Evacuate(item.EvacuatedZone) {
-		g.journal.Evacuated(item.EvacuatedZone, item.Revision)
+		g.log.Evacuated(item.EvacuatedZone, item.Revision)
 	}
 	if item.Configuration != nil {
 		g.adopt(&item, record)
@@ -287,7 +300,7 @@
 	}
 	if err != nil {
 		item.Err = err
-		g.journal.Rejected(item)
+		g.log.Rejected(item)
 		return
 	}
 	g.splitter.Retain(compiled)
@@ -298,10 +311,10 @@
 	g.keepInForce(record.Key, false)
 	g.setWarmups(compiled)
 	g.shareOut()
-	if g.listed.Load() {
+	if g.firstListing.read.Load() {
 		g.noteListed()
 	}
-	g.journal.Configuration(compiled, item.Revision)
+	g.log.Configuration(compiled, item.Revision)
 }
 
 // setWarmups tells how cold the configuration says that back ends are; the lock is held.
@@ -326,7 +339,7 @@
 	}
 	item := g.store.Decode(message.StoreRecord{Key: key, Gone: true})
 	if id := item.BackEndID; id != "" && g.replicas.Remove(now, id, doubt) {
-		g.journal.Vanished(id, doubt <= now)
+		g.log.Vanished(id, doubt <= now)
 	}
 	if zone := item.EvacuatedZone; zone != "" {
 		g.takeBack(now, key, zone)
@@ -337,16 +350,16 @@
 	if ctx.Err() != nil {
 		return
 	}
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	now := g.now()
 	trouble := g.store.Trouble(err)
-	g.journal.StoreLost(trouble, failure.From(err), g.follower.ContactAge(now))
+	g.log.StoreLost(trouble, failure.From(err), g.follower.ContactAge(now))
 	g.follower.Failed(now, trouble)
 }
 
 func (g *Gateway) regained(now time.Duration) {
-	g.journal.StoreAnswered(g.follower.ContactAge(now))
+	g.log.StoreAnswered(g.follower.ContactAge(now))
 }
 
 // maintain forgets what is over: vanished back ends whose time of doubt has passed, and idle connections.
@@ -354,18 +367,18 @@
 	for round := 1; ctx.Err() == nil; round++ {
 		pause(ctx, expireInterval)
 		if length := g.wakes.look(g.clock.Suspended()); length > 0 {
-			g.journal.Suspended(length)
+			g.log.Suspended(length)
 		}
-		g.mutex.Lock()
+		g.mu.Lock()
 		g.noteAge(g.now())
 		for _, id := range g.replicas.Expire(g.now()) {
-			g.journal.Vanished(id, true)
+			g.log.Vanished(id, true)
 		}
 		for _, entry := range g.replicas.Readmit(g.now()) {
-			g.journal.BackEnd(entry, g.view.Revision())
+			g.log.BackEnd(entry, g.view.Revision())
 		}
 		g.takeBackDue(g.now())
-		g.mutex.Unlock()
+		g.mu.Unlock()
 		if round%pruneEvery == 0 {
 			g.prune()
 		}
@@ -375,8 +388,8 @@
 // prune closes idle connections that have rested long enough or that nobody will use.
 func (g *Gateway) prune() {
 	addresses := map[string]bool{}
-	g.mutex.Lock()
+	g.mu.Lock()
 	g.replicas.All(func(known *replica.Replica) { addresses[known.Address] = !known.Draining })
-	g.mutex.Unlock()
+	g.mu.Unlock()
 	g.backEnds.Prune(func(address string) bool { return addresses[address] })
 }
--- a/internal/gateway/traffic_test.go
+++ b/internal/gateway/traffic_test.go
@@ -54,7 +54,7 @@
 		loaded := settings.DefaultGateway()
 		loaded.Zone = fmt.Sprint("zone-", i%trafficRegions)
 		loaded.Regions = map[string]string{"zone-0": "r0", "zone-1": "r1", "zone-2": "r2"}
-		g := gateway.New(seeded(loaded, uint64(i)), backEnds, c.store, silentJournal{})
+		g := gateway.New(seeded(loaded, uint64(i)), backEnds, c.store, silentLog{})
 		g.Join(membership.Member{
 			Address: address(i), Zone: loaded.Zone, Region: loaded.Regions[loaded.Zone], Generation: uint64(i) + 1, Incarnation: 1,
 		}, []string{address(0), address(1), address(2)}, countedEnd{end{c.network, address(i)}, sent, i})
--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -66,8 +66,8 @@
 }
 
 func (g *Gateway) knownOf(call *Call, route *routing.Route) (k known) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	now := clock.Of(g.now())
 	if k.verdict = g.quarantine.Verdict(now, call.Identity); k.verdict == quarantine.Clear {
 		return k
@@ -82,7 +82,7 @@
 			case k.other && wait > 0:
 				k.left, k.other = min(k.left, wait), false
 			case k.other:
-				k.left = min(k.left, otherEvery)
+				k.left = min(k.left, otherCallerEvery)
 			}
 		}
 	}
@@ -122,8 +122,8 @@
 		return
 	}
 	g := r.gateway
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	if r.untold {
 		g.tellEvidence(clock.Of(g.now()), r.call.Identity.Question, r.call.Identity.Asked)
 	}
--- a/internal/gateway/watchers.go
+++ b/internal/gateway/watchers.go
@@ -67,9 +67,9 @@
 // standsBy reports whether this node leaves the watching to others: they have told it of the store lately. A node that hears nothing,
 // whatever the reason, watches itself.
 func (g *Gateway) standsBy() bool {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	return g.listed.Load() && g.table.Load() != nil && g.told(g.now())
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.firstListing.read.Load() && g.table.Load() != nil && g.told(g.now())
 }
 
 // told reports whether others watch for this node and have told it of the store lately; the lock is held.
--- a/internal/gateway/world.go
+++ b/internal/gateway/world.go
@@ -81,7 +81,7 @@
 	change := g.quarantine.Answered(now, w.run.call.Identity, attempt.Service, attempt.Replica.Version)
 	for _, mark := range change.Judged {
 		_, held := g.quarantine.Held(now, mark)
-		g.keeping.again(mark, !held)
+		g.quarantineWrites.settle(mark, held)
 	}
 	g.changed(now, change, byOwn)
 }
--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -86,12 +86,12 @@
 	},
 	{
 		"what one node was let do is lost with a copy", "internal/gateway/era.go",
-		"	g.keeping.rewriteClaims()\n", "",
+		"	g.quarantineWrites.rewriteClaims()\n", "",
 		"./internal/gateway", "TestRetrialLostWithACopy",
 	},
 	{
 		"another node is let do it while the store may lack that one was", "internal/gateway/keeping.go",
-		"mayAsk := g.view.RewriteLeft(g.now()) == 0 && g.keeping", "mayAsk := g.keeping",
+		"mayAsk := g.view.RewriteLeft(g.now()) == 0 && g.quarantineWrites", "mayAsk := g.quarantineWrites",
 		"./internal/gateway", "TestRetrialLostWithACopy",
 	},
 	{
--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -71,7 +71,7 @@
 	},
 	{
 		"nodes do not tell each other of requests that end back ends", "internal/gateway/quarantine.go",
-		"if g.members == nil || len(marks) == 0 || !g.keeping.mayTell(now) {", "if true {",
+		"if g.members == nil || len(marks) == 0 || !g.quarantineWrites.mayTell(now) {", "if true {",
 		"./internal/gateway", "TestManyNodesKnowARequest",
 	},
 	{
--- a/internal/telemetry/kept_test.go
+++ b/internal/telemetry/kept_test.go
@@ -21,8 +21,8 @@
 	"stiletrail/internal/transport"
 )
 
-// silent is a journal that writes nothing.
-type silent struct{ gateway.Journal }
+// silent is a decision log that writes nothing.
+type silent struct{ gateway.DecisionLog }
 
 func (silent) Request(*gateway.Call, *gateway.Result)                       {}
 func (silent) Ejected(*forward.Attempt, forward.Outcome)                    {}
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -33,9 +33,9 @@
 	PeerFrames *transport.Counters
 }
 
-// Metrics wraps a Journal and counts what it is told.
+// Metrics wraps a decision log and counts what it is told.
 type Metrics struct {
-	gateway.Journal
+	gateway.DecisionLog
 	set      *metrics.Set
 	request  *metrics.PrometheusHistogram
 	attempts map[forward.Purpose]*metrics.PrometheusHistogram
@@ -43,9 +43,9 @@
 	connect  *metrics.PrometheusHistogram
 }
 
-// New returns metrics that pass everything on to a journal.
-func New(journal gateway.Journal) *Metrics {
-	m := &Metrics{Journal: journal, set: metrics.NewSet(), attempts: map[forward.Purpose]*metrics.PrometheusHistogram{}}
+// New returns metrics that pass everything on to a decision log.
+func New(log gateway.DecisionLog) *Metrics {
+	m := &Metrics{DecisionLog: log, set: metrics.NewSet(), attempts: map[forward.Purpose]*metrics.PrometheusHistogram{}}
 	m.request = m.set.NewPrometheusHistogramExt("stiletrail_request_seconds", latencyBuckets)
 	m.queue = m.set.NewPrometheusHistogramExt("stiletrail_queue_seconds", latencyBuckets)
 	m.connect = m.set.NewPrometheusHistogramExt("stiletrail_connect_seconds", latencyBuckets)
@@ -60,7 +60,7 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf(`%s{%s=%q}`, name, label, value)).Inc()
 }
 
-// Request implements gateway.Journal.
+// Request implements gateway.DecisionLog.
 func (m *Metrics) Request(call *gateway.Call, result *gateway.Result) {
 	m.request.Update(result.Elapsed.Seconds())
 	m.count("stiletrail_requests_total", "outcome", result.Outcome())
@@ -79,7 +79,7 @@
 			}
 		}
 	}
-	m.Journal.Request(call, result)
+	m.DecisionLog.Request(call, result)
 }
 
 func (m *Metrics) attempt(attempt *forward.Attempt) {
@@ -93,46 +93,46 @@
 // Connected takes in how long it took to open a connection to a back end.
 func (m *Metrics) Connected(elapsed time.Duration) { m.connect.Update(elapsed.Seconds()) }
 
-// Ejected implements gateway.Journal.
+// Ejected implements gateway.DecisionLog.
 func (m *Metrics) Ejected(attempt *forward.Attempt, outcome forward.Outcome) {
 	m.count("stiletrail_ejections_total", "outcome", outcome.Kind.String())
-	m.Journal.Ejected(attempt, outcome)
+	m.DecisionLog.Ejected(attempt, outcome)
 }
 
-// BackEndEnded implements gateway.Journal.
+// BackEndEnded implements gateway.DecisionLog.
 func (m *Metrics) BackEndEnded(call *gateway.Call, attempt *forward.Attempt, ran clock.Ms) {
 	m.set.GetOrCreateCounter("stiletrail_attempts_whose_back_end_ended_total").Inc()
-	m.Journal.BackEndEnded(call, attempt, ran)
+	m.DecisionLog.BackEndEnded(call, attempt, ran)
 }
 
-// Judged implements gateway.Journal.
+// Judged implements gateway.DecisionLog.
 func (m *Metrics) Judged(mark quarantine.Mark, verdict quarantine.Verdict, by string, left clock.Ms) {
 	m.count("stiletrail_verdicts_total", "verdict", verdict.String())
-	m.Journal.Judged(mark, verdict, by, left)
+	m.DecisionLog.Judged(mark, verdict, by, left)
 }
 
-// QuarantineLost implements gateway.Journal.
+// QuarantineLost implements gateway.DecisionLog.
 func (m *Metrics) QuarantineLost(mark quarantine.Mark, cause *failure.Failure) {
 	m.set.GetOrCreateCounter("stiletrail_quarantines_not_written_total").Inc()
-	m.Journal.QuarantineLost(mark, cause)
+	m.DecisionLog.QuarantineLost(mark, cause)
 }
 
-// Rejected implements gateway.Journal.
+// Rejected implements gateway.DecisionLog.
 func (m *Metrics) Rejected(item *gateway.Item) {
 	m.set.GetOrCreateCounter("stiletrail_items_rejected_total").Inc()
-	m.Journal.Rejected(item)
+	m.DecisionLog.Rejected(item)
 }
 
-// Returned implements gateway.Journal.
+// Returned implements gateway.DecisionLog.
 func (m *Metrics) Returned(era uint64) {
 	m.set.GetOrCreateCounter("stiletrail_store_returns_total").Inc()
-	m.Journal.Returned(era)
+	m.DecisionLog.Returned(era)
 }
 
-// Learned implements gateway.Journal.
+// Learned implements gateway.DecisionLog.
 func (m *Metrics) Learned(from string, records int, revision history.Revision) {
 	m.set.GetOrCreateCounter("stiletrail_learned_from_peers_total").Inc()
-	m.Journal.Learned(from, records, revision)
+	m.DecisionLog.Learned(from, records, revision)
 }
 
 // Observe registers gauges that are read when metrics are asked for.
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -15,19 +15,19 @@
 	"stiletrail/internal/transport"
 )
 
-// noted is a journal that counts requests.
+// noted is a decision log that counts requests.
 type noted struct {
-	gateway.Journal
+	gateway.DecisionLog
 	requests int
 }
 
-// Request implements gateway.Journal.
+// Request implements gateway.DecisionLog.
 func (n *noted) Request(*gateway.Call, *gateway.Result) { n.requests++ }
 
 // TestMetrics: what is told is counted, measured, passed on, and served as text with what the gateway believes.
 func TestMetrics(t *testing.T) {
-	journal := &noted{}
-	measured := telemetry.New(journal)
+	log := &noted{}
+	measured := telemetry.New(log)
 	node := gateway.New(gateway.FromSettings(settings.DefaultGateway()), nil, nil, measured)
 	frames := &transport.Counters{}
 	frames.SentFrames.Store(5)
@@ -62,7 +62,7 @@
 			t.Errorf("%q is missing in\n%s", want, text)
 		}
 	}
-	if journal.requests != 3 {
-		t.Errorf("%d requests were passed on", journal.requests)
+	if log.requests != 3 {
+		t.Errorf("%d requests were passed on", log.requests)
 	}
 }
