--- a/internal/gateway/news.go
+++ b/internal/gateway/news.go
@@ -73,7 +73,7 @@
 
 // fresh reports whether the copy was known to be complete lately; the lock is held.
 func (g *Gateway) fresh(now time.Duration) bool {
-	return g.view.Fresh(now, g.settings.Load().Waits.StaleAfter)
+	return g.view.ConfirmedWithin(now, g.settings.Load().Waits.StaleAfter)
 }
 
 // noteAge has the journal know when the copy turns stale and when it is complete again; the lock is held.
@@ -83,15 +83,15 @@
 		return
 	}
 	if g.stale = stale; stale {
-		g.journal.CopyStale(g.copyAge(now))
+		g.log.CopyStale(g.copyAge(now))
 	} else {
-		g.journal.CopyFresh()
+		g.log.CopyFresh()
 	}
 }
 
 // copyState is how the copy of the store stands, for the next call to it; the lock is held.
 func (g *Gateway) copyState(now time.Duration) follow.CopyState {
-	return follow.CopyState{Stale: !g.fresh(now), PeersSilent: !g.view.Heard(now, g.settings.Load().Waits.StaleAfter)}
+	return follow.CopyState{Stale: !g.fresh(now), PeersSilent: !g.view.PeersConfirmedWithin(now, g.settings.Load().Waits.StaleAfter)}
 }
 
 // endWhenStale ends a watch at the moment at which the copy turns stale: its connection may carry nothing any more, and the store is asked over
@@ -125,15 +125,15 @@
 
 // watchWasSilent takes in that a watch was ended. That is no trouble of the store, which may be well: the next call is a look.
 func (g *Gateway) watchWasSilent(err error) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.journal.StoreLost(follow.Silent, failure.From(err), g.follower.ContactAge(g.now()))
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.log.StoreLost(follow.Silent, failure.From(err), g.follower.ContactAge(g.now()))
 }
 
 // staleIn is how long from now the copy turns stale if nobody confirms it.
 func (g *Gateway) staleIn() clock.Ms {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	return g.settings.Load().Waits.StaleAfter - g.copyAge(g.now()) + 1
 }
 
@@ -152,7 +152,7 @@
 	settings := g.settings.Load()
 	full := now + settings.DoubtFor
 	if settings.DoubtFor > 0 {
-		full = max(full, now+g.view.Unwritten(now).Duration())
+		full = max(full, now+g.view.RewriteLeft(now).Duration())
 	}
 	switch {
 	case !g.view.Settled(now):
