--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -11,10 +11,6 @@
 	"stiletrail/internal/query"
 )
 
-// endsToWithdraw back ends that ended under a query that nobody has answered are no accident of one of them: its other attempts are withdrawn before they end
-// more.
-const endsToWithdraw = 2
-
 // identityOf is what a query is known by to the dispatchers of its service: what it asks. Who asks is not told to them.
 func identityOf(m *message.SubQuery) quarantine.Identity {
 	question := append([]byte(m.Service+"\n"), m.Body...)
@@ -53,7 +49,7 @@
 		c.retry(now, a, query.StatusLost)
 	default:
 		c.hold(w, a.shards)
-		if w.caution.suspect || w.caution.ends >= endsToWithdraw {
+		if quarantine.WithdrawOthers(w.caution.suspect, w.caution.ends) {
 			w.caution.suspect = true
 			c.withdraw(now, w)
 		}
--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -20,22 +20,22 @@
 		"./internal/quarantine", "TestRounds",
 	},
 	{
-		"an answer does not acquit", "internal/quarantine/quarantine.go",
+		"an answer does not acquit", "internal/quarantine/outcome.go",
 		"	r.until, r.stored = 0, false\n	if len", "	if len",
 		"./internal/quarantine", "TestAnswerAcquits",
 	},
 	{
-		"what others tell of a quarantine that an answer has ended counts", "internal/quarantine/tell.go",
+		"what others tell of a quarantine that an answer has ended counts", "internal/quarantine/evidence.go",
 		"until > r.until+sameMoment && !over", "until > r.until+sameMoment && (!over || until > 0)",
 		"./internal/quarantine", "TestToldByOthers",
 	},
 	{
-		"back ends that end by themselves raise no doubt", "internal/quarantine/quarantine.go",
+		"back ends that end by themselves raise no doubt", "internal/quarantine/verdict.go",
 		"return min(others/endsPerRound, mostDoubt)", "return 0",
 		"./internal/quarantine", "TestOthersEndToo",
 	},
 	{
-		"a caller is put under quarantine", "internal/quarantine/quarantine.go",
+		"a caller is put under quarantine", "internal/quarantine/verdict.go",
 		"c.settings.Rounds == 0 || r.wide ||", "c.settings.Rounds == 0 ||",
 		"./internal/quarantine", "TestWideMarks",
 	},
--- /dev/null
+++ b/internal/quarantine/exceptions.go
@@ -0,0 +1,84 @@
+package quarantine
+
+import (
+	"slices"
+
+	"stiletrail/internal/clock"
+)
+
+// otherAfter is how long after the last end under a question another caller may ask it: one that asks it at the same time loses its back ends to the
+// first one.
+const otherAfter = 2 * clock.Second
+
+// LeftOut reports whether a request is to be kept from one shard, whose back ends it ends while others answer it.
+func (c *Core) LeftOut(now clock.Ms, id Identity, service string) bool {
+	r := c.records[id.Question]
+	return r != nil && c.settings.Rounds > 0 && now < r.shardsUntil[service]
+}
+
+// Left is how much longer a request is under quarantine at most, unless it ends more back ends; at least a second, and 0 where it is not.
+func (c *Core) Left(now clock.Ms, id Identity) clock.Ms {
+	r, found := c.quarantineOf(now, id)
+	if !found {
+		return 0
+	}
+	return c.left(now, r)
+}
+
+// Held reports whether what bears a mark is under quarantine, and for how much longer at most.
+func (c *Core) Held(now clock.Ms, mark Mark) (left clock.Ms, held bool) {
+	if r := c.records[mark]; r != nil && r.quarantined(now) {
+		return c.left(now, r), true
+	}
+	return 0, false
+}
+
+func (c *Core) left(now clock.Ms, r *record) clock.Ms {
+	left := r.until - now
+	if r.stored {
+		// It goes with the store's item, which is as old as what this node has read of it, or older.
+		left = max(left, r.storedAt+c.settings.For-now)
+	}
+	return max(left, clock.Second)
+}
+
+// Sound are the versions of software that are known to run a request that is under quarantine for others.
+func (c *Core) Sound(now clock.Ms, id Identity) []string {
+	if r, found := c.quarantineOf(now, id); found {
+		return slices.Clone(r.sound)
+	}
+	return nil
+}
+
+// Untried gives one of some versions that a request under quarantine has neither ended nor been answered by, and the mark that it is under quarantine
+// by; false if there is none.
+func (c *Core) Untried(now clock.Ms, id Identity, versions []string) (mark Mark, version string, found bool) {
+	r, quarantined := c.quarantineOf(now, id)
+	if !quarantined || len(r.versions) == 0 {
+		// What it has ended is not known here, so nothing is known to be new to it.
+		return mark, "", false
+	}
+	for _, version := range versions {
+		if version != "" && !slices.Contains(r.versions, version) && !slices.Contains(r.sound, version) {
+			return r.mark, version, true
+		}
+	}
+	return mark, "", false
+}
+
+// OtherCaller reports whether a request is under quarantine by what is asked alone, and this caller is none of those by whom it is; and how much
+// longer the caller is not to ask it even so.
+func (c *Core) OtherCaller(now clock.Ms, id Identity) (mark Mark, wait clock.Ms, other bool) {
+	r, quarantined := c.quarantineOf(now, id)
+	if !quarantined || r.mark != id.Question {
+		return mark, 0, false
+	}
+	return id.Question, max(0, lastEnded(r.runs)+otherAfter-now), !slices.Contains(r.askers, id.Asked)
+}
+
+func lastEnded(runs []Run) (last clock.Ms) {
+	for _, run := range runs {
+		last = max(last, run.Ended)
+	}
+	return last
+}
--- a/internal/quarantine/mark.go
+++ b/internal/quarantine/mark.go
@@ -1,7 +1,3 @@
-// Package quarantine tells requests that end the back ends that run them from those that were at a back end when it ended, and decides what may be
-// sent of the former.
-//
-// The package does no I/O and reads no clock: ends of runs, answers, what other nodes tell and the time go in, verdicts come out.
 package quarantine
 
 import (
@@ -13,8 +9,8 @@
 	"stiletrail/internal/failure"
 )
 
-// Mark tells requests from others. It is a cryptographic hash, the same on all nodes, so that nobody can make a request of his own that bears the mark of
-// somebody else's.
+// Mark names a request, a place or a caller. It is a cryptographic hash, the same on all nodes, so that nobody can make a request of his own that
+// bears the mark of somebody else's.
 type Mark [16]byte
 
 // Identity is what a request is known by. A caller may come from another address the next time, and the same question may end back ends for one caller
@@ -22,8 +18,8 @@
 type Identity struct {
 	// Question is what is asked, whoever asks it, and Asked that by this caller: what bears one of these can be put under quarantine.
 	Question, Asked Mark
-	// Place is where it is asked, whatever the details, and Caller who asks, whatever it is. What bears one of these is sent on with care while requests
-	// that bear it end back ends, also if each is another one.
+	// Place is where it is asked, whatever the details, and Caller who asks, whatever it is. What bears one of these is sent on with care while
+	// requests that bear it end back ends, also if each is another one.
 	Place, Caller Mark
 }
 
@@ -53,10 +49,10 @@
 	return int(binary.BigEndian.Uint64(id.Question[:8]) % uint64(count))
 }
 
-// holds reports whether what bears one of its marks can be put under quarantine.
-func (id Identity) holds(mark Mark) bool { return mark == id.Question || mark == id.Asked }
+// mayBeQuarantined reports whether what bears one of its marks can be put under quarantine.
+func (id Identity) mayBeQuarantined(mark Mark) bool { return mark == id.Question || mark == id.Asked }
 
-// MarkOf gives the mark of a request that is described by some parts, in an order that is always the same.
+// MarkOf gives the mark of what some parts describe, in an order that is always the same.
 func MarkOf(parts ...[]byte) Mark {
 	hash := sha256.New()
 	var length [8]byte
--- /dev/null
+++ b/internal/quarantine/outcome.go
@@ -0,0 +1,126 @@
+package quarantine
+
+import (
+	"slices"
+
+	"stiletrail/internal/clock"
+)
+
+// Run is that of a request at a back end that ended meanwhile.
+type Run struct {
+	Service string
+	// BackEnd names one life of a back end, Version its software.
+	BackEnd string
+	Version string
+	Began   clock.Ms
+	Ended   clock.Ms
+}
+
+// Change is what has become of what is known of requests.
+type Change struct {
+	// Tell are the marks of which other nodes should know; First, that is by one round only, which an answer may soon make good.
+	Tell  []Mark
+	First bool
+	// Judged are those that were put under quarantine, or are no longer.
+	Judged []Mark
+}
+
+// Ended takes in that a back end ended under a request, and gives the verdict on it: a place or a caller whose requests go on ending back ends, one
+// after the other and none answered, gets no second back end for another one.
+func (c *Core) Ended(now clock.Ms, id Identity, run Run) (Verdict, Change) {
+	c.noteEnd(now, run)
+	var change Change
+	// Where all that may be remembered is under quarantine a record of these may go again as the next one is made.
+	known := map[Mark]*record{}
+	for _, mark := range id.marks() {
+		r := c.recordOf(now, mark)
+		known[mark] = r
+		r.wide = !id.mayBeQuarantined(mark)
+		grew := c.addRun(now, r, run)
+		if grew {
+			change.Tell = append(change.Tell, mark)
+		}
+		if _, already := c.quarantineOf(now, id); grew && !already && c.quarantineIfDue(now, r) {
+			change.Judged = append(change.Judged, mark)
+		}
+	}
+	if known[id.Asked].rounds() >= c.settings.Rounds {
+		known[id.Question].addAskers(id.Asked)
+	}
+	change.First = known[id.Question].rounds() <= 1 && known[id.Asked].rounds() <= 1
+	verdict := c.Verdict(now, id)
+	if c.settings.Rounds > 0 && max(known[id.Place].rounds(), known[id.Caller].rounds()) > c.settings.Rounds {
+		verdict = Quarantined
+	}
+	return verdict, change
+}
+
+// noteEnd remembers a back end that ended, once.
+func (c *Core) noteEnd(now clock.Ms, run Run) {
+	c.ends = slices.DeleteFunc(c.ends, func(end Run) bool {
+		return now-end.Ended > doubtFor || end.BackEnd == run.BackEnd
+	})
+	if len(c.ends) < mostEnds {
+		c.ends = append(c.ends, run)
+	}
+}
+
+// addRun takes a run into a record and reports whether there are more rounds by it.
+func (c *Core) addRun(now clock.Ms, r *record, run Run) (grew bool) {
+	if slices.ContainsFunc(r.runs, func(known Run) bool { return known.BackEnd == run.BackEnd }) {
+		return false
+	}
+	r.touched = now
+	r.backEnds = appendNew(r.backEnds, run.BackEnd, mostBackEnds)
+	r.versions = appendNew(r.versions, run.Version, mostVersions)
+	r.sound = slices.DeleteFunc(r.sound, func(version string) bool { return version == run.Version })
+	before, beforeAtShard := r.rounds(), r.shardRounds(run.Service)
+	r.runs = append(r.runs, run)
+	grew = r.rounds() > before
+	if len(r.runs) > mostRuns && r.rounds() == before && r.shardRounds(run.Service) == beforeAtShard {
+		r.runs = r.runs[:len(r.runs)-1]
+	}
+	c.leaveOutIfDue(now, r, run.Service)
+	return grew
+}
+
+// Answered takes in that a back end answered a request: it does not end what runs it.
+func (c *Core) Answered(now clock.Ms, id Identity, service, version string) (change Change) {
+	for _, mark := range id.marks() {
+		r := c.records[mark]
+		if r == nil {
+			continue
+		}
+		quarantined, sound, rounds, shared := r.quarantined(now), len(r.sound), r.rounds(), r.shared
+		r.answeredBy(now, service, version)
+		judged := quarantined != r.quarantined(now) || sound != len(r.sound)
+		if judged {
+			change.Judged = append(change.Judged, mark)
+		}
+		if shared && (judged || rounds != r.rounds()) {
+			change.Tell = append(change.Tell, mark)
+		}
+	}
+	return change
+}
+
+// answeredBy takes in that a version of a service's software has answered the request just now. Where only other versions than this one are known to
+// be ended by it, the request stays under quarantine there.
+func (r *record) answeredBy(now clock.Ms, service, version string) {
+	r.touched = now
+	if version != "" && r.quarantined(now) && !slices.Contains(r.versions, version) {
+		r.sound = appendNew(r.sound, version, mostVersions)
+		return
+	}
+	r.runs = slices.DeleteFunc(r.runs, func(run Run) bool { return run.Service == service && run.Ended <= now })
+	delete(r.shardsUntil, service)
+	if !r.answered || now > r.answeredAt {
+		r.answered, r.answeredAt = true, now
+	}
+	r.lifted = r.lifted || r.quarantined(now)
+	r.until, r.stored = 0, false
+	if len(r.runs) == 0 && len(r.shardsUntil) == 0 {
+		r.shared = false
+		r.backEnds, r.versions = nil, nil
+	}
+}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -6,10 +6,10 @@
 	"stiletrail/internal/clock"
 )
 
-// record is what is known of a request.
+// record is what is known of all that bears a mark.
 type record struct {
 	mark Mark
-	// wide: it is of a place or a caller, of many different requests, and never put under quarantine.
+	// wide: the mark is of a place or a caller, of many different requests, and never put under quarantine.
 	wide bool
 	// runs that ended their back ends, of services that have not answered since; backEnds are those of all runs.
 	runs     []Run
@@ -17,10 +17,10 @@
 	// answeredAt is when a back end last answered the request, where answered.
 	answered   bool
 	answeredAt clock.Ms
-	// heldAt and until are the beginning and the end of the quarantine, by this node's own account or another node's; stored: the store says that it is
-	// under quarantine.
-	heldAt   clock.Ms
-	until    clock.Ms
+	// quarantinedAt and until are the beginning and the end of the quarantine, by this node's own account or another node's.
+	quarantinedAt clock.Ms
+	until         clock.Ms
+	// stored: the store says that it is under quarantine, and has done so since storedAt.
 	stored   bool
 	storedAt clock.Ms
 	// lifted: a back end answered it since it was last under quarantine.
@@ -31,10 +31,11 @@
 	versions []string
 	sound    []string
 	// askers are who has asked it round after round: their marks of the question as they ask it. Who was only there once may ask it and be answered.
-	askers  []Mark
+	askers []Mark
+	// touched is when something was last learned of it.
 	touched clock.Ms
-	// told: other nodes know of it, and are told of an answer too.
-	told bool
+	// shared: other nodes know of it, and are told of an answer too.
+	shared bool
 }
 
 // less orders records by what is forgotten first.
@@ -53,10 +54,6 @@
 	}
 }
 
-// wideRounds are needed before what bears the mark of a place or a caller is tried with care: with one, all that a caller asks would wait for a trial each time
-// that a back end ends by itself under one of its requests.
-const wideRounds = 2
-
 // suspected: back ends ended under it, and none has answered it since.
 func (r *record) suspected() bool {
 	if r.wide {
@@ -67,8 +64,8 @@
 
 func (r *record) quarantined(now clock.Ms) bool { return r.stored || now < r.until }
 
-// rounds is the greatest number of runs that followed each other since the request was last answered: each began after the one before had ended.
-// Runs at the same time count once, since whatever ended one back end may have ended the others.
+// rounds is the greatest number of runs that followed each other since the request was last answered: each began after the one before had
+// ended. Runs at the same time count once, since whatever ended one back end may have ended the others.
 func (r *record) rounds() int {
 	return chain(r.runs, func(run Run) bool { return !r.answered || run.Ended > r.answeredAt })
 }
@@ -78,7 +75,8 @@
 	return chain(r.runs, func(run Run) bool { return run.Service == service })
 }
 
-// chain is the length of the longest sequence of runs that follow each other: of those left, the one that ended first is always part of one.
+// chain is the length of the longest sequence of runs that follow each other, of those that count: of the runs left, the one that ended first is
+// always part of one.
 func chain(runs []Run, counts func(Run) bool) int {
 	sorted := slices.SortedFunc(slices.Values(runs), func(a, b Run) int { return int(a.Ended - b.Ended) })
 	length := 0
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -27,8 +27,8 @@
 // KeyOf is the store's key of a request.
 func KeyOf(mark Mark) string { return keyPrefix + hex.EncodeToString(mark[:]) }
 
-// RetrialKey is the store's key by which nodes agree on who sends a request under quarantine to a new version of the software, or with no version for
-// another caller.
+// RetrialKey is the store's key by which nodes agree on who sends a request under quarantine to a new version of the software, or with no version
+// for another caller.
 func RetrialKey(mark Mark, version string) string {
 	return retrialsPrefix + hex.EncodeToString(mark[:]) + "/" + hex.EncodeToString([]byte(version))
 }
@@ -61,13 +61,13 @@
 
 // Store takes in what the store says of a request. It reports whether the request is under quarantine by it that was not before. An error, of code
 // MALFORMED, changes nothing.
-func (c *Core) Store(now clock.Ms, mark Mark, value []byte) (convicted bool, err error) {
+func (c *Core) Store(now clock.Ms, mark Mark, value []byte) (begun bool, err error) {
 	var item Item
 	if err := json.Unmarshal(value, &item); err != nil {
 		return false, failure.Wrap(err, failure.Malformed, "the quarantine of a request cannot be read")
 	}
 	r := c.recordOf(now, mark)
-	convicted = !r.quarantined(now)
+	begun = !r.quarantined(now)
 	if !r.stored {
 		r.storedAt = now
 	}
@@ -75,7 +75,7 @@
 	r.versions = appendAll(r.versions, item.Versions)
 	r.sound = appendAll(r.sound, item.Sound)
 	r.addAskers(item.Askers...)
-	return convicted, nil
+	return begun, nil
 }
 
 // Unstore takes in that the store says nothing of a request any more: its quarantine is over, unless this node has seen more itself or heard of it.
@@ -88,8 +88,8 @@
 	return !r.quarantined(now)
 }
 
-// Lost takes in that the store, back from a copy, says nothing of a request any more. That is no word of anybody: it stays under quarantine for what was
-// left of that, and Unstored names it, so that it is written again.
+// Lost takes in that the store, back from a copy, says nothing of a request any more. Nobody has ended its quarantine: that goes on for what was left
+// of it, and Unstored names the request, so that it is written again.
 func (c *Core) Lost(mark Mark) {
 	r := c.records[mark]
 	if r == nil || !r.stored {
