--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -12,21 +12,6 @@
 // latencyWeight is the weight of a new sample in a back end's moving average.
 const latencyWeight = 0.2
 
-// DrainSignal is a source that says a back end is leaving. Any one is believed; each takes back only its own word.
-type DrainSignal uint8
-
-// The sources of a drain.
-const (
-	// DrainByAttempt is a refusal of work; health may not take it back for drainBelief.
-	DrainByAttempt DrainSignal = 1 << iota
-	DrainByHealth
-	DrainByMachineList
-	DrainByCatalog
-)
-
-// drainBelief is how long the refusal of an attempt outweighs health that claims otherwise.
-const drainBelief = time.Minute
-
 // A back end that neither answered nor described itself for unheardAfter is taken for unheardFactor times as slow.
 const (
 	unheardAfter  = 2 * time.Second
@@ -41,17 +26,21 @@
 	// described: the holding is known.
 	described bool
 	draining  DrainSignal
-	latency   time.Duration
-	queue     []*item
-	// failures in a row of attempts; slow counts attempts in a row that lost to a hedge.
-	failures     int
-	slow         int
+	// latency is a moving average, zero while nothing was answered.
+	latency time.Duration
+	queue   []*queuedAttempt
+	// failures in a row of attempts; slow counts attempts in a row that lost to a hedge or the deadline.
+	failures int
+	slow     int
+	// ejections since the last answer.
 	ejections    int
 	ejectedUntil time.Duration
-	// notBefore is the retry-after of the last shed.
-	notBefore     time.Duration
-	lastSuccess   time.Duration
-	refusedAt     time.Duration
+	// notBefore is when the back end may be asked again by its own word when it last shed.
+	notBefore   time.Duration
+	lastSuccess time.Duration
+	// refusedAt is when it last refused work as leaving.
+	refusedAt time.Duration
+	// lastHeard is when it last described itself or answered with what it holds.
 	lastHeard     time.Duration
 	nextDescribe  time.Duration
 	describing    bool
@@ -136,6 +125,6 @@
 	}
 }
 
-func (b *backEnd) removeQueued(match func(*item) bool) {
+func (b *backEnd) removeQueued(match func(*queuedAttempt) bool) {
 	b.queue = slices.DeleteFunc(b.queue, match)
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -54,13 +54,13 @@
 
 func (h *harness) take(actions []Action) {
 	for _, action := range actions {
-		switch {
-		case action.Start != nil:
-			h.started = append(h.started, *action.Start)
-		case action.Cancel != 0:
-			h.cancels = append(h.cancels, action.Cancel)
-		case action.Reply != nil:
-			if answer, ok := action.Reply.Message.(*message.SubAnswer); ok {
+		switch action := action.(type) {
+		case StartAttempt:
+			h.started = append(h.started, action.Attempt)
+		case CancelAttempt:
+			h.cancels = append(h.cancels, action.Number)
+		case Reply:
+			if answer, ok := action.Message.(*message.SubAnswer); ok {
 				h.answers = append(h.answers, answer)
 			}
 		}
@@ -82,7 +82,7 @@
 			result.Results = append(result.Results, query.ShardDocuments{Shard: shard})
 		}
 	}
-	h.take(h.core.Answered(h.now, result))
+	h.take(h.core.AttemptEnded(h.now, result))
 }
 
 func (h *harness) pass(length time.Duration) {
@@ -189,7 +189,7 @@
 				Attempt: a.Number, Status: query.StatusOK, Snapshot: a.Snapshot, Results: []query.ShardDocuments{{Shard: 1}},
 			}
 			change(&result)
-			h.take(h.core.Answered(h.now, result))
+			h.take(h.core.AttemptEnded(h.now, result))
 			if len(h.answers) > 0 || len(h.started) != 2 {
 				t.Errorf("answers %d, attempts %d", len(h.answers), len(h.started))
 			}
--- a/internal/dispatch/groups.go
+++ b/internal/dispatch/group.go
@@ -2,14 +2,45 @@
 
 import (
 	"slices"
+	"time"
+
 	"stiletrail/internal/catalog"
 	"stiletrail/internal/limit"
 	"stiletrail/internal/message"
 	"stiletrail/internal/placement"
-	"stiletrail/internal/query"
-	"time"
 )
 
+type group struct {
+	placement.Group
+	version   uint64
+	changedAt time.Duration
+	// lastUsed is when the last sub-query came.
+	lastUsed  time.Duration
+	backEnds  []*backEnd
+	latencies limit.Latencies
+	// overdue holds attempts that are due for a hedge and found no free slot.
+	overdue []*attempt
+	hedges  limit.Budget
+	retries limit.Budget
+}
+
+type groupKey struct {
+	service string
+	number  uint32
+}
+
+// undescribed reports whether a new group still waits for the first word of a back end. Shown now it would make shards
+// look lost that are not.
+func (g *group) undescribed(now time.Duration) bool {
+	if now-g.changedAt > describeGrace {
+		return false
+	}
+	return slices.ContainsFunc(g.backEnds, func(b *backEnd) bool { return !b.described && b.failures == 0 })
+}
+
+// describeGrace is how long a new group may wait for the first word of its back ends before it is shown without some.
+const describeGrace = 200 * time.Millisecond
+
 // SetGroups replaces the groups this node owns. Work under way in a group that is given up is finished.
 func (c *Core) SetGroups(now time.Duration, owned []placement.Ownership) []Action {
 	groups := make(map[groupKey]*group, len(owned))
@@ -59,9 +90,6 @@
 
 func (c *Core) updateBackEnd(now time.Duration, previous []*backEnd, specified catalog.BackEnd, owned placement.Ownership) *backEnd {
 	share := placement.Share(specified, owned.Rank, owned.Dispatchers)
-	if !c.settings.Windows {
-		share = specified.Connections
-	}
 	var found *backEnd
 	for _, b := range previous {
 		if b.address == specified.Address {
@@ -70,9 +98,6 @@
 	}
 	if found == nil {
 		found = &backEnd{address: specified.Address, window: limit.NewWindow(share), nextDescribe: now}
-		if !c.settings.Windows {
-			found.window.Open()
-		}
 	}
 	if refusedAt, refused := c.refusals[specified.Address]; refused && now-refusedAt <= drainBelief {
 		found.draining |= DrainByAttempt
@@ -80,32 +105,10 @@
 	}
 	found.window.SetCeiling(share)
 	found.setDraining(DrainByCatalog, specified.Draining)
-	found.setDraining(DrainByMachineList, c.machines[specified.Address])
+	found.setDraining(DrainByMachineList, c.leavingMachines[specified.Address])
 	return found
 }
 
-func (b *backEnd) setDraining(signal DrainSignal, draining bool) {
-	if draining {
-		b.draining |= signal
-	} else {
-		b.draining &^= signal
-	}
-}
-
-// SetLeaving takes in which back ends the machine list says are leaving.
-func (c *Core) SetLeaving(now time.Duration, leaving map[string]bool) []Action {
-	c.machines = leaving
-	for _, g := range c.orderedGroups() {
-		for _, b := range g.backEnds {
-			b.setDraining(DrainByMachineList, leaving[b.address])
-			if b.draining != 0 {
-				c.requeue(now, g, b)
-			}
-		}
-	}
-	return c.take()
-}
-
 func (c *Core) orderedGroups() []*group {
 	result := make([]*group, 0, len(c.groups))
 	for _, g := range c.groups {
@@ -123,17 +126,18 @@
 	return result
 }
 
-// requeue gives what waits at a back end to other replicas.
-func (c *Core) requeue(now time.Duration, g *group, b *backEnd) {
-	waiting := b.queue
-	b.queue = nil
-	for _, it := range waiting {
-		c.release(it.work, it.shards)
-		if !it.work.finished {
-			c.place(now, it.work, it.shards, it.hedge, query.ReasonDraining)
-			c.finishIfDone(now, it.work)
+// SetLeaving takes in which back ends the machine list says are leaving.
+func (c *Core) SetLeaving(now time.Duration, leaving map[string]bool) []Action {
+	c.leavingMachines = leaving
+	for _, g := range c.orderedGroups() {
+		for _, b := range g.backEnds {
+			b.setDraining(DrainByMachineList, leaving[b.address])
+			if b.draining != 0 {
+				c.requeue(now, g, b)
+			}
 		}
 	}
+	return c.take()
 }
 
 // State returns what the back ends of a group hold, for a root; false where this node does not own the group.
@@ -156,28 +160,3 @@
 	}
 	return state, true
 }
-
-// Woke forgets what back ends said before the process was frozen, and asks them again at once.
-func (c *Core) Woke(now time.Duration) []Action {
-	for _, g := range c.groups {
-		g.changedAt = now
-		for _, b := range g.backEnds {
-			b.described = false
-			b.describing = false
-			b.nextDescribe = now
-		}
-	}
-	return c.TickBackEnds(now)
-}
-
-// describeGrace is how long a new group may wait for the first word of its back ends before it is shown without some.
-const describeGrace = 200 * time.Millisecond
-
-// undescribed reports whether a new group still waits for the first word of a back end. Shown now it would make shards
-// look lost that are not.
-func (g *group) undescribed(now time.Duration) bool {
-	if now-g.changedAt > describeGrace {
-		return false
-	}
-	return slices.ContainsFunc(g.backEnds, func(b *backEnd) bool { return !b.described && b.failures == 0 })
-}
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -27,111 +27,88 @@
 	held []uint32
 }
 
-// backEndEnded decides what becomes of the shards of an attempt whose back end has ended. What the ends of others say of the query is told by the core that
-// all dispatching of this node goes by; other dispatchers have one of their own.
+// backEndEnded decides what becomes of the shards of an attempt whose back end has ended: they are retried once the sub-query has an answer or where it is
+// not repeatable (retry then asks for proof that it did not run), given up under quarantine, and else wait until another shard is answered or asked as a
+// trial. Ends are counted by this node; other dispatchers count their own.
 func (c *Core) backEndEnded(now time.Duration, a *attempt) {
-	w := a.work
-	verdict, _ := c.quarantine.Ended(clock.Of(now), identityOf(w.request), quarantine.Run{
-		Service: w.request.Service, BackEnd: a.backEnd.address + "#" + strconv.FormatUint(a.number, 10), Began: clock.Of(a.startedAt), Ended: clock.Of(now),
+	q := a.subQuery
+	verdict, _ := c.quarantine.Ended(clock.Of(now), identityOf(q.request), quarantine.Run{
+		Service: q.request.Service, BackEnd: a.backEnd.address + "#" + strconv.FormatUint(a.number, 10),
+		Began: clock.Of(a.startedAt), Ended: clock.Of(now),
 	})
 	c.Counters.EndedBackEnds++
 	c.eject(now, a.group, a.backEnd)
-	if w.finished {
+	if q.finished {
 		return
 	}
-	w.caution.ends++
+	q.caution.ends++
 	switch {
-	case w.answered():
+	case q.answered():
 		c.retry(now, a, query.StatusLost)
 	case verdict == quarantine.Quarantined:
-		c.quarantined(now, w)
-	case w.request.Execute || !c.settings.Retries:
+		c.quarantined(now, q)
+	case q.request.Execute:
 		c.retry(now, a, query.StatusLost)
 	default:
-		c.hold(w, a.shards)
-		if quarantine.WithdrawOthers(w.caution.suspect, w.caution.ends) {
-			w.caution.suspect = true
-			c.withdraw(now, w)
+		c.hold(q, a.shards)
+		if quarantine.WithdrawOthers(q.caution.suspect, q.caution.ends) {
+			q.caution.suspect = true
+			c.withdraw(now, q)
 		}
 	}
-	c.finishIfDone(now, w)
+	c.finishIfDone(now, q)
 }
 
 // hold has shards wait that no other attempt may still answer.
-func (c *Core) hold(w *work, shards []uint32) {
+func (c *Core) hold(q *subQuery, shards []uint32) {
 	for _, shard := range shards {
-		if state := w.shards[shard]; !state.answered && state.live == 0 && !slices.Contains(w.caution.held, shard) {
-			w.caution.held = append(w.caution.held, shard)
+		if state := q.shards[shard]; !state.answered && state.live == 0 && !slices.Contains(q.caution.held, shard) {
+			q.caution.held = append(q.caution.held, shard)
 		}
 	}
 }
 
 // withdraw takes back what is queued and under way of a sub-query, whose shards are tried again later.
-func (c *Core) withdraw(now time.Duration, w *work) {
-	for _, b := range w.group.backEnds {
-		b.removeQueued(func(it *item) bool {
-			if it.work == w {
-				c.release(w, it.shards)
-				c.hold(w, it.shards)
+func (c *Core) withdraw(now time.Duration, q *subQuery) {
+	for _, b := range q.group.backEnds {
+		b.removeQueued(func(it *queuedAttempt) bool {
+			if it.subQuery == q {
+				c.release(q, it.shards)
+				c.hold(q, it.shards)
 			}
-			return it.work == w
+			return it.subQuery == q
 		})
 	}
-	for _, a := range w.attempts {
+	for _, a := range q.attempts {
 		c.abandon(now, a)
 	}
 }
 
 // quarantined ends a sub-query that ends the back ends that run it.
-func (c *Core) quarantined(now time.Duration, w *work) {
-	w.caution.held = nil
+func (c *Core) quarantined(now time.Duration, q *subQuery) {
+	q.caution.held = nil
 	c.Counters.Quarantined++
-	c.finish(now, w, query.ReasonLost)
+	c.finish(now, q, query.ReasonLost)
 }
 
-// answered reports whether a shard of the sub-query was answered.
-func (w *work) answered() bool {
-	for _, state := range w.shards {
-		if state.answered {
-			return true
-		}
-	}
-	return false
-}
-
-// underWay reports whether an attempt of the sub-query may still be answered.
-func (w *work) underWay() bool {
-	for _, state := range w.shards {
-		if state.live > 0 {
-			return true
-		}
-	}
-	return false
-}
-
-// goOn sends what is held of a sub-query: all once a shard was answered, one shard as a trial once nothing is under way.
-func (c *Core) goOn(now time.Duration, w *work) {
-	held := w.caution.held
+// sendHeld sends what is held of a sub-query: all once a shard was answered, one shard as a trial once nothing is under way.
+func (c *Core) sendHeld(now time.Duration, q *subQuery) {
+	held := q.caution.held
 	switch {
-	case len(held) == 0 || w.finished:
+	case len(held) == 0 || q.finished:
 		return
-	case w.answered():
-		w.caution = caution{}
-	case w.underWay():
+	case q.answered():
+		q.caution = caution{}
+	case q.underWay():
 		return
 	default:
-		w.caution.held, held = held[1:], held[:1]
+		q.caution.held, held = held[1:], held[:1]
 	}
-	if now >= w.deadline || w.tried(held) && !w.group.retries.Spend(len(held)) {
+	if now >= q.deadline || q.tried(held) && !q.group.retries.Spend(len(held)) {
 		for _, shard := range held {
-			w.shards[shard].missing = query.ReasonLost
+			q.shards[shard].missing = query.ReasonLost
 		}
 		return
 	}
-	c.place(now, w, held, false, query.ReasonLost)
-}
-
-// tried reports whether a replica of one of some shards was asked before.
-func (w *work) tried(shards []uint32) bool {
-	return slices.ContainsFunc(shards, func(shard uint32) bool { return len(w.shards[shard].tried) > 0 })
+	c.place(now, q, held, false, query.ReasonLost)
 }
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -9,10 +9,8 @@
 
 // Settings of the dispatcher.
 type Settings struct {
-	// Hedging, Retries and Windows switch the policies; the plain fan-out baseline has all three off.
+	// Hedging switches hedges on.
 	Hedging bool
-	Retries bool
-	Windows bool
 	// HedgeQuantile of the group's latencies is the longest wait before a hedge.
 	HedgeQuantile float64
 	// HedgeMedians times the median is the longest wait too, so that stragglers that are more common than the
@@ -26,8 +24,6 @@
 	RetryShare float64
 	// BudgetCapacity is how many extra shard attempts may be saved up.
 	BudgetCapacity float64
-	// PreferCover picks replicas that hold more of the shards still asked for, so that fewer requests are sent.
-	PreferCover bool
 	// MaximumQueueWait bounds the predicted wait for a slot at which work is still admitted.
 	MaximumQueueWait time.Duration
 	// ShardsPerAttempt bounds how many shards one attempt asks a back end for.
@@ -48,8 +44,6 @@
 func DefaultSettings() Settings {
 	return Settings{
 		Hedging:             true,
-		Retries:             true,
-		Windows:             true,
 		HedgeQuantile:       0.99,
 		HedgeMedians:        2.5,
 		MinimumHedgeDelay:   2 * time.Millisecond,
@@ -57,7 +51,6 @@
 		HedgeShare:          0.08,
 		RetryShare:          0.1,
 		BudgetCapacity:      20,
-		PreferCover:         true,
 		MaximumQueueWait:    50 * time.Millisecond,
 		ShardsPerAttempt:    16,
 		FailuresToEject:     3,
@@ -68,12 +61,3 @@
 		Quarantine:          quarantine.Settings{Rounds: 3, For: 600 * clock.Second},
 	}
 }
-
-// PlainSettings gives the plain fan-out baseline: no hedges, no retries, no windows.
-func PlainSettings() Settings {
-	settings := DefaultSettings()
-	settings.Hedging = false
-	settings.Retries = false
-	settings.Windows = false
-	return settings
-}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -137,7 +137,7 @@
 		e.gossip.Suspend()
 	}
 	e.nextList = e.now
-	e.dispatched(e.dispatcher.Woke(e.now))
+	e.dispatched(e.dispatcher.ForgetHoldings(e.now))
 }
 
 // end delivers the node's messages to itself and returns what there is to do.
--- a/internal/engine/peers.go
+++ b/internal/engine/peers.go
@@ -1,6 +1,7 @@
 package engine
 
 import (
+	"fmt"
 	"slices"
 	"time"
 
@@ -69,15 +70,17 @@
 // dispatched carries out what the dispatcher decided.
 func (e *Engine) dispatched(actions []dispatch.Action) {
 	for _, action := range actions {
-		switch {
-		case action.Start != nil:
-			e.output.Attempts = append(e.output.Attempts, *action.Start)
-		case action.Describe != nil:
-			e.output.Describes = append(e.output.Describes, *action.Describe)
-		case action.Reply != nil:
-			e.send(action.Reply.To, action.Reply.Message)
-		case action.Cancel != 0:
-			e.output.Cancels = append(e.output.Cancels, action.Cancel)
+		switch action := action.(type) {
+		case dispatch.StartAttempt:
+			e.output.Attempts = append(e.output.Attempts, action.Attempt)
+		case dispatch.CancelAttempt:
+			e.output.Cancels = append(e.output.Cancels, action.Number)
+		case dispatch.Describe:
+			e.output.Describes = append(e.output.Describes, action)
+		case dispatch.Reply:
+			e.send(action.To, action.Message)
+		default:
+			panic(fmt.Sprintf("engine: no case for the dispatcher's action %T", action))
 		}
 	}
 }
@@ -85,7 +88,7 @@
 // AttemptEnded takes in the outcome of an attempt.
 func (e *Engine) AttemptEnded(now time.Duration, result query.AttemptResult) Output {
 	e.begin(now)
-	e.dispatched(e.dispatcher.Answered(now, result))
+	e.dispatched(e.dispatcher.AttemptEnded(now, result))
 	return e.end()
 }
 
--- a/internal/engine/routing.go
+++ b/internal/engine/routing.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"stiletrail/internal/dispatch"
 	"stiletrail/internal/membership"
 	"stiletrail/internal/message"
 	"stiletrail/internal/query"
@@ -166,11 +167,7 @@
 	if len(candidates) == 1 {
 		return candidates[0]
 	}
-	first := e.random.IntN(len(candidates))
-	second := e.random.IntN(len(candidates) - 1)
-	if second >= first {
-		second++
-	}
+	first, second := dispatch.TwoOf(e.random, len(candidates))
 	if e.load(candidates[second]).inFlight < e.load(candidates[first]).inFlight {
 		return candidates[second]
 	}
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -28,7 +28,7 @@
 var mutations = []mutation{
 	{
 		"no check of the snapshot of an answer", "internal/dispatch/outcome.go",
-		"if !a.work.request.Execute && result.Snapshot != a.work.request.Snapshot {", "if false {",
+		"if !a.subQuery.request.Execute && result.Snapshot != a.subQuery.request.Snapshot {", "if false {",
 		"./internal/dispatch", "TestAnswersThatDoNotFit",
 	},
 	{
@@ -67,7 +67,7 @@
 		"./internal/ticket", "TestRefusalIsFinal",
 	},
 	{
-		"refusals of work do not count as a drain", "internal/dispatch/outcome.go",
+		"refusals of work do not count as a drain", "internal/dispatch/health.go",
 		"		b.draining |= DrainByAttempt\n", "",
 		"./internal/dispatch", "TestDrainSignals",
 	},
--- a/internal/scatter/benchmark_test.go
+++ b/internal/scatter/benchmark_test.go
@@ -45,7 +45,7 @@
 	environment := newWide()
 	b.ReportAllocs()
 	for b.Loop() {
-		q, actions := Start(0, Request{Service: "wide", Deadline: time.Second, Retries: true}, environment)
+		q, actions := Start(0, Request{Service: "wide", Deadline: time.Second}, environment)
 		for _, action := range actions {
 			sub := action.Message.(*message.SubQuery)
 			answer := &message.SubAnswer{ID: sub.ID, Snapshot: sub.Snapshot, Done: true}
--- a/internal/scatter/rounds.go
+++ b/internal/scatter/rounds.go
@@ -74,7 +74,7 @@
 
 // replan starts the whole query again at another snapshot, if there is time and another is known.
 func (q *Query) replan(now time.Duration) bool {
-	if q.plans >= maximumPlans || !q.request.Retries || now >= q.request.Deadline-2*answerMargin {
+	if q.plans >= maximumPlans || now >= q.request.Deadline-2*answerMargin {
 		return false
 	}
 	excluded := append(slices.Clone(q.excluded), q.plan.Snapshot)
@@ -89,7 +89,7 @@
 
 // askAgain is the second round for shards that came back missing: another dispatcher, or a group of another region.
 func (q *Query) askAgain(now time.Duration, open []uint32, reason query.Reason) {
-	if len(open) == 0 || !q.request.Retries || now >= q.request.Deadline-2*answerMargin {
+	if len(open) == 0 || now >= q.request.Deadline-2*answerMargin {
 		return
 	}
 	for _, number := range open {
@@ -151,7 +151,7 @@
 			open = append(open, number)
 		}
 	}
-	if len(open) == 0 || !q.request.Retries || !q.environment.SpendReissue(len(open)) {
+	if len(open) == 0 || !q.environment.SpendReissue(len(open)) {
 		return
 	}
 	q.ask(now, open, query.ReasonNone)
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -67,8 +67,6 @@
 	Deadline time.Duration
 	Floor    uint64
 	Document catalog.Document
-	// Retries allows second rounds; off in the plain baseline.
-	Retries bool
 }
 
 type shard struct {
