--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -53,9 +53,6 @@
 	return Window{ceiling: float64(ceiling), size: math.Min(minimumWindow, float64(ceiling))}
 }
 
-// Open sets the window to its ceiling, for a back end known to be warm.
-func (w *Window) Open() { w.size = w.ceiling }
-
 // Restart puts the window back to one attempt, for a back end that comes back from an ejection.
 func (w *Window) Restart() { w.size = math.Min(minimumWindow, w.ceiling) }
 
