--- a/internal/engine/search.go
+++ b/internal/engine/search.go
@@ -1,6 +1,7 @@
 package engine
 
 import (
+	"fmt"
 	"time"
 
 	"stiletrail/internal/failure"
@@ -106,12 +107,14 @@
 // scattered carries out what a query decided.
 func (e *Engine) scattered(s *search, actions []scatter.Action) {
 	for _, action := range actions {
-		switch {
-		case action.Answer != nil:
-			e.finishSearch(s, *action.Answer)
-		default:
+		switch action := action.(type) {
+		case scatter.Send:
 			e.track(s, action.To, action.Message)
 			e.send(action.To, action.Message)
+		case scatter.Answer:
+			e.finishSearch(s, action)
+		default:
+			panic(fmt.Sprintf("engine: no case for the query's action %T", action))
 		}
 	}
 	e.settle(s)
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -3,6 +3,7 @@
 
 import (
 	"encoding/binary"
+	"slices"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -97,22 +98,17 @@
 	Newest      uint64
 }
 
-// Holds reports whether the back end can answer for a shard at a snapshot.
-func (h Holding) Holds(shard uint32, at Snapshot) bool {
-	if h.Epoch != at.Epoch || at.Version < h.Oldest || at.Version > h.Newest {
-		return false
-	}
-	return h.HasShard(shard)
+// At reports whether the back end can answer at a snapshot, for the shards it holds.
+func (h Holding) At(at Snapshot) bool {
+	return h.Epoch == at.Epoch && at.Version >= h.Oldest && at.Version <= h.Newest
 }
 
+// Holds reports whether the back end can answer for a shard at a snapshot.
+func (h Holding) Holds(shard uint32, at Snapshot) bool { return h.At(at) && h.HasShard(shard) }
+
 // HasShard reports whether the shard is among those held.
 func (h Holding) HasShard(shard uint32) bool {
-	for _, held := range h.Shards {
-		if held == shard {
-			return true
-		}
-	}
-	return false
+	return slices.Contains(h.Shards, shard)
 }
 
 // Status is what came of an attempt.
--- /dev/null
+++ b/internal/scatter/ask.go
@@ -0,0 +1,83 @@
+package scatter
+
+import (
+	"slices"
+	"time"
+
+	"stiletrail/internal/message"
+	"stiletrail/internal/query"
+)
+
+// ask sends shards out, each to the next group and dispatcher not tried for it. Shards without one become missing.
+func (q *Query) ask(now time.Duration, shards []uint32, reason query.Reason) {
+	chosen := map[triedOwner][]uint32{}
+	var order []triedOwner
+	perGroup := map[uint32]string{}
+	for _, number := range shards {
+		// Full back ends are no reason to ask a deputy, who would only add to their load.
+		owner, found := q.nextOwner(number, perGroup, reason != query.ReasonOverloaded)
+		if !found {
+			if state := &q.shards[number]; state.live == 0 && !state.answered {
+				state.reason = reason
+			}
+			continue
+		}
+		if chosen[owner] == nil {
+			order = append(order, owner)
+		}
+		chosen[owner] = append(chosen[owner], number)
+	}
+	for _, owner := range order {
+		q.sendSubQuery(now, owner, chosen[owner])
+	}
+}
+
+// nextOwner picks where to ask for a shard; shards of one group go to one dispatcher.
+func (q *Query) nextOwner(number uint32, perGroup map[uint32]string, standIn bool) (triedOwner, bool) {
+	state := &q.shards[number]
+	for _, group := range q.holders[number] {
+		var excluded []string
+		for _, tried := range state.tried {
+			if tried.group == group {
+				excluded = append(excluded, tried.dispatcher)
+			}
+		}
+		if dispatcher := perGroup[group]; dispatcher != "" && !slices.Contains(excluded, dispatcher) {
+			return triedOwner{group: group, dispatcher: dispatcher}, true
+		}
+		dispatcher, found := q.environment.Dispatcher(q.request.Service, group, excluded, standIn)
+		if found && !slices.Contains(excluded, dispatcher) {
+			perGroup[group] = dispatcher
+			return triedOwner{group: group, dispatcher: dispatcher}, true
+		}
+	}
+	return triedOwner{}, false
+}
+
+func (q *Query) sendSubQuery(now time.Duration, owner triedOwner, shards []uint32) {
+	id := q.environment.NextID()
+	remaining := q.request.Deadline - answerMargin - now
+	q.subQueries[id] = &subQuery{
+		group: owner.group, dispatcher: owner.dispatcher, shards: shards, waitUntil: now + q.patience(remaining),
+	}
+	q.order = append(q.order, id)
+	for _, number := range shards {
+		q.shards[number].live++
+		q.shards[number].tried = append(q.shards[number].tried, owner)
+	}
+	q.send(owner.dispatcher, &message.SubQuery{
+		ID: id, Service: q.request.Service, Group: owner.group, Shards: shards, Snapshot: q.planned.Snapshot,
+		Body: q.request.Body, RemainingMicroseconds: uint64(max(remaining, 0).Microseconds()),
+	})
+}
+
+// cancelAll withdraws every sub-query under way.
+func (q *Query) cancelAll() {
+	for _, id := range q.order {
+		sub := q.subQueries[id]
+		q.mayHaveRun = true
+		q.send(sub.dispatcher, &message.SubCancel{ID: id})
+		delete(q.subQueries, id)
+	}
+	q.order = nil
+}
--- a/internal/scatter/benchmark_test.go
+++ b/internal/scatter/benchmark_test.go
@@ -47,12 +47,16 @@
 	for b.Loop() {
 		q, actions := Start(0, Request{Service: "wide", Deadline: time.Second}, environment)
 		for _, action := range actions {
-			sub := action.Message.(*message.SubQuery)
+			send, ok := action.(Send)
+			if !ok {
+				continue
+			}
+			sub := send.Message.(*message.SubQuery)
 			answer := &message.SubAnswer{ID: sub.ID, Snapshot: sub.Snapshot, Done: true}
 			for _, shard := range sub.Shards {
 				answer.Results = append(answer.Results, query.ShardDocuments{Shard: shard})
 			}
-			q.Receive(time.Millisecond, action.To, answer)
+			q.Receive(time.Millisecond, send.To, answer)
 		}
 		if !q.Done() {
 			b.Fatal("the query is not done")
--- a/internal/scatter/routing.go
+++ b/internal/scatter/routing.go
@@ -1,11 +1,3 @@
-// Package scatter decides, at the node a caller reached, at which snapshot a query runs, which group is asked for which
-// shard, and what the answer may claim.
-//
-// The core does no I/O and reads no clock. Invariants:
-//   - documents of one answer are all of one snapshot;
-//   - a shard counts as answered only with an answer to this query at that snapshot, once;
-//   - answered and missing shards together are all the shards of the epoch;
-//   - a query is reported as not run only if every sub-query sent is proved not to have run.
 package scatter
 
 import (
@@ -114,7 +106,7 @@
 	held := make([]bool, total)
 	var count uint32
 	r.each(func(h query.Holding) {
-		if h.Epoch != at.Epoch || at.Version < h.Oldest || at.Version > h.Newest {
+		if !h.At(at) {
 			return
 		}
 		for _, shard := range h.Shards {
@@ -127,6 +119,19 @@
 	return count
 }
 
+// nothingCovered is the coverage of an answer without any shard.
+func (r Routing) nothingCovered() query.Coverage {
+	_, total, known := r.Newest()
+	if !known {
+		return query.Coverage{}
+	}
+	coverage := query.Coverage{Total: total, TotalKnown: true}
+	for number := range total {
+		coverage.Missing = append(coverage.Missing, query.Missing{Shard: number, Reason: query.ReasonNoReplica})
+	}
+	return coverage
+}
+
 // holders returns, per shard, the groups that can answer at the snapshot: those of the region first.
 func (r Routing) holders(at query.Snapshot, total uint32, region string) [][]uint32 {
 	holders := make([][]uint32, total)
@@ -136,7 +141,7 @@
 				continue
 			}
 			for _, holding := range group.Holdings {
-				if holding.Epoch != at.Epoch || at.Version < holding.Oldest || at.Version > holding.Newest {
+				if !holding.At(at) {
 					continue
 				}
 				for _, shard := range holding.Shards {
