--- /dev/null
+++ b/internal/engine/confirm.go
@@ -0,0 +1,154 @@
+package engine
+
+import (
+	"fmt"
+	"time"
+
+	"stiletrail/internal/catalog"
+	"stiletrail/internal/intent"
+	"stiletrail/internal/membership"
+	"stiletrail/internal/message"
+	"stiletrail/internal/platform"
+	"stiletrail/internal/rollout"
+)
+
+// copiesWanted is how many peers are handed a document before it is reported as accepted.
+const copiesWanted = 3
+
+// rolloutRun is a confirmation under way.
+type rolloutRun struct {
+	caller  Caller
+	rollout *rollout.Rollout
+}
+
+// Plan answers an intent with what confirming it would change. Nothing changes by planning.
+func (e *Engine) Plan(wanted intent.Intent, expiresUnixSeconds int64) (intent.Plan, error) {
+	if !e.serving() {
+		return intent.Plan{}, notReady("the node has no trustworthy configuration yet")
+	}
+	base, _ := e.catalog.Get(wanted.Service)
+	return intent.NewPlan(wanted, base, expiresUnixSeconds), nil
+}
+
+// ConfirmRequest is an operator's confirmation of a plan that was checked with intent.Check.
+type ConfirmRequest struct {
+	Intent      intent.Intent
+	BaseVersion uint64
+	// Operation is the operator's id; the same one may be sent again to settle an unknown outcome.
+	Operation string
+}
+
+// Confirm starts to put a plan into force.
+func (e *Engine) Confirm(now time.Duration, caller Caller, request ConfirmRequest) Output {
+	e.begin(now)
+	service := request.Intent.Service
+	if !e.Ready() {
+		e.answerConfirm(caller, service, rollout.Result{Failure: notReady("the node takes no changes now")})
+		return e.end()
+	}
+	held := func() catalog.Document {
+		document, _ := e.catalog.Get(service)
+		return document
+	}
+	started, first := rollout.New(now, rollout.Change{
+		Service: service, Operation: request.Operation, Base: request.BaseVersion,
+		Specification: request.Intent.Specification, Delete: request.Intent.Delete,
+	}, held)
+	operation := e.next()
+	e.rollouts[operation] = &rolloutRun{caller: caller, rollout: started}
+	e.performRollout(operation, first)
+	return e.end()
+}
+
+// performRollout carries out what a rollout decided.
+func (e *Engine) performRollout(operation uint64, request rollout.Request) {
+	run := e.rollouts[operation]
+	switch request := request.(type) {
+	case nil:
+	case rollout.Read:
+		e.output.StoreReads = append(e.output.StoreReads, StoreRead{Operation: operation, Service: run.rollout.Service()})
+	case rollout.Write:
+		e.output.StoreWrites = append(e.output.StoreWrites, StoreWrite{Operation: operation, Base: request.Base, Document: request.Document})
+	case rollout.Adopt:
+		e.adopt(operation, request.Document)
+	case rollout.Result:
+		delete(e.rollouts, operation)
+		e.answerConfirm(run.caller, run.rollout.Service(), request)
+	default:
+		panic(fmt.Sprintf("engine: no case for the rollout's request %T", request))
+	}
+}
+
+func (e *Engine) answerConfirm(caller Caller, service string, result rollout.Result) {
+	e.output.ConfirmAnswers = append(e.output.ConfirmAnswers, ConfirmAnswer{Caller: caller, Service: service, Result: result})
+}
+
+// adopt takes an accepted document into force and hands it to peers here and in other zones.
+func (e *Engine) adopt(operation uint64, document catalog.Document) {
+	e.merge(document)
+	peers := e.pickCopyHolders()
+	for _, peer := range peers {
+		rumor := e.gossip.Rumor(document.Service)
+		rumor.Operation = operation
+		e.send(peer, rumor)
+	}
+	e.performRollout(operation, e.rollouts[operation].rollout.Spreading(len(peers)))
+}
+
+// pickCopyHolders picks copiesWanted peers: one in the own zone, where there is one, the others elsewhere.
+func (e *Engine) pickCopyHolders() []string {
+	zone := e.members.Self().Zone
+	near := func(m membership.Member) bool { return m.State == membership.Alive && m.Zone == zone }
+	far := func(m membership.Member) bool { return m.State == membership.Alive && m.Zone != zone }
+	peers := e.members.Pick(1, near)
+	return append(peers, e.members.Pick(copiesWanted-len(peers), far)...)
+}
+
+func (e *Engine) receiveCatalogAck(from string, m *message.CatalogAck) {
+	run := e.rollouts[m.Operation]
+	if run == nil {
+		return
+	}
+	member, _ := e.members.Lookup(from)
+	e.performRollout(m.Operation, run.rollout.Copied(from, member.Zone))
+}
+
+func (e *Engine) tickRollouts() {
+	for _, operation := range sortedKeys(e.rollouts) {
+		if run := e.rollouts[operation]; run != nil {
+			e.performRollout(operation, run.rollout.Tick(e.now))
+		}
+	}
+}
+
+// StoreReadDone takes in the answer to a StoreRead.
+func (e *Engine) StoreReadDone(now time.Duration, operation uint64, outcome rollout.Outcome, entry platform.Entry) Output {
+	e.begin(now)
+	stored, err := storedDocument(entry)
+	if err != nil {
+		outcome = rollout.Refused
+	}
+	if run := e.rollouts[operation]; run != nil {
+		e.performRollout(operation, run.rollout.ReadDone(now, outcome, entry.Stamp, stored))
+	} else if e.store.pending[operation] {
+		e.listedEntryRead(operation, outcome, entry, stored)
+	}
+	return e.end()
+}
+
+// storedDocument reads the document of an entry; an absent entry is the zero document.
+func storedDocument(entry platform.Entry) (catalog.Document, error) {
+	if entry.Version == 0 {
+		return catalog.Document{}, nil
+	}
+	return catalog.Decode(entry.Value)
+}
+
+// StoreWriteDone takes in the answer to a StoreWrite.
+func (e *Engine) StoreWriteDone(now time.Duration, operation uint64, outcome rollout.Outcome, swapped bool) Output {
+	e.begin(now)
+	if run := e.rollouts[operation]; run != nil {
+		e.performRollout(operation, run.rollout.WriteDone(now, outcome, swapped))
+	}
+	return e.end()
+}
--- /dev/null
+++ b/internal/engine/dispatcher.go
@@ -0,0 +1,113 @@
+package engine
+
+import (
+	"slices"
+	"time"
+
+	"stiletrail/internal/dispatch"
+	"stiletrail/internal/membership"
+	"stiletrail/internal/query"
+)
+
+// suspectFor is how long a silent dispatcher is avoided.
+const suspectFor = time.Second
+
+// dispatcherLoad is what this root knows of a dispatcher.
+type dispatcherLoad struct {
+	inFlight     int
+	suspectUntil time.Duration
+}
+
+func (e *Engine) load(address string) *dispatcherLoad {
+	found := e.loads[address]
+	if found == nil {
+		found = &dispatcherLoad{}
+		e.loads[address] = found
+	}
+	return found
+}
+
+// Dispatcher implements scatter.Environment: the less loaded of two random dispatchers of the group; where all are excluded
+// or silent, and deputies are wanted too, a deputy, then a silent one, then who dispatched before.
+func (e *Engine) Dispatcher(service string, group uint32, excluded []string, deputiesToo bool) (string, bool) {
+	dispatchers, deputies := e.table.Owners(service, group)
+	var silent []string
+	for _, owners := range [][]string{dispatchers, deputies} {
+		var candidates []string
+		for _, owner := range owners {
+			switch {
+			case slices.Contains(excluded, owner):
+			case e.now < e.load(owner).suspectUntil:
+				silent = append(silent, owner)
+			default:
+				candidates = append(candidates, owner)
+			}
+		}
+		if len(candidates) > 0 {
+			return e.lessLoaded(candidates), true
+		}
+		if !deputiesToo {
+			break
+		}
+	}
+	if len(silent) == 0 && deputiesToo {
+		silent = e.previousOwners(service, group, excluded)
+	}
+	if len(silent) == 0 {
+		return "", false
+	}
+	return e.lessLoaded(silent), true
+}
+
+// lessLoaded picks the one with less under way of two random candidates.
+func (e *Engine) lessLoaded(candidates []string) string {
+	if len(candidates) == 1 {
+		return candidates[0]
+	}
+	first, second := dispatch.TwoOf(e.random, len(candidates))
+	if e.load(candidates[second]).inFlight < e.load(candidates[first]).inFlight {
+		return candidates[second]
+	}
+	return candidates[first]
+}
+
+// previousOwners returns who dispatched to a group before its owners changed: an owner that has not heard of the change yet
+// refuses, and a node that is leaving serves on for its grace.
+func (e *Engine) previousOwners(service string, group uint32, excluded []string) []string {
+	var result []string
+	for _, owner := range e.table.PreviousOwners(service, group) {
+		member, known := e.members.Lookup(owner)
+		if known && member.State != membership.Dead && !slices.Contains(excluded, owner) {
+			result = append(result, owner)
+		}
+	}
+	return result
+}
+
+// NextID implements scatter.Environment.
+func (e *Engine) NextID() query.ID {
+	return query.ID{Generation: e.members.Self().Generation, Sequence: e.next()}
+}
+
+// Region implements scatter.Environment.
+func (e *Engine) Region() string { return e.members.Self().Region }
+
+// SubQueryLatency implements scatter.Environment.
+func (e *Engine) SubQueryLatency() time.Duration {
+	const quantile, minimumSamples = 0.95, 20
+	return e.queryTimes.Quantile(quantile, minimumSamples, 0)
+}
+
+// SpendReissue implements scatter.Environment.
+func (e *Engine) SpendReissue(shards int) bool {
+	if !e.reissues.Spend(shards) {
+		return false
+	}
+	e.Counters.Reissues++
+	return true
+}
+
+// Suspect implements scatter.Environment.
+func (e *Engine) Suspect(address string) {
+	e.load(address).suspectUntil = e.now + suspectFor
+}
--- a/internal/engine/execute.go
+++ b/internal/engine/execute.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"stiletrail/internal/failure"
-	"stiletrail/internal/membership"
 	"stiletrail/internal/message"
 	"stiletrail/internal/query"
 	"stiletrail/internal/ticket"
@@ -40,8 +39,8 @@
 	sent     bool
 	to       string
 	tried    []string
-	// standIn: the dispatcher was lost or did not know its part, so that a deputy may be asked.
-	standIn bool
+	// askDeputies: the dispatcher was lost or did not know its part, so that a deputy may be asked.
+	askDeputies bool
 	// waiters are told the outcome: the caller, and those of resends that came meanwhile.
 	waiters []waiter
 }
@@ -54,20 +53,6 @@
 	sequence uint64
 }
 
-// forward is a request passed on to the node that minted its ticket.
-type forward struct {
-	caller   Caller
-	peer     string
-	request  ExecuteRequest
-	deadline time.Duration
-	until    time.Duration
-	// sent is false while this node has not heard of the peer yet, as of one that has just started.
-	sent bool
-}
-
-// introduceWait bounds the wait until a node that this one has not heard of is introduced by others.
-const introduceWait = 300 * time.Millisecond
-
 // Execute takes a caller's request that is not repeatable.
 func (e *Engine) Execute(now time.Duration, caller Caller, request ExecuteRequest) Output {
 	e.begin(now)
@@ -84,6 +69,7 @@
 	return e.end()
 }
 
+// withinFor is the time that a request has: what the caller gives, or the service's deadline.
 func (e *Engine) withinFor(request ExecuteRequest) time.Duration {
 	if request.Within > 0 {
 		return request.Within
@@ -92,66 +78,6 @@
 	return max(time.Duration(document.Specification.DeadlineMilliseconds)*time.Millisecond, 10*executeMargin)
 }
 
-// forwardExecute passes a request on to the node that minted its ticket. The address is the caller's word, so only a node
-// that other nodes know is connected to.
-func (e *Engine) forwardExecute(caller Caller, to string, request ExecuteRequest) {
-	within := e.withinFor(request)
-	f := &forward{caller: caller, peer: to, request: request, deadline: e.now + within - executeMargin}
-	f.until = min(f.deadline, e.now+introduceWait)
-	sequence := e.next()
-	e.forwards[sequence] = f
-	if _, known := e.members.Lookup(to); !known {
-		for _, peer := range e.members.Pick(introducers, membership.Member.Usable) {
-			e.sendAll(e.members.Sync(peer))
-		}
-	}
-	e.sendForward(sequence, f)
-}
-
-// introducers is how many members are asked for their view of a node that is not known here.
-const introducers = 3
-
-// sendForward sends a forward once its node is known.
-func (e *Engine) sendForward(sequence uint64, f *forward) {
-	member, known := e.members.Lookup(f.peer)
-	if !known {
-		return
-	}
-	if member.State == membership.Dead {
-		// It may have run the request before it was lost. A leaving node still answers for its tickets.
-		e.forwardLost(f.peer, sequence)
-		return
-	}
-	f.sent = true
-	f.until = f.deadline
-	e.send(f.peer, &message.ForwardExecute{
-		Sequence: sequence, Service: f.request.Service, Key: f.request.Key, Body: f.request.Body, Ticket: f.request.Ticket,
-		RemainingMicroseconds: uint64(max(f.deadline-e.now-executeMargin, 0).Microseconds()),
-	})
-}
-
-func (e *Engine) receiveForward(from string, m *message.ForwardExecute) {
-	e.takeExecute(waiter{peer: from, sequence: m.Sequence}, ExecuteRequest{
-		Service: m.Service, Key: m.Key, Body: m.Body, Ticket: m.Ticket,
-		Within: time.Duration(m.RemainingMicroseconds) * time.Microsecond,
-	})
-}
-
-func (e *Engine) receiveForwardReply(from string, m *message.ForwardReply) {
-	f := e.forwards[m.Sequence]
-	if f == nil || f.peer != from {
-		return
-	}
-	delete(e.forwards, m.Sequence)
-	outcome := ticket.Outcome{Shard: m.Shard, Result: m.Result}
-	if m.Code != "" {
-		outcome.Failure = failure.New(failure.Code(m.Code), m.Text)
-		outcome.Failure.NotRun = m.NotRun
-		outcome.Failure.RetryAfter = time.Duration(m.RetryAfterMilliseconds) * time.Millisecond
-	}
-	e.answerExecute(waiter{caller: f.caller}, outcome)
-}
-
 // takeExecute uses up the ticket and runs the request, unless that was done before. The first decision is final: a caller
 // that was refused asks again with a new ticket.
 func (e *Engine) takeExecute(w waiter, request ExecuteRequest) {
@@ -209,22 +135,14 @@
 
 // dispatchExecute hands the request to one dispatcher that was not tried. Where none is left, none has run it.
 func (e *Engine) dispatchExecute(x *execute) {
-	routing := e.Routing(x.request.Service)
-	epoch, total, known := routing.Newest()
-	if !known {
-		e.finishExecute(x, refusedOutcome(failure.NoReplica, time.Second))
-		return
-	}
-	x.shard = query.ShardOf(x.request.Key, total)
-	x.epoch = epoch
-	group, found := routing.GroupOf(x.shard, epoch, e.Region())
+	group, found := e.locate(x)
 	if !found {
-		e.finishExecute(x, refusedOutcome(failure.NoReplica, time.Second))
+		e.finishExecute(x, refusedOutcome(failure.NoReplica, noReplicaRetryAfter))
 		return
 	}
-	dispatcher, found := e.Dispatcher(x.request.Service, group, x.tried, x.standIn)
+	dispatcher, found := e.Dispatcher(x.request.Service, group, x.tried, x.askDeputies)
 	if !found || slices.Contains(x.tried, dispatcher) {
-		e.finishExecute(x, refusedOutcome(failure.Overloaded, 50*time.Millisecond))
+		e.finishExecute(x, refusedOutcome(failure.Overloaded, triedRetryAfter))
 		return
 	}
 	x.tried = append(x.tried, dispatcher)
@@ -232,13 +150,25 @@
 	x.id = e.NextID()
 	x.sent = true
 	x.wakeAt = x.deadline
-	e.subOwners[x.id] = x.number
+	e.subQueryOwners[x.id] = x.number
 	e.send(dispatcher, &message.SubQuery{
-		ID: x.id, Service: x.request.Service, Group: group, Shards: []uint32{x.shard}, Snapshot: query.Snapshot{Epoch: epoch},
+		ID: x.id, Service: x.request.Service, Group: group, Shards: []uint32{x.shard}, Snapshot: query.Snapshot{Epoch: x.epoch},
 		Execute: true, Body: x.request.Body, RemainingMicroseconds: uint64(max(x.deadline-e.now-executeMargin, 0).Microseconds()),
 	})
 }
 
+// locate finds the shard of a request in the newest epoch, and a group that holds it.
+func (e *Engine) locate(x *execute) (group uint32, found bool) {
+	routing := e.Routing(x.request.Service)
+	epoch, total, known := routing.Newest()
+	if !known {
+		return 0, false
+	}
+	x.shard = query.ShardOf(x.request.Key, total)
+	x.epoch = epoch
+	return routing.GroupOf(x.shard, epoch, e.Region())
+}
+
 func refusedOutcome(code failure.Code, retryAfter time.Duration) ticket.Outcome {
 	return ticket.Outcome{Failure: failure.Refused(code, "no back end took the request", retryAfter)}
 }
@@ -271,25 +201,25 @@
 		e.finishExecute(x, unknownOutcome("the back end was lost while it may have run the request"))
 		return
 	}
-	delete(e.subOwners, x.id)
-	x.standIn = m.Missing[0].Reason != query.ReasonOverloaded
+	delete(e.subQueryOwners, x.id)
+	x.askDeputies = m.Missing[0].Reason != query.ReasonOverloaded
 	e.dispatchExecute(x)
 }
 
 // executePeerLost takes in that the dispatcher was lost: it may have run the request if the frame may have been written.
 func (e *Engine) executePeerLost(x *execute, written bool) {
-	delete(e.subOwners, x.id)
+	delete(e.subQueryOwners, x.id)
 	e.Suspect(x.to)
 	if written {
 		e.finishExecute(x, unknownOutcome("the dispatcher was lost while it may have run the request"))
 		return
 	}
-	x.standIn = true
+	x.askDeputies = true
 	e.dispatchExecute(x)
 }
 
 func (e *Engine) finishExecute(x *execute, outcome ticket.Outcome) {
-	delete(e.subOwners, x.id)
+	delete(e.subQueryOwners, x.id)
 	delete(e.executes, x.number)
 	if outcome.Failure != nil && outcome.Failure.Code == failure.OutcomeUnknown {
 		e.Counters.Unknown++
@@ -315,6 +245,7 @@
 	e.send(w.peer, reply)
 }
 
+// tickExecutes ends what its deadline has passed for, and sends what has waited long enough for what the shards hold.
 func (e *Engine) tickExecutes() {
 	for _, number := range sortedKeys(e.executes) {
 		x := e.executes[number]
@@ -330,14 +261,4 @@
 			e.finishExecute(x, unknownOutcome("the deadline passed while the request may have been running"))
 		}
 	}
-	for _, sequence := range sortedKeys(e.forwards) {
-		f := e.forwards[sequence]
-		if !f.sent {
-			e.sendForward(sequence, f)
-		}
-		if f = e.forwards[sequence]; f != nil && e.now >= f.until {
-			delete(e.forwards, sequence)
-			e.answerExecute(waiter{caller: f.caller}, unknownOutcome("the node that minted the ticket did not answer in time or is not known"))
-		}
-	}
 }
--- /dev/null
+++ b/internal/engine/forward.go
@@ -0,0 +1,98 @@
+package engine
+
+import (
+	"time"
+
+	"stiletrail/internal/failure"
+	"stiletrail/internal/membership"
+	"stiletrail/internal/message"
+	"stiletrail/internal/ticket"
+)
+
+// forward is a request passed on to the node that minted its ticket.
+type forward struct {
+	caller   Caller
+	peer     string
+	request  ExecuteRequest
+	deadline time.Duration
+	until    time.Duration
+	// sent is false while this node has not heard of the peer yet, as of one that has just started.
+	sent bool
+}
+
+// introduceWait bounds the wait until a node that this one has not heard of is introduced by others.
+const introduceWait = 300 * time.Millisecond
+
+// introducers is how many members are asked for their view of a node that is not known here.
+const introducers = 3
+
+// forwardExecute passes a request on to the node that minted its ticket. The address is the caller's word, so only a node
+// that other nodes know is connected to.
+func (e *Engine) forwardExecute(caller Caller, to string, request ExecuteRequest) {
+	within := e.withinFor(request)
+	f := &forward{caller: caller, peer: to, request: request, deadline: e.now + within - executeMargin}
+	f.until = min(f.deadline, e.now+introduceWait)
+	sequence := e.next()
+	e.forwards[sequence] = f
+	if _, known := e.members.Lookup(to); !known {
+		for _, peer := range e.members.Pick(introducers, membership.Member.Usable) {
+			e.sendAll(e.members.Sync(peer))
+		}
+	}
+	e.sendForward(sequence, f)
+}
+
+// sendForward sends a forward once its node is known.
+func (e *Engine) sendForward(sequence uint64, f *forward) {
+	member, known := e.members.Lookup(f.peer)
+	if !known {
+		return
+	}
+	if member.State == membership.Dead {
+		// It may have run the request before it was lost. A leaving node still answers for its tickets.
+		e.forwardLost(f.peer, sequence)
+		return
+	}
+	f.sent = true
+	f.until = f.deadline
+	e.send(f.peer, &message.ForwardExecute{
+		Sequence: sequence, Service: f.request.Service, Key: f.request.Key, Body: f.request.Body, Ticket: f.request.Ticket,
+		RemainingMicroseconds: uint64(max(f.deadline-e.now-executeMargin, 0).Microseconds()),
+	})
+}
+
+func (e *Engine) receiveForward(from string, m *message.ForwardExecute) {
+	e.takeExecute(waiter{peer: from, sequence: m.Sequence}, ExecuteRequest{
+		Service: m.Service, Key: m.Key, Body: m.Body, Ticket: m.Ticket,
+		Within: time.Duration(m.RemainingMicroseconds) * time.Microsecond,
+	})
+}
+
+func (e *Engine) receiveForwardReply(from string, m *message.ForwardReply) {
+	f := e.forwards[m.Sequence]
+	if f == nil || f.peer != from {
+		return
+	}
+	delete(e.forwards, m.Sequence)
+	outcome := ticket.Outcome{Shard: m.Shard, Result: m.Result}
+	if m.Code != "" {
+		outcome.Failure = failure.New(failure.Code(m.Code), m.Text)
+		outcome.Failure.NotRun = m.NotRun
+		outcome.Failure.RetryAfter = time.Duration(m.RetryAfterMilliseconds) * time.Millisecond
+	}
+	e.answerExecute(waiter{caller: f.caller}, outcome)
+}
+
+// tickForwards sends the forwards whose node has become known, and ends those that waited too long.
+func (e *Engine) tickForwards() {
+	for _, sequence := range sortedKeys(e.forwards) {
+		f := e.forwards[sequence]
+		if !f.sent {
+			e.sendForward(sequence, f)
+		}
+		if f = e.forwards[sequence]; f != nil && e.now >= f.until {
+			delete(e.forwards, sequence)
+			e.answerExecute(waiter{caller: f.caller}, unknownOutcome("the node that minted the ticket did not answer in time or is not known"))
+		}
+	}
+}
--- /dev/null
+++ b/internal/engine/lost.go
@@ -0,0 +1,91 @@
+package engine
+
+import (
+	"slices"
+	"time"
+
+	"stiletrail/internal/failure"
+	"stiletrail/internal/message"
+	"stiletrail/internal/query"
+	"stiletrail/internal/ticket"
+)
+
+// Undelivered takes in that a message was not delivered; written is true where the peer may have got it all the same.
+func (e *Engine) Undelivered(now time.Duration, to string, m message.Message, written bool) Output {
+	e.begin(now)
+	switch m := m.(type) {
+	case *message.SubQuery:
+		e.subQueryLost(to, m.ID, written)
+	case *message.ForwardExecute:
+		e.forwardLost(to, m.Sequence)
+	}
+	return e.end()
+}
+
+func (e *Engine) subQueryLost(peer string, id query.ID, written bool) {
+	number, found := e.subQueryOwners[id]
+	if !found {
+		return
+	}
+	if x := e.executes[number]; x != nil {
+		if x.id == id && x.to == peer {
+			e.executePeerLost(x, written)
+		}
+		return
+	}
+	if s := e.searches[number]; s != nil && s.query != nil {
+		e.performSearch(s, s.query.PeerLost(e.now, peer, id, written))
+	}
+}
+
+// forwardLost: the minting node may have run the request for an earlier resend, so the outcome is unknown.
+func (e *Engine) forwardLost(peer string, sequence uint64) {
+	f := e.forwards[sequence]
+	if f == nil || f.peer != peer {
+		return
+	}
+	delete(e.forwards, sequence)
+	unknown := failure.New(failure.OutcomeUnknown, "the node that minted the ticket cannot be reached")
+	unknown.RetryAfter = time.Second
+	e.answerExecute(waiter{caller: f.caller}, ticket.Outcome{Failure: unknown})
+}
+
+// Disconnected takes in that the connection on which queries went to a peer broke: what was asked of it may have run.
+func (e *Engine) Disconnected(now time.Duration, peer string) Output {
+	e.begin(now)
+	for _, number := range sortedKeys(e.searches) {
+		s := e.searches[number]
+		if s == nil {
+			continue
+		}
+		for _, id := range sortedIDs(s.dispatchers, peer) {
+			e.subQueryLost(peer, id, true)
+		}
+	}
+	for _, number := range sortedKeys(e.executes) {
+		if x := e.executes[number]; x != nil && x.sent && x.to == peer {
+			e.executePeerLost(x, true)
+		}
+	}
+	for _, sequence := range sortedKeys(e.forwards) {
+		e.forwardLost(peer, sequence)
+	}
+	return e.end()
+}
+
+// sortedIDs returns the sub-queries at a peer, in order.
+func sortedIDs(dispatchers map[query.ID]string, peer string) []query.ID {
+	var sequences []uint64
+	generation := uint64(0)
+	for id, to := range dispatchers {
+		if to == peer {
+			sequences = append(sequences, id.Sequence)
+			generation = id.Generation
+		}
+	}
+	ids := make([]query.ID, 0, len(sequences))
+	for _, sequence := range slices.Sorted(slices.Values(sequences)) {
+		ids = append(ids, query.ID{Generation: generation, Sequence: sequence})
+	}
+	return ids
+}
--- a/internal/engine/search.go
+++ b/internal/engine/search.go
@@ -68,22 +68,6 @@
 	return e.end()
 }
 
-// admit refuses what this node cannot take now.
-func (e *Engine) admit(service string) *failure.Failure {
-	switch {
-	case e.leaving:
-		return e.leavingFailure()
-	case !e.serving():
-		return failure.Refused(failure.NotReady, "the node has no trustworthy configuration yet", time.Second)
-	case len(e.searches)+len(e.executes) >= e.settings.MaximumQueries:
-		return failure.Refused(failure.Overloaded, "the node has too many requests under way", 100*time.Millisecond)
-	}
-	if document, found := e.catalog.Get(service); !found || document.Deleted {
-		return failure.Refused(failure.UnknownService, "no such service", 0)
-	}
-	return nil
-}
-
 func (e *Engine) refuseSearch(caller Caller, refusal *failure.Failure) {
 	e.answerSearch(caller, "", scatter.Answer{Failure: refusal})
 }
@@ -92,7 +76,7 @@
 	started, actions := scatter.Start(e.now, s.request, e)
 	s.query = started
 	e.reissues.Earn(1)
-	e.scattered(s, actions)
+	e.performSearch(s, actions)
 }
 
 // startWaiting starts the searches that waited for what a service's shards hold.
@@ -104,8 +88,8 @@
 	}
 }
 
-// scattered carries out what a query decided.
-func (e *Engine) scattered(s *search, actions []scatter.Action) {
+// performSearch carries out what a query decided.
+func (e *Engine) performSearch(s *search, actions []scatter.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case scatter.Send:
@@ -117,11 +101,11 @@
 			panic(fmt.Sprintf("engine: no case for the query's action %T", action))
 		}
 	}
-	e.settle(s)
+	e.untrackClosed(s)
 }
 
-// settle stops tracking the sub-queries that the query has closed.
-func (e *Engine) settle(s *search) {
+// untrackClosed stops tracking the sub-queries that the query has closed.
+func (e *Engine) untrackClosed(s *search) {
 	for id := range s.dispatchers {
 		if !s.query.Owns(id) {
 			e.untrack(s, id)
@@ -134,7 +118,7 @@
 	switch m := m.(type) {
 	case *message.SubQuery:
 		s.dispatchers[m.ID] = to
-		e.subOwners[m.ID] = s.number
+		e.subQueryOwners[m.ID] = s.number
 		e.load(to).inFlight++
 	case *message.SubCancel:
 		e.untrack(s, m.ID)
@@ -145,12 +129,12 @@
 	if to, found := s.dispatchers[id]; found {
 		e.load(to).inFlight--
 		delete(s.dispatchers, id)
-		delete(e.subOwners, id)
+		delete(e.subQueryOwners, id)
 	}
 }
 
 func (e *Engine) receiveSubAnswer(from string, m *message.SubAnswer) {
-	number, found := e.subOwners[m.ID]
+	number, found := e.subQueryOwners[m.ID]
 	if !found {
 		return
 	}
@@ -167,7 +151,7 @@
 		// Refusals come at once and say nothing of how long a silent dispatcher may be working.
 		e.queryTimes.Record(e.now - s.startedAt)
 	}
-	e.scattered(s, actions)
+	e.performSearch(s, actions)
 }
 
 func (e *Engine) finishSearch(s *search, answer scatter.Answer) {
@@ -208,6 +192,6 @@
 			e.startSearch(s)
 			continue
 		}
-		e.scattered(s, s.query.Tick(e.now))
+		e.performSearch(s, s.query.Tick(e.now))
 	}
 }
--- a/internal/engine/status.go
+++ b/internal/engine/status.go
@@ -131,9 +131,9 @@
 // Alarms lists what an operator must look at.
 func (e *Engine) Alarms() []string {
 	var alarms []string
-	for _, service := range sortedKeys(e.storeLags) {
+	for _, service := range sortedKeys(e.store.behind) {
 		alarms = append(alarms, fmt.Sprintf("STORE_BEHIND: the store holds version %d of %s, in force is %d; confirm any plan for it to repair the store",
-			e.storeLags[service], service, e.catalog.Version(service)))
+			e.store.behind[service], service, e.catalog.Version(service)))
 	}
 	return alarms
 }
--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -115,8 +115,8 @@
 		"./internal/rehearsal", "TestBaseOfAnotherEra",
 	},
 	{
-		"an entry of another era is not read", "internal/engine/configuration.go",
-		"if e.entryStamps[service] != entry.Stamp {", "if e.entryStamps[service].Version != entry.Version {",
+		"an entry of another era is not read", "internal/engine/store.go",
+		"if e.store.stamps[service] != entry.Stamp {", "if e.store.stamps[service].Version != entry.Version {",
 		"./internal/engine", "TestListedInAnotherEra",
 	},
 	{
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -72,12 +72,12 @@
 		"./internal/dispatch", "TestDrainSignals",
 	},
 	{
-		"a leaving node gives up its groups at once", "internal/engine/engine.go",
-		"	if e.leaving {\n		return\n	}\n	e.dispatched(e.dispatcher.SetGroups", "	e.dispatched(e.dispatcher.SetGroups",
+		"a leaving node gives up its groups at once", "internal/engine/groups.go",
+		"	if e.leaving {\n		return\n	}\n	e.performDispatch(e.dispatcher.SetGroups", "	e.performDispatch(e.dispatcher.SetGroups",
 		"./internal/engine", "TestLeavingNodeServesOn",
 	},
 	{
-		"a leaving node stops at once", "internal/engine/engine.go",
+		"a leaving node stops at once", "internal/engine/leave.go",
 		"return e.leaving && busy == 0 && e.dispatcher.Idle() && now-e.leftAt >= e.settings.LeaveGrace", "return e.leaving && busy >= 0 && now >= 0",
 		"./internal/simulation", "TestPlannedStops",
 	},
@@ -88,7 +88,7 @@
 	},
 	{
 		"the base of a plan is not checked", "internal/rollout/rollout.go",
-		"	if current.Version != r.base {\n		return r.conflict(current.Version)\n	}\n", "",
+		"	if current.Version != r.change.Base {\n		return r.conflict(current.Version)\n	}\n", "",
 		"./internal/simulation", "TestOperatorsRace",
 	},
 	{
@@ -98,17 +98,17 @@
 	},
 	{
 		"a swap that lost is not read back", "internal/rollout/rollout.go",
-		"	if outcome == Done {\n		r.phase = reading\n		return []Request{{Read: true}}\n	}\n", "	if outcome == Done {\n		return r.conflict(r.base + 1)\n	}\n",
+		"	if outcome == Done {\n		r.phase = reading\n		return Read{}\n	}\n", "	if outcome == Done {\n		return r.conflict(r.change.Base + 1)\n	}\n",
 		"./internal/rollout", "TestOutcomes",
 	},
 	{
-		"accepted is said before any peer holds the document", "internal/engine/configuration.go",
+		"accepted is said before any peer holds the document", "internal/engine/confirm.go",
 		"rollout.Spreading(len(peers))", "rollout.Spreading(0)",
 		"./internal/engine", "TestAcceptedWaitsForCopies",
 	},
 	{
-		"relays trust their watch", "internal/engine/configuration.go",
-		"		if e.entryStamps[service] != entry.Stamp {", "		if e.entryStamps[service].Version == 0 {",
+		"relays trust their watch", "internal/engine/store.go",
+		"		if e.store.stamps[service] != entry.Stamp {", "		if e.store.stamps[service].Version == 0 {",
 		"./internal/engine", "TestListedChangesAreRead",
 	},
 	{
@@ -132,8 +132,8 @@
 		"./internal/gossip", "TestFreshNodeNeedsSeveralPeers",
 	},
 	{
-		"a node that was frozen goes on with what it knew", "internal/engine/engine.go",
-		"	if frozen {\n		e.woke()\n	}\n", "	_ = frozen\n",
+		"a node that was frozen goes on with what it knew", "internal/engine/call.go",
+		"	if frozen {\n		e.resume()\n	}\n", "	_ = frozen\n",
 		"./internal/engine", "TestWokenNodeRefusesUntilItHasJoined",
 	},
 	{
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -3,7 +3,9 @@
 // Accepted is said only when the compare-and-swap is known to have taken effect. An answer lost after the write is settled
 // by reading back: a document carries the ids of its last operations. Before saying so the document is handed to a few
 // peers, in another zone where one can be reached, so that it stays in force although this node and the store are lost next.
-// The core does no I/O and reads no clock.
+//
+// It owns one Rollout per confirmation under way; what is in force is the catalog's. It relies on its caller for the time and for carrying out each
+// Request, on one call at a time; it does no I/O, takes no lock and reads no clock.
 package rollout
 
 import (
@@ -23,48 +25,11 @@
 	// firstBackoff is the wait before the store is asked again, doubled each time up to maximumBackoff.
 	firstBackoff   = 20 * time.Millisecond
 	maximumBackoff = 500 * time.Millisecond
+	// storeRetryAfter is what an operator is told to wait where the store was not reached.
+	storeRetryAfter = time.Second
 )
 
-// Outcome of a request to the store.
-type Outcome uint8
-
-// The outcomes.
-const (
-	// Done: the store answered.
-	Done Outcome = iota + 1
-	// Refused: the store certainly did nothing.
-	Refused
-	// Unknown: the request may have taken effect.
-	Unknown
-)
-
-// Request is what the driver must do next. Exactly one field is set.
-type Request struct {
-	// Read the service's key.
-	Read bool
-	// Write the document over the entry that was read.
-	Write *Write
-	// Adopt a document that is in force, and hand it to peers: each answers with an ack.
-	Adopt *catalog.Document
-	// Result ends the rollout.
-	Result *Result
-}
-
-// Write is a compare-and-swap.
-type Write struct {
-	Base     platform.Stamp
-	Document catalog.Document
-}
-
-// Result is what the operator is told.
-type Result struct {
-	Version uint64
-	// Copies counts the peers known to hold the document; CopyZones their zones.
-	Copies    int
-	CopyZones int
-	Failure   *failure.Failure
-}
-
+// phase of a rollout: reading, then writing, then spreading; waiting comes between a request that failed and the next read.
 type phase uint8
 
 const (
@@ -75,14 +40,20 @@
 	ended
 )
 
+// Change is what is to be put into force.
+type Change struct {
+	Service string
+	// Operation is the operator's id of it.
+	Operation string
+	// Base is the version that was planned on.
+	Base          uint64
+	Specification catalog.Specification
+	Delete        bool
+}
+
 // Rollout is one confirmation under way.
 type Rollout struct {
-	Service       string
-	operation     string
-	base          uint64
-	specification catalog.Specification
-	remove        bool
-
+	change   Change
 	phase    phase
 	deadline time.Duration
 	wakeAt   time.Duration
@@ -90,25 +61,25 @@
 	// wrote: a write was handed to the store whose effect is not known.
 	wrote    bool
 	document catalog.Document
+	// expected is how many peers the document was handed to, copies those that hold it, zones theirs.
 	expected int
-	zones    map[string]bool
 	copies   map[string]bool
+	zones    map[string]bool
 	// held is the document this node has in force.
 	held func() catalog.Document
 }
 
 // New starts a rollout; held returns what this node has in force for the service.
-func New(now time.Duration, service, operation string, base uint64, specification catalog.Specification, remove bool, held func() catalog.Document) (*Rollout, []Request) {
+func New(now time.Duration, change Change, held func() catalog.Document) (*Rollout, Request) {
 	r := &Rollout{
-		Service: service, operation: operation, base: base, specification: specification, remove: remove,
-		deadline: now + Deadline, backoff: firstBackoff, held: held,
+		change: change, deadline: now + Deadline, backoff: firstBackoff, held: held,
 		zones: map[string]bool{}, copies: map[string]bool{},
 	}
-	return r, []Request{{Read: true}}
+	return r, Read{}
 }
 
-// Ended reports whether the result was given.
-func (r *Rollout) Ended() bool { return r.phase == ended }
+// Service is the one that is changed.
+func (r *Rollout) Service() string { return r.change.Service }
 
 // NextWake returns when Tick must be called at the latest.
 func (r *Rollout) NextWake() time.Duration {
@@ -118,15 +89,15 @@
 	return r.deadline
 }
 
-// WasRead takes in the answer to a read: the stamp of the entry, and its document.
-func (r *Rollout) WasRead(now time.Duration, outcome Outcome, entry platform.Stamp, stored catalog.Document) []Request {
+// ReadDone takes in the answer to a Read: the stamp of the entry, and its document.
+func (r *Rollout) ReadDone(now time.Duration, outcome Outcome, entry platform.Stamp, stored catalog.Document) Request {
 	if r.phase != reading {
 		return nil
 	}
 	if outcome != Done {
-		return r.again(now)
+		return r.retryLater(now)
 	}
-	if stored.HasOperation(r.operation) {
+	if stored.HasOperation(r.change.Operation) {
 		return r.adopt(now, stored)
 	}
 	current := stored
@@ -134,22 +105,22 @@
 	if held := r.held(); held.Version > current.Version {
 		current = held
 	}
-	if current.HasOperation(r.operation) {
+	if current.HasOperation(r.change.Operation) {
 		return r.adopt(now, current)
 	}
-	if current.Version != r.base {
+	if current.Version != r.change.Base {
 		return r.conflict(current.Version)
 	}
-	current.Service = r.Service
-	r.document = current.Next(entry.Era, r.operation, r.specification, r.remove)
+	current.Service = r.change.Service
+	r.document = current.Next(entry.Era, r.change.Operation, r.change.Specification, r.change.Delete)
 	r.phase = writing
 	r.wrote = true
-	return []Request{{Write: &Write{Base: entry, Document: r.document}}}
+	return Write{Base: entry, Document: r.document}
 }
 
-// WasWritten takes in the answer to a write. A swap that lost is read back: an earlier write of this very
+// WriteDone takes in the answer to a Write. A swap that lost is read back: an earlier write of this very
 // operation, whose answer was lost, may be what it lost to.
-func (r *Rollout) WasWritten(now time.Duration, outcome Outcome, swapped bool) []Request {
+func (r *Rollout) WriteDone(now time.Duration, outcome Outcome, swapped bool) Request {
 	if r.phase != writing {
 		return nil
 	}
@@ -158,46 +129,47 @@
 	}
 	if outcome == Done {
 		r.phase = reading
-		return []Request{{Read: true}}
+		return Read{}
 	}
-	return r.again(now)
+	return r.retryLater(now)
 }
 
 // conflict ends the rollout: the base has moved and this operation is not in the document, so it never took effect
 // and, its base being gone, never will.
-func (r *Rollout) conflict(current uint64) []Request {
+func (r *Rollout) conflict(current uint64) Request {
 	result := failure.Refused(failure.Conflict, "another change came first; plan again", 0)
 	result.CurrentVersion = current
 	return r.end(Result{Failure: result})
 }
 
-func (r *Rollout) end(result Result) []Request {
+func (r *Rollout) end(result Result) Request {
 	r.phase = ended
-	return []Request{{Result: &result}}
+	return result
 }
 
-func (r *Rollout) again(now time.Duration) []Request {
+// retryLater has the store read again after a pause.
+func (r *Rollout) retryLater(now time.Duration) Request {
 	r.phase = waiting
 	r.wakeAt = now + r.backoff
 	r.backoff = min(2*r.backoff, maximumBackoff)
 	return r.Tick(now)
 }
 
-func (r *Rollout) adopt(now time.Duration, document catalog.Document) []Request {
+func (r *Rollout) adopt(now time.Duration, document catalog.Document) Request {
 	r.phase = spreading
 	r.document = document
 	r.wakeAt = now + copyWait
-	return []Request{{Adopt: &document}}
+	return Adopt{Document: document}
 }
 
-// Spreading tells how many peers the document was handed to; none ends the wait.
-func (r *Rollout) Spreading(peers int) []Request {
+// Spreading takes in how many peers the document was handed to; with none the change is accepted at once.
+func (r *Rollout) Spreading(peers int) Request {
 	r.expected = peers
 	return r.endIfCopied()
 }
 
 // Copied takes in that a peer holds the document.
-func (r *Rollout) Copied(peer, zone string) []Request {
+func (r *Rollout) Copied(peer, zone string) Request {
 	if r.phase != spreading {
 		return nil
 	}
@@ -206,19 +178,19 @@
 	return r.endIfCopied()
 }
 
-func (r *Rollout) endIfCopied() []Request {
+func (r *Rollout) endIfCopied() Request {
 	if len(r.copies) < r.expected {
 		return nil
 	}
 	return r.accepted()
 }
 
-func (r *Rollout) accepted() []Request {
+func (r *Rollout) accepted() Request {
 	return r.end(Result{Version: r.document.Version, Copies: len(r.copies), CopyZones: len(r.zones)})
 }
 
 // Tick takes in the passing of time.
-func (r *Rollout) Tick(now time.Duration) []Request {
+func (r *Rollout) Tick(now time.Duration) Request {
 	switch {
 	case r.phase == ended:
 		return nil
@@ -228,17 +200,17 @@
 		return r.expire()
 	case r.phase == waiting && now >= r.wakeAt:
 		r.phase = reading
-		return []Request{{Read: true}}
+		return Read{}
 	}
 	return nil
 }
 
 // expire ends a rollout that the store has not settled in time.
-func (r *Rollout) expire() []Request {
+func (r *Rollout) expire() Request {
 	if !r.wrote {
-		return r.end(Result{Failure: failure.Refused(failure.StoreUnavailable, "the store cannot be reached; nothing changed", time.Second)})
+		return r.end(Result{Failure: failure.Refused(failure.StoreUnavailable, "the store cannot be reached; nothing changed", storeRetryAfter)})
 	}
 	unknown := failure.New(failure.OutcomeUnknown, "the store did not answer the write; confirm again with the same operation to settle it")
-	unknown.RetryAfter = time.Second
+	unknown.RetryAfter = storeRetryAfter
 	return r.end(Result{Failure: unknown})
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -13,31 +13,31 @@
 
 // script drives a rollout: each step answers the present request.
 type script struct {
-	rollout  *Rollout
-	requests []Request
-	now      time.Duration
+	rollout *Rollout
+	request Request
+	now     time.Duration
 }
 
 func start(base uint64, held catalog.Document) *script {
 	s := &script{}
-	s.rollout, s.requests = New(0, "lookup", operation, base, catalog.Specification{}, false, func() catalog.Document { return held })
+	s.rollout, s.request = New(0, Change{Service: "lookup", Operation: operation, Base: base}, func() catalog.Document { return held })
 	return s
 }
 
 func (s *script) read(outcome Outcome, stored catalog.Document) {
-	s.requests = s.rollout.WasRead(s.now, outcome, platform.Stamp{Version: stored.Version}, stored)
+	s.request = s.rollout.ReadDone(s.now, outcome, platform.Stamp{Version: stored.Version}, stored)
 }
 
 func (s *script) wrote(outcome Outcome, swapped bool) {
-	s.requests = s.rollout.WasWritten(s.now, outcome, swapped)
+	s.request = s.rollout.WriteDone(s.now, outcome, swapped)
 }
 
 // wait passes time until the rollout wants something.
 func (s *script) wait() {
 	for range 100 {
 		s.now = max(s.now, s.rollout.NextWake())
-		s.requests = s.rollout.Tick(s.now)
-		if len(s.requests) > 0 {
+		s.request = s.rollout.Tick(s.now)
+		if s.request != nil {
 			return
 		}
 	}
@@ -53,14 +53,12 @@
 }
 
 func (s *script) result() *Result {
-	for _, request := range s.requests {
-		if request.Adopt != nil {
-			s.requests = s.rollout.Spreading(0)
-			return s.result()
-		}
-		if request.Result != nil {
-			return request.Result
-		}
+	switch request := s.request.(type) {
+	case Adopt:
+		s.request = s.rollout.Spreading(0)
+		return s.result()
+	case Result:
+		return &request
 	}
 	return nil
 }
@@ -152,9 +150,9 @@
 func TestVersionsOfAnotherEra(t *testing.T) {
 	for _, c := range []struct{ era, held, want uint64 }{{0, 5, 6}, {2, 5, 2_000_000_001}, {2, 2_000_000_001, 2_000_000_002}, {2, 3_000_000_007, 3_000_000_008}} {
 		s := start(c.held, document(c.held))
-		s.requests = s.rollout.WasRead(s.now, Done, platform.Stamp{Era: c.era, Version: 3}, document(3))
-		if len(s.requests) != 1 || s.requests[0].Write == nil || s.requests[0].Write.Document.Version != c.want || s.requests[0].Write.Base.Era != c.era {
-			t.Errorf("era %d: requests %+v, want version %d", c.era, s.requests, c.want)
+		s.request = s.rollout.ReadDone(s.now, Done, platform.Stamp{Era: c.era, Version: 3}, document(3))
+		if write, ok := s.request.(Write); !ok || write.Document.Version != c.want || write.Base.Era != c.era {
+			t.Errorf("era %d: request %+v, want version %d", c.era, s.request, c.want)
 		}
 	}
 }
@@ -163,7 +161,7 @@
 func TestStoreBehindIsWrittenOver(t *testing.T) {
 	s := start(5, document(5, "newest"))
 	s.read(Done, document(3))
-	if len(s.requests) != 1 || s.requests[0].Write == nil || s.requests[0].Write.Document.Version != 6 || s.requests[0].Write.Base.Version != 3 {
-		t.Errorf("requests %+v", s.requests)
+	if write, ok := s.request.(Write); !ok || write.Document.Version != 6 || write.Base.Version != 3 {
+		t.Errorf("request %+v", s.request)
 	}
 }
--- a/internal/scatter/ask.go
+++ b/internal/scatter/ask.go
@@ -33,7 +33,7 @@
 }
 
 // nextOwner picks where to ask for a shard; shards of one group go to one dispatcher.
-func (q *Query) nextOwner(number uint32, perGroup map[uint32]string, standIn bool) (triedOwner, bool) {
+func (q *Query) nextOwner(number uint32, perGroup map[uint32]string, deputiesToo bool) (triedOwner, bool) {
 	state := &q.shards[number]
 	for _, group := range q.holders[number] {
 		var excluded []string
@@ -45,7 +45,7 @@
 		if dispatcher := perGroup[group]; dispatcher != "" && !slices.Contains(excluded, dispatcher) {
 			return triedOwner{group: group, dispatcher: dispatcher}, true
 		}
-		dispatcher, found := q.environment.Dispatcher(q.request.Service, group, excluded, standIn)
+		dispatcher, found := q.environment.Dispatcher(q.request.Service, group, excluded, deputiesToo)
 		if found && !slices.Contains(excluded, dispatcher) {
 			perGroup[group] = dispatcher
 			return triedOwner{group: group, dispatcher: dispatcher}, true
