--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -48,7 +48,7 @@
 	waits := WaitsWithin(clock.Of(min(s.LeavingTime, s.ApplyWithin, s.EvacuateWithin)))
 	return Settings{
 		Forward: forward.Settings{
-			HedgeShare: s.HedgeShare, SiblingHedges: s.SiblingHedges, LastExtras: s.LastExtras, EarlyFinish: s.EarlyFinish, Pace: s.RetryPace, AnswerMargin: answerMargin, Caution: s.QuarantineRounds > 0, ComeBack: s.EntryInterval / 2,
+			HedgeShare: s.HedgeShare, SiblingHedges: s.SiblingHedges, LastExtras: s.LastExtras, EarlyFinish: s.EarlyFinish, RetryPause: s.RetryPace, AnswerMargin: answerMargin, Caution: s.QuarantineRounds > 0, RetryAfter: s.EntryInterval / 2,
 		},
 		Replica: replica.Settings{
 			Connections: s.Connections, FarPrice: s.FarPrice, FaultPrice: s.FaultPrice, GoByPace: s.GoByPace,
@@ -60,14 +60,14 @@
 		},
 		Spread: spread.Settings{
 			Interval: digestInterval, Fanout: digestFanout, Patience: waits.Patience.Duration(), AnswerWithin: waits.AnswerWithin.Duration(), KeepGone: keepGone,
-			LapseAfter: clock.Of(lapseIntervals * s.EntryInterval), ReturnWithin: returnWithin,
+			LapseAfter: clock.Of(lapseIntervals * s.EntryInterval), RewriteWithin: returnWithin,
 		},
 		Waits: waits, DoubtFor: doubtFor(s), DoubtOldFor: returnWithin.Duration() + oldIntervals*s.EntryInterval, MostConnections: mostConnections, RetrySlack: s.RetrySlack,
 		Places:     replica.Places{Node: s.Node, Zone: s.Zone, Regions: s.Regions},
 		RetryShare: s.RetryShare * (1 - retryMargin), RetryWindow: s.RetryWindow, HedgeReserve: hedgeReserve,
 		ShareConnections: s.ShareConnections, YoungPart: s.YoungPart, StoreTurns: s.StoreTurns, PeerCopies: s.PeerCopies,
 		Watchers: s.Watchers, StartingHold: s.StartingHold, Reports: s.Reports,
-		Linger: s.Linger, TurnAway: s.TurnAway, Quarantine: quarantine.Settings{Rounds: s.QuarantineRounds, For: clock.Of(s.QuarantineFor)},
+		TurnAway: s.TurnAway, Quarantine: quarantine.Settings{Rounds: s.QuarantineRounds, For: clock.Of(s.QuarantineFor)},
 		MaximumRequests: s.MaximumRequests, Seed: rand.Uint64(),
 	}
 }
