--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -1,11 +1,13 @@
 // Package experiment plays variants of a system on the same days with the same seeds, and says what their differences are worth.
 //
-// It knows nothing of what plays a day: that is a Player.
+// It owns the plan, the file of results and their comparison; what plays a day is a Player, of which it knows nothing. Play may have several
+// days under way at a time; Compare, Print and Plot only compute and write.
 package experiment
 
 import (
 	"fmt"
 	"os"
+	"slices"
 	"strings"
 
 	"github.com/goccy/go-yaml"
@@ -84,7 +86,7 @@
 		}
 		names[v.Name] = true
 		for field := range v.Settings {
-			if !contains(known, field) {
+			if !slices.Contains(known, field) {
 				add("variant %q: %q is no setting", v.Name, field)
 			}
 		}
@@ -124,12 +126,3 @@
 	}
 	return runs
 }
-
-func contains(list []string, value string) bool {
-	for _, entry := range list {
-		if entry == value {
-			return true
-		}
-	}
-	return false
-}
