--- /dev/null
+++ b/cmd/stiletrail-rehearsal/load.go
@@ -0,0 +1,51 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+	"os"
+	"time"
+
+	"github.com/alecthomas/kingpin/v2"
+
+	"stiletrail/api/stiletrail/v1/stiletrailv1connect"
+	"stiletrail/internal/failure"
+	"stiletrail/internal/rehearsal"
+	"stiletrail/internal/standin"
+)
+
+func addLoad(app *kingpin.Application, commands map[string]func() error) {
+	command := app.Command("load", "Send searches at a rate that does not wait for answers, and report as JSON.")
+	nodes := command.Flag("node", "HTTP address of a node; repeatable.").Default("127.0.0.1:7101").Strings()
+	service := command.Flag("service", "Service.").Required().String()
+	rate := command.Flag("rate", "Searches per second.").Default("100").Float64()
+	duration := command.Flag("duration", "How long.").Default("5s").Duration()
+	keys := command.Flag("keys", "Documents of the stand-in's index, to check answers by; 0 for no check.").Default("0").Int()
+	total := command.Flag("shards-total", "Shards of the stand-in's index in epoch 1.").Default("0").Uint32()
+	commands[command.FullCommand()] = func() error {
+		const maximumOutstanding = 4096
+		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
+		var clients []stiletrailv1connect.QueryServiceClient
+		for _, address := range *nodes {
+			clients = append(clients, stiletrailv1connect.NewQueryServiceClient(client, "http://"+address))
+		}
+		options := rehearsal.LoadOptions{
+			Service: *service, Rate: *rate, Duration: *duration, MaximumOutstanding: maximumOutstanding, Seed: uint64(time.Now().UnixNano()),
+		}
+		if *keys > 0 {
+			options.Index = &standin.Index{Service: *service, Keys: *keys}
+			options.Totals = map[uint64]uint32{1: *total}
+		}
+		report := rehearsal.RunLoad(context.Background(), clients, options)
+		encoder := json.NewEncoder(os.Stdout)
+		encoder.SetIndent("", "  ")
+		if err := encoder.Encode(report); err != nil {
+			return failure.From(err)
+		}
+		if report.Wrong > 0 {
+			return failure.New(failure.Internal, "wrong answers were found")
+		}
+		return nil
+	}
+}
--- a/cmd/stiletrail-rehearsal/main.go
+++ b/cmd/stiletrail-rehearsal/main.go
@@ -1,9 +1,12 @@
-// Command stiletrail-rehearsal runs stand-ins of the platform and of back ends, load, and whole rehearsals.
+// Command stiletrail-rehearsal runs stand-ins of the platform and of back ends, load, whole rehearsals, and experiments on the users' bench.
 package main
 
 import (
+	"context"
 	"fmt"
 	"os"
+	"os/signal"
+	"syscall"
 
 	"github.com/alecthomas/kingpin/v2"
 
@@ -36,3 +39,10 @@
 	}
 	os.Exit(exitOK)
 }
+
+// untilSignal blocks until the process is asked to stop.
+func untilSignal() {
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	<-ctx.Done()
+}
--- /dev/null
+++ b/cmd/stiletrail-rehearsal/quickstart.go
@@ -0,0 +1,30 @@
+package main
+
+import (
+	"io"
+	"os"
+
+	"github.com/alecthomas/kingpin/v2"
+
+	"stiletrail/internal/failure"
+	"stiletrail/internal/rehearsal"
+)
+
+func addQuickstart(app *kingpin.Application, commands map[string]func() error) {
+	command := app.Command("quickstart", "Run the main job in one process: three zones, the platform and back ends, with failures. Ends by itself within a minute.")
+	verbose := command.Flag("verbose", "Write the nodes' logs to standard error.").Bool()
+	commands[command.FullCommand()] = func() error {
+		var log io.Writer = io.Discard
+		if *verbose {
+			log = os.Stderr
+		}
+		summary, err := rehearsal.Quickstart(os.Stdout, log)
+		if err != nil {
+			return err
+		}
+		if !summary.Ok {
+			return failure.New(failure.Internal, "the quickstart found wrong answers")
+		}
+		return nil
+	}
+}
--- a/internal/rehearsal/backend.go
+++ b/internal/rehearsal/backend.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"strconv"
 	"strings"
@@ -11,7 +10,6 @@
 	"time"
 
 	"connectrpc.com/connect"
-	"golang.org/x/net/netutil"
 
 	stiletrailv1 "stiletrail/api/stiletrail/v1"
 	"stiletrail/api/stiletrail/v1/stiletrailv1connect"
@@ -19,13 +17,6 @@
 	"stiletrail/internal/standin"
 )
 
-func limitListener(listener net.Listener, connections int) net.Listener {
-	if connections <= 0 {
-		return listener
-	}
-	return netutil.LimitListener(listener, connections)
-}
-
 // BackEndOptions of a back-end stand-in.
 type BackEndOptions struct {
 	Service     string
--- a/internal/rehearsal/load.go
+++ b/internal/rehearsal/load.go
@@ -8,12 +8,10 @@
 	"time"
 
 	"connectrpc.com/connect"
-	hdrhistogram "github.com/HdrHistogram/hdrhistogram-go"
 
 	stiletrailv1 "stiletrail/api/stiletrail/v1"
 	"stiletrail/api/stiletrail/v1/stiletrailv1connect"
 	"stiletrail/internal/api"
-	"stiletrail/internal/failure"
 	"stiletrail/internal/query"
 	"stiletrail/internal/standin"
 )
@@ -32,99 +30,6 @@
 	Seed               uint64
 }
 
-// Report is the outcome of a load. Latencies run from the time a search was due, so they are corrected for coordinated
-// omission.
-type Report struct {
-	Searches int `json:"searches"`
-	Complete int `json:"complete"`
-	Partial  int `json:"partial"`
-	// Refused as not run, Failed otherwise, NotSent by the load itself.
-	Refused  int                  `json:"refused"`
-	Failed   int                  `json:"failed"`
-	NotSent  int                  `json:"not_sent"`
-	Wrong    int                  `json:"wrong"`
-	Failures map[failure.Code]int `json:"failures,omitempty"`
-	// WrongAnswers says what was wrong.
-	WrongAnswers map[standin.Fault]int `json:"wrong_answers,omitempty"`
-	// MeanCoverage over all searches that got an answer.
-	MeanCoverage float64 `json:"mean_coverage"`
-	P50          float64 `json:"p50_ms"`
-	P99          float64 `json:"p99_ms"`
-	P999         float64 `json:"p999_ms"`
-	// RefusedP99 is how long refusals took.
-	RefusedP99 float64 `json:"refused_p99_ms"`
-	// Goodput is answered searches per second.
-	Goodput float64 `json:"goodput"`
-}
-
-// recorder collects outcomes from many goroutines.
-type recorder struct {
-	mutex    sync.Mutex
-	report   Report
-	latency  *hdrhistogram.Histogram
-	refusals *hdrhistogram.Histogram
-	coverage float64
-}
-
-const (
-	histogramMaximum   = int64(time.Minute / time.Microsecond)
-	histogramPrecision = 3
-)
-
-func newRecorder() *recorder {
-	return &recorder{
-		report:   Report{Failures: map[failure.Code]int{}, WrongAnswers: map[standin.Fault]int{}},
-		latency:  hdrhistogram.New(1, histogramMaximum, histogramPrecision),
-		refusals: hdrhistogram.New(1, histogramMaximum, histogramPrecision),
-	}
-}
-
-func (r *recorder) answered(elapsed time.Duration, coverage query.Coverage, fault standin.Fault) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	_ = r.latency.RecordValue(max(elapsed.Microseconds(), 1))
-	r.coverage += coverage.Share()
-	if coverage.Complete() {
-		r.report.Complete++
-	} else {
-		r.report.Partial++
-	}
-	if fault != standin.FaultNone {
-		r.report.Wrong++
-		r.report.WrongAnswers[fault]++
-	}
-}
-
-func (r *recorder) failed(elapsed time.Duration, problem *failure.Failure) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.report.Failures[problem.Code]++
-	if !problem.NotRun {
-		r.report.Failed++
-		return
-	}
-	r.report.Refused++
-	_ = r.refusals.RecordValue(max(elapsed.Microseconds(), 1))
-}
-
-func milliseconds(histogram *hdrhistogram.Histogram, quantile float64) float64 {
-	return float64(histogram.ValueAtQuantile(quantile)) / 1000
-}
-
-// finish returns the report of all that was recorded over the duration.
-func (r *recorder) finish(duration time.Duration) Report {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	answered := r.report.Complete + r.report.Partial
-	if answered > 0 {
-		r.report.MeanCoverage = r.coverage / float64(answered)
-	}
-	r.report.P50, r.report.P99, r.report.P999 = milliseconds(r.latency, 50), milliseconds(r.latency, 99), milliseconds(r.latency, 99.9)
-	r.report.RefusedP99 = milliseconds(r.refusals, 99)
-	r.report.Goodput = float64(answered) / duration.Seconds()
-	return r.report
-}
-
 // RunLoad sends searches to the nodes in turn and reports.
 func RunLoad(ctx context.Context, nodes []stiletrailv1connect.QueryServiceClient, options LoadOptions) Report {
 	recorder := newRecorder()
--- a/internal/rehearsal/platform.go
+++ b/internal/rehearsal/platform.go
@@ -1,18 +1,19 @@
-// Package rehearsal runs stand-ins of back ends and the platform, whole clusters on loopback, and load against them.
+// Package rehearsal runs the own interface on loopback: servers of the models in package standin, clusters of nodes in this process, load
+// that checks every answer, and the quickstart, which joins them.
+//
+// A Platform and a BackEnd each own a port, a model and the mutex around it; a Cluster owns its nodes, back ends and platform. Time is the
+// machine's.
 package rehearsal
 
 import (
 	"context"
-	"net"
 	"net/http"
-	"strings"
 	"sync"
 	"time"
 
 	"connectrpc.com/connect"
 	"golang.org/x/time/rate"
 
-	stiletrailv1 "stiletrail/api/stiletrail/v1"
 	"stiletrail/api/stiletrail/v1/stiletrailv1connect"
 	"stiletrail/internal/failure"
 	"stiletrail/internal/platform"
@@ -39,17 +40,6 @@
 	MachineListLag time.Duration
 }
 
-type machineListAt struct {
-	at       time.Time
-	machines []platform.Machine
-}
-
-type lease struct {
-	expires time.Time
-	life    time.Duration
-	keys    []string
-}
-
 // Platform serves the key-value service and the machine list.
 type Platform struct {
 	options PlatformOptions
@@ -100,13 +90,6 @@
 	p.faults = faults
 }
 
-// SetMachines changes the machine list; it shows after its lag.
-func (p *Platform) SetMachines(machines []platform.Machine) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.lists = append(p.lists, machineListAt{at: time.Now(), machines: machines})
-}
-
 // Store gives access to what is stored, for tests.
 func (p *Platform) Store(use func(*standin.Store)) {
 	p.mutex.Lock()
@@ -147,196 +130,3 @@
 	p.expireLeases()
 	return nil
 }
-
-func toProto(entry platform.Entry) *stiletrailv1.Entry {
-	return &stiletrailv1.Entry{Key: entry.Key, Version: entry.Version, Era: entry.Era, Value: entry.Value}
-}
-
-// Get implements the key-value service.
-func (p *Platform) Get(ctx context.Context, request *connect.Request[stiletrailv1.GetRequest]) (*connect.Response[stiletrailv1.GetResponse], error) {
-	if err := p.enter(ctx); err != nil {
-		return nil, err
-	}
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	response := &stiletrailv1.GetResponse{Era: p.store.Era()}
-	if entry, found := p.store.Get(request.Msg.GetKey()); found {
-		response.Entry = toProto(entry)
-	}
-	return connect.NewResponse(response), nil
-}
-
-// List implements the key-value service.
-func (p *Platform) List(ctx context.Context, request *connect.Request[stiletrailv1.ListRequest]) (*connect.Response[stiletrailv1.ListResponse], error) {
-	if err := p.enter(ctx); err != nil {
-		return nil, err
-	}
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	response := &stiletrailv1.ListResponse{}
-	for _, entry := range p.store.List(request.Msg.GetPrefix()) {
-		if request.Msg.GetKeysOnly() {
-			entry.Value = nil
-		}
-		response.Entries = append(response.Entries, toProto(entry))
-	}
-	return connect.NewResponse(response), nil
-}
-
-// CompareAndSwap implements the key-value service.
-func (p *Platform) CompareAndSwap(ctx context.Context, request *connect.Request[stiletrailv1.CompareAndSwapRequest]) (*connect.Response[stiletrailv1.CompareAndSwapResponse], error) {
-	if err := p.enter(ctx); err != nil {
-		return nil, err
-	}
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	entry, swapped := p.store.CompareAndSwap(request.Msg.GetKey(), platform.Stamp{Era: request.Msg.GetBaseEra(), Version: request.Msg.GetBaseVersion()}, request.Msg.GetValue())
-	if swapped {
-		if held := p.leases[request.Msg.GetLease()]; held != nil {
-			held.keys = append(held.keys, entry.Key)
-		}
-		p.notify(entry)
-	}
-	if swapped && p.faults.LoseAnswers > 0 {
-		p.faults.LoseAnswers--
-		return nil, connect.NewError(connect.CodeUnavailable, failure.New(failure.OutcomeUnknown, "the answer was lost"))
-	}
-	return connect.NewResponse(&stiletrailv1.CompareAndSwapResponse{Swapped: swapped, Entry: toProto(entry)}), nil
-}
-
-func (p *Platform) notify(entry platform.Entry) {
-	if p.faults.LoseEvents {
-		return
-	}
-	for watcher, prefix := range p.watchers {
-		if !strings.HasPrefix(entry.Key, prefix) {
-			continue
-		}
-		select {
-		case watcher <- entry:
-		default:
-		}
-	}
-}
-
-// Watch implements the key-value service.
-func (p *Platform) Watch(ctx context.Context, request *connect.Request[stiletrailv1.WatchRequest], stream *connect.ServerStream[stiletrailv1.WatchResponse]) error {
-	if err := p.enter(ctx); err != nil {
-		return err
-	}
-	const queueLength = 256
-	events := make(chan platform.Entry, queueLength)
-	p.mutex.Lock()
-	p.watchers[events] = request.Msg.GetPrefix()
-	p.mutex.Unlock()
-	defer func() {
-		p.mutex.Lock()
-		delete(p.watchers, events)
-		p.mutex.Unlock()
-	}()
-	for {
-		select {
-		case <-ctx.Done():
-			return nil
-		case <-p.server.closing:
-			return nil
-		case entry := <-events:
-			if err := stream.Send(&stiletrailv1.WatchResponse{Entry: toProto(entry)}); err != nil {
-				return err
-			}
-		}
-	}
-}
-
-// GrantLease implements the key-value service.
-func (p *Platform) GrantLease(ctx context.Context, request *connect.Request[stiletrailv1.GrantLeaseRequest]) (*connect.Response[stiletrailv1.GrantLeaseResponse], error) {
-	if err := p.enter(ctx); err != nil {
-		return nil, err
-	}
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.nextID++
-	life := time.Duration(request.Msg.GetTimeToLiveMilliseconds()) * time.Millisecond
-	p.leases[p.nextID] = &lease{expires: time.Now().Add(life), life: life}
-	return connect.NewResponse(&stiletrailv1.GrantLeaseResponse{Lease: p.nextID}), nil
-}
-
-// KeepAlive implements the key-value service.
-func (p *Platform) KeepAlive(ctx context.Context, request *connect.Request[stiletrailv1.KeepAliveRequest]) (*connect.Response[stiletrailv1.KeepAliveResponse], error) {
-	if err := p.enter(ctx); err != nil {
-		return nil, err
-	}
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	held := p.leases[request.Msg.GetLease()]
-	if held != nil {
-		held.expires = time.Now().Add(held.life)
-	}
-	return connect.NewResponse(&stiletrailv1.KeepAliveResponse{Alive: held != nil}), nil
-}
-
-func (p *Platform) expireLeases() {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	for id, held := range p.leases {
-		if time.Now().Before(held.expires) {
-			continue
-		}
-		for _, key := range held.keys {
-			p.store.Delete(key)
-		}
-		delete(p.leases, id)
-	}
-}
-
-// ListMachines implements the machine list: the newest list that is as old as the lag.
-func (p *Platform) ListMachines(ctx context.Context, _ *connect.Request[stiletrailv1.ListMachinesRequest]) (*connect.Response[stiletrailv1.ListMachinesResponse], error) {
-	if err := p.enter(ctx); err != nil {
-		return nil, err
-	}
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	response := &stiletrailv1.ListMachinesResponse{}
-	var shown []platform.Machine
-	for _, list := range p.lists {
-		if time.Since(list.at) >= p.options.MachineListLag {
-			shown = list.machines
-		}
-	}
-	for _, machine := range shown {
-		response.Machines = append(response.Machines, &stiletrailv1.Machine{
-			Address: machine.Address, Zone: machine.Zone, Leaving: machine.Leaving, Role: stiletrailv1.MachineRole(machine.Role),
-		})
-	}
-	return connect.NewResponse(response), nil
-}
-
-// server is an HTTP server on a port of its own.
-type server struct {
-	address string
-	http    *http.Server
-	closing chan struct{}
-	once    sync.Once
-}
-
-// startServer serves a handler; connections bounds the connections taken, zero for no bound.
-func startServer(address string, handler http.Handler, connections int) (*server, error) {
-	listener, err := net.Listen("tcp", address)
-	if err != nil {
-		return nil, failure.Wrap(err, failure.SettingsInvalid, "the address cannot be listened on")
-	}
-	const readHeaderTimeout = 5 * time.Second
-	s := &server{
-		address: listener.Addr().String(), closing: make(chan struct{}),
-		http: &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout},
-	}
-	go func() { _ = s.http.Serve(limitListener(listener, connections)) }()
-	return s, nil
-}
-
-func (s *server) close() {
-	s.once.Do(func() {
-		close(s.closing)
-		_ = s.http.Close()
-	})
-}
