--- /dev/null
+++ b/internal/simulation/network_test.go
@@ -0,0 +1,103 @@
+package simulation
+
+import (
+	"time"
+
+	"stiletrail/internal/engine"
+	"stiletrail/internal/message"
+)
+
+// zoneOf returns a zone by name.
+func (w *World) zoneOf(name string) Zone {
+	for _, zone := range w.options.Zones {
+		if zone.Name == name {
+			return zone
+		}
+	}
+	return Zone{}
+}
+
+// reachable reports whether two zones reach each other now. The platform is in the zone without a name.
+func (w *World) reachable(a, b string) bool {
+	if a == b {
+		return true
+	}
+	if w.isolated[a] || w.isolated[b] {
+		return false
+	}
+	return !w.apart || w.zoneOf(a).Region == w.zoneOf(b).Region || a == "" || b == ""
+}
+
+func (w *World) distance(a, b string) time.Duration {
+	switch {
+	case a == b:
+		return w.options.Distances.SameZone
+	case w.zoneOf(a).Region == w.zoneOf(b).Region:
+		return w.options.Distances.OtherZone
+	}
+	return w.options.Distances.OtherRegion
+}
+
+// jitter spreads a latency by a tenth.
+func (w *World) jitter(latency time.Duration) time.Duration {
+	return latency + time.Duration(w.random.Int64N(int64(latency)/10+1))
+}
+
+// sendPeer carries a message to another node through the model of TCP: on a path that is cut it is undelivered.
+func (w *World) sendPeer(n *simNode, to string, m message.Message) {
+	w.note("send", n.address, to, m.Kind())
+	// The message is encoded and decoded as on a real connection.
+	frame := message.Encode(m)
+	target := w.nodes[to]
+	if target == nil || target.dead || !w.reachable(n.zone.Name, target.zone.Name) {
+		w.undelivered(n, to, m)
+		return
+	}
+	delay := w.jitter(w.distance(n.zone.Name, target.zone.Name))
+	if w.chance(w.Chances.Lost) {
+		w.Faults++
+		if w.random.IntN(2) == 0 {
+			w.after(delay*2, func() {
+				w.step(n, func() engine.Output { return n.engine.Undelivered(w.now, to, m, true) })
+			})
+		}
+		return
+	}
+	if w.chance(w.Chances.Late) {
+		w.Faults++
+		delay += time.Duration(w.random.Int64N(int64(w.Chances.LateBy)))
+	}
+	w.deliver(n, target, frame, delay)
+	if w.chance(w.Chances.Doubled) {
+		w.Faults++
+		w.deliver(n, target, frame, delay+time.Duration(w.random.Int64N(int64(100*time.Millisecond))))
+	}
+}
+
+func (w *World) deliver(n, target *simNode, frame []byte, delay time.Duration) {
+	from := n.address
+	w.after(delay, func() {
+		header, err := message.DecodeHeader(frame)
+		if err != nil {
+			panic("simulation: frame does not decode: " + err.Error())
+		}
+		m, err := message.DecodePayload(header, frame[message.HeaderSize:])
+		if err != nil {
+			panic("simulation: frame does not decode: " + err.Error())
+		}
+		w.step(target, func() engine.Output { return target.engine.Receive(w.now, from, m) })
+	})
+}
+
+// undelivered reports a message to a peer that is gone or cut off: a connection refused at once, or a timeout.
+func (w *World) undelivered(n *simNode, to string, m message.Message) {
+	delay := dialTimeout
+	target := w.nodes[to]
+	if target != nil && target.dead && w.reachable(n.zone.Name, target.zone.Name) {
+		delay = 2 * w.distance(n.zone.Name, target.zone.Name)
+	}
+	written := delay == dialTimeout
+	w.after(delay, func() {
+		w.step(n, func() engine.Output { return n.engine.Undelivered(w.now, to, m, written) })
+	})
+}
--- a/internal/simulation/nodes_test.go
+++ b/internal/simulation/nodes_test.go
@@ -8,7 +8,6 @@
 	"time"
 
 	"stiletrail/internal/engine"
-	"stiletrail/internal/message"
 )
 
 // Times of the models around a node.
@@ -142,65 +141,6 @@
 	w.answerCallers(n, output)
 }
 
-// sendPeer carries a message to another node through the model of TCP: on a path that is cut it is undelivered.
-func (w *World) sendPeer(n *simNode, to string, m message.Message) {
-	w.note("send", n.address, to, m.Kind())
-	// The message is encoded and decoded as on a real connection.
-	frame := message.Encode(m)
-	target := w.nodes[to]
-	if target == nil || target.dead || !w.reachable(n.zone.Name, target.zone.Name) {
-		w.undelivered(n, to, m)
-		return
-	}
-	delay := w.jitter(w.distance(n.zone.Name, target.zone.Name))
-	if w.chance(w.Chances.Lost) {
-		w.Faults++
-		if w.random.IntN(2) == 0 {
-			w.after(delay*2, func() {
-				w.step(n, func() engine.Output { return n.engine.Undelivered(w.now, to, m, true) })
-			})
-		}
-		return
-	}
-	if w.chance(w.Chances.Late) {
-		w.Faults++
-		delay += time.Duration(w.random.Int64N(int64(w.Chances.LateBy)))
-	}
-	w.deliver(n, target, frame, delay)
-	if w.chance(w.Chances.Doubled) {
-		w.Faults++
-		w.deliver(n, target, frame, delay+time.Duration(w.random.Int64N(int64(100*time.Millisecond))))
-	}
-}
-
-func (w *World) deliver(n, target *simNode, frame []byte, delay time.Duration) {
-	from := n.address
-	w.after(delay, func() {
-		header, err := message.DecodeHeader(frame)
-		if err != nil {
-			panic("simulation: frame does not decode: " + err.Error())
-		}
-		m, err := message.DecodePayload(header, frame[message.HeaderSize:])
-		if err != nil {
-			panic("simulation: frame does not decode: " + err.Error())
-		}
-		w.step(target, func() engine.Output { return target.engine.Receive(w.now, from, m) })
-	})
-}
-
-// undelivered reports a message to a peer that is gone or cut off: a connection refused at once, or a timeout.
-func (w *World) undelivered(n *simNode, to string, m message.Message) {
-	delay := dialTimeout
-	target := w.nodes[to]
-	if target != nil && target.dead && w.reachable(n.zone.Name, target.zone.Name) {
-		delay = 2 * w.distance(n.zone.Name, target.zone.Name)
-	}
-	written := delay == dialTimeout
-	w.after(delay, func() {
-		w.step(n, func() engine.Output { return n.engine.Undelivered(w.now, to, m, written) })
-	})
-}
-
 // kill ends a node's process without a word. Peers notice broken connections if they can.
 func (w *World) kill(n *simNode) {
 	w.note("kill", n.address)
@@ -269,16 +209,3 @@
 		}
 	})
 }
-
-func (w *World) readMachines(n *simNode) {
-	if n.dead {
-		return
-	}
-	w.after(machineListPeriod, func() { w.readMachines(n) })
-	if !w.storeDown && w.reachable(n.zone.Name, "") {
-		w.step(n, func() engine.Output {
-			n.machinesAt = w.now
-			return n.engine.SetMachines(w.now, w.machineList())
-		})
-	}
-}
--- /dev/null
+++ b/internal/simulation/schedule_test.go
@@ -0,0 +1,153 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+)
+
+// Kind of fault that a schedule may draw.
+type Kind uint8
+
+// The kinds of fault.
+const (
+	KillNode Kind = iota
+	ReplaceNode
+	FreezeNode
+	LeaveNode
+	KillBackEnd
+	HangBackEnd
+	DrainBackEnd
+	LieBackEnd
+	StraggleBackEnd
+	CorruptBackEnd
+	ReviveBackEnd
+	IsolateZone
+	PartRegions
+	StoreDown
+	StoreSlow
+	PublishVersion
+	Repartition
+	RaceOperators
+	Execute
+	kinds
+)
+
+var kindNames = [...]string{
+	"kill-node", "replace-node", "freeze-node", "leave-node", "kill-back-end", "hang-back-end", "drain-back-end",
+	"lie-back-end", "straggle-back-end", "corrupt-back-end", "revive-back-end", "isolate-zone", "part-regions", "store-down",
+	"store-slow", "publish-version", "repartition", "race-operators", "execute",
+}
+
+// String names the kind.
+func (k Kind) String() string { return kindNames[k] }
+
+// Kinds returns all kinds.
+func Kinds() []Kind {
+	all := make([]Kind, kinds)
+	for i := range all {
+		all[i] = Kind(i)
+	}
+	return all
+}
+
+// Fault is one entry of a schedule.
+type Fault struct {
+	At   time.Duration
+	Kind Kind
+	// Pick chooses among what the fault can strike; Length is how long it lasts.
+	Pick   int
+	Length time.Duration
+}
+
+// String shows the fault in a failing schedule.
+func (f Fault) String() string {
+	return fmt.Sprintf("%s %s pick=%d for %s", f.At, f.Kind, f.Pick, f.Length)
+}
+
+// Schedule is what happens in a run.
+type Schedule struct {
+	Seed    uint64
+	Faults  []Fault
+	Chances Chances
+	// Searches per second.
+	Searches float64
+	Length   time.Duration
+}
+
+// settleTime is given after the last fault is mended, before what must hold in the end is checked.
+const settleTime = 25 * time.Second
+
+// DrawSchedule draws a schedule from a seed.
+func DrawSchedule(seed uint64) Schedule {
+	w := New(Options{Seed: seed ^ 0x9e3779b97f4a7c15})
+	schedule := Schedule{Seed: seed, Length: 25 * time.Second, Searches: 20}
+	if w.random.IntN(2) == 0 {
+		schedule.Chances = Chances{
+			Lost: 0.01, Doubled: 0.02, Late: 0.02, LateBy: 400 * time.Millisecond,
+			StoreAnswerLost: 0.3, StoreLate: 0.2, EventLost: 0.5,
+		}
+	}
+	for range 5 + w.random.IntN(25) {
+		schedule.Faults = append(schedule.Faults, Fault{
+			At:     5*time.Second + time.Duration(w.random.Int64N(int64(schedule.Length-5*time.Second))),
+			Kind:   Kind(w.random.IntN(int(kinds))),
+			Pick:   w.random.IntN(1000),
+			Length: time.Duration(w.random.Int64N(int64(8*time.Second))) + 100*time.Millisecond,
+		})
+	}
+	return schedule
+}
+
+// Result of a run.
+type Result struct {
+	Seed    uint64
+	Trace   uint64
+	Steps   int
+	Faults  int
+	Checker *Checker
+}
+
+// RunSchedule runs a schedule in the small world and checks it.
+func RunSchedule(schedule Schedule) Result {
+	w := New(SmallOptions(schedule.Seed))
+	w.configureAll()
+	w.Chances = schedule.Chances
+	for _, fault := range schedule.Faults {
+		w.after(fault.At-w.now, func() { w.strike(fault) })
+	}
+	w.startSearches(schedule.Searches, schedule.Length+settleTime)
+	w.Run(schedule.Length - w.now)
+	w.mend()
+	w.Run(settleTime)
+	w.Check.InForce()
+	w.Check.Unanswered(6 * time.Second)
+	return Result{Seed: schedule.Seed, Trace: w.Trace(), Steps: w.Steps, Faults: w.Faults, Checker: w.Check}
+}
+
+// configureAll lets the nodes meet and puts an intent for each service into force.
+func (w *World) configureAll() {
+	w.Run(3 * time.Second)
+	for _, service := range w.options.Services {
+		w.Change(w.liveNode(), w.IntentFor(w.services[service.Name]), "create-"+service.Name)
+		w.Run(200 * time.Millisecond)
+	}
+	w.Run(time.Second)
+}
+
+// startSearches sends searches at a rate until a time, to random nodes and services.
+func (w *World) startSearches(rate float64, until time.Duration) {
+	number := 0
+	var next func()
+	next = func() {
+		if w.now >= until {
+			return
+		}
+		service := w.options.Services[w.random.IntN(len(w.options.Services))]
+		if n := w.callerNode(); n != nil {
+			w.Search(n, service.Name, fmt.Sprintf("search-%d", number))
+		}
+		number++
+		w.after(time.Duration(w.random.ExpFloat64()/rate*float64(time.Second)), next)
+	}
+	next()
+}
--- /dev/null
+++ b/internal/simulation/searches_test.go
@@ -0,0 +1,130 @@
+package simulation
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"stiletrail/internal/query"
+)
+
+// TestOneSnapshot: versions change and shards move while searches run.
+func TestOneSnapshot(t *testing.T) {
+	forSeeds(t, 4, func(t *testing.T, seed uint64) {
+		w := proofWorld(t, seed, 100, 20*time.Second)
+		for i := range 60 {
+			w.after(time.Duration(i)*300*time.Millisecond, func() { w.publishVersion(w.services["lookup"], 250*time.Millisecond) })
+			w.after(time.Duration(i)*300*time.Millisecond, func() { w.publishVersion(w.services["archive"], 250*time.Millisecond) })
+		}
+		for i := range 4 {
+			w.after(time.Duration(2+4*i)*time.Second, func() { w.repartition(w.services["archive"], uint32(9+i), time.Second) })
+		}
+		w.Run(22 * time.Second)
+		noViolations(t, w)
+		if w.Check.Complete < w.Check.Searches*7/10 {
+			t.Errorf("only %d of %d searches were complete", w.Check.Complete, w.Check.Searches)
+		}
+	})
+}
+
+// TestCoverageIsTrue: all holders of a shard are lost; the answers say so, for as long as nobody holds it.
+func TestCoverageIsTrue(t *testing.T) {
+	forSeeds(t, 4, func(t *testing.T, seed uint64) {
+		w := proofWorld(t, seed, 60, 10*time.Second)
+		backEnds := w.services["archive"].backEnds
+		w.killBackEnd(backEnds[2])
+		w.killBackEnd(backEnds[3])
+		lost := uint32(3)
+		missing := 0
+		w.Answered = func(outcome SearchOutcome) {
+			if outcome.Coverage.Total != 8 || outcome.Failure != nil {
+				return
+			}
+			if outcome.Coverage.Complete() {
+				t.Errorf("a search was complete without shard %d", lost)
+			}
+			if slices.ContainsFunc(outcome.Coverage.Missing, func(m query.Missing) bool { return m.Shard == lost }) {
+				missing++
+			}
+		}
+		w.Run(time.Second)
+		// Fresh nodes must not forget the shard either.
+		n := w.nodes[w.live[0]]
+		w.kill(n)
+		w.startNode(n.zone)
+		w.Run(10 * time.Second)
+		noViolations(t, w)
+		if missing == 0 {
+			t.Error("no answer named the lost shard")
+		}
+	})
+}
+
+// TestStragglersAndHedges: hedges and originals both answer; nothing is doubled, and coverage is kept.
+func TestStragglersAndHedges(t *testing.T) {
+	forSeeds(t, 4, func(t *testing.T, seed uint64) {
+		w := proofWorld(t, seed, 60, 15*time.Second)
+		for _, service := range w.services {
+			for _, b := range service.backEnds {
+				b.model.Latency.StragglerChance = 0.05
+				b.model.Latency.StragglerFactor = 12
+			}
+		}
+		w.Run(16 * time.Second)
+		noViolations(t, w)
+		hedges, won := w.hedges()
+		t.Logf("hedges %d, won %d", hedges, won)
+		if won == 0 || w.Check.Complete < w.Check.Searches*98/100 {
+			t.Errorf("hedges won %d, complete %d of %d", won, w.Check.Complete, w.Check.Searches)
+		}
+	})
+}
+
+func (w *World) hedges() (sent, won uint64) {
+	for _, address := range w.live {
+		counters := w.nodes[address].engine.DispatchCounters()
+		sent += counters.Hedges
+		won += counters.HedgesWon
+	}
+	return sent, won
+}
+
+// TestBrokenAnswersAreDropped: answers at another snapshot, with missing or crossed shards.
+func TestBrokenAnswersAreDropped(t *testing.T) {
+	forSeeds(t, 4, func(t *testing.T, seed uint64) {
+		w := proofWorld(t, seed, 60, 10*time.Second)
+		for _, service := range w.services {
+			for i, b := range service.backEnds {
+				if i%2 == 0 {
+					b.model.Corrupt = 0.5
+				}
+			}
+		}
+		w.Run(11 * time.Second)
+		noViolations(t, w)
+		var invalid uint64
+		for _, address := range w.live {
+			counters := w.nodes[address].engine.DispatchCounters()
+			invalid += counters.InvalidAnswers + counters.WrongSnapshot
+		}
+		if invalid == 0 {
+			t.Error("no broken answer was noticed")
+		}
+	})
+}
+
+// TestNotRunIsTrue: overload, freezes and lost frames; what is refused as not run never runs.
+func TestNotRunIsTrue(t *testing.T) {
+	forSeeds(t, 6, func(t *testing.T, seed uint64) {
+		w := proofWorld(t, seed, 1500, 6*time.Second)
+		w.Chances = Chances{Lost: 0.01, Doubled: 0.05, Late: 0.05, LateBy: 300 * time.Millisecond}
+		for i := range 6 {
+			w.after(time.Duration(i)*time.Second, func() { w.freeze(w.liveNode(), 700*time.Millisecond) })
+		}
+		w.Run(8 * time.Second)
+		noViolations(t, w)
+		if w.Check.Refusals == 0 {
+			t.Error("nothing was refused")
+		}
+	})
+}
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -83,3 +83,26 @@
 		})
 	}
 }
+
+// TestSameSeedSameTrace: a seed decides everything.
+func TestSameSeedSameTrace(t *testing.T) {
+	for _, seed := range []uint64{3, 17} {
+		first, second := RunSchedule(DrawSchedule(seed)), RunSchedule(DrawSchedule(seed))
+		if first.Trace != second.Trace || first.Steps != second.Steps {
+			t.Errorf("seed %d: traces %x and %x, steps %d and %d", seed, first.Trace, second.Trace, first.Steps, second.Steps)
+		}
+	}
+}
+
+// TestTimeNeverGoesBack: an engine refuses a time that goes back, which would break every bound.
+func TestTimeNeverGoesBack(t *testing.T) {
+	defer func() {
+		if recover() == nil {
+			t.Error("a time that goes back was taken")
+		}
+	}()
+	w := New(SmallOptions(1))
+	n := w.nodes[w.live[0]]
+	w.Run(time.Second)
+	n.engine.Tick(0)
+}
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -15,105 +15,9 @@
 	"github.com/cespare/xxhash/v2"
 
 	"stiletrail/internal/engine"
-	"stiletrail/internal/platform"
 	"stiletrail/internal/standin"
 )
 
-// Zone is a place; zones of one region are near each other.
-type Zone struct {
-	Name   string
-	Region string
-}
-
-// Service is an index with back ends.
-type Service struct {
-	Name        string
-	BackEnds    int
-	Slots       int
-	Connections int
-	Latency     standin.Latency
-	// MinimumCoverage and the rest go into its intent.
-	MinimumCoverage float64
-	CoverageFirst   bool
-	Deadline        time.Duration
-	TailBudget      time.Duration
-	// Keys per shard on average; zero takes three.
-	KeysPerShard int
-}
-
-// Distances are one-way latencies.
-type Distances struct {
-	SameZone    time.Duration
-	OtherZone   time.Duration
-	OtherRegion time.Duration
-	Client      time.Duration
-	Connect     time.Duration
-}
-
-// DefaultDistances are the brief's: about 1 ms between zones, 12 ms between regions, 3 ms to clients, 1 ms to connect.
-func DefaultDistances() Distances {
-	return Distances{
-		SameZone: 200 * time.Microsecond, OtherZone: time.Millisecond, OtherRegion: 12 * time.Millisecond,
-		Client: 3 * time.Millisecond, Connect: time.Millisecond,
-	}
-}
-
-// Options of a world.
-type Options struct {
-	Seed         uint64
-	Zones        []Zone
-	NodesPerZone int
-	Services     []Service
-	Distances    Distances
-	Engine       engine.Settings
-	// MachineListLag is how late the machine list shows a change.
-	MachineListLag time.Duration
-}
-
-// Chances of faults of single messages, from 0 to 1.
-type Chances struct {
-	// Lost frames break their connection without a word; Doubled ones come twice; Late ones are delayed by up to LateBy.
-	Lost    float64
-	Doubled float64
-	Late    float64
-	LateBy  time.Duration
-	// StoreAnswerLost: a write took effect, its answer did not come.
-	StoreAnswerLost float64
-	// StoreLate delays a write and its answer beyond the client's patience.
-	StoreLate float64
-	// EventLost of a watch.
-	EventLost float64
-}
-
-type event struct {
-	at    time.Duration
-	order uint64
-	run   func()
-}
-
-type eventHeap []event
-
-func (h eventHeap) Len() int { return len(h) }
-func (h eventHeap) Less(i, j int) bool {
-	if h[i].at != h[j].at {
-		return h[i].at < h[j].at
-	}
-	return h[i].order < h[j].order
-}
-func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-
-// Push implements heap.Interface.
-func (h *eventHeap) Push(value any) { *h = append(*h, value.(event)) }
-
-// Pop implements heap.Interface.
-func (h *eventHeap) Pop() any {
-	last := len(*h) - 1
-	value := (*h)[last]
-	(*h)[last] = event{}
-	*h = (*h)[:last]
-	return value
-}
-
 // World is everything there is.
 type World struct {
 	options Options
@@ -148,11 +52,6 @@
 	Answered func(SearchOutcome)
 }
 
-type machinesAt struct {
-	at       time.Duration
-	machines []platform.Machine
-}
-
 // simService is a service with its back ends.
 type simService struct {
 	Service
@@ -212,65 +111,3 @@
 func (w *World) chance(probability float64) bool {
 	return probability > 0 && w.random.Float64() < probability
 }
-
-// zoneOf returns a zone by name.
-func (w *World) zoneOf(name string) Zone {
-	for _, zone := range w.options.Zones {
-		if zone.Name == name {
-			return zone
-		}
-	}
-	return Zone{}
-}
-
-// reachable reports whether two zones reach each other now. The platform is in the zone without a name.
-func (w *World) reachable(a, b string) bool {
-	if a == b {
-		return true
-	}
-	if w.isolated[a] || w.isolated[b] {
-		return false
-	}
-	return !w.apart || w.zoneOf(a).Region == w.zoneOf(b).Region || a == "" || b == ""
-}
-
-func (w *World) distance(a, b string) time.Duration {
-	switch {
-	case a == b:
-		return w.options.Distances.SameZone
-	case w.zoneOf(a).Region == w.zoneOf(b).Region:
-		return w.options.Distances.OtherZone
-	}
-	return w.options.Distances.OtherRegion
-}
-
-// jitter spreads a latency by a tenth.
-func (w *World) jitter(latency time.Duration) time.Duration {
-	return latency + time.Duration(w.random.Int64N(int64(latency)/10+1))
-}
-
-// publishMachines puts what is true now into the machine list; it shows after the lag.
-func (w *World) publishMachines() {
-	var machines []platform.Machine
-	for _, address := range w.live {
-		n := w.nodes[address]
-		machines = append(machines, platform.Machine{Address: address, Zone: n.zone.Name, Role: platform.RoleNode, Leaving: n.leaving})
-	}
-	for _, service := range w.options.Services {
-		for _, b := range w.services[service.Name].backEnds {
-			machines = append(machines, platform.Machine{Address: b.model.Address, Zone: b.zone, Role: platform.RoleBackEnd, Leaving: b.leaving})
-		}
-	}
-	w.machines = append(w.machines, machinesAt{at: w.now, machines: machines})
-}
-
-// machineList is the newest list that is as old as the lag.
-func (w *World) machineList() []platform.Machine {
-	var shown []platform.Machine
-	for _, list := range w.machines {
-		if w.now-list.at >= w.options.MachineListLag || shown == nil {
-			shown = list.machines
-		}
-	}
-	return shown
-}
