--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -91,7 +91,6 @@
 // Log implements gateway.DecisionLog.
 type Log struct {
 	log     *logrus.Entry
-	writer  *Writer
 	rate    rate
 	lost    lostStore
 	ordinal ordinal
@@ -103,7 +102,7 @@
 	log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: "2006-01-02T15:04:05.000Z07:00", DisableHTMLEscape: true})
 	log.SetOutput(writer)
 	log.SetLevel(level)
-	return &Log{log: log.WithField(fieldNode, node), writer: writer}
+	return &Log{log: log.WithField(fieldNode, node)}
 }
 
 // Lifecycle writes a line at start, stop and reload.
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -8,7 +8,6 @@
 
 import (
 	"math"
-	"math/rand/v2"
 	"time"
 
 	"stiletrail/internal/catalog"
@@ -47,7 +46,6 @@
 	settings  Settings
 	catalog   *catalog.Catalog
 	peers     Peers
-	random    *rand.Rand
 	refreshed time.Duration
 	next      time.Duration
 	ready     bool
@@ -56,9 +54,9 @@
 }
 
 // New returns a core that spreads the given catalog. onNew is called with each document that a peer brought.
-func New(held *catalog.Catalog, peers Peers, settings Settings, random *rand.Rand, onNew func(catalog.Document)) *Core {
+func New(held *catalog.Catalog, peers Peers, settings Settings, onNew func(catalog.Document)) *Core {
 	return &Core{
-		settings: settings, catalog: held, peers: peers, random: random,
+		settings: settings, catalog: held, peers: peers,
 		refreshed: never, agreed: map[string]bool{}, onNew: onNew,
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -42,8 +42,6 @@
 // Options are the parts a node is wired with.
 type Options struct {
 	Settings settings.Settings
-	// Engine overrides the engine settings that the settings file does not have; nil takes the defaults.
-	Engine   *engine.Settings
 	BackEnds BackEnds
 	Store    platform.Store
 	Machines platform.MachineList
@@ -96,7 +94,7 @@
 	}
 	n.ctx, n.stop = context.WithCancel(context.Background())
 	n.log = options.Log.WithFields(logrus.Fields{"node": peers.Address(), "zone": options.Settings.Zone})
-	n.engine = engine.New(0, n.identity(), engineSettings(options), newRandom())
+	n.engine = engine.New(0, n.identity(), engineSettings(options.Settings), newRandom())
 	n.transport.Serve(n)
 	n.serveHTTP()
 	n.tasks.Go(n.runTimer)
@@ -122,12 +120,8 @@
 }
 
 // engineSettings puts the settings file over the defaults.
-func engineSettings(options Options) engine.Settings {
+func engineSettings(given settings.Settings) engine.Settings {
 	result := engine.DefaultSettings()
-	if options.Engine != nil {
-		return *options.Engine
-	}
-	given := options.Settings
 	result.Placement.Dispatchers = given.Dispatchers
 	result.Placement.GroupSize = given.GroupSize
 	result.Placement.RelaysPerZone = given.RelaysPerZone
