--- a/internal/transport/silence_test.go
+++ b/internal/transport/silence_test.go
@@ -17,10 +17,7 @@
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := networktest.New(12)
-		sender, receiver := on(t, network, "a:1"), on(t, network, "b:1")
-		heard := newEvents()
-		receiver.Serve(heard)
-		sender.Serve(newEvents())
+		sender, heard := pair(t, network)
 		sender.Send("b:1", &message.StoreDigest{Revision: history.At(1, 1)})
 		receive(t, "the first digest", heard.messages)
 		network.Silence()
@@ -32,8 +29,6 @@
 		if took := time.Since(silent); took > noticedWithin {
 			t.Errorf("nothing arrived for %v", took)
 		}
-		sender.Close()
-		receiver.Close()
 	})
 }
 
@@ -41,10 +36,7 @@
 func TestSoundConnectionIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := networktest.New(300)
-		sender, receiver := on(t, network, "a:1"), on(t, network, "b:1")
-		heard := newEvents()
-		receiver.Serve(heard)
-		sender.Serve(newEvents())
+		sender, heard := pair(t, network)
 		for round := range 20 {
 			for range 3 * (1 + round%4) {
 				sender.Send("b:1", &message.StoreDigest{Revision: history.At(1, 1)})
@@ -55,8 +47,6 @@
 		if dialled, silent := network.Dialled(), sender.Counters.SilentConnections.Load(); dialled != 1 || silent != 0 {
 			t.Errorf("%d connections, %d given up as silent", dialled, silent)
 		}
-		sender.Close()
-		receiver.Close()
 	})
 }
 
@@ -64,10 +54,7 @@
 func TestLargeFrameHasItsTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := networktest.New(12).WithRate(300 << 10)
-		sender, receiver := on(t, network, "a:1"), on(t, network, "b:1")
-		heard := newEvents()
-		receiver.Serve(heard)
-		sender.Serve(newEvents())
+		sender, heard := pair(t, network)
 		large := &message.StoreRecords{Records: []message.StoreRecord{{Key: "k", Revision: history.At(1, 1), Value: make([]byte, 1<<20)}}}
 		for _, m := range []message.Message{&message.StoreDigest{Revision: history.At(1, 1)}, large, &message.StoreDigest{Revision: history.At(1, 2)}} {
 			sender.Send("b:1", m)
@@ -79,8 +66,6 @@
 		if silent := sender.Counters.SilentConnections.Load(); silent != 0 {
 			t.Errorf("%d connections were given up as silent", silent)
 		}
-		sender.Close()
-		receiver.Close()
 	})
 }
 
@@ -88,17 +73,26 @@
 func TestAgeGrowsWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := networktest.New(200)
-		sender, receiver := on(t, network, "a:1"), on(t, network, "b:1")
-		heard := newEvents()
-		receiver.Serve(heard)
-		sender.Serve(newEvents())
+		sender, heard := pair(t, network)
 		sender.Send("b:1", &message.StoreDigest{Revision: history.At(1, 1), Confirmation: message.Confirmation{Confirmed: true, AgeMs: 50}})
 		if got := receive(t, "the digest", heard.messages).(*message.StoreDigest); got.AgeMs != 450 {
 			t.Errorf("an age of 50 ms is %d ms after 400 ms of dialling", got.AgeMs)
 		}
+	})
+}
+
+// pair opens two transports, and returns the one at a:1 with what the one at b:1 hears. Both are closed when the test is over.
+func pair(t *testing.T, network Network) (sender *Transport, heard *events) {
+	t.Helper()
+	sender, receiver := on(t, network, "a:1"), on(t, network, "b:1")
+	heard = newEvents()
+	receiver.Serve(heard)
+	sender.Serve(newEvents())
+	t.Cleanup(func() {
 		sender.Close()
 		receiver.Close()
 	})
+	return sender, heard
 }
 
 func on(t *testing.T, network Network, address string) *Transport {
