--- a/cmd/stiletrail-rehearsal/main.go
+++ b/cmd/stiletrail-rehearsal/main.go
@@ -1,4 +1,5 @@
-// Command stiletrail-rehearsal runs stand-ins of the platform and of back ends, load, whole rehearsals, and experiments on the users' bench.
+// Command stiletrail-rehearsal runs stand-ins of the platform and of back ends, load, whole rehearsals, and experiments on the
+// users' bench.
 package main
 
 import (
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -1,7 +1,7 @@
 // Package experiment plays variants of a system on the same days with the same seeds, and says what their differences are worth.
 //
-// It owns the plan, the file of results and their comparison; what plays a day is a Player, of which it knows nothing. Play may have several
-// days under way at a time; Compare, Print and Plot only compute and write.
+// It owns the plan, the file of results and their comparison; what plays a day is a Player, of which it knows nothing. Play may
+// have several days under way at a time; Compare, Print and Plot only compute and write.
 package experiment
 
 import (
@@ -104,7 +104,8 @@
 	if !names[p.Baseline] {
 		add("the baseline %q is no variant", p.Baseline)
 	}
-	for name, count := range map[string]int{"variants": len(p.Variants), "sites": len(p.Sites), "days": len(p.Days), "seeds": len(p.Seeds)} {
+	counts := map[string]int{"variants": len(p.Variants), "sites": len(p.Sites), "days": len(p.Days), "seeds": len(p.Seeds)}
+	for name, count := range counts {
 		if count == 0 {
 			add("no %s", name)
 		}
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -124,10 +124,13 @@
 	return mean, math.Sqrt(squares / (n - 1) / n)
 }
 
+// columns of the table; the last one holds remarks.
+var columns = []string{"site", "day", "variant", "measure", "runs", "mean", "difference", "error", ""}
+
 // Print writes the rows of some measures as a table, or of all if none is named.
 func Print(w io.Writer, rows []Row, measures ...string) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(table, strings.Join([]string{"site", "day", "variant", "measure", "runs", "mean", "difference", "error", ""}, "\t"))
+	_, _ = fmt.Fprintln(table, strings.Join(columns, "\t"))
 	for _, r := range rows {
 		if len(measures) > 0 && !slices.Contains(measures, r.Measure) {
 			continue
@@ -136,7 +139,8 @@
 		if day == "" {
 			day = "all"
 		}
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%.4f\t%+.4f\t%.4f\t%s\n", r.Site, day, r.Variant, r.Measure, r.Runs, r.Mean, r.Difference, r.Error, r.remark())
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%.4f\t%+.4f\t%.4f\t%s\n",
+			r.Site, day, r.Variant, r.Measure, r.Runs, r.Mean, r.Difference, r.Error, r.remark())
 	}
 	_ = table.Flush()
 }
--- a/internal/networktest/network.go
+++ b/internal/networktest/network.go
@@ -1,8 +1,8 @@
-// Package networktest is a network in memory for tests: connections with a delay and, if asked, a rate, which can fall silent as when a
-// path is lost. Only tests import it.
+// Package networktest is a network in memory for tests: connections with a delay and, if asked, a rate, which can fall silent as
+// when a path is lost. Only tests import it.
 //
-// It owns its listeners and connections, each under a mutex, starts no goroutine, and takes its time from the standard library, so that
-// it runs on the virtual clock of testing/synctest.
+// It owns its listeners and connections, each under a mutex, starts no goroutine, and takes its time from the standard library,
+// so that it runs on the virtual clock of testing/synctest.
 package networktest
 
 import (
@@ -85,8 +85,8 @@
 	return n.dialled
 }
 
-// Silence has all connections that are open carry nothing any more, in both directions and for good. Neither end is told: writes succeed,
-// reads wait. Connections opened later are sound.
+// Silence has all connections that are open carry nothing any more, in both directions and for good. Neither end is told: writes
+// succeed, reads wait. Connections opened later are sound.
 func (n *Network) Silence() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/networktest/network_test.go
+++ b/internal/networktest/network_test.go
@@ -26,8 +26,8 @@
 	return near, far
 }
 
-// TestNetwork: bytes arrive after the delay and in order, the end of a connection after them; a connection that has fallen silent carries
-// neither, and one opened later does.
+// TestNetwork: bytes arrive after the delay and in order, the end of a connection after them; a connection that has fallen silent
+// carries neither, and one opened later does.
 func TestNetwork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := networktest.New(10)
--- a/internal/rehearsal/backend.go
+++ b/internal/rehearsal/backend.go
@@ -116,11 +116,14 @@
 }
 
 // Query implements the back-end service.
-func (b *BackEnd) Query(ctx context.Context, request *connect.Request[stiletrailv1.QueryRequest]) (*connect.Response[stiletrailv1.QueryResponse], error) {
+func (b *BackEnd) Query(
+	ctx context.Context, request *connect.Request[stiletrailv1.QueryRequest],
+) (*connect.Response[stiletrailv1.QueryResponse], error) {
 	attempt := query.Attempt{
 		Number: request.Msg.GetAttempt(), Generation: request.Msg.GetGeneration(), Service: request.Msg.GetService(),
-		Shards: request.Msg.GetShards(), Snapshot: query.Snapshot{Version: request.Msg.GetVersion(), Epoch: request.Msg.GetEpoch()},
-		Body: request.Msg.GetQuery(), Execute: request.Msg.GetExecute(),
+		Shards:   request.Msg.GetShards(),
+		Snapshot: query.Snapshot{Version: request.Msg.GetVersion(), Epoch: request.Msg.GetEpoch()},
+		Body:     request.Msg.GetQuery(), Execute: request.Msg.GetExecute(),
 	}
 	b.mutex.Lock()
 	remaining := time.Duration(request.Msg.GetRemainingMilliseconds()) * time.Millisecond
@@ -160,7 +163,8 @@
 	for _, shard := range result.Results {
 		converted := &stiletrailv1.ShardDocuments{Shard: shard.Shard}
 		for _, document := range shard.Documents {
-			converted.Documents = append(converted.Documents, &stiletrailv1.BackEndDocument{Key: document.Key, Body: document.Body})
+			held := &stiletrailv1.BackEndDocument{Key: document.Key, Body: document.Body}
+			converted.Documents = append(converted.Documents, held)
 		}
 		response.Results = append(response.Results, converted)
 	}
@@ -175,7 +179,9 @@
 }
 
 // Describe implements the back-end service.
-func (b *BackEnd) Describe(_ context.Context, _ *connect.Request[stiletrailv1.DescribeRequest]) (*connect.Response[stiletrailv1.DescribeResponse], error) {
+func (b *BackEnd) Describe(
+	_ context.Context, _ *connect.Request[stiletrailv1.DescribeRequest],
+) (*connect.Response[stiletrailv1.DescribeResponse], error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return connect.NewResponse(&stiletrailv1.DescribeResponse{Holding: toHolding(b.model.Holding())}), nil
--- a/internal/rehearsal/cluster.go
+++ b/internal/rehearsal/cluster.go
@@ -145,11 +145,12 @@
 // Intent returns the intent for a service of the deployment, as an operator would write it.
 func (c *Cluster) Intent(shape ServiceShape) string {
 	deadline := c.options.Deadline.Milliseconds()
-	text := fmt.Sprintf("service: %s\npreference: latency\nminimum_coverage: 0.5\ndeadline_milliseconds: %d\ntail_budget_milliseconds: %d\nback_ends:\n",
-		shape.Name, deadline, deadline*3/4)
+	text := fmt.Sprintf("service: %s\npreference: latency\nminimum_coverage: 0.5\n"+
+		"deadline_milliseconds: %d\ntail_budget_milliseconds: %d\nback_ends:\n", shape.Name, deadline, deadline*3/4)
 	for i, b := range c.BackEnds[shape.Name] {
 		zone := c.options.Deployment.Zones[i%len(c.options.Deployment.Zones)]
-		text += fmt.Sprintf("  - {address: \"%s\", zone: %s, slots: %d, connections: %d}\n", b.Address(), zone, shape.Slots, shape.Connections)
+		text += fmt.Sprintf("  - {address: \"%s\", zone: %s, slots: %d, connections: %d}\n",
+			b.Address(), zone, shape.Slots, shape.Connections)
 	}
 	return text
 }
--- a/internal/rehearsal/contract_test.go
+++ b/internal/rehearsal/contract_test.go
@@ -222,7 +222,8 @@
 	}
 }
 
-// TestBaseOfAnotherEra: nothing is written over an entry that was read before the store came back from a copy, though its version is given out again.
+// TestBaseOfAnotherEra: nothing is written over an entry that was read before the store came back from a copy, though its version
+// is given out again.
 func TestBaseOfAnotherEra(t *testing.T) {
 	started, err := StartPlatform("127.0.0.1:0", PlatformOptions{})
 	if err != nil {
--- a/internal/rehearsal/keyvalue.go
+++ b/internal/rehearsal/keyvalue.go
@@ -16,7 +16,9 @@
 }
 
 // Get implements the key-value service.
-func (p *Platform) Get(ctx context.Context, request *connect.Request[stiletrailv1.GetRequest]) (*connect.Response[stiletrailv1.GetResponse], error) {
+func (p *Platform) Get(
+	ctx context.Context, request *connect.Request[stiletrailv1.GetRequest],
+) (*connect.Response[stiletrailv1.GetResponse], error) {
 	if err := p.enter(ctx); err != nil {
 		return nil, err
 	}
@@ -30,7 +32,9 @@
 }
 
 // List implements the key-value service.
-func (p *Platform) List(ctx context.Context, request *connect.Request[stiletrailv1.ListRequest]) (*connect.Response[stiletrailv1.ListResponse], error) {
+func (p *Platform) List(
+	ctx context.Context, request *connect.Request[stiletrailv1.ListRequest],
+) (*connect.Response[stiletrailv1.ListResponse], error) {
 	if err := p.enter(ctx); err != nil {
 		return nil, err
 	}
@@ -47,13 +51,16 @@
 }
 
 // CompareAndSwap implements the key-value service.
-func (p *Platform) CompareAndSwap(ctx context.Context, request *connect.Request[stiletrailv1.CompareAndSwapRequest]) (*connect.Response[stiletrailv1.CompareAndSwapResponse], error) {
+func (p *Platform) CompareAndSwap(
+	ctx context.Context, request *connect.Request[stiletrailv1.CompareAndSwapRequest],
+) (*connect.Response[stiletrailv1.CompareAndSwapResponse], error) {
 	if err := p.enter(ctx); err != nil {
 		return nil, err
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	entry, swapped := p.store.CompareAndSwap(request.Msg.GetKey(), platform.Stamp{Era: request.Msg.GetBaseEra(), Version: request.Msg.GetBaseVersion()}, request.Msg.GetValue())
+	base := platform.Stamp{Era: request.Msg.GetBaseEra(), Version: request.Msg.GetBaseVersion()}
+	entry, swapped := p.store.CompareAndSwap(request.Msg.GetKey(), base, request.Msg.GetValue())
 	if swapped {
 		if held := p.leases[request.Msg.GetLease()]; held != nil {
 			held.keys = append(held.keys, entry.Key)
@@ -83,7 +90,9 @@
 }
 
 // Watch implements the key-value service.
-func (p *Platform) Watch(ctx context.Context, request *connect.Request[stiletrailv1.WatchRequest], stream *connect.ServerStream[stiletrailv1.WatchResponse]) error {
+func (p *Platform) Watch(
+	ctx context.Context, request *connect.Request[stiletrailv1.WatchRequest], stream *connect.ServerStream[stiletrailv1.WatchResponse],
+) error {
 	if err := p.enter(ctx); err != nil {
 		return err
 	}
--- a/internal/rehearsal/leases.go
+++ b/internal/rehearsal/leases.go
@@ -16,7 +16,9 @@
 }
 
 // GrantLease implements the key-value service.
-func (p *Platform) GrantLease(ctx context.Context, request *connect.Request[stiletrailv1.GrantLeaseRequest]) (*connect.Response[stiletrailv1.GrantLeaseResponse], error) {
+func (p *Platform) GrantLease(
+	ctx context.Context, request *connect.Request[stiletrailv1.GrantLeaseRequest],
+) (*connect.Response[stiletrailv1.GrantLeaseResponse], error) {
 	if err := p.enter(ctx); err != nil {
 		return nil, err
 	}
@@ -29,7 +31,9 @@
 }
 
 // KeepAlive implements the key-value service.
-func (p *Platform) KeepAlive(ctx context.Context, request *connect.Request[stiletrailv1.KeepAliveRequest]) (*connect.Response[stiletrailv1.KeepAliveResponse], error) {
+func (p *Platform) KeepAlive(
+	ctx context.Context, request *connect.Request[stiletrailv1.KeepAliveRequest],
+) (*connect.Response[stiletrailv1.KeepAliveResponse], error) {
 	if err := p.enter(ctx); err != nil {
 		return nil, err
 	}
--- a/internal/rehearsal/load.go
+++ b/internal/rehearsal/load.go
@@ -58,8 +58,11 @@
 	return recorder.finish(options.Duration)
 }
 
-func searchOnce(ctx context.Context, node stiletrailv1connect.QueryServiceClient, options LoadOptions, body string, due time.Time, recorder *recorder) {
-	response, err := node.Search(ctx, connect.NewRequest(&stiletrailv1.SearchRequest{Service: options.Service, Query: []byte(body)}))
+func searchOnce(
+	ctx context.Context, node stiletrailv1connect.QueryServiceClient, options LoadOptions, body string, due time.Time, recorder *recorder,
+) {
+	request := &stiletrailv1.SearchRequest{Service: options.Service, Query: []byte(body)}
+	response, err := node.Search(ctx, connect.NewRequest(request))
 	elapsed := time.Since(due)
 	if err != nil {
 		problem, _ := api.FromError(err)
@@ -80,10 +83,13 @@
 	coverage := response.GetCoverage()
 	answer := standin.Answer{
 		Snapshot: query.Snapshot{Version: response.GetSnapshot().GetVersion(), Epoch: response.GetSnapshot().GetEpoch()},
-		Coverage: query.Coverage{Total: coverage.GetShardsTotal(), TotalKnown: coverage.GetTotalKnown(), Answered: coverage.GetShardsAnswered()},
+		Coverage: query.Coverage{
+			Total: coverage.GetShardsTotal(), TotalKnown: coverage.GetTotalKnown(), Answered: coverage.GetShardsAnswered(),
+		},
 	}
 	for _, missing := range coverage.GetMissing() {
-		answer.Coverage.Missing = append(answer.Coverage.Missing, query.Missing{Shard: missing.GetShard(), Reason: query.Reason(missing.GetReason())})
+		lacking := query.Missing{Shard: missing.GetShard(), Reason: query.Reason(missing.GetReason())}
+		answer.Coverage.Missing = append(answer.Coverage.Missing, lacking)
 	}
 	for _, document := range response.GetDocuments() {
 		answer.Documents = append(answer.Documents, query.Document{Key: document.GetKey(), Body: document.GetBody()})
--- a/internal/rehearsal/machines.go
+++ b/internal/rehearsal/machines.go
@@ -23,7 +23,9 @@
 }
 
 // ListMachines implements the machine list: the newest list that is as old as the lag.
-func (p *Platform) ListMachines(ctx context.Context, _ *connect.Request[stiletrailv1.ListMachinesRequest]) (*connect.Response[stiletrailv1.ListMachinesResponse], error) {
+func (p *Platform) ListMachines(
+	ctx context.Context, _ *connect.Request[stiletrailv1.ListMachinesRequest],
+) (*connect.Response[stiletrailv1.ListMachinesResponse], error) {
 	if err := p.enter(ctx); err != nil {
 		return nil, err
 	}
--- a/internal/rehearsal/platform.go
+++ b/internal/rehearsal/platform.go
@@ -1,8 +1,8 @@
-// Package rehearsal runs the own interface on loopback: servers of the models in package standin, clusters of nodes in this process, load
-// that checks every answer, and the quickstart, which joins them.
+// Package rehearsal runs the own interface on loopback: servers of the models in package standin, clusters of nodes in this
+// process, load that checks every answer, and the quickstart, which joins them.
 //
-// A Platform and a BackEnd each own a port, a model and the mutex around it; a Cluster owns its nodes, back ends and platform. Time is the
-// machine's.
+// A Platform and a BackEnd each own a port, a model and the mutex around it; a Cluster owns its nodes, back ends and platform.
+// Time is the machine's.
 package rehearsal
 
 import (
--- a/internal/rehearsal/quickstart.go
+++ b/internal/rehearsal/quickstart.go
@@ -107,7 +107,8 @@
 		}
 		q.summary.InForce = max(q.summary.InForce, float64(time.Since(started).Microseconds())/1000)
 	}
-	_, _ = fmt.Fprintf(q.out, "%d services planned, confirmed and in force on %d nodes\n", len(q.cluster.options.Deployment.Services), len(q.cluster.Nodes))
+	_, _ = fmt.Fprintf(q.out, "%d services planned, confirmed and in force on %d nodes\n",
+		len(q.cluster.options.Deployment.Services), len(q.cluster.Nodes))
 	return nil
 }
 
@@ -178,7 +179,9 @@
 	if err != nil {
 		return failure.From(err)
 	}
-	request := &stiletrailv1.ExecuteRequest{Service: service, Key: key, Body: []byte(body), Ticket: minted.Msg.GetTicket(), DeadlineMilliseconds: 1000}
+	request := &stiletrailv1.ExecuteRequest{
+		Service: service, Key: key, Body: []byte(body), Ticket: minted.Msg.GetTicket(), DeadlineMilliseconds: 1000,
+	}
 	for _, n := range q.cluster.Nodes[:3] {
 		if _, err := q.cluster.Callers(n).Execute(ctx, connect.NewRequest(request)); err != nil {
 			return failure.From(err)
--- a/internal/rehearsal/report.go
+++ b/internal/rehearsal/report.go
@@ -98,7 +98,9 @@
 	if answered > 0 {
 		r.report.MeanCoverage = r.coverage / float64(answered)
 	}
-	r.report.P50, r.report.P99, r.report.P999 = milliseconds(r.latency, 50), milliseconds(r.latency, 99), milliseconds(r.latency, 99.9)
+	r.report.P50 = milliseconds(r.latency, 50)
+	r.report.P99 = milliseconds(r.latency, 99)
+	r.report.P999 = milliseconds(r.latency, 99.9)
 	r.report.RefusedP99 = milliseconds(r.refusals, 99)
 	r.report.Goodput = float64(answered) / duration.Seconds()
 	return r.report
--- a/internal/simulation/copies_test.go
+++ b/internal/simulation/copies_test.go
@@ -9,8 +9,8 @@
 	"stiletrail/internal/standin"
 )
 
-// TestTwoHistories: a region that has missed a change, since it reached nobody, makes another one after the store has come back from a copy without the first.
-// What was confirmed last is in force everywhere once the regions reach each other.
+// TestTwoHistories: a region that has missed a change, since it reached nobody, makes another one after the store has come back
+// from a copy without the first. What was confirmed last is in force everywhere once the regions reach each other.
 func TestTwoHistories(t *testing.T) {
 	w := proofWorld(t, 1, 5, 90*time.Second)
 	old := w.store.Copy()
@@ -42,8 +42,8 @@
 	noViolations(t, w)
 }
 
-// TestStoreRestoredFromOldCopy: nodes keep what is in force, raise an alarm, and the next plan repairs the store, whether its versions go on rising or are given
-// out again.
+// TestStoreRestoredFromOldCopy: nodes keep what is in force, raise an alarm, and the next plan repairs the store, whether its
+// versions go on rising or are given out again.
 func TestStoreRestoredFromOldCopy(t *testing.T) {
 	for name, restore := range map[string]func(*standin.Store, map[string]platform.Entry){
 		"versions go on rising": (*standin.Store).Restore, "versions are given out again": (*standin.Store).RestoreAgain,
--- a/internal/simulation/options_test.go
+++ b/internal/simulation/options_test.go
@@ -38,7 +38,7 @@
 	Connect     time.Duration
 }
 
-// DefaultDistances are the brief's: about 1 ms between zones, 12 ms between regions, 3 ms to clients, 1 ms to connect.
+// DefaultDistances are those to design for: about 1 ms between zones, 12 ms between regions, 3 ms to clients, 1 ms to connect.
 func DefaultDistances() Distances {
 	return Distances{
 		SameZone: 200 * time.Microsecond, OtherZone: time.Millisecond, OtherRegion: 12 * time.Millisecond,
--- a/internal/simulation/traces_test.go
+++ b/internal/simulation/traces_test.go
@@ -10,8 +10,8 @@
 // tracesFile has a line for each schedule: its seed, the steps and the hash of all that happened.
 const tracesFile = "testdata/traces.txt"
 
-// TestTracesAreKept: the nodes do the same in the same world. A change that only moves or renames code leaves the traces as they are; one that changes
-// what the nodes do, or what happens to them, writes them anew and says why.
+// TestTracesAreKept: the nodes do the same in the same world. A change that only moves or renames code leaves the traces as they
+// are; one that changes what the nodes do, or what happens to them, writes them anew and says why.
 func TestTracesAreKept(t *testing.T) {
 	file, err := os.Open(tracesFile)
 	if err != nil {
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -1,5 +1,5 @@
-// Package simulation tests the own interface's nodes as a whole: it runs many of them, the very engines that stiletraild runs, in a
-// virtual world under faults, and an independent checker looks at every step. It holds test files alone.
+// Package simulation tests the own interface's nodes as a whole: it runs many of them, the very engines that stiletraild runs, in
+// a virtual world under faults, and an independent checker looks at every step. It holds test files alone.
 //
 // World owns the virtual clock, the event queue and one seeded source of randomness that decides everything: the same seed gives
 // the same trace. Around the engines stand models of the network, back ends, store and machine list. There is no I/O, no lock and
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -73,7 +73,9 @@
 }
 
 // NewBackEnd returns a back end that holds version 1 of the given shards.
-func NewBackEnd(index Index, address string, slots int, latency Latency, total uint32, shards []uint32, random *rand.Rand) *BackEnd {
+func NewBackEnd(
+	index Index, address string, slots int, latency Latency, total uint32, shards []uint32, random *rand.Rand,
+) *BackEnd {
 	return &BackEnd{
 		Index: index, Address: address, Slots: slots, Latency: latency, State: query.StateServing, Epoch: 1, Total: total,
 		Shards: shards, Newest: 1, Oldest: 1, random: random, keys: index.Split(total), Ran: map[string]int{},
@@ -104,12 +106,16 @@
 	if b.LieState != query.StateUnknown {
 		state = b.LieState
 	}
-	return query.Holding{State: state, Epoch: b.Epoch, ShardsTotal: b.Total, Shards: slices.Clone(b.Shards), Oldest: b.Oldest, Newest: b.Newest}
+	return query.Holding{
+		State: state, Epoch: b.Epoch, ShardsTotal: b.Total, Shards: slices.Clone(b.Shards), Oldest: b.Oldest, Newest: b.Newest,
+	}
 }
 
 // Arrive takes a request. Where it is refused, the result is final and works is false; otherwise it takes a slot for
 // the returned time, after which the caller calls Finish.
-func (b *BackEnd) Arrive(attempt query.Attempt, remaining time.Duration) (result query.AttemptResult, serviceTime time.Duration, works bool) {
+func (b *BackEnd) Arrive(
+	attempt query.Attempt, remaining time.Duration,
+) (result query.AttemptResult, serviceTime time.Duration, works bool) {
 	result = query.AttemptResult{
 		Attempt: attempt.Number, Snapshot: query.Snapshot{Version: attempt.Snapshot.Version, Epoch: b.Epoch},
 		Holding: b.Holding(), HasHolding: true,
--- a/internal/standin/index.go
+++ b/internal/standin/index.go
@@ -1,8 +1,8 @@
-// Package standin holds models of what the own interface meets outside: an index, by which any answer can be checked, back ends, and the
-// key-value store. The servers of package rehearsal and the simulation use the same ones.
+// Package standin holds models of what the own interface meets outside: an index, by which any answer can be checked, back ends,
+// and the key-value store. The servers of package rehearsal and the simulation use the same ones.
 //
-// A model owns its state and has no lock: its user calls it from one goroutine at a time. It does no I/O, reads no clock and draws from the
-// source of randomness that it is given.
+// A model owns its state and has no lock: its user calls it from one goroutine at a time. It does no I/O, reads no clock and
+// draws from the source of randomness that it is given.
 package standin
 
 import (
--- a/internal/testio/output.go
+++ b/internal/testio/output.go
@@ -1,5 +1,5 @@
-// Package testio holds what tests of several packages need around their I/O: an output that is read while it is written, and addresses on which
-// nobody listens. Only tests import it.
+// Package testio holds what tests of several packages need around their I/O: an output that is read while it is written, and
+// addresses on which nobody listens. Only tests import it.
 package testio
 
 import (
