--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -92,15 +92,12 @@
 	GoByPace bool
 	// Reports has nodes tell each other of back ends that turn slow or faulty.
 	Reports bool
-	// withoutEffect are the removed settings that the file names.
-	withoutEffect []string
+	// WithoutEffect are the removed settings that the file names.
+	WithoutEffect []string `json:"-"`
 }
 
-// WithoutEffect returns the names of settings that the file gives and that have been removed since.
-func (s Gateway) WithoutEffect() []string { return s.withoutEffect }
-
-// removed are the names of settings that earlier releases had. A file that names one stays valid.
-var removed = []string{"linger"}
+// removedSettings are the names of settings that earlier releases had. A file that names one stays valid.
+var removedSettings = []string{"linger"}
 
 // DefaultGateway gives the settings of fields that are not set.
 func DefaultGateway() Gateway {
@@ -200,9 +197,9 @@
 // accepted are the fields that a file may name, removed ones included.
 func accepted() []field[Gateway] {
 	fields := slices.Clone(gatewayFields)
-	for _, name := range removed {
+	for _, name := range removedSettings {
 		fields = append(fields, field[Gateway]{name, "anything: it has no effect", false, func(s *Gateway, _ string) bool {
-			s.withoutEffect = append(s.withoutEffect, name)
+			s.WithoutEffect = append(s.WithoutEffect, name)
 			return true
 		}})
 	}
