--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -22,10 +22,10 @@
 )
 
 // met notes the same for so many requests, one each 400 ms, and returns the time.
-func met(gate *admit.Gate, now time.Duration, seen admit.Sample, count int) time.Duration {
+func met(gate *admit.Gate, now clock.Ms, sample admit.Sample, count int) clock.Ms {
 	for range count {
-		now += 400 * time.Millisecond
-		gate.Note(now, seen)
+		now += 400 * clock.Ms(1)
+		gate.Note(now, sample)
 	}
 	return now
 }
@@ -64,7 +64,7 @@
 	}
 	gate = admit.Gate{}
 	now = met(&gate, 0, overload, 10)
-	if share := gate.Level(now + 5*time.Second).TurnedAway; share > 0 {
+	if share := gate.Level(now + 5*clock.Second).TurnedAway; share > 0 {
 		t.Errorf("turns away %v after five seconds without a request", share)
 	}
 }
@@ -73,11 +73,12 @@
 func TestAgesBetweenManyDecisions(t *testing.T) {
 	var gate admit.Gate
 	now := met(&gate, 0, overload, 10)
+	elapsed := now.Duration()
 	for range 20000 {
-		now += 250 * time.Microsecond
-		gate.Level(now)
+		elapsed += 250 * time.Microsecond
+		gate.Level(clock.Of(elapsed))
 	}
-	if level := gate.Level(now); level.TurnedAway > 0 {
+	if level := gate.Level(clock.Of(elapsed)); level.TurnedAway > 0 {
 		t.Errorf("turns away %v after five seconds of four thousand decisions each", level.TurnedAway)
 	}
 }
@@ -96,11 +97,11 @@
 			continue
 		}
 		away++
-		comeBack := decision.ComeBack
-		if comeBack < patience/10 || comeBack > patience/3 {
-			t.Fatalf("may come back after %d ms of %d", comeBack, patience)
+		retryAfter := decision.RetryAfter
+		if retryAfter < patience/10 || retryAfter > patience/3 {
+			t.Fatalf("may come back after %d ms of %d", retryAfter, patience)
 		}
-		if !gate.Admit(now, route, patience-comeBack, random.Float64).Admitted {
+		if !gate.Admit(now, route, patience-retryAfter, random.Float64).Admitted {
 			t.Fatal("turned away twice")
 		}
 	}
--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -114,7 +114,7 @@
 // Request writes the line of a request: all decisions that touched it, folded. Ordinary successes are sampled; others are
 // kept up to a rate.
 func (l *Log) Request(call *gateway.Call, result *gateway.Result) {
-	ordinary := result.Failure == nil && result.Missing == 0 && !result.Gone && !anyExtra(result.Attempts)
+	ordinary := result.Failure == nil && result.Missing == 0 && !result.CallerGone && !anyExtra(result.Attempts)
 	if ordinary && !l.ordinal.sampled() {
 		return
 	}
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -73,6 +73,14 @@
 	Retrial bool
 }
 
+// Services are those that a request asks, one a shard.
+func (p Parameters) Services() []string {
+	if p.Route.FansOut() {
+		return p.Route.Shards
+	}
+	return []string{p.Service}
+}
+
 // Request is one request under way.
 type Request struct {
 	node      Node
@@ -129,11 +137,7 @@
 	if parameters.Deadline > 0 {
 		r.deadline = min(r.deadline, parameters.Deadline-settings.AnswerMargin)
 	}
-	if route.FansOut() {
-		r.shards = newShards(route.Shards)
-	} else {
-		r.shards = newShards([]string{parameters.Service})
-	}
+	r.shards = newShards(parameters.Services())
 	return r
 }
 
--- a/internal/gateway/belief.go
+++ b/internal/gateway/belief.go
@@ -77,7 +77,7 @@
 // Outcome names how a request ended.
 func (r *Result) Outcome() string {
 	switch {
-	case r.Gone:
+	case r.CallerGone:
 		return OutcomeGone
 	case r.Failure != nil:
 		return string(r.Failure.Code)
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -4,9 +4,12 @@
 	"context"
 	"time"
 
+	"stiletrail/internal/admit"
+	"stiletrail/internal/clock"
 	"stiletrail/internal/forward"
 	"stiletrail/internal/quarantine"
 	"stiletrail/internal/replica"
+	"stiletrail/internal/routing"
 )
 
 // Call is a request of a caller.
@@ -47,3 +50,23 @@
 	// Prune closes idle connections to addresses that no back end has any more.
 	Prune(inUse func(address string) bool)
 }
+
+// Result is the answer to a call.
+type Result struct {
+	forward.Answer
+	// Version of the configuration that decided it, 0 without one.
+	Version uint64
+	Route   *routing.Route
+	// CopyAge is how long before the call the copy of the store was last known to be complete, negative if it never was.
+	CopyAge clock.Ms
+	// Attempts that were decided, and when the call arrived on the gateway's clock and how long it took.
+	Attempts []*forward.Attempt
+	Arrived  time.Duration
+	Elapsed  time.Duration
+	// Denied says, for the shard of an attempt, why an extra attempt that was due was not sent.
+	Denied func(*forward.Attempt) forward.Denied
+	// CallerGone: the caller left; there is nobody to answer.
+	CallerGone bool
+	// Overload is by what a request was turned away.
+	Overload admit.Level
+}
--- a/internal/gateway/crashing_fleet_test.go
+++ b/internal/gateway/crashing_fleet_test.go
@@ -249,7 +249,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.asked++
-	if result.Failure == nil && !result.Gone {
+	if result.Failure == nil && !result.CallerGone {
 		c.served++
 		return
 	}
--- a/internal/gateway/gone_test.go
+++ b/internal/gateway/gone_test.go
@@ -37,8 +37,8 @@
 				caller, leave := context.WithCancel(ctx)
 				time.AfterFunc(100*time.Millisecond, leave)
 				result := g.Serve(caller, &gateway.Call{ID: "id", Host: "h", Path: "/all/x"})
-				if !result.Gone || result.Elapsed > 150*time.Millisecond {
-					t.Errorf("gone %v after %v: %+v", result.Gone, result.Elapsed, result.Answer)
+				if !result.CallerGone || result.Elapsed > 150*time.Millisecond {
+					t.Errorf("gone %v after %v: %+v", result.CallerGone, result.Elapsed, result.Answer)
 				}
 				time.Sleep(2 * time.Second)
 				if sent := backEnds.sent(); len(sent) > 0 {
--- /dev/null
+++ b/internal/gateway/refusals.go
@@ -0,0 +1,63 @@
+package gateway
+
+import (
+	"time"
+
+	"stiletrail/internal/admit"
+	"stiletrail/internal/clock"
+	"stiletrail/internal/failure"
+	"stiletrail/internal/forward"
+)
+
+// The refusals that a request gets before any of it is sent, in the order in which they are looked at. Nothing has run with any of them, and each says
+// so. Those of a request that has started are listed in forward/refusal.go.
+//
+//	when                                                        code         reason       time to come back
+//	the node has no configuration yet                           NOT_READY                 retryAfterStarting, later retryAfterNotReady
+//	more requests are under way than maximum_requests           OVERLOADED                retryAfterTooMany
+//	back ends cannot answer all in time (package admit)         OVERLOADED   turned_away  a part of the caller's time (admit.Decision)
+//	it is under quarantine, and may not be tried (allow)        QUARANTINED  quarantined  what is left of that, or until a caller may try it
+//	another call's trial of the same request takes too long     QUARANTINED  quarantined  retryAfterTrial
+//
+// A request without a route gets UNKNOWN_SERVICE, without a time: coming back does not help.
+const (
+	// retryAfterStarting: the node is reading the configuration for the first time, in the first startingTime of its life.
+	retryAfterStarting = 150 * time.Millisecond
+	startingTime       = time.Second
+	// retryAfterNotReady: that has taken long.
+	retryAfterNotReady = 500 * time.Millisecond
+	retryAfterTooMany  = 500 * time.Millisecond
+	// retryAfterTrial: the trial may end at any moment.
+	retryAfterTrial = 200 * time.Millisecond
+)
+
+func refuseNotReady(arrived time.Duration) forward.Answer {
+	retryAfter := retryAfterNotReady
+	if arrived < startingTime {
+		retryAfter = retryAfterStarting
+	}
+	return forward.Answer{Failure: failure.Refused(failure.NotReady, "the node has no configuration yet", retryAfter)}
+}
+
+func failWithoutRoute() forward.Answer {
+	return forward.Answer{Failure: failure.New(failure.UnknownService, "no route has this host and path")}
+}
+
+func refuseTooMany() forward.Answer {
+	return forward.Answer{Failure: failure.Refused(failure.Overloaded, "too many requests under way", retryAfterTooMany)}
+}
+
+func refuseTurnedAway(decision admit.Decision) forward.Answer {
+	refusal := failure.Refused(failure.Overloaded, "more requests than the back ends can answer in time", decision.RetryAfter.Duration())
+	return forward.Answer{Failure: refusal, Reason: forward.TurnedAway}
+}
+
+func refuseQuarantined(left clock.Ms) *forward.Answer {
+	refusal := failure.Refused(failure.Quarantined, "back ends end when they run the request", left.Duration())
+	return &forward.Answer{Failure: refusal, Reason: forward.Quarantined}
+}
+
+func refuseUnderTrial() *forward.Answer {
+	refusal := failure.Refused(failure.Quarantined, "back ends ended when they ran the request, and it is being tried", retryAfterTrial)
+	return &forward.Answer{Failure: refusal, Reason: forward.Quarantined}
+}
--- /dev/null
+++ b/internal/gateway/run.go
@@ -0,0 +1,144 @@
+package gateway
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"stiletrail/internal/forward"
+	"stiletrail/internal/routing"
+)
+
+// run drives one forward.Request: it carries out the actions, and brings it outcomes and the passing of time.
+type run struct {
+	gateway *Gateway
+	call    *Call
+	route   *routing.Route
+	arrived time.Duration
+	request *forward.Request
+	// deadline on the node's clock, and as the standard library's timers understand it.
+	deadline     time.Duration
+	deadlineTime time.Time
+	outcomes     chan ended
+	// finished is closed when nobody takes outcomes any more.
+	finished chan struct{}
+	cancels  map[*forward.Attempt]context.CancelFunc
+	answer   *forward.Answer
+	// callerGone: the caller left, and there is nobody to answer.
+	callerGone bool
+	// allowed is what the request may be sent to; trial: it is sent to one back end at a time.
+	allowed allowance
+	trial   bool
+	// evidencePending: back ends have ended under it, which other nodes are told of only if nobody answers it.
+	evidencePending bool
+}
+
+// ended is an attempt with its outcome.
+type ended struct {
+	attempt *forward.Attempt
+	outcome forward.Outcome
+}
+
+func newRun(g *Gateway, call *Call, route *routing.Route, arrived time.Duration, allowed allowance) *run {
+	return &run{
+		gateway: g, call: call, route: route, arrived: arrived, allowed: allowed, finished: make(chan struct{}),
+		outcomes: make(chan ended, max(len(route.Shards), 1)),
+		cancels:  make(map[*forward.Attempt]context.CancelFunc, len(route.Shards)+1),
+	}
+}
+
+// drive takes the request to its answer, which is empty where the caller has left.
+func (r *run) drive(ctx context.Context) forward.Answer {
+	defer close(r.finished)
+	r.start()
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
+	woke := r.gateway.wakes.next()
+	for r.answer == nil && !r.callerGone {
+		timer.Reset(max(0, r.nextWake()))
+		select {
+		case <-woke:
+			woke = r.gateway.wakes.next()
+			r.step(r.request.Tick)
+		case end := <-r.outcomes:
+			r.step(func(now time.Duration) []forward.Action { return r.request.Receive(now, end.attempt, end.outcome) })
+		case <-timer.C:
+			r.step(r.request.Tick)
+		case <-r.gateway.givenUp:
+			r.step(r.request.GiveUp)
+		case <-ctx.Done():
+			r.callerGone = true
+			r.step(func(time.Duration) []forward.Action { return r.request.CallerGone() })
+		}
+	}
+	if r.callerGone {
+		return forward.Answer{}
+	}
+	return *r.answer
+}
+
+// nextWake is how long the request may be left alone.
+func (r *run) nextWake() time.Duration {
+	now := r.gateway.now()
+	return r.request.NextWake(now) - now
+}
+
+// start begins the request and its first attempts.
+func (r *run) start() {
+	g := r.gateway
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	now := g.now()
+	r.beginTrial(now)
+	parameters := r.parameters()
+	for _, service := range parameters.Services() {
+		g.budget(service).Request(now, 1)
+	}
+	request, actions := forward.Start(now, parameters, g.settings.Load().Forward, runNode{g, now, r})
+	r.request = request
+	r.deadline, r.deadlineTime = request.Deadline(), g.at(request.Deadline())
+	r.carryOut(now, actions)
+}
+
+// parameters of the request; the lock is held.
+func (r *run) parameters() forward.Parameters {
+	parameters := forward.Parameters{Route: r.route, Arrived: r.arrived, Versions: r.allowed.versions, Retrial: r.allowed.retrial}
+	if r.route.FansOut() {
+		parameters.TrialFrom = r.call.Identity.Number(len(r.route.Shards))
+	} else {
+		parameters.Service = r.gateway.splitter.Next(r.route)
+	}
+	if !r.call.Deadline.IsZero() {
+		parameters.Deadline = r.gateway.clock.Moment(r.call.Deadline)
+	}
+	return parameters
+}
+
+// step has the request decide on something at this moment, and carries out what it decides.
+func (r *run) step(decide func(now time.Duration) []forward.Action) {
+	g := r.gateway
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	now := g.now()
+	r.request.Refresh(runNode{g, now, r})
+	r.carryOut(now, decide(now))
+}
+
+// carryOut does what the request has decided; the lock is held.
+func (r *run) carryOut(now time.Duration, actions []forward.Action) {
+	for _, action := range actions {
+		switch action := action.(type) {
+		case forward.Send:
+			r.send(now, action.Attempt)
+		case forward.Cancel:
+			r.cancels[action.Attempt]()
+		case forward.Finish:
+			r.answer = &action.Answer
+		default:
+			panic(fmt.Sprintf("an action of type %T", action))
+		}
+	}
+}
+
+// left is how much time the request has.
+func (r *run) left() time.Duration { return r.deadline - r.gateway.now() }
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -43,7 +43,7 @@
 }
 
 // Sample implements forward.Node.
-func (n runNode) Sample(sample admit.Sample) { n.gateway.gate.Note(n.now, sample) }
+func (n runNode) Sample(sample admit.Sample) { n.gateway.gate.Note(clock.Of(n.now), sample) }
 
 // BackEndEnded implements forward.Node.
 func (n runNode) BackEndEnded(attempt *forward.Attempt) quarantine.Verdict {
@@ -57,7 +57,7 @@
 	})
 	if change.First && n.run.route.FansOut() {
 		// Most often another shard answers soon, and nobody need hear of it.
-		n.run.untold = n.run.untold || len(change.Tell) > 0
+		n.run.evidencePending = n.run.evidencePending || len(change.Tell) > 0
 		change.Tell = nil
 	}
 	g.changed(now, change, byOwn)
@@ -77,7 +77,7 @@
 // Answered implements forward.Node.
 func (n runNode) Answered(attempt *forward.Attempt) {
 	g, now := n.gateway, clock.Of(n.now)
-	n.run.untold = false
+	n.run.evidencePending = false
 	change := g.quarantine.Answered(now, n.run.call.Identity, attempt.Service, attempt.Replica.Version)
 	for _, mark := range change.Judged {
 		_, held := g.quarantine.Held(now, mark)
--- a/internal/gateway/starting.go
+++ b/internal/gateway/starting.go
@@ -12,7 +12,7 @@
 	// holdShare of the time that the caller has is waited at most, so that enough is left for serving it, or for another try elsewhere.
 	holdShare = 0.4
 	// longestStart is how long after its start a node expects the store to answer at any moment. A store that is silent for longer is down,
-	// and who is told to come back early may find a node that learned its state from others.
+	// and a caller that is told to come back early may find a node that learned its state from others.
 	longestStart = 3 * time.Second
 	// holdLook is the pause between looks at the back ends known.
 	holdLook = 20 * time.Millisecond
@@ -40,13 +40,13 @@
 	}
 }
 
-// awaitBackEnds has a request wait for back ends of its shards to appear. Entries that lapsed together with the store's outage, or with a loss of
-// power, come back one by one; a node that starts then is the only one that has not known them before.
+// awaitBackEnds has a request wait for back ends of its shards to appear. Entries that lapsed together, with the store's outage or a loss of power,
+// come back one by one; a node that starts then is the only one that has not known them before.
 func (g *Gateway) awaitBackEnds(ctx context.Context, route *routing.Route, until time.Duration) {
 	ticker := time.NewTicker(holdLook)
 	defer ticker.Stop()
 	for g.backEndsMayReturn() && g.now() < until && !g.knowsEnough(route) {
-		g.lookSoon()
+		g.readStoreSoon()
 		select {
 		case <-ticker.C:
 		case <-g.givenUp:
@@ -84,8 +84,8 @@
 	return known >= route.RequiredShards()
 }
 
-// lookSoon has the next reading of the store come early.
-func (g *Gateway) lookSoon() {
+// readStoreSoon has the next reading of the store come early.
+func (g *Gateway) readStoreSoon() {
 	select {
 	case g.starved <- struct{}{}:
 	default:
--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -6,22 +6,23 @@
 	"time"
 
 	"stiletrail/internal/clock"
-	"stiletrail/internal/failure"
+	"stiletrail/internal/forward"
 	"stiletrail/internal/quarantine"
 	"stiletrail/internal/routing"
 )
 
-const (
-	// trialLook is the pause between looks at whether another call's trial of the same request is over.
-	trialLook = 5 * time.Millisecond
-	// trialComeBack is when a caller may come back whose request waited for a trial in vain.
-	trialComeBack = 200 * time.Millisecond
-)
+// trialLook is the pause between looks at whether another call's trial of the same request is over.
+const trialLook = 5 * time.Millisecond
 
-// allow decides whether a request may be sent, as far as it has ended back ends: it is refused at once under quarantine, and waits for another call's trial.
-func (g *Gateway) allow(ctx context.Context, call *Call, route *routing.Route, until time.Duration) (allowance, *failure.Failure) {
+// allow decides what a request may be sent to that has ended back ends, or that it is refused (refusals.go):
+//   - one that is clear goes to all, and so does one that is suspected and that no other call tries now: it goes to one back end at a time by itself
+//     (forward/caution.go);
+//   - one that is suspected and being tried waits for the trial, no longer than until a moment;
+//   - one under quarantine goes to versions of the back ends' software that are known to run it; else it may be let go to one back end, by the one node
+//     that the store lets, for a version that has not had it or for a caller that asked it for the first time; else it is refused at once.
+func (g *Gateway) allow(ctx context.Context, call *Call, route *routing.Route, until time.Duration) (allowance, *forward.Answer) {
 	for {
-		known := g.knownOf(call, route)
+		known := g.suspicionOf(call, route)
 		switch {
 		case known.verdict == quarantine.Clear:
 			return allowance{}, nil
@@ -29,15 +30,14 @@
 			return allowance{versions: known.sound}, nil
 		case known.untried != "" && g.claimRetrial(ctx, known.mark, known.untried):
 			return allowance{versions: []string{known.untried}, retrial: true}, nil
-		case known.other && g.claimRetrial(ctx, known.mark, ""):
-			// The question may end back ends for others only. One caller finds out for all.
+		case known.otherCaller && g.claimRetrial(ctx, known.mark, ""):
 			return allowance{retrial: true}, nil
 		case known.verdict == quarantine.Quarantined:
-			return allowance{}, failure.Refused(failure.Quarantined, "back ends end when they run the request", known.left.Duration())
+			return allowance{}, refuseQuarantined(known.left)
 		case !known.trying:
 			return allowance{}, nil
 		case g.now() >= until || ctx.Err() != nil:
-			return allowance{}, failure.Refused(failure.Quarantined, "back ends ended when they ran the request, and it is being tried", trialComeBack)
+			return allowance{}, refuseUnderTrial()
 		}
 		pause(ctx, trialLook)
 	}
@@ -51,42 +51,53 @@
 	retrial bool
 }
 
-// known is what a node knows of a request that may have ended back ends.
-type known struct {
+// suspicion is what the node knows of a request that may have ended back ends.
+type suspicion struct {
 	verdict quarantine.Verdict
 	// trying: another call of the same request is sent to one back end at a time now.
 	trying bool
-	// left of a quarantine, sound versions of software that run the request, and one that has not had it yet, with the mark that the quarantine goes by.
-	left    clock.Ms
+	// left is how much longer it is under quarantine, as far as is known now.
+	left clock.Ms
+	// sound versions of the back ends' software are known to run the request; untried is one that has not had it.
 	sound   []string
 	untried string
-	mark    quarantine.Mark
-	// other: it is under quarantine by what others asked.
-	other bool
+	// otherCaller: it is under quarantine by what it asks, and this caller may be let ask it: it may end back ends for the others only.
+	otherCaller bool
+	// mark that the quarantine goes by.
+	mark quarantine.Mark
 }
 
-func (g *Gateway) knownOf(call *Call, route *routing.Route) (k known) {
+func (g *Gateway) suspicionOf(call *Call, route *routing.Route) (s suspicion) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := clock.Of(g.now())
-	if k.verdict = g.quarantine.Verdict(now, call.Identity); k.verdict == quarantine.Clear {
-		return k
+	if s.verdict = g.quarantine.Verdict(now, call.Identity); s.verdict == quarantine.Clear {
+		return s
 	}
-	k.trying = g.trials[call.Identity.Question] > 0
-	k.left, k.sound = g.quarantine.Left(now, call.Identity), g.quarantine.Sound(now, call.Identity)
-	if k.verdict == quarantine.Quarantined {
-		if k.mark, k.untried, _ = g.quarantine.Untried(now, call.Identity, g.versionsFor(route)); k.untried == "" {
-			var wait clock.Ms
-			k.mark, wait, k.other = g.quarantine.OtherCaller(now, call.Identity)
-			switch {
-			case k.other && wait > 0:
-				k.left, k.other = min(k.left, wait), false
-			case k.other:
-				k.left = min(k.left, otherEvery)
-			}
-		}
+	s.trying = g.trials[call.Identity.Question] > 0
+	s.left, s.sound = g.quarantine.Left(now, call.Identity), g.quarantine.Sound(now, call.Identity)
+	if s.verdict == quarantine.Quarantined {
+		g.findRetrial(now, call, route, &s)
+	}
+	return s
+}
+
+// findRetrial looks for what a request under quarantine may be let go to all the same; the lock is held.
+func (g *Gateway) findRetrial(now clock.Ms, call *Call, route *routing.Route, s *suspicion) {
+	s.mark, s.untried, _ = g.quarantine.Untried(now, call.Identity, g.versionsFor(route))
+	if s.untried != "" {
+		return
+	}
+	mark, wait, other := g.quarantine.OtherCaller(now, call.Identity)
+	s.mark = mark
+	switch {
+	case !other:
+	case wait > 0:
+		s.left = min(s.left, wait)
+	default:
+		s.left = min(s.left, otherEvery)
+		s.otherCaller = true
 	}
-	return k
 }
 
 // versionsFor are the versions of software of the back ends that a route goes to; the lock is held.
@@ -118,13 +129,13 @@
 
 // endTrial has others of the same request go on, and tells other nodes what none of them has been told of yet.
 func (r *run) endTrial() {
-	if !r.trial && !r.untold {
+	if !r.trial && !r.evidencePending {
 		return
 	}
 	g := r.gateway
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if r.untold {
+	if r.evidencePending {
 		g.tellEvidence(clock.Of(g.now()), r.call.Identity.Question, r.call.Identity.Asked)
 	}
 	if !r.trial {
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -176,7 +176,7 @@
 	},
 	{
 		"a request is sent whose caller has left", "internal/gateway/serve.go",
-		"		// Nobody waits for the answer: no back end shall begin to work on it.\n		return Result{Gone: true, Version: table.Version(), Route: route}\n", "",
+		"		// Nobody waits for the answer: no back end shall begin to work on it.\n		return Result{CallerGone: true}\n", "",
 		"./internal/gateway", "TestCallerThatLeftIsNotServed",
 	},
 	{
@@ -186,11 +186,11 @@
 	},
 	{
 		"a request does not wait for back ends to come back", "internal/gateway/serve.go",
-		"	g.awaitBackEnds(ctx, route, until)\n", "",
+		"	g.awaitBackEnds(ctx, route, holdUntil)\n", "",
 		"./internal/gateway", "TestFirstListing",
 	},
 	{
-		"attempts of no more use go on for a while", "internal/gateway/serve.go",
+		"attempts of no more use go on for a while", "internal/gateway/run.go",
 		"r.cancels[action.Attempt]()", "time.AfterFunc(150*time.Millisecond, r.cancels[action.Attempt])",
 		"./internal/gateway", "TestLosersAreWithdrawn",
 	},
@@ -238,7 +238,7 @@
 	},
 	{
 		"a request is refused while the node starts", "internal/gateway/serve.go",
-		"		g.awaitFirstListing(ctx, until)\n", "",
+		"		g.awaitFirstListing(ctx, holdUntil)\n", "",
 		"./internal/gateway", "TestFirstListing",
 	},
 	{
@@ -322,7 +322,7 @@
 		"./internal/replica", "TestZoneTakenBackIsCold",
 	},
 	{
-		"a refusal with free slots counts as one of a full back end", "internal/gateway/serve.go",
+		"a refusal with free slots counts as one of a full back end", "internal/gateway/attempt.go",
 		"			return replica.RefusedWithRoom\n", "			return replica.Refused\n",
 		"./internal/gateway", "TestRefusedThoughSlotsAreFree",
 	},
--- a/internal/region/region.go
+++ b/internal/region/region.go
@@ -1,4 +1,5 @@
-// Package region holds sets of regions, such as those in which the requests of a route may be served.
+// Package region decides whether a region belongs to a set, such as that in which the requests of a route may be served. It owns nothing and
+// relies on nothing.
 package region
 
 import "slices"
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,6 +1,8 @@
-// Package routing holds a configuration of routes as one immutable version, and finds the route of a request in it.
+// Package routing decides which route a request takes and, where that splits its requests, to which service each goes; and whether a
+// configuration may be put in force at all.
 //
-// A request takes one Table when it arrives and keeps it to its end, so that nothing it does mixes two versions.
+// It owns a Table, an immutable version of the configuration: a request takes one when it arrives and keeps it to its end, so that nothing it
+// does mixes two versions. A Splitter has the state of the splits over all versions. It relies on nothing: no I/O, clock or lock.
 package routing
 
 import (
@@ -55,7 +57,7 @@
 	Prefix string
 	// Repeatable requests may run more than once.
 	Repeatable bool
-	// Timeout is the longest a request is held.
+	// Timeout is the longest a request is held, whatever its caller allows.
 	Timeout time.Duration
 	// TargetLatency is the time within which an answer is worth most.
 	TargetLatency time.Duration
