--- a/cmd/stiletrail-gateway/main.go
+++ b/cmd/stiletrail-gateway/main.go
@@ -103,7 +103,7 @@
 // inForce are the fields of a log line that tells which settings are in force, and which ones of the file have no effect.
 func inForce(loaded settings.Gateway) map[string]any {
 	fields := map[string]any{"settings": loaded}
-	if names := loaded.WithoutEffect; len(names) > 0 {
+	if names := loaded.WithoutEffect(); len(names) > 0 {
 		fields["settings_without_effect"] = names
 	}
 	return fields
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -92,12 +92,15 @@
 	GoByPace bool
 	// Reports has nodes tell each other of back ends that turn slow or faulty.
 	Reports bool
-	// WithoutEffect are the removed settings that the file names.
-	WithoutEffect []string `json:"-"`
+	// withoutEffect are the removed settings that the file names.
+	withoutEffect []string
 }
 
-// removedSettings are the names of settings that earlier releases had. A file that names one stays valid.
-var removedSettings = []string{"linger"}
+// WithoutEffect returns the names of settings that the file gives and that have been removed since.
+func (s Gateway) WithoutEffect() []string { return s.withoutEffect }
+
+// removed are the names of settings that earlier releases had. A file that names one stays valid.
+var removed = []string{"linger"}
 
 // DefaultGateway gives the settings of fields that are not set.
 func DefaultGateway() Gateway {
@@ -197,9 +200,9 @@
 // accepted are the fields that a file may name, removed ones included.
 func accepted() []field[Gateway] {
 	fields := slices.Clone(gatewayFields)
-	for _, name := range removedSettings {
+	for _, name := range removed {
 		fields = append(fields, field[Gateway]{name, "anything: it has no effect", false, func(s *Gateway, _ string) bool {
-			s.WithoutEffect = append(s.WithoutEffect, name)
+			s.withoutEffect = append(s.withoutEffect, name)
 			return true
 		}})
 	}
--- a/internal/settings/kept_test.go
+++ b/internal/settings/kept_test.go
@@ -63,7 +63,7 @@
 		"reports":                  {"Reports", false},
 		"far_price":                {"FarPrice", 0.3},
 		"fault_price":              {"FaultPrice", 1.5},
-		"linger":                   {"WithoutEffect", []string{"linger"}},
+		"linger":                   {"Linger", 350 * time.Millisecond},
 		"starting_hold":            {"StartingHold", 400 * time.Millisecond},
 	})
 }
