--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -35,7 +35,7 @@
 func (g *Gateway) exchange(ctx context.Context, send Send) (outcome forward.Outcome) {
 	defer func() {
 		if fault := recover(); fault != nil {
-			g.journal.Fault(fmt.Sprint(fault))
+			g.log.Fault(fmt.Sprint(fault))
 			outcome = forward.Outcome{Kind: forward.Lost, Detail: "a fault of this node"}
 		}
 	}()
@@ -44,19 +44,19 @@
 
 // attemptEnded notes what an attempt says of its back end.
 func (g *Gateway) attemptEnded(call *Call, attempt *forward.Attempt, outcome forward.Outcome, cancelled bool) {
-	g.mutex.Lock()
+	g.mu.Lock()
 	now := g.now()
 	attempt.Replica.Tell(now, outcome.Load)
 	ejected := attempt.Replica.Finish(now, attempt.StartedAt, verdict(outcome, cancelled))
 	if !cancelled || outcome.Kind == forward.Answered {
 		g.noteMet(now, attempt.Replica)
 	}
-	g.mutex.Unlock()
+	g.mu.Unlock()
 	if outcome.BackEndEnded {
-		g.journal.BackEndEnded(call, attempt, clock.Of(now-attempt.StartedAt))
+		g.log.BackEndEnded(call, attempt, clock.Of(now-attempt.StartedAt))
 	}
 	if ejected {
-		g.journal.Ejected(attempt, outcome)
+		g.log.Ejected(attempt, outcome)
 	}
 }
 
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -86,8 +86,8 @@
 // start begins the request and its first attempts.
 func (r *run) start() {
 	g := r.gateway
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	now := g.now()
 	r.beginTrial(now)
 	parameters := r.parameters()
@@ -117,8 +117,8 @@
 // step has the request decide on something at this moment, and carries out what it decides.
 func (r *run) step(decide func(now time.Duration) []forward.Action) {
 	g := r.gateway
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	now := g.now()
 	r.request.Refresh(runNode{g, now, r})
 	r.carryOut(now, decide(now))
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -14,25 +14,25 @@
 // Serve runs a call to its answer. The context ends when the caller leaves.
 func (g *Gateway) Serve(ctx context.Context, call *Call) Result {
 	arrived := g.now()
-	g.mutex.Lock()
+	g.mu.Lock()
 	age := g.copyAge(arrived)
-	g.mutex.Unlock()
+	g.mu.Unlock()
 	result := g.answer(ctx, call, arrived)
 	result.Arrived, result.CopyAge = arrived, age
 	result.Elapsed = g.now() - arrived
-	g.journal.Request(call, &result)
+	g.log.Request(call, &result)
 	return result
 }
 
 // Refuse notes a call that is wrong by itself and was answered with a failure.
 func (g *Gateway) Refuse(call *Call, refusal *failure.Failure) {
-	g.journal.Request(call, &Result{Answer: forward.Answer{Failure: refusal}, Version: g.Version(), Arrived: g.now()})
+	g.log.Request(call, &Result{Answer: forward.Answer{Failure: refusal}, Version: g.Version(), Arrived: g.now()})
 }
 
 // answer finds the route of a call, once the node knows enough to look for it, and has it served.
 func (g *Gateway) answer(ctx context.Context, call *Call, arrived time.Duration) Result {
 	holdUntil := g.holdUntil(call, arrived)
-	if !g.listed.Load() {
+	if !g.firstListing.read.Load() {
 		g.awaitFirstListing(ctx, holdUntil)
 	}
 	if ctx.Err() != nil {
@@ -79,8 +79,8 @@
 	if !g.settings.Load().TurnAway || !route.FansOut() || call.Deadline.IsZero() {
 		return admit.Decision{Admitted: true}
 	}
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	now := g.now()
 	return g.gate.Admit(clock.Of(now), route.Name, clock.Of(call.Deadline.Sub(g.at(now))), g.replicas.Draw)
 }
--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -68,8 +68,8 @@
 }
 
 func (g *Gateway) suspicionOf(call *Call, route *routing.Route) (s suspicion) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	now := clock.Of(g.now())
 	if s.verdict = g.quarantine.Verdict(now, call.Identity); s.verdict == quarantine.Clear {
 		return s
@@ -95,7 +95,7 @@
 	case wait > 0:
 		s.left = min(s.left, wait)
 	default:
-		s.left = min(s.left, otherEvery)
+		s.left = min(s.left, otherCallerEvery)
 		s.otherCaller = true
 	}
 }
@@ -133,8 +133,8 @@
 		return
 	}
 	g := r.gateway
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	if r.evidencePending {
 		g.tellEvidence(clock.Of(g.now()), r.call.Identity.Question, r.call.Identity.Asked)
 	}
