--- a/internal/forward/caution.go
+++ b/internal/forward/caution.go
@@ -7,20 +7,17 @@
 )
 
 // The rule of caution: how a request is sent on under which back ends end, so that it ends no more of them than it takes to know it.
-//   - A shard whose back end ended is held until another shard has answered.
-//   - With endsToWithdraw ends and no answer, all attempts under way are withdrawn, their shards held, and the request is suspected.
+//   - A shard whose back end ended is held until another shard has answered, or nothing is under way.
+//   - With two ends and no answer (quarantine.WithdrawOthers), all attempts under way are withdrawn, their shards held, and the request is
+//     suspected.
 //   - A request that is suspected, also when it comes, is tried at one back end at a time: once nothing is under way, or trialPatience after
 //     the last trial began.
 //   - The first answer clears it: all shards that are held are asked.
 //   - Put under quarantine, or tried in vain as one that is, it ends with what is there.
-const (
-	// endsToWithdraw back ends that ended are no accident of one of them; with one, requests whose back end ended by itself would lose the
-	// work of all other shards.
-	endsToWithdraw = 2
-	// trialPatience is the share of the target latency after which another trial begins beside one that was not answered. It is twice what a
-	// hedge waits for: a back end that is about to end takes its time too, and one more trial may end one more.
-	trialPatience = 0.9
-)
+//
+// trialPatience is the share of the target latency after which another trial begins beside one that was not answered. It is twice what a
+// hedge waits for: a back end that is about to end takes its time too, and one more trial may end one more.
+const trialPatience = 0.9
 
 // caution is what is known of the back ends that have ended under a request, none of which has answered it.
 type caution struct {
@@ -60,7 +57,7 @@
 	if s.live() == 0 {
 		s.become(held{})
 	}
-	if r.caution.suspect || r.caution.ends >= endsToWithdraw {
+	if quarantine.WithdrawOthers(r.caution.suspect, r.caution.ends) {
 		r.caution.suspect = true
 		r.withdrawAll()
 	}
@@ -95,8 +92,8 @@
 	}
 }
 
-// clear has all shards that are held asked: a back end has answered the request, so that it does not end what runs it.
-func (r *Request) clear(now time.Duration) {
+// clearSuspicion has all shards that are held asked: a back end has answered the request, so that it does not end what runs it.
+func (r *Request) clearSuspicion(now time.Duration) {
 	r.caution = caution{from: r.caution.from}
 	for i := range r.shards {
 		if r.shards[i].held() {
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -166,7 +166,7 @@
 		r.answered++
 		r.cancelAttempts(attempt.Shard)
 		r.node.Answered(attempt)
-		r.clear(now)
+		r.clearSuspicion(now)
 		r.hedgeLateSiblings(now, attempt)
 	case outcome.BackEndEnded && r.settings.Caution:
 		s.last = outcome
