--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -1,12 +1,12 @@
-// Package admit decides which requests a node turns away at once, as not run, while back ends cannot answer all that they are asked by the
-// target. Who has been turned away, or has waited elsewhere, is admitted.
+// Package admit decides which requests a node turns away at once, as not run, while back ends cannot answer all that they
+// are asked by the target. Who has been turned away, or has waited elsewhere, is admitted.
 //
-// It goes by what the node's own requests over many shards lacked of late: how many parts at their target, and how many of their attempts
-// were shed by full back ends. Of one back end a node with a request or two a second knows little; of all of them together its requests tell
-// within a second.
+// It goes by what the node's own requests over many shards lacked of late: how many parts at their target, and how many
+// of their attempts were shed by full back ends. Of one back end a node with a request or two a second knows little; of
+// all of them together its requests tell within a second.
 //
-// It owns a Gate, and relies on samples of requests and on random numbers, which its caller gives. It does no I/O, takes no lock and reads no
-// clock; moments are on the caller's clock.
+// It owns a Gate, and relies on samples of requests and on random numbers, which its caller gives. It does no I/O, takes
+// no lock and reads no clock; moments are on the caller's clock.
 package admit
 
 import (
@@ -20,17 +20,18 @@
 	memory = clock.Second
 	// calmWeight stands for requests before the first, which lacked nothing.
 	calmWeight = 0.5
-	// shedShare of the attempts of late must have been refused by full back ends; below it parts lack for other reasons, such as back ends
-	// that are slow, which fewer requests would not mend.
+	// shedShare of the attempts of late must have been refused by full back ends; below it parts lack for other reasons,
+	// such as back ends that are slow, which fewer requests would not mend.
 	shedShare = 0.04
-	// wantedLack is which part of the shards that may lack shall lack at the target in the mean. At one part half of the requests are late.
+	// wantedLack is which part of the shards that may lack shall lack at the target in the mean. At one part half of the
+	// requests are late.
 	wantedLack = 0.5
 	// mostTurnedAway is the largest share of requests that is turned away: the others show when there is room again.
 	mostTurnedAway = 0.7
 	// returning: a request that has so much less time than others of its route has waited elsewhere before.
 	returning = 200 * clock.Ms(1)
-	// retryAfterFrom and retryAfterTo bound the share of the caller's time after which it may come back: callers heed no more than a third, and
-	// those turned away together shall not come back together.
+	// retryAfterFrom and retryAfterTo bound the share of the caller's time after which it may come back: callers heed no
+	// more than a third, and those turned away together shall not come back together.
 	retryAfterFrom = 0.15
 	retryAfterTo   = 0.32
 )
@@ -87,8 +88,8 @@
 	Level Level
 }
 
-// Admit decides on a request of a route whose caller waits for so long. Draw returns random numbers from 0 to 1. One that has been turned away or
-// has waited before is always admitted.
+// Admit decides on a request of a route whose caller waits for so long. Draw returns random numbers from 0 to 1. One that
+// has been turned away or has waited before is always admitted.
 func (g *Gate) Admit(now clock.Ms, route string, patience clock.Ms, draw func() float64) Decision {
 	if g.longest == nil {
 		g.longest = map[string]clock.Ms{}
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -82,8 +82,8 @@
 	return choice
 }
 
-// tooLate reports whether an answer of a replica cannot come by the deadline, by the least that any of its answers takes. Such an attempt
-// would only take a slot.
+// tooLate reports whether an answer of a replica cannot come by the deadline, by the least that any of its answers takes.
+// Such an attempt would only take a slot.
 func (r *Request) tooLate(now time.Duration, chosen *replica.Replica) bool {
 	return now+chosen.Least(now) > r.deadline
 }
--- a/internal/forward/caution.go
+++ b/internal/forward/caution.go
@@ -6,17 +6,19 @@
 	"stiletrail/internal/quarantine"
 )
 
-// The rule of caution: how a request is sent on under which back ends end, so that it ends no more of them than it takes to know it.
+// The rule of caution: how a request is sent on under which back ends end, so that it ends no more of them than it takes
+// to know it.
 //   - A shard whose back end ended is held until another shard has answered, or nothing is under way.
-//   - With two ends and no answer (quarantine.WithdrawOthers), all attempts under way are withdrawn, their shards held, and the request is
-//     suspected.
-//   - A request that is suspected, also when it comes, is tried at one back end at a time: once nothing is under way, or trialPatience after
-//     the last trial began.
+//   - With two ends and no answer (quarantine.WithdrawOthers), all attempts under way are withdrawn, their shards held,
+//     and the request is suspected.
+//   - A request that is suspected, also when it comes, is tried at one back end at a time: once nothing is under way, or
+//     trialPatience after the last trial began.
 //   - The first answer clears it: all shards that are held are asked.
 //   - Put under quarantine, or tried in vain as one that is, it ends with what is there.
 //
-// trialPatience is the share of the target latency after which another trial begins beside one that was not answered. It is twice what a
-// hedge waits for: a back end that is about to end takes its time too, and one more trial may end one more.
+// trialPatience is the share of the target latency after which another trial begins beside one that was not answered. It
+// is twice what a hedge waits for: a back end that is about to end takes its time too, and one more trial may end one
+// more.
 const trialPatience = 0.9
 
 // caution is what is known of the back ends that have ended under a request, none of which has answered it.
@@ -35,7 +37,8 @@
 	trialAt time.Duration
 }
 
-// backEndEnded decides what becomes of a request under which a back end has ended. Once a shard has answered, the end says nothing of the request.
+// backEndEnded decides what becomes of a request under which a back end has ended. Once a shard has answered, the end
+// says nothing of the request.
 func (r *Request) backEndEnded(now time.Duration, attempt *Attempt) {
 	s := &r.shards[attempt.Shard]
 	verdict := r.node.BackEndEnded(attempt)
@@ -63,7 +66,8 @@
 	}
 }
 
-// withdrawAll takes back all attempts under way, whose shards are asked again later. They may have run. Shards that pause go on to.
+// withdrawAll takes back all attempts under way, whose shards are asked again later. They may have run. Shards that pause
+// go on to.
 func (r *Request) withdrawAll() {
 	r.mayHaveRun = true
 	for i := range r.shards {
@@ -115,7 +119,8 @@
 	}
 }
 
-// beginTrial begins the next trial, if it is due, at the first shard from which on one is looked for that is held and can be asked.
+// beginTrial begins the next trial, if it is due, at the first shard from which on one is looked for that is held and can
+// be asked.
 func (r *Request) beginTrial(now time.Duration) {
 	if r.done {
 		return
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,8 +1,8 @@
-// Package forward decides how one request is served by back ends that this node asks itself. A request to a single back end is a request
-// over one shard.
+// Package forward decides how one request is served by back ends that this node asks itself. A request to a single back
+// end is a request over one shard.
 //
-// It decides which replica of which shard is asked when (the choice among replicas is package replica's), when another is asked as well or
-// instead, and when and how the request is answered. Each rule has its file:
+// It decides which replica of which shard is asked when (the choice among replicas is package replica's), when another is
+// asked as well or instead, and when and how the request is answered. Each rule has its file:
 //
 //	first.go    the first attempt at a shard, and the wait for room
 //	hedge.go    when another replica is asked beside one that is under way
@@ -14,17 +14,17 @@
 //
 // It owns a Request: its attempts, and the state of each of its shards (state.go):
 //
-//	state     what may follow
-//	unasked   under way, waiting, held, failed
-//	waiting   under way, waiting, held, failed         no replica has room
-//	under way under way, paused, held, answered, failed
-//	paused    under way, paused, held, failed          all attempts have failed
-//	held      under way, waiting, paused, failed       until another shard answers, or as the next trial
-//	answered  nothing
-//	failed    nothing
+//	state      what it means                                   what may follow
+//	unasked    nothing was decided yet (only within Start)     under way, waiting, held, failed
+//	waiting    no replica has room; looked for again later     under way, waiting, held, failed
+//	under way  attempts may be answered; hedged at a moment    under way, paused, held, answered, failed
+//	paused     all attempts have failed; asked again later     under way, paused, held, failed
+//	held       until another shard answers, or the next trial  under way, waiting, paused, failed
+//	answered   a back end has answered                         nothing
+//	failed     given up                                        nothing
 //
-// It relies on a Node for replicas, budgets and the verdict on the request. It does no I/O, takes no lock and reads no clock: outcomes of
-// attempts and the passing of time go in, actions come out. Times are of the caller's monotonic clock.
+// It relies on a Node for replicas, budgets and the verdict on the request. It does no I/O, takes no lock and reads no
+// clock: outcomes of attempts and the passing of time go in, actions come out. Times are of the caller's monotonic clock.
 package forward
 
 import (
@@ -45,13 +45,15 @@
 	LastExtras int
 	// EarlyFinish answers at the target latency with what is there, where that is enough.
 	EarlyFinish bool
-	// RetryPause is the first pause before a shard whose attempts have failed is asked again, while there is time; 0 gives it up at once.
+	// RetryPause is the first pause before a shard whose attempts have failed is asked again, while there is time; 0 gives
+	// it up at once.
 	RetryPause time.Duration
 	// AnswerMargin is kept before the target latency and the caller's deadline, for the way back to the caller.
 	AnswerMargin time.Duration
 	// Caution has a request under which back ends have ended tried at one at a time, until one answers.
 	Caution bool
-	// RetryAfter is when a caller may come back that was refused because too few back ends can be asked, or because its request ends them.
+	// RetryAfter is when a caller may come back that was refused because too few back ends can be asked, or because its
+	// request ends them.
 	RetryAfter time.Duration
 }
 
@@ -66,8 +68,8 @@
 	Deadline time.Duration
 	// Versions of software that may get the request, if any are named.
 	Versions []string
-	// TrialFrom is the shard from which on one is looked for that a trial goes to. It differs among requests, so that trials that end back ends do not
-	// end all of one shard: a request over ten shards may lack one.
+	// TrialFrom is the shard from which on one is looked for that a trial goes to. It differs among requests, so that trials
+	// that end back ends do not end all of one shard: a request over ten shards may lack one.
 	TrialFrom int
 	// Retrial: the request is under quarantine, and one back end may get it.
 	Retrial bool
@@ -92,7 +94,8 @@
 	shards    []shard
 	attempts  []*Attempt
 	answered  int
-	// siblingLatency is how long the request took at the shards that answered first, beyond their replicas' floors; 0 while unknown.
+	// siblingLatency is how long the request took at the shards that answered first, beyond their replicas' floors; 0 while
+	// unknown.
 	siblingLatency time.Duration
 	mayHaveRun     bool
 	anySent        bool
--- a/internal/forward/pause.go
+++ b/internal/forward/pause.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// longestPause bounds the pauses between retries, of which the first is Settings.RetryPause and each further one is twice as long.
+// longestPause bounds the pauses between retries, of which the first is Settings.RetryPause and each further one is twice
+// as long.
 const longestPause = 200 * time.Millisecond
 
-// pauseOrGiveUp has a shard with no attempt under way asked again after a pause, and not before one of its replicas is expected to be
-// sound: a late answer is worth more than none, and what the shard lacks now (a replica, room, budget) it has often a little
-// later. The shard has failed where that cannot be in the time there is.
+// pauseOrGiveUp has a shard with no attempt under way asked again after a pause, and not before one of its replicas is
+// expected to be sound: a late answer is worth more than none, and what the shard lacks now (a replica, room, budget) it
+// has often a little later. The shard has failed where that cannot be in the time there is.
 func (r *Request) pauseOrGiveUp(now time.Duration, number int) {
 	s := &r.shards[number]
 	s.pause = min(max(2*s.pause, r.settings.RetryPause), longestPause)
--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -6,8 +6,9 @@
 	"stiletrail/internal/failure"
 )
 
-// A refusal promises that the request did not run and never will. It is given only where nothing was sent, or each attempt is proved not to
-// have run and none is under way (nothingRan). These are all that this package gives; the gateway has others, given before a request starts.
+// A refusal promises that the request did not run and never will. It is given only where nothing was sent, or each
+// attempt is proved not to have run and none is under way (nothingRan). These are all that this package gives; the
+// gateway has others, given before a request starts.
 //
 //	when                                                       code               reason                  time to come back
 //	at the start, fewer shards than required can be asked      NO_REPLICA         no_back_end             Settings.RetryAfter
@@ -34,7 +35,8 @@
 	return failure.Refused(code, "no back end took the request", retryAfter)
 }
 
-// nothingRan reports whether nothing of the request has run and no attempt is under way, so that its caller can be told to come back.
+// nothingRan reports whether nothing of the request has run and no attempt is under way, so that its caller can be told
+// to come back.
 func (r *Request) nothingRan() bool { return !r.mayHaveRun && !r.anyUnderWay() }
 
 // roomUntil is how long back ends are looked for that take a request of which nothing has run.
--- a/internal/forward/retry.go
+++ b/internal/forward/retry.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// The rule of retries. A shard with no attempt under way any more is asked again if the request is repeatable, or its last attempt is proved
-// not to have run, and the deadline has not come:
-//   - at once, at a replica that was not tried since the last pause, if there is one with room that can answer by the deadline and the
-//     service's budget allows it; an attempt in the place of one of which no byte was written costs none;
+// The rule of retries. A shard with no attempt under way any more is asked again if the request is repeatable, or its
+// last attempt is proved not to have run, and the deadline has not come:
+//   - at once, at a replica that was not tried since the last pause, if there is one with room that can answer by the
+//     deadline and the service's budget allows it; an attempt in the place of one of which no byte was written costs
+//     none;
 //   - else after a pause (pause.go), if there are pauses and one may help;
 //   - else it has failed.
 const (
@@ -64,8 +65,8 @@
 	return true
 }
 
-// spendRetry takes an attempt out of the budget. The first to arrive is no extra one, and neither is one in the place of another that was
-// paid for and never arrived.
+// spendRetry takes an attempt out of the budget. The first to arrive is no extra one, and neither is one in the place of
+// another that was paid for and never arrived.
 func (r *Request) spendRetry(s *shard) bool {
 	if s.sent <= s.paid {
 		return true
--- a/internal/forward/state.go
+++ b/internal/forward/state.go
@@ -24,7 +24,8 @@
 // paused: all attempts have failed, and the shard is asked again at until.
 type paused struct{ until time.Duration }
 
-// held: the shard waits for another one's answer, or for its turn as the next trial. Its attempts are lost or withdrawn, or none was sent.
+// held: the shard waits for another one's answer, or for its turn as the next trial. Its attempts are lost or withdrawn,
+// or none was sent.
 type held struct{}
 
 // answered by a back end.
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -17,7 +17,8 @@
 	r.cancels[attempt] = cancel
 	send := Send{
 		Call: r.call, Attempt: attempt, Entry: attempt.Replica.Entry, Deadline: r.deadlineTime, Left: r.left,
-		Once: !r.route.Repeatable, Rest: r.gateway.replicas.Rest(attempt.Replica), Prove: r.gateway.replicas.Crowded(now, attempt.Replica),
+		Once: !r.route.Repeatable, Rest: r.gateway.replicas.Rest(attempt.Replica),
+		Prove: r.gateway.replicas.Crowded(now, attempt.Replica),
 	}
 	go func() {
 		outcome := r.gateway.exchange(ctx, send)
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -20,7 +20,8 @@
 	Path string
 	// Deadline is when the caller stops waiting; zero if it did not say.
 	Deadline time.Time
-	// Identity is what the request is known by when it comes again with another id; Caller is the address it came from, without the port.
+	// Identity is what the request is known by when it comes again with another id; Caller is the address it came from,
+	// without the port.
 	Identity quarantine.Identity
 	Caller   string
 	// Message is the request as the adapter holds it, handed through to the back-end client.
@@ -33,7 +34,8 @@
 	Attempt *forward.Attempt
 	// Entry of the back end, as it was when the attempt was decided.
 	Entry replica.Entry
-	// Deadline is when the work is of no more use, unless the machine is suspended before; Left is what is left of it at the moment of a call.
+	// Deadline is when the work is of no more use, unless the machine is suspended before; Left is what is left of it at the
+	// moment of a call.
 	Deadline time.Time
 	Left     func() time.Duration
 	// Prove has a new connection prove first that the back end takes it.
--- a/internal/gateway/refusals.go
+++ b/internal/gateway/refusals.go
@@ -9,15 +9,15 @@
 	"stiletrail/internal/forward"
 )
 
-// The refusals that a request gets before any of it is sent, in the order in which they are looked at. Nothing has run with any of them, and each says
-// so. Those of a request that has started are listed in forward/refusal.go.
+// The refusals that a request gets before any of it is sent, in the order in which they are looked at. Nothing has run
+// with any of them, and each says so. Those of a request that has started are listed in forward/refusal.go.
 //
-//	when                                                        code         reason       time to come back
-//	the node has no configuration yet                           NOT_READY                 retryAfterStarting, later retryAfterNotReady
-//	more requests are under way than maximum_requests           OVERLOADED                retryAfterTooMany
-//	back ends cannot answer all in time (package admit)         OVERLOADED   turned_away  a part of the caller's time (admit.Decision)
-//	it is under quarantine, and may not be tried (allow)        QUARANTINED  quarantined  what is left of that, or until a caller may try it
-//	another call's trial of the same request takes too long     QUARANTINED  quarantined  retryAfterTrial
+//	when                                              code         reason       time to come back
+//	the node has no configuration yet                 NOT_READY                 retryAfterStarting, retryAfterNotReady
+//	more than maximum_requests are under way          OVERLOADED                retryAfterTooMany
+//	back ends can't answer all in time (admit)        OVERLOADED   turned_away  admit.Decision.RetryAfter
+//	under quarantine, and not to be tried (allow)     QUARANTINED  quarantined  suspicion.left
+//	another call's trial of it takes too long (allow) QUARANTINED  quarantined  retryAfterTrial
 //
 // A request without a route gets UNKNOWN_SERVICE, without a time: coming back does not help.
 const (
@@ -48,16 +48,18 @@
 }
 
 func refuseTurnedAway(decision admit.Decision) forward.Answer {
-	refusal := failure.Refused(failure.Overloaded, "more requests than the back ends can answer in time", decision.RetryAfter.Duration())
-	return forward.Answer{Failure: refusal, Reason: forward.TurnedAway}
+	const message = "more requests than the back ends can answer in time"
+	return forward.Answer{
+		Failure: failure.Refused(failure.Overloaded, message, decision.RetryAfter.Duration()), Reason: forward.TurnedAway,
+	}
 }
 
 func refuseQuarantined(left clock.Ms) *forward.Answer {
-	refusal := failure.Refused(failure.Quarantined, "back ends end when they run the request", left.Duration())
-	return &forward.Answer{Failure: refusal, Reason: forward.Quarantined}
+	const message = "back ends end when they run the request"
+	return &forward.Answer{Failure: failure.Refused(failure.Quarantined, message, left.Duration()), Reason: forward.Quarantined}
 }
 
 func refuseUnderTrial() *forward.Answer {
-	refusal := failure.Refused(failure.Quarantined, "back ends ended when they ran the request, and it is being tried", retryAfterTrial)
-	return &forward.Answer{Failure: refusal, Reason: forward.Quarantined}
+	const message = "back ends ended when they ran the request, and it is being tried"
+	return &forward.Answer{Failure: failure.Refused(failure.Quarantined, message, retryAfterTrial), Reason: forward.Quarantined}
 }
--- /dev/null
+++ b/internal/gateway/refusals_test.go
@@ -0,0 +1,42 @@
+package gateway_test
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"stiletrail/internal/failure"
+	"stiletrail/internal/gateway"
+	"stiletrail/internal/settings"
+)
+
+// TestRefusedWithATime: what is refused before it starts says when to come back: soon while the node starts, later once that has taken long or where
+// too much is under way.
+func TestRefusedWithATime(t *testing.T) {
+	check := func(t *testing.T, result gateway.Result, code failure.Code, retryAfter time.Duration) {
+		t.Helper()
+		if f := result.Failure; f == nil || f.Code != code || !f.NotRun || f.RetryAfter != retryAfter {
+			t.Errorf("answered %+v, want %s and %v", result.Failure, code, retryAfter)
+		}
+	}
+	call := &gateway.Call{ID: "id", Host: "h", Path: "/all/x"}
+	t.Run("no configuration", func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			g := gateway.New(gateway.FromSettings(settings.DefaultGateway()), &fakeBackEnds{}, newStore(), silentLog{})
+			check(t, g.Serve(context.Background(), call), failure.NotReady, 150*time.Millisecond)
+			time.Sleep(time.Second)
+			check(t, g.Serve(context.Background(), call), failure.NotReady, 500*time.Millisecond)
+		})
+	})
+	t.Run("too many under way", func(t *testing.T) {
+		play(t, func(t *testing.T, s *scene) {
+			few := settings.DefaultGateway()
+			few.MaximumRequests = 1
+			s.gateway.Reconfigure(seeded(few, 1))
+			go s.gateway.Serve(context.Background(), call)
+			synctest.Wait()
+			check(t, s.gateway.Serve(context.Background(), call), failure.Overloaded, 500*time.Millisecond)
+		})
+	})
+}
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -73,8 +73,8 @@
 	return g.runToAnswer(ctx, newRun(g, call, route, arrived, allowed))
 }
 
-// admission decides whether a request is turned away under overload. Those to a single back end are not, nor those whose caller does not say how
-// long it waits.
+// admission decides whether a request is turned away under overload. Those to a single back end are not, nor those whose
+// caller does not say how long it waits.
 func (g *Gateway) admission(call *Call, route *routing.Route) admit.Decision {
 	if !g.settings.Load().TurnAway || !route.FansOut() || call.Deadline.IsZero() {
 		return admit.Decision{Admitted: true}
--- a/internal/gateway/starting.go
+++ b/internal/gateway/starting.go
@@ -9,10 +9,11 @@
 
 // How a request is held that comes before the node knows enough to serve it.
 const (
-	// holdShare of the time that the caller has is waited at most, so that enough is left for serving it, or for another try elsewhere.
+	// holdShare of the time that the caller has is waited at most, so that enough is left for serving it, or for another try
+	// elsewhere.
 	holdShare = 0.4
-	// longestStart is how long after its start a node expects the store to answer at any moment. A store that is silent for longer is down,
-	// and a caller that is told to come back early may find a node that learned its state from others.
+	// longestStart is how long after its start a node expects the store to answer at any moment. A store that is silent for
+	// longer is down, and a caller that is told to come back early may find a node that learned its state from others.
 	longestStart = 3 * time.Second
 	// holdLook is the pause between looks at the back ends known.
 	holdLook = 20 * time.Millisecond
@@ -28,7 +29,8 @@
 	return arrived + hold
 }
 
-// awaitFirstListing has a request that came while the node starts wait until it knows the configuration and what back ends the store knows.
+// awaitFirstListing has a request that came while the node starts wait until it knows the configuration and what back
+// ends the store knows.
 func (g *Gateway) awaitFirstListing(ctx context.Context, until time.Duration) {
 	timer := time.NewTimer(min(until, longestStart) - g.now())
 	defer timer.Stop()
@@ -40,8 +42,9 @@
 	}
 }
 
-// awaitBackEnds has a request wait for back ends of its shards to appear. Entries that lapsed together, with the store's outage or a loss of power,
-// come back one by one; a node that starts then is the only one that has not known them before.
+// awaitBackEnds has a request wait for back ends of its shards to appear. Entries that lapsed together, with the store's
+// outage or a loss of power, come back one by one; a node that starts then is the only one that has not known them
+// before.
 func (g *Gateway) awaitBackEnds(ctx context.Context, route *routing.Route, until time.Duration) {
 	ticker := time.NewTicker(holdLook)
 	defer ticker.Stop()
--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -15,11 +15,12 @@
 const trialLook = 5 * time.Millisecond
 
 // allow decides what a request may be sent to that has ended back ends, or that it is refused (refusals.go):
-//   - one that is clear goes to all, and so does one that is suspected and that no other call tries now: it goes to one back end at a time by itself
-//     (forward/caution.go);
+//   - one that is clear goes to all, and so does one that is suspected and that no other call tries now: it goes to one
+//     back end at a time by itself (forward/caution.go);
 //   - one that is suspected and being tried waits for the trial, no longer than until a moment;
-//   - one under quarantine goes to versions of the back ends' software that are known to run it; else it may be let go to one back end, by the one node
-//     that the store lets, for a version that has not had it or for a caller that asked it for the first time; else it is refused at once.
+//   - one under quarantine goes to versions of the back ends' software that are known to run it; else it may be let go to
+//     one back end, by the one node that the store lets, for a version that has not had it or for a caller that asked it
+//     for the first time; else it is refused at once.
 func (g *Gateway) allow(ctx context.Context, call *Call, route *routing.Route, until time.Duration) (allowance, *forward.Answer) {
 	for {
 		known := g.suspicionOf(call, route)
@@ -61,7 +62,8 @@
 	// sound versions of the back ends' software are known to run the request; untried is one that has not had it.
 	sound   []string
 	untried string
-	// otherCaller: it is under quarantine by what it asks, and this caller may be let ask it: it may end back ends for the others only.
+	// otherCaller: it is under quarantine by what it asks, and this caller may be let ask it: it may end back ends for the
+	// others only.
 	otherCaller bool
 	// mark that the quarantine goes by.
 	mark quarantine.Mark
--- a/internal/region/region.go
+++ b/internal/region/region.go
@@ -1,5 +1,5 @@
-// Package region decides whether a region belongs to a set, such as that in which the requests of a route may be served. It owns nothing and
-// relies on nothing.
+// Package region decides whether a region belongs to a set, such as that in which the requests of a route may be served.
+// It owns nothing and relies on nothing.
 package region
 
 import "slices"
--- a/internal/routing/check.go
+++ b/internal/routing/check.go
@@ -24,8 +24,8 @@
 	return nil
 }
 
-// CheckRegions finds the first route that names a region which is not known. The failure is of code INVALID_ARGUMENT: whoever goes by such a
-// configuration would keep requests from all back ends, or not know where they may not go.
+// CheckRegions finds the first route that names a region which is not known. The failure is of code INVALID_ARGUMENT:
+// whoever goes by such a configuration would keep requests from all back ends, or not know where they may not go.
 func (t *Table) CheckRegions(known func(name string) bool) error {
 	for i := range t.configuration.Routes {
 		route := &t.configuration.Routes[i]
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,8 +1,9 @@
-// Package routing decides which route a request takes and, where that splits its requests, to which service each goes; and whether a
-// configuration may be put in force at all.
+// Package routing decides which route a request takes and, where that splits its requests, to which service each goes;
+// and whether a configuration may be put in force at all.
 //
-// It owns a Table, an immutable version of the configuration: a request takes one when it arrives and keeps it to its end, so that nothing it
-// does mixes two versions. A Splitter has the state of the splits over all versions. It relies on nothing: no I/O, clock or lock.
+// It owns a Table, an immutable version of the configuration: a request takes one when it arrives and keeps it to its
+// end, so that nothing it does mixes two versions. A Splitter has the state of the splits over all versions. It relies on
+// nothing: no I/O, clock or lock.
 package routing
 
 import (
@@ -40,7 +41,8 @@
 	HealthPath string
 	// ColdFor is how long a back end is cold after its start, or when it has got nothing for long.
 	ColdFor clock.Ms
-	// ColdRate is the number of requests a second that a cold back end bears from all nodes together; 0 where that is not bounded.
+	// ColdRate is the number of requests a second that a cold back end bears from all nodes together; 0 where that is not
+	// bounded.
 	ColdRate float64
 }
 
