--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -35,79 +35,37 @@
 	"stiletrail/internal/routing"
 )
 
-// Settings of how requests are served.
-type Settings struct {
-	// HedgeShare of the target latency is waited at most for an answer before another replica is asked too; 0 turns hedging off.
-	HedgeShare float64
-	// SiblingHedges has a shard hedged that takes much longer than the others of its request.
-	SiblingHedges bool
-	// LastExtras that the budget of a service allows are not spent on shards that are just late.
-	LastExtras int
-	// EarlyFinish answers at the target latency with what is there, where that is enough.
-	EarlyFinish bool
-	// RetryPause is the first pause before a shard whose attempts have failed is asked again, while there is time; 0 gives
-	// it up at once.
-	RetryPause time.Duration
-	// AnswerMargin is kept before the target latency and the caller's deadline, for the way back to the caller.
-	AnswerMargin time.Duration
-	// Caution has a request under which back ends have ended tried at one at a time, until one answers.
-	Caution bool
-	// RetryAfter is when a caller may come back that was refused because too few back ends can be asked, or because its
-	// request ends them.
-	RetryAfter time.Duration
-}
-
-// Parameters of a request.
-type Parameters struct {
-	Route *routing.Route
-	// Service a request to a single back end goes to.
-	Service string
-	// Arrived is when the request came, zero if it starts as it comes. Target and timeout count from then.
-	Arrived time.Duration
-	// Deadline is when the caller stops waiting, zero if it did not say.
-	Deadline time.Duration
-	// Versions of software that may get the request, if any are named.
-	Versions []string
-	// TrialFrom is the shard from which on one is looked for that a trial goes to. It differs among requests, so that trials
-	// that end back ends do not end all of one shard: a request over ten shards may lack one.
-	TrialFrom int
-	// Retrial: the request is under quarantine, and one back end may get it.
-	Retrial bool
-}
-
-// Services are those that a request asks, one a shard.
-func (p Parameters) Services() []string {
-	if p.Route.FansOut() {
-		return p.Route.Shards
-	}
-	return []string{p.Service}
-}
-
 // Request is one request under way.
 type Request struct {
-	node      Node
-	settings  Settings
-	route     *routing.Route
-	startedAt time.Duration
-	deadline  time.Duration
+	node     Node
+	settings Settings
+	route    *routing.Route
+	// versions of software that may get the request, if any are named.
+	versions []string
+	// arrivedAt is what target, the moment at which an answer is worth most, and deadline, that of the final answer, count
+	// from.
+	arrivedAt time.Duration
 	target    time.Duration
-	shards    []shard
-	attempts  []*Attempt
-	answered  int
+	deadline  time.Duration
+
+	shards   []shard
+	attempts []*Attempt
+	// answered counts the shards that have answered.
+	answered int
 	// siblingLatency is how long the request took at the shards that answered first, beyond their replicas' floors; 0 while
 	// unknown.
 	siblingLatency time.Duration
-	mayHaveRun     bool
-	anySent        bool
+	caution        caution
+	// anySent: an attempt was begun. mayHaveRun: one has run, or may have.
+	anySent    bool
+	mayHaveRun bool
 	// retryAfter is the longest time to come back that back ends named.
 	retryAfter time.Duration
-	caution    caution
-	// versions of software that may get the request, if any are named.
-	versions []string
-	actions  []Action
-	done     bool
 	// sampled: the node knows what the request lacked at its target.
 	sampled bool
+
+	actions []Action
+	done    bool
 }
 
 // Start takes a request in and returns it with its first actions.
@@ -133,7 +91,7 @@
 		arrived = now
 	}
 	r := &Request{
-		node: node, settings: settings, route: route, versions: parameters.Versions, startedAt: arrived,
+		node: node, settings: settings, route: route, versions: parameters.Versions, arrivedAt: arrived,
 		deadline: arrived + route.Timeout, target: arrived + route.TargetLatency - settings.AnswerMargin,
 		caution: caution{from: parameters.TrialFrom, retrial: parameters.Retrial},
 	}
--- a/internal/forward/hedge.go
+++ b/internal/forward/hedge.go
@@ -51,7 +51,7 @@
 // half way to the last moment at which a hedge saves the answer.
 func (r *Request) lateAfter(s *shard) time.Duration {
 	late := siblingFactor*r.siblingLatency + siblingSlack
-	latest := r.target - r.startedAt - late - hedgeRoom
+	latest := r.target - r.arrivedAt - late - hedgeRoom
 	if latest > late && r.node.ExtrasLeft(s.service) < float64(r.settings.LastExtras) {
 		late += time.Duration(hedgePatience * float64(latest-late))
 	}
--- a/internal/forward/outcome.go
+++ b/internal/forward/outcome.go
@@ -47,8 +47,9 @@
 	RetryAfter time.Duration
 	// Response is the back end's answer, with Answered and Failed.
 	Response *Response
-	// TurnedAway: the back end ended a connection that had carried no answer yet, as it does with those over its limit.
-	TurnedAway bool
+	// ConnectionTurnedAway: the back end ended a connection that had carried no answer yet, as it does with those over its
+	// limit.
+	ConnectionTurnedAway bool
 	// BackEndEnded: the back end itself ended, and not just the connection: it takes no connections any more.
 	BackEndEnded bool
 	// Load is what the back end told of itself with the answer.
--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -40,7 +40,7 @@
 func (r *Request) nothingRan() bool { return !r.mayHaveRun && !r.anyUnderWay() }
 
 // roomUntil is how long back ends are looked for that take a request of which nothing has run.
-func (r *Request) roomUntil() time.Duration { return r.startedAt + r.route.TargetLatency/roomShare }
+func (r *Request) roomUntil() time.Duration { return r.arrivedAt + r.route.TargetLatency/roomShare }
 
 // refuseTooFew refuses a request at its start where too few shards have a back end that can be asked: nothing was sent yet, so
 // it can still be promised that it did not run, and the caller comes back when there may be more.
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -68,7 +68,7 @@
 		return replica.Abandoned
 	case outcome.BackEndEnded:
 		return replica.Unreachable
-	case outcome.TurnedAway:
+	case outcome.ConnectionTurnedAway:
 		return replica.TurnedAway
 	}
 	switch outcome.Kind {
