--- a/internal/forward/hedge.go
+++ b/internal/forward/hedge.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// The rule of hedges. A shard is hedged when one attempt is under way, the route lets the request run twice and allows
-// another attempt, and the request isn't suspected of ending back ends. It is due
+// The rule of hedges, extra attempts that only save time. A shard is hedged when one attempt is under way, the route lets
+// the request run twice and allows another attempt, and the request isn't suspected of ending back ends. It is due
 //   - after HedgeShare of the target latency (hedgeDelay);
 //   - once half of the shards have answered, when the shard is late by what the request took there (lateAfter).
 //
--- a/internal/forward/pause.go
+++ b/internal/forward/pause.go
@@ -2,13 +2,21 @@
 
 import "time"
 
-// longestPause bounds the pauses between retries, of which the first is Settings.RetryPause and each further one is twice
-// as long.
+// The rule of pauses and of giving up. A shard whose attempts have failed, and that can't be asked again at once (retry.go),
+// is asked again after Settings.RetryPause, and each time after twice as long, and not before one of its replicas is
+// expected to be out of its ejection (Node.Recovers): a late answer is worth more than none, and what the shard lacks now, a
+// replica, room or budget, it has often a little later. It is given up
+//   - where that moment is not before the deadline, or pauses are off;
+//   - where the only back end asked gave a failure of its own, which is the caller's answer;
+//   - where the request is kept from its service, whose back ends it ends.
+//
+// A request with enough answers doesn't wait for a shard that pauses beyond the moment at which the answer goes out
+// (worthWaiting).
+//
+// longestPause bounds the pauses.
 const longestPause = 200 * time.Millisecond
 
-// pauseOrGiveUp has a shard with no attempt under way asked again after a pause, and not before one of its replicas is
-// expected to be sound: a late answer is worth more than none, and what the shard lacks now (a replica, room, budget) it
-// has often a little later. The shard has failed where that cannot be in the time there is.
+// pauseOrGiveUp pauses a shard with no attempt under way, or gives it up.
 func (r *Request) pauseOrGiveUp(now time.Duration, number int) {
 	s := &r.shards[number]
 	s.pause = min(max(2*s.pause, r.settings.RetryPause), longestPause)
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -51,6 +51,7 @@
 func (r *run) drive(ctx context.Context) forward.Answer {
 	defer close(r.finished)
 	r.start()
+	// The timer is set anew before each wait.
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	woke := r.gateway.wakes.next()
