--- a/internal/forward/action.go
+++ b/internal/forward/action.go
@@ -1,20 +1,20 @@
 package forward
 
-// Action is something that the driver of a request must do: Send, Cancel or Finish.
+// Action is something that the driver of a request must do: StartAttempt, CancelAttempt or Finish.
 type Action interface{ isAction() }
 
-// Send an attempt to its replica.
-type Send struct{ Attempt *Attempt }
+// StartAttempt sends an attempt to its replica; its outcome comes back through Receive.
+type StartAttempt struct{ Attempt *Attempt }
 
-// Cancel withdraws an attempt whose answer is of no more use.
-type Cancel struct{ Attempt *Attempt }
+// CancelAttempt withdraws an attempt whose answer is of no more use.
+type CancelAttempt struct{ Attempt *Attempt }
 
 // Finish gives the caller the answer. It is the last action of a request.
 type Finish struct{ Answer Answer }
 
-func (Send) isAction()   {}
-func (Cancel) isAction() {}
-func (Finish) isAction() {}
+func (StartAttempt) isAction()  {}
+func (CancelAttempt) isAction() {}
+func (Finish) isAction()        {}
 
 func (r *Request) takeActions() []Action {
 	actions := r.actions
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -69,7 +69,7 @@
 	s.sent++
 	r.anySent = true
 	s.become(underWay{attempts: s.live() + 1, hedgeAt: now + r.hedgeDelay()})
-	r.actions = append(r.actions, Send{attempt})
+	r.actions = append(r.actions, StartAttempt{attempt})
 }
 
 // choice of replicas for the next attempt at a shard: none that was tried since the last pause, and none that was not asked yet
@@ -93,7 +93,7 @@
 	for _, attempt := range r.attempts {
 		if attempt.Shard == number && attempt.live {
 			attempt.live = false
-			r.actions = append(r.actions, Cancel{attempt})
+			r.actions = append(r.actions, CancelAttempt{attempt})
 		}
 	}
 }
--- a/internal/forward/scene_test.go
+++ b/internal/forward/scene_test.go
@@ -133,9 +133,9 @@
 func (s *scene) take(actions []forward.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
-		case forward.Send:
+		case forward.StartAttempt:
 			s.sent = append(s.sent, action.Attempt)
-		case forward.Cancel:
+		case forward.CancelAttempt:
 			s.cancels = append(s.cancels, action.Attempt)
 		case forward.Finish:
 			if s.answer != nil {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -48,7 +48,7 @@
 	g.mu.Lock()
 	now := g.now()
 	attempt.Replica.Tell(now, outcome.Load)
-	ejected := attempt.Replica.Finish(now, attempt.StartedAt, verdict(outcome, cancelled))
+	ejected := attempt.Replica.Finish(now, attempt.StartedAt, backEndVerdict(outcome, cancelled))
 	if !cancelled || outcome.Kind == forward.Answered {
 		g.noteMet(now, attempt.Replica)
 	}
@@ -61,8 +61,9 @@
 	}
 }
 
-// verdict on a back end by the outcome of an attempt. What was cancelled without an answer says only how old it was.
-func verdict(outcome forward.Outcome, cancelled bool) replica.Verdict {
+// backEndVerdict is what a back end is taken for by the outcome of an attempt. What was cancelled without an answer says
+// only how old it was.
+func backEndVerdict(outcome forward.Outcome, cancelled bool) replica.Verdict {
 	switch {
 	case cancelled && outcome.Kind != forward.Answered:
 		return replica.Abandoned
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -129,9 +129,9 @@
 func (r *run) carryOut(now time.Duration, actions []forward.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
-		case forward.Send:
+		case forward.StartAttempt:
 			r.send(now, action.Attempt)
-		case forward.Cancel:
+		case forward.CancelAttempt:
 			r.cancels[action.Attempt]()
 		case forward.Finish:
 			r.answer = &action.Answer
