--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,114 +1,22 @@
-// Package catalog holds the operators' configuration as a node has it in force: one versioned document per
-// service. Merging takes the higher version of each, a join: commutative, associative and idempotent. So the order of
-// messages, repeats, isolation and rejoining cannot make a service revert. A deletion is a document too.
+// Package catalog decides which of two versions of a service's configuration is in force, and holds what is in force at a node: one versioned document
+// per service. Merging takes the higher version of each, a join: commutative, associative and idempotent. So the order of messages, repeats, isolation
+// and rejoining cannot make a service revert. A deletion is a document too.
+//
+// It owns the forms of documents in the store and between nodes (document.go) and of what changed in one (delta.go). It does no I/O, takes no lock and
+// reads no clock.
 package catalog
 
 import (
-	"encoding/json"
-	"slices"
 	"sort"
 	"unique"
 
 	"github.com/cespare/xxhash/v2"
-
-	"stiletrail/internal/failure"
-)
-
-// Preference is what a service gives up last.
-type Preference string
-
-// The preferences.
-const (
-	// LatencyFirst finishes early once the minimum coverage is met and the tail budget is spent.
-	LatencyFirst Preference = "latency"
-	// CoverageFirst uses the deadline to get missing shards.
-	CoverageFirst Preference = "coverage"
 )
 
-// BackEnd is a back end as the operator describes it.
-type BackEnd struct {
-	// Address is an IP and port.
-	Address string `json:"address" yaml:"address"`
-	Zone    string `json:"zone" yaml:"zone"`
-	Region  string `json:"region,omitempty" yaml:"region"`
-	// Slots is how many requests it works on at once.
-	Slots int `json:"slots" yaml:"slots"`
-	// Connections is how many connections it accepts.
-	Connections int `json:"connections" yaml:"connections"`
-	// Draining takes the back end out of use for new work.
-	Draining bool `json:"draining,omitempty" yaml:"draining"`
-}
-
-// Specification is what an operator says of a service.
-type Specification struct {
-	BackEnds []BackEnd `json:"back_ends" yaml:"back_ends"`
-	// MinimumCoverage is the share of shards, 0 to 1, below which a search fails.
-	MinimumCoverage float64    `json:"minimum_coverage" yaml:"minimum_coverage"`
-	Preference      Preference `json:"preference" yaml:"preference"`
-	// DeadlineMilliseconds applies to searches that state none.
-	DeadlineMilliseconds int `json:"deadline_milliseconds" yaml:"deadline_milliseconds"`
-	// TailBudgetMilliseconds is when a latency-first search with enough coverage finishes; zero for never.
-	TailBudgetMilliseconds int `json:"tail_budget_milliseconds,omitempty" yaml:"tail_budget_milliseconds"`
-}
-
-// operationsKept bounds the ids a document carries of its last operations.
-const operationsKept = 8
-
-// Document is the configuration of one service at one version.
-type Document struct {
-	Service string `json:"service"`
-	// Version rises with each change of the service. In each era of the store it goes on from another number, far above all of the eras before: of two changes
-	// that follow on the same one, since the store lost the first with a copy, the later one is in force everywhere, and no node takes them for the same.
-	Version uint64 `json:"version"`
-	Deleted bool   `json:"deleted,omitempty"`
-	// Operations are the ids of the last operations, newest last; an answer lost after the write is settled by them.
-	Operations    []string      `json:"operations,omitempty"`
-	Specification Specification `json:"specification"`
-}
-
-// eraVersions is from how far above the versions of one era of the store those of the next one begin. At 55,000 changes a day, all of one service, an era would
-// last fifty years.
-const eraVersions = 1_000_000_000
-
-// Next returns the document that an operation puts in place of d in an era of the store.
-func (d Document) Next(era uint64, operation string, specification Specification, deleted bool) Document {
-	version := max(d.Version, era*eraVersions) + 1
-	operations := append(slices.Clone(d.Operations), operation)
-	if len(operations) > operationsKept {
-		operations = operations[len(operations)-operationsKept:]
-	}
-	return Document{Service: d.Service, Version: version, Deleted: deleted, Operations: operations, Specification: specification}
-}
-
-// HasOperation reports whether the operation is among the last ones.
-func (d Document) HasOperation(operation string) bool {
-	return slices.Contains(d.Operations, operation)
-}
-
-// Encode returns the document's form in the store and between nodes.
-func (d Document) Encode() []byte {
-	encoded, err := json.Marshal(d)
-	if err != nil {
-		panic("catalog: document cannot be encoded: " + err.Error())
-	}
-	return encoded
-}
-
-// Decode reads a document. Errors are of code MALFORMED.
-func Decode(encoded []byte) (Document, error) {
-	var document Document
-	if err := json.Unmarshal(encoded, &document); err != nil {
-		return document, failure.Wrap(err, failure.Malformed, "document cannot be decoded")
-	}
-	if document.Service == "" || document.Version == 0 {
-		return document, failure.New(failure.Malformed, "document has no service or version")
-	}
-	return document, nil
-}
-
 // Buckets is the number of parts a catalog is compared in.
 const Buckets = 64
 
+// held is a document in force.
 type held struct {
 	document Document
 	// delta leads here from the version held before, deltaFrom; nil where there was none.
@@ -120,7 +28,6 @@
 type Catalog struct {
 	documents map[string]held
 	hashes    [Buckets]uint64
-	revision  uint64
 }
 
 // New returns an empty catalog.
@@ -158,7 +65,6 @@
 		}
 	}
 	c.documents[document.Service] = taken
-	c.revision++
 	return true
 }
 
@@ -168,8 +74,7 @@
 	return found.document, ok
 }
 
-// interned returns back ends whose zones and regions share their strings: at 71,000 back ends that, and not keeping the
-// encoded form, is a third of the catalog's memory.
+// interned returns back ends whose zones and regions share their strings, which saves much of the memory of a large catalog.
 func interned(backEnds []BackEnd) []BackEnd {
 	if backEnds == nil {
 		return nil
@@ -207,12 +112,6 @@
 // Version returns the version of a service in force, zero for none.
 func (c *Catalog) Version(service string) uint64 { return c.documents[service].document.Version }
 
-// Revision changes with every document taken in.
-func (c *Catalog) Revision() uint64 { return c.revision }
-
-// Len counts the documents, tombstones included.
-func (c *Catalog) Len() int { return len(c.documents) }
-
 // Services returns the names of all services, deleted ones included, in order.
 func (c *Catalog) Services() []string {
 	names := make([]string, 0, len(c.documents))
--- a/internal/catalog/delta.go
+++ b/internal/catalog/delta.go
@@ -8,13 +8,13 @@
 	"stiletrail/internal/failure"
 )
 
-// Delta is what changed in a document from one version to a later one. At 1,400 back ends a document takes over 100 KB and
-// a change of one back end a few hundred bytes, so pushes carry deltas (measured by make scale).
+// Delta is what changed in a document from one version to a later one. A document of many back ends takes over a hundred kilobytes and a change of one
+// back end a few hundred bytes, so pushes carry deltas.
 type Delta struct {
 	Service string `json:"service"`
 	From    uint64 `json:"from"`
 	To      uint64 `json:"to"`
-	// Operation is the newest; the receiver appends it.
+	// Operations are those of the document that results.
 	Operations []string `json:"operations"`
 	Deleted    bool     `json:"deleted,omitempty"`
 	// Set back ends are added or replace those of the same address; Removed ones go.
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -122,7 +122,7 @@
 		store:    newStoreReading(),
 		reissues: limit.NewBudget(settings.ReissueShare, settings.Dispatch.BudgetCapacity),
 	}
-	e.gossip = gossip.New(e.catalog, e.members, settings.Gossip, random, e.documentArrived)
+	e.gossip = gossip.New(e.catalog, e.members, settings.Gossip, e.documentArrived)
 	e.refreshPlacement()
 	return e
 }
--- a/internal/engine/execute.go
+++ b/internal/engine/execute.go
@@ -1,6 +1,7 @@
 package engine
 
 import (
+	"fmt"
 	"slices"
 	"time"
 
@@ -82,28 +83,32 @@
 // that was refused asks again with a new ticket.
 func (e *Engine) takeExecute(w waiter, request ExecuteRequest) {
 	e.Counters.Executes++
-	parsed, use, outcome, problem := e.tickets.Use(e.now, request.Ticket, executeBody(request))
-	if problem != nil {
-		e.answerExecute(w, ticket.Outcome{Failure: problem})
-		return
-	}
-	switch use {
+	switch use := e.tickets.Use(e.now, request.Ticket, executeBody(request)).(type) {
+	case ticket.Rejected:
+		e.answerExecute(w, ticket.Outcome{Failure: use.Failure})
 	case ticket.Finished:
-		e.answerExecute(w, *outcome)
+		e.answerExecute(w, use.Outcome)
 	case ticket.Running:
-		e.joinExecute(w, parsed.Sequence)
+		e.joinExecute(w, use.Sequence)
 	case ticket.Fresh:
-		if refusal := e.admit(request.Service); refusal != nil {
-			// Final for the ticket: a copy of the request that is still on its way must not run after this.
-			e.tickets.Finish(parsed.Sequence, ticket.Outcome{Failure: refusal})
-			e.answerExecute(w, ticket.Outcome{Failure: refusal})
-			return
-		}
-		e.startExecute(w, parsed.Sequence, request)
+		e.runFresh(w, use.Sequence, request)
+	default:
+		panic(fmt.Sprintf("engine: no case for the use %T of a ticket", use))
+	}
+}
+
+// runFresh runs a request whose ticket was not used before, or refuses it.
+func (e *Engine) runFresh(w waiter, sequence uint64, request ExecuteRequest) {
+	if refusal := e.admit(request.Service); refusal != nil {
+		// Final for the ticket: a copy of the request that is still on its way must not run after this.
+		e.tickets.Finish(sequence, ticket.Outcome{Failure: refusal})
+		e.answerExecute(w, ticket.Outcome{Failure: refusal})
+		return
 	}
+	e.startExecute(w, sequence, request)
 }
 
-// executeBody identifies a request: service, key and body, each with its length.
+// executeBody identifies a request: service, key and body, with a zero byte between.
 func executeBody(request ExecuteRequest) []byte {
 	body := []byte(request.Service)
 	body = append(body, 0)
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -1,7 +1,6 @@
 package gossip
 
 import (
-	"math/rand/v2"
 	"testing"
 	"time"
 
@@ -23,7 +22,7 @@
 }
 
 func newCore(peers ...string) *Core {
-	return New(catalog.New(), fixedPeers(peers), DefaultSettings(), rand.New(rand.NewPCG(1, 1)), func(catalog.Document) {})
+	return New(catalog.New(), fixedPeers(peers), DefaultSettings(), func(catalog.Document) {})
 }
 
 func document(service string, version uint64, backEnds int) catalog.Document {
--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -105,7 +105,7 @@
 		"./platform", "TestStoreThatTellsNoEra",
 	},
 	{
-		"documents of another era go on from the versions before", "internal/catalog/catalog.go",
+		"documents of another era go on from the versions before", "internal/catalog/document.go",
 		"version := max(d.Version, era*eraVersions) + 1", "version := max(d.Version, era) + 1",
 		"./internal/simulation", "TestTwoHistories",
 	},
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -127,8 +127,8 @@
 		"./internal/dispatch", "TestHedgesStopWhenWindowsAreFull",
 	},
 	{
-		"a fresh node serves at once", "internal/gossip/gossip.go",
-		"	c.ready = len(c.agreed) >= c.needed()\n", "	c.ready = true\n",
+		"a fresh node serves at once", "internal/gossip/compare.go",
+		"	c.ready = len(c.agreed) >= c.peersToAgree()\n", "	c.ready = true\n",
 		"./internal/gossip", "TestFreshNodeNeedsSeveralPeers",
 	},
 	{
--- /dev/null
+++ b/internal/placement/owners.go
@@ -0,0 +1,74 @@
+package placement
+
+import (
+	"cmp"
+	"slices"
+)
+
+// Groups returns the groups of a service.
+func (t *Table) Groups(service string) []Group {
+	found := t.services[service]
+	if found == nil {
+		return nil
+	}
+	groups := make([]Group, 0, len(found.groups))
+	for _, p := range found.groups {
+		groups = append(groups, p.group)
+	}
+	return groups
+}
+
+// Owners returns the nodes that dispatch to a group, then its deputies.
+func (t *Table) Owners(service string, number uint32) (dispatchers, deputies []string) {
+	p := t.group(service, number)
+	if p == nil {
+		return nil, nil
+	}
+	owners := addressesOf(p.owners)
+	split := min(len(owners), p.dispatchers)
+	return owners[:split], owners[split:]
+}
+
+// PreviousOwners returns the nodes that owned a group before its last changes, the latest first.
+func (t *Table) PreviousOwners(service string, number uint32) []string {
+	p := t.group(service, number)
+	if p == nil {
+		return nil
+	}
+	return addressesOf(p.previous)
+}
+
+// group returns a group of a service, nil if there is none of that number.
+func (t *Table) group(service string, number uint32) *placed {
+	found := t.services[service]
+	if found == nil || int(number) >= len(found.groups) {
+		return nil
+	}
+	return found.groups[number]
+}
+
+// Ownership is a group that a node owns.
+type Ownership struct {
+	Group   Group
+	Version uint64
+	// Rank among the owners; those from Dispatchers on are deputies.
+	Rank        int
+	Dispatchers int
+}
+
+// OwnedBy returns the groups of a node, in order.
+func (t *Table) OwnedBy(address string) []Ownership {
+	var owned []Ownership
+	for _, service := range t.services {
+		for _, p := range service.groups {
+			rank := slices.IndexFunc(p.owners, func(m scoredMember) bool { return m.address == address })
+			if rank >= 0 {
+				owned = append(owned, Ownership{Group: p.group, Version: service.version, Rank: rank, Dispatchers: min(p.dispatchers, len(p.owners))})
+			}
+		}
+	}
+	slices.SortFunc(owned, func(a, b Ownership) int {
+		return cmp.Or(cmp.Compare(a.Group.Service, b.Group.Service), cmp.Compare(a.Group.Number, b.Group.Number))
+	})
+	return owned
+}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,7 +1,10 @@
-// Package placement maps back ends to groups and groups to the nodes that dispatch to them, by rendezvous hashing
-// (Thaler and Ravishankar, 1998). Every node computes the same from the catalog and its view of the members; no
-// agreement is needed. Nodes with different views may for a moment both dispatch to a back end: it then sheds, which is
-// a refusal that did not run, and a new owner starts with a window of one.
+// Package placement decides which back ends form a group, which nodes dispatch to it, and which nodes of a zone read the store.
+//
+// It uses rendezvous hashing (Thaler and Ravishankar, 1998): every node computes the same from the catalog and its view of the members; no agreement is
+// needed. Nodes with different views may for a moment both dispatch to a back end: it then sheds, which is a refusal that did not run, and a new owner
+// starts with a window of one.
+//
+// It owns a Table of the owners of each group, which is made anew from documents and members. It does no I/O, takes no lock and reads no clock.
 package placement
 
 import (
@@ -61,36 +64,6 @@
 	return groups
 }
 
-func score(key, address string) uint64 {
-	digest := xxhash.New()
-	_, _ = digest.WriteString(key)
-	_, _ = digest.WriteString("\x00")
-	_, _ = digest.WriteString(address)
-	return digest.Sum64()
-}
-
-// Highest returns up to count usable members that match, by descending rendezvous score for the key.
-func Highest(key string, members []membership.Member, count int, match func(membership.Member) bool) []string {
-	type scored struct {
-		address string
-		score   uint64
-	}
-	var candidates []scored
-	for _, member := range members {
-		if member.Usable() && match(member) {
-			candidates = append(candidates, scored{address: member.Address, score: score(key, member.Address)})
-		}
-	}
-	slices.SortFunc(candidates, func(a, b scored) int {
-		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.address, b.address))
-	})
-	result := make([]string, 0, count)
-	for _, candidate := range candidates[:min(count, len(candidates))] {
-		result = append(result, candidate.address)
-	}
-	return result
-}
-
 // deputySlots is what a deputy may fill of a back end's slots. A dispatcher that was suspected wrongly may be using all of
 // them: the back end then sheds, which is a refusal that did not run.
 const deputySlots = 1
@@ -111,6 +84,12 @@
 
 // IsRelay reports whether the node at the address reads the store for its zone.
 func IsRelay(address, zone string, members []membership.Member, settings Settings) bool {
-	relays := Highest("relay/"+zone, members, settings.RelaysPerZone, func(m membership.Member) bool { return m.Zone == zone })
-	return slices.Contains(relays, address)
+	key := "relay/" + zone
+	var candidates []scoredMember
+	for _, member := range members {
+		if member.Usable() && member.Zone == zone {
+			candidates = append(candidates, scoreOf(key, member.Address))
+		}
+	}
+	return slices.Contains(addressesOf(highest(candidates, settings.RelaysPerZone)), address)
 }
--- /dev/null
+++ b/internal/placement/rank.go
@@ -0,0 +1,41 @@
+package placement
+
+import (
+	"cmp"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// scoredMember is a member with its rendezvous score for a key, such as a group.
+type scoredMember struct {
+	address string
+	score   uint64
+}
+
+func scoreOf(key, address string) scoredMember {
+	digest := xxhash.New()
+	_, _ = digest.WriteString(key)
+	_, _ = digest.WriteString("\x00")
+	_, _ = digest.WriteString(address)
+	return scoredMember{address: address, score: digest.Sum64()}
+}
+
+// compareScored puts the higher score first.
+func compareScored(a, b scoredMember) int {
+	return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.address, b.address))
+}
+
+// highest sorts some members and returns up to count of them.
+func highest(members []scoredMember, count int) []scoredMember {
+	slices.SortFunc(members, compareScored)
+	return members[:min(len(members), count)]
+}
+
+func addressesOf(owners []scoredMember) []string {
+	result := make([]string, 0, len(owners))
+	for _, owner := range owners {
+		result = append(result, owner.address)
+	}
+	return result
+}
--- a/internal/platform/connect.go
+++ b/internal/platform/connect.go
@@ -114,7 +114,9 @@
 	}
 	machines := make([]Machine, 0, len(response.Msg.GetMachines()))
 	for _, machine := range response.Msg.GetMachines() {
-		machines = append(machines, Machine{Address: machine.GetAddress(), Zone: machine.GetZone(), Role: Role(machine.GetRole()), Leaving: machine.GetLeaving()})
+		machines = append(machines, Machine{
+			Address: machine.GetAddress(), Zone: machine.GetZone(), Role: Role(machine.GetRole()), Leaving: machine.GetLeaving(),
+		})
 	}
 	return machines, nil
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,5 +1,8 @@
-// Package platform states what the system needs of the platform's services, in its own terms, and holds the adapters
-// that reach them.
+// Package platform states what the daemon needs of the platform's services, in its own terms (platform.go), and holds the adapter that reaches them over
+// connect (connect.go).
+//
+// It decides what an error of the store proves: that a request took no effect, or that it may have. It owns no state; a Client does I/O, bounds each
+// request but a watch by RequestTimeout, and may be used by many goroutines at once.
 package platform
 
 import (
@@ -27,7 +30,7 @@
 type Store interface {
 	// Get returns the entry of a key; found is false where it was never written.
 	Get(ctx context.Context, key string) (entry Entry, found bool, err error)
-	// List returns all entries with the prefix, without their values: at the size to design for the values are 7 MB.
+	// List returns all entries with the prefix, without their values, which take megabytes where there are many services.
 	List(ctx context.Context, prefix string) ([]Entry, error)
 	// CompareAndSwap writes if the key is still at the base (version zero: absent). swapped is false, with the present entry, if it is not.
 	CompareAndSwap(ctx context.Context, key string, base Stamp, value []byte) (entry Entry, swapped bool, err error)
--- a/internal/ticket/ticket.go
+++ b/internal/ticket/ticket.go
@@ -3,10 +3,12 @@
 // A ticket is minted by a node and is good once, at that node, in that generation of its process. Any other node
 // forwards it there. Where the generation is gone nobody can know whether the request ran, so nothing runs and the
 // outcome is unknown. The invariant: Use returns Fresh at most once for a ticket.
+//
+// It owns the outcomes of the requests whose tickets this process minted; they are lost with it. It relies on its caller for the time, one call at a time;
+// it does no I/O, takes no lock and reads no clock.
 package ticket
 
 import (
-	"bytes"
 	"crypto/hmac"
 	"crypto/sha256"
 	"encoding/binary"
@@ -21,11 +23,13 @@
 	Lifetime = 2 * time.Minute
 	// kept is how long an outcome can be asked for again.
 	kept = 10 * time.Minute
-	// maximumOutcomes bounds the table; over it nothing new is taken.
+	// maximumOutcomes bounds the table; over it nothing new is taken, and callers are told to come back after fullRetryAfter.
 	maximumOutcomes = 1 << 17
-	macSize         = 16
-	fixedSize       = 8 + 8 + 8
-	maximumSize     = 256
+	fullRetryAfter  = time.Second
+	// Sizes of a ticket, in bytes: the generation, the sequence and the moment of minting; then the address; then the code that proves who minted it.
+	fixedSize   = 8 + 8 + 8
+	macSize     = 16
+	maximumSize = 256
 )
 
 // Ticket is the readable part of a ticket.
@@ -62,22 +66,32 @@
 	Failure *failure.Failure
 }
 
-// Use is what may be done with a ticket.
-type Use uint8
+// Use is what may be done with a ticket: Fresh, Running, Finished or Rejected.
+type Use interface{ isUse() }
 
-// The uses.
-const (
-	// Fresh: run the request, once.
-	Fresh Use = iota + 1
-	// Running: an earlier request with the ticket is under way.
-	Running
-	// Finished: the outcome is known.
-	Finished
-)
+// Fresh: run the request, once, and say what came of it through Finish.
+type Fresh struct{ Sequence uint64 }
+
+// Running: an earlier request with the ticket is under way.
+type Running struct{ Sequence uint64 }
+
+// Finished: the outcome is known.
+type Finished struct{ Outcome Outcome }
+
+// Rejected: nothing runs. The failure is a refusal where nothing ran with this ticket, and of code OUTCOME_UNKNOWN where that cannot be told any more.
+type Rejected struct{ Failure *failure.Failure }
+
+func (Fresh) isUse()    {}
+func (Running) isUse()  {}
+func (Finished) isUse() {}
+func (Rejected) isUse() {}
 
+// entry is a ticket that was used.
 type entry struct {
-	at      time.Duration
-	digest  [sha256.Size]byte
+	at time.Duration
+	// digest of the request.
+	digest [sha256.Size]byte
+	// outcome is nil while the request is under way.
 	outcome *Outcome
 }
 
@@ -112,44 +126,43 @@
 	return append(encoded, t.mac(encoded)...)
 }
 
-// Use takes a ticket for a request; body identifies the request. The failure is of code TICKET_INVALID where nothing ran
-// with this ticket, and OUTCOME_UNKNOWN where that cannot be told any more.
-func (t *Table) Use(now time.Duration, encoded, body []byte) (Ticket, Use, *Outcome, *failure.Failure) {
+// Use takes a ticket for a request; body identifies the request.
+func (t *Table) Use(now time.Duration, encoded, body []byte) Use {
 	parsed, err := Parse(encoded)
 	if err != nil {
-		return parsed, 0, nil, failure.From(err)
+		return Rejected{failure.From(err)}
 	}
 	if parsed.Address != t.address || parsed.Generation != t.generation {
-		return parsed, 0, nil, failure.New(failure.OutcomeUnknown, "the process that minted the ticket is gone")
+		return Rejected{failure.New(failure.OutcomeUnknown, "the process that minted the ticket is gone")}
 	}
 	signed := encoded[:len(encoded)-macSize]
 	if !hmac.Equal(t.mac(signed), encoded[len(encoded)-macSize:]) {
-		return parsed, 0, nil, invalid("ticket is not signed by this node")
+		return Rejected{invalid("ticket is not signed by this node")}
 	}
 	t.sweep(now)
 	digest := sha256.Sum256(body)
 	if known := t.entries[parsed.Sequence]; known != nil {
-		return t.reuse(parsed, known, digest)
+		return t.reuse(parsed.Sequence, known, digest)
 	}
 	if now-parsed.MintedAt > Lifetime {
 		// Its outcome may have been forgotten, so "not run" would be a guess.
-		return parsed, 0, nil, failure.New(failure.OutcomeUnknown, "the ticket has expired")
+		return Rejected{failure.New(failure.OutcomeUnknown, "the ticket has expired")}
 	}
 	if len(t.entries) >= maximumOutcomes {
-		return parsed, 0, nil, failure.Refused(failure.Overloaded, "too many tickets in use", time.Second)
+		return Rejected{failure.Refused(failure.Overloaded, "too many tickets in use", fullRetryAfter)}
 	}
 	t.entries[parsed.Sequence] = &entry{at: now, digest: digest}
-	return parsed, Fresh, nil, nil
+	return Fresh{Sequence: parsed.Sequence}
 }
 
-func (t *Table) reuse(parsed Ticket, known *entry, digest [sha256.Size]byte) (Ticket, Use, *Outcome, *failure.Failure) {
-	if !bytes.Equal(known.digest[:], digest[:]) {
-		return parsed, 0, nil, failure.New(failure.InvalidArgument, "the ticket was used for another request")
+func (t *Table) reuse(sequence uint64, known *entry, digest [sha256.Size]byte) Use {
+	if known.digest != digest {
+		return Rejected{failure.New(failure.InvalidArgument, "the ticket was used for another request")}
 	}
 	if known.outcome == nil {
-		return parsed, Running, nil, nil
+		return Running{Sequence: sequence}
 	}
-	return parsed, Finished, known.outcome, nil
+	return Finished{Outcome: *known.outcome}
 }
 
 // Finish notes the outcome of the request a ticket was used for.
--- a/internal/ticket/ticket_test.go
+++ b/internal/ticket/ticket_test.go
@@ -16,8 +16,8 @@
 	changed := append([]byte(nil), ticket...)
 	changed[15]++
 	used := table.Mint(0)
-	if _, use, _, _ := table.Use(0, used, []byte("a")); use != Fresh {
-		t.Fatalf("use %d of a new ticket", use)
+	if use := table.Use(0, used, []byte("a")); !isFresh(use) {
+		t.Fatalf("use %+v of a new ticket", use)
 	}
 	cases := []struct {
 		name   string
@@ -37,9 +37,10 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			_, use, _, problem := c.table.Use(c.now, c.ticket, []byte(c.body))
-			if use != 0 || problem == nil || problem.Code != c.code || problem.NotRun != c.notRun {
-				t.Errorf("use %d, failure %v", use, problem)
+			use := c.table.Use(c.now, c.ticket, []byte(c.body))
+			rejected, ok := use.(Rejected)
+			if !ok || rejected.Failure == nil || rejected.Failure.Code != c.code || rejected.Failure.NotRun != c.notRun {
+				t.Errorf("use %+v", use)
 			}
 		})
 	}
@@ -48,37 +49,48 @@
 func TestResendsGetTheOutcome(t *testing.T) {
 	table := NewTable("10.0.0.1:7200", 5, []byte("key"))
 	ticket := table.Mint(0)
-	parsed, use, _, _ := table.Use(time.Second, ticket, []byte("a"))
-	if use != Fresh {
-		t.Fatalf("use %d", use)
+	use := table.Use(time.Second, ticket, []byte("a"))
+	fresh, ok := use.(Fresh)
+	if !ok {
+		t.Fatalf("use %+v", use)
 	}
-	if _, use, _, _ = table.Use(2*time.Second, ticket, []byte("a")); use != Running {
-		t.Errorf("use %d while running", use)
+	if use = table.Use(2*time.Second, ticket, []byte("a")); use != Running(fresh) {
+		t.Errorf("use %+v while running", use)
 	}
-	table.Finish(parsed.Sequence, Outcome{Shard: 3})
-	_, use, outcome, _ := table.Use(3*time.Second, ticket, []byte("a"))
-	if use != Finished || outcome.Shard != 3 {
-		t.Errorf("use %d, outcome %v", use, outcome)
+	table.Finish(fresh.Sequence, Outcome{Shard: 3})
+	use = table.Use(3*time.Second, ticket, []byte("a"))
+	if finished, ok := use.(Finished); !ok || finished.Outcome.Shard != 3 {
+		t.Errorf("use %+v", use)
 	}
 	// Long after, the outcome may be forgotten; it never runs again.
-	if _, use, _, problem := table.Use(time.Hour, ticket, []byte("a")); use == Fresh || (use == 0 && problem.NotRun) {
-		t.Errorf("use %d, failure %v after an hour", use, problem)
+	use = table.Use(time.Hour, ticket, []byte("a"))
+	if rejected, ok := use.(Rejected); isFresh(use) || ok && rejected.Failure.NotRun {
+		t.Errorf("use %+v after an hour", use)
 	}
 	table.Mint(time.Hour)
-	if _, use, _, _ := table.Use(2*time.Hour, ticket, []byte("a")); use == Fresh {
+	if use := table.Use(2*time.Hour, ticket, []byte("a")); isFresh(use) {
 		t.Error("a forgotten ticket ran again")
 	}
 }
 
+func isFresh(use Use) bool {
+	_, fresh := use.(Fresh)
+	return fresh
+}
+
 // TestRefusalIsFinal: a copy of a refused request that comes later gets the same refusal and does not run.
 func TestRefusalIsFinal(t *testing.T) {
 	table := NewTable("10.0.0.1:7200", 5, []byte("key"))
 	ticket := table.Mint(0)
-	parsed, _, _, _ := table.Use(0, ticket, []byte("a"))
-	table.Finish(parsed.Sequence, Outcome{Failure: failure.Refused(failure.NotReady, "not ready", 0)})
-	_, use, outcome, _ := table.Use(time.Second, ticket, []byte("a"))
-	if use != Finished || outcome.Failure == nil || !outcome.Failure.NotRun {
-		t.Errorf("use %d, outcome %v", use, outcome)
+	use := table.Use(0, ticket, []byte("a"))
+	fresh, ok := use.(Fresh)
+	if !ok {
+		t.Fatalf("use %+v", use)
+	}
+	table.Finish(fresh.Sequence, Outcome{Failure: failure.Refused(failure.NotReady, "not ready", 0)})
+	use = table.Use(time.Second, ticket, []byte("a"))
+	if finished, ok := use.(Finished); !ok || finished.Outcome.Failure == nil || !finished.Outcome.Failure.NotRun {
+		t.Errorf("use %+v", use)
 	}
 }
 
