--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -61,7 +61,7 @@
 	},
 	{
 		"a suspected request goes to all shards at once", "internal/forward/forward.go",
-		"r.caution.suspect = world.Verdict() != quarantine.Clear; r.caution.suspect", "r.caution.suspect = world.Verdict() != quarantine.Clear; false",
+		"r.caution.suspect = node.Verdict() != quarantine.Clear; r.caution.suspect", "r.caution.suspect = node.Verdict() != quarantine.Clear; false",
 		"./internal/forward", "TestSuspectIsTried",
 	},
 	{
@@ -71,7 +71,7 @@
 	},
 	{
 		"nodes do not tell each other of requests that end back ends", "internal/gateway/quarantine.go",
-		"if g.members == nil || len(marks) == 0 || !g.keeping.mayTell(now) {", "if true {",
+		"if g.members == nil || len(marks) == 0 || !g.quarantineWrites.mayTell(now) {", "if true {",
 		"./internal/gateway", "TestManyNodesKnowARequest",
 	},
 	{
