--- a/cmd/stiletrail/main.go
+++ b/cmd/stiletrail/main.go
@@ -99,7 +99,8 @@
 	if c.output == "json" {
 		c.printJSON(failureView{
 			Code: string(problem.Code), Message: problem.Message, NotRun: problem.NotRun, SafeToRepeat: problem.SafeToRepeat(),
-			RetryAfterMilliseconds: problem.RetryAfter.Milliseconds(), CurrentVersion: problem.CurrentVersion, Alternative: problem.Alternative,
+			RetryAfterMilliseconds: problem.RetryAfter.Milliseconds(), CurrentVersion: problem.CurrentVersion,
+			Alternative: problem.Alternative,
 		})
 		return exitCodeOf(problem)
 	}
--- a/cmd/stiletrail/nodes.go
+++ b/cmd/stiletrail/nodes.go
@@ -22,7 +22,8 @@
 }
 
 func addNodes(app *kingpin.Application, commands map[string]command) {
-	c := app.Command("nodes", "What gateways believe, side by side, from their metrics: configuration, store, back ends, evacuated zones. Exit 1 if one could not be asked.\n\n"+
+	c := app.Command("nodes", "What gateways believe, side by side, from their metrics: configuration, store, back ends, "+
+		"evacuated zones. Exit 1 if one could not be asked.\n\n"+
 		"Example: stiletrail nodes 10.0.0.1:7440 10.0.0.2:7440")
 	addresses := c.Arg("addresses", "Metrics addresses of the nodes.").Required().Strings()
 	commands[c.FullCommand()] = func(shared *client) (int, error) {
--- a/cmd/stiletrail/operate.go
+++ b/cmd/stiletrail/operate.go
@@ -71,12 +71,15 @@
 	for _, warning := range plan.GetWarnings() {
 		fmt.Println("  warning:", warning)
 	}
-	fmt.Printf("touches %d back ends; good until %s\n", len(plan.GetBackEnds()), time.Unix(plan.GetExpiresUnixSeconds(), 0).UTC().Format(time.RFC3339))
-	fmt.Printf("confirm with: stiletrail confirm %s --base %d --digest %s --expires %d\n", file, plan.GetBaseVersion(), plan.GetDigest(), plan.GetExpiresUnixSeconds())
+	expires := time.Unix(plan.GetExpiresUnixSeconds(), 0).UTC()
+	fmt.Printf("touches %d back ends; good until %s\n", len(plan.GetBackEnds()), expires.Format(time.RFC3339))
+	fmt.Printf("confirm with: stiletrail confirm %s --base %d --digest %s --expires %d\n",
+		file, plan.GetBaseVersion(), plan.GetDigest(), plan.GetExpiresUnixSeconds())
 }
 
 func addConfirm(app *kingpin.Application, commands map[string]command) {
-	c := app.Command("confirm", "Put a plan into force. Exit 6 if another change came first; exit 5 if the outcome is unknown: repeat with the same --operation.")
+	c := app.Command("confirm", "Put a plan into force. Exit 6 if another change came first; exit 5 if the outcome is unknown: "+
+		"repeat with the same --operation.")
 	file := c.Arg("intent", "The file that was planned.").Required().String()
 	base := c.Flag("base", "Base version of the plan.").Required().Uint64()
 	digest := c.Flag("digest", "Digest of the plan.").Required().String()
@@ -103,7 +106,8 @@
 			shared.printJSON(response.Msg)
 			return exitOK, nil
 		}
-		fmt.Printf("accepted: %s is at version %d, held by %d more nodes in %d zones\n", response.Msg.GetService(), response.Msg.GetVersion(), response.Msg.GetCopies(), response.Msg.GetCopyZones())
+		fmt.Printf("accepted: %s is at version %d, held by %d more nodes in %d zones\n",
+			response.Msg.GetService(), response.Msg.GetVersion(), response.Msg.GetCopies(), response.Msg.GetCopyZones())
 		return exitOK, nil
 	}
 }
@@ -128,7 +132,8 @@
 }
 
 func printStatus(status *stiletrailv1.StatusResponse) {
-	fmt.Printf("node %s in %s, ready %t, %d members alive\n", status.GetNode(), status.GetZone(), status.GetReady(), status.GetMembersAlive())
+	fmt.Printf("node %s in %s, ready %t, %d members alive\n",
+		status.GetNode(), status.GetZone(), status.GetReady(), status.GetMembersAlive())
 	if age := status.GetConfigurationAgeMilliseconds(); age >= 0 {
 		fmt.Printf("configuration known equal to the store's %s ago\n", time.Duration(age)*time.Millisecond)
 	} else {
@@ -139,7 +144,8 @@
 		if service.GetDeleted() {
 			state = " (deleted)"
 		}
-		fmt.Printf("  %-24s version %d%s in force on %d of %d nodes\n", service.GetService(), service.GetVersion(), state, service.GetNodesInForce(), service.GetNodesAsked())
+		fmt.Printf("  %-24s version %d%s in force on %d of %d nodes\n",
+			service.GetService(), service.GetVersion(), state, service.GetNodesInForce(), service.GetNodesAsked())
 		for _, address := range service.GetUnreachable() {
 			fmt.Println("    not reached:", address)
 		}
--- a/cmd/stiletraild/main.go
+++ b/cmd/stiletraild/main.go
@@ -8,6 +8,7 @@
 	"net/http"
 	"os"
 	"os/signal"
+	"strings"
 	"syscall"
 
 	"github.com/alecthomas/kingpin/v2"
@@ -46,16 +47,8 @@
 	os.Exit(run(loaded))
 }
 
-// flagName is the flag of a field: dashes for underscores.
-func flagName(field string) string {
-	name := []byte(field)
-	for i := range name {
-		if name[i] == '_' {
-			name[i] = '-'
-		}
-	}
-	return string(name)
-}
+// flagName is the flag of a setting.
+func flagName(setting string) string { return strings.ReplaceAll(setting, "_", "-") }
 
 func overrides(flags map[string]*string) []settings.Override {
 	var given []settings.Override
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,4 +1,5 @@
-// Package api translates between the decision packages' terms and the API towards callers and operators.
+// Package api translates between the daemon's terms and the API towards callers and operators. It decides with which code of
+// connect a failure is answered; it owns no state and does no I/O.
 package api
 
 import (
@@ -96,27 +97,31 @@
 	response := &stiletrailv1.SearchResponse{
 		Coverage: Coverage(answer.Coverage), CatalogVersion: answer.CatalogVersion, ShardAttempts: answer.ShardAttempts,
 		Snapshot:                     &stiletrailv1.Snapshot{Version: answer.Snapshot.Version, Epoch: answer.Snapshot.Epoch},
-		ConfigurationAgeMilliseconds: answer.ConfigurationAge.Milliseconds(),
-	}
-	if answer.ConfigurationAge < 0 {
-		response.ConfigurationAgeMilliseconds = -1
+		ConfigurationAgeMilliseconds: ageInMilliseconds(answer.ConfigurationAge),
 	}
 	for _, shard := range answer.Documents {
 		for _, document := range shard.Documents {
-			response.Documents = append(response.Documents, &stiletrailv1.Document{Shard: shard.Shard, Key: document.Key, Body: document.Body})
+			response.Documents = append(response.Documents, &stiletrailv1.Document{
+				Shard: shard.Shard, Key: document.Key, Body: document.Body,
+			})
 		}
 	}
 	return response
 }
 
+// ageInMilliseconds of the configuration, -1 where it was never known equal to the store's.
+func ageInMilliseconds(age time.Duration) int64 {
+	if age < 0 {
+		return -1
+	}
+	return age.Milliseconds()
+}
+
 // StatusResponse returns a status in the API's form.
 func StatusResponse(answer engine.StatusAnswer) *stiletrailv1.StatusResponse {
 	response := &stiletrailv1.StatusResponse{
 		Node: answer.Self.Address, Zone: answer.Self.Zone, Ready: answer.Ready, MembersAlive: uint32(answer.Alive),
-		ConfigurationAgeMilliseconds: answer.ConfigurationAge.Milliseconds(), Alarms: answer.Alarms,
-	}
-	if answer.ConfigurationAge < 0 {
-		response.ConfigurationAgeMilliseconds = -1
+		ConfigurationAgeMilliseconds: ageInMilliseconds(answer.ConfigurationAge), Alarms: answer.Alarms,
 	}
 	for _, service := range answer.Services {
 		response.Services = append(response.Services, &stiletrailv1.ServiceStatus{
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,8 +1,12 @@
-// Package backend reaches back ends over connect. It matches every answer to its attempt, checks it, and states for each
-// attempt that got none whether a byte of it was written.
+// Package backend reaches back ends over connect. It decides what came of an attempt: it matches every answer to its attempt and
+// checks it (answer.go), and states for each attempt that got none whether a byte of it was written, and whether the back end has
+// ended.
 //
-// HTTP/1.1 is used on purpose: a POST without an idempotency key is resent by net/http only where nothing of it was
-// written, so an attempt reaches a back end at most once. TestNoSilentResend proves it.
+// HTTP/1.1 is used on purpose: a POST without an idempotency key is resent by net/http only where nothing of it was written, so
+// an attempt reaches a back end at most once. TestNoSilentResend proves it.
+//
+// It owns the connections to back ends and the means to cancel attempts. A Client does I/O, has a lock of its own and may be used
+// by many goroutines.
 package backend
 
 import (
@@ -20,12 +24,12 @@
 
 	stiletrailv1 "stiletrail/api/stiletrail/v1"
 	"stiletrail/api/stiletrail/v1/stiletrailv1connect"
-	"stiletrail/internal/message"
 	"stiletrail/internal/query"
 )
 
+// Bounds of requests to back ends.
 const (
-	// An answer must fit into a frame to the root with what others answer beside it.
+	// maximumAnswer in bytes: an answer must fit into a frame to the root with what others answer beside it.
 	maximumAnswer   = 4 << 20
 	dialTimeout     = 500 * time.Millisecond
 	idleConnTimeout = 90 * time.Second
@@ -118,12 +122,7 @@
 	}
 	response, err := c.clientFor(attempt.BackEnd).Query(httptrace.WithClientTrace(ctx, trace), connect.NewRequest(request))
 	if err != nil {
-		status := query.StatusLost
-		if !written.Load() {
-			status = query.StatusNotSent
-		}
-		ended := status == query.StatusLost && ctx.Err() == nil && refuses(ctx, attempt.BackEnd)
-		return query.AttemptResult{Attempt: attempt.Number, Status: status, BackEndEnded: ended}
+		return withoutAnswer(ctx, attempt, written.Load())
 	}
 	result := check(attempt, response.Msg)
 	if held := connection.Load(); result.Status == query.StatusInvalid && held != nil {
@@ -133,6 +132,15 @@
 	return result
 }
 
+// withoutAnswer says what came of an attempt that got no answer: where nothing of it may have been written it did not run.
+func withoutAnswer(ctx context.Context, attempt query.Attempt, written bool) query.AttemptResult {
+	if !written {
+		return query.AttemptResult{Attempt: attempt.Number, Status: query.StatusNotSent}
+	}
+	ended := ctx.Err() == nil && refuses(ctx, attempt.BackEnd)
+	return query.AttemptResult{Attempt: attempt.Number, Status: query.StatusLost, BackEndEnded: ended}
+}
+
 // refuses reports whether nobody takes connections at an address any more, as after the end of a process.
 func refuses(ctx context.Context, address string) bool {
 	dialer := net.Dialer{Timeout: dialTimeout}
@@ -144,77 +152,6 @@
 	return false
 }
 
-// check verifies that an answer is whole and is to this attempt.
-func check(attempt query.Attempt, response *stiletrailv1.QueryResponse) query.AttemptResult {
-	result := query.AttemptResult{
-		Attempt: attempt.Number, Status: statusOf(response.GetStatus()),
-		Snapshot:   query.Snapshot{Version: response.GetVersion(), Epoch: response.GetEpoch()},
-		RetryAfter: time.Duration(response.GetRetryAfterMilliseconds()) * time.Millisecond,
-	}
-	if response.GetGeneration() != attempt.Generation || response.GetAttempt() != attempt.Number {
-		result.Status = query.StatusInvalid
-		return result
-	}
-	if holding := response.GetHolding(); holding != nil {
-		result.Holding = holdingOf(holding)
-		result.HasHolding = true
-	}
-	for _, shard := range response.GetResults() {
-		documents := query.ShardDocuments{Shard: shard.GetShard()}
-		for _, document := range shard.GetDocuments() {
-			documents.Documents = append(documents.Documents, query.Document{Key: document.GetKey(), Body: document.GetBody()})
-		}
-		result.Results = append(result.Results, documents)
-	}
-	if result.Status == query.StatusOK {
-		checksum, count := query.Checksum(result.Results)
-		if checksum != response.GetChecksum() || count != response.GetDocumentCount() {
-			result.Status = query.StatusInvalid
-		}
-		if count > message.MaximumItems {
-			result.Status = query.StatusInvalid
-		}
-	}
-	return result
-}
-
-func statusOf(status stiletrailv1.QueryStatus) query.Status {
-	switch status {
-	case stiletrailv1.QueryStatus_QUERY_STATUS_OK:
-		return query.StatusOK
-	case stiletrailv1.QueryStatus_QUERY_STATUS_SHED:
-		return query.StatusShed
-	case stiletrailv1.QueryStatus_QUERY_STATUS_DRAINING:
-		return query.StatusDraining
-	case stiletrailv1.QueryStatus_QUERY_STATUS_VERSION_UNAVAILABLE:
-		return query.StatusVersionUnavailable
-	case stiletrailv1.QueryStatus_QUERY_STATUS_NOT_HELD:
-		return query.StatusNotHeld
-	case stiletrailv1.QueryStatus_QUERY_STATUS_EXPIRED:
-		return query.StatusExpired
-	}
-	return query.StatusInvalid
-}
-
-func holdingOf(holding *stiletrailv1.Holding) query.Holding {
-	return query.Holding{
-		State: stateOf(holding.GetState()), Epoch: holding.GetEpoch(), ShardsTotal: holding.GetShardsTotal(),
-		Shards: holding.GetShards(), Oldest: holding.GetOldestVersion(), Newest: holding.GetNewestVersion(),
-	}
-}
-
-func stateOf(state stiletrailv1.BackEndState) query.State {
-	switch state {
-	case stiletrailv1.BackEndState_BACK_END_STATE_COLD:
-		return query.StateCold
-	case stiletrailv1.BackEndState_BACK_END_STATE_SERVING:
-		return query.StateServing
-	case stiletrailv1.BackEndState_BACK_END_STATE_DRAINING:
-		return query.StateDraining
-	}
-	return query.StateUnknown
-}
-
 // Describe asks a back end what it holds for a service; false where it does not answer.
 func (c *Client) Describe(ctx context.Context, service, address string) (query.Holding, bool) {
 	ctx, cancel := context.WithTimeout(ctx, describeTimeout)
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,9 +1,9 @@
-// Package catalog decides which of two versions of a service's configuration is in force, and holds what is in force at a node: one versioned document
-// per service. Merging takes the higher version of each, a join: commutative, associative and idempotent. So the order of messages, repeats, isolation
-// and rejoining cannot make a service revert. A deletion is a document too.
+// Package catalog decides which of two versions of a service's configuration is in force, and holds what is in force at a node:
+// one versioned document per service. Merging takes the higher version of each, a join: commutative, associative and idempotent.
+// So the order of messages, repeats, isolation and rejoining cannot make a service revert. A deletion is a document too.
 //
-// It owns the forms of documents in the store and between nodes (document.go) and of what changed in one (delta.go). It does no I/O, takes no lock and
-// reads no clock.
+// It owns the forms of documents in the store and between nodes (document.go) and of what changed in one (delta.go). It does no
+// I/O, takes no lock and reads no clock.
 package catalog
 
 import (
--- a/internal/catalog/delta.go
+++ b/internal/catalog/delta.go
@@ -8,8 +8,8 @@
 	"stiletrail/internal/failure"
 )
 
-// Delta is what changed in a document from one version to a later one. A document of many back ends takes over a hundred kilobytes and a change of one
-// back end a few hundred bytes, so pushes carry deltas.
+// Delta is what changed in a document from one version to a later one. A document of many back ends takes over a hundred
+// kilobytes and a change of one back end a few hundred bytes, so pushes carry deltas.
 type Delta struct {
 	Service string `json:"service"`
 	From    uint64 `json:"from"`
@@ -60,7 +60,9 @@
 	if from.Service != d.Service || from.Version != d.From {
 		return Document{}, failure.New(failure.Malformed, "the delta is for another version")
 	}
-	result := Document{Service: d.Service, Version: d.To, Deleted: d.Deleted, Operations: d.Operations, Specification: d.Specification}
+	result := Document{
+		Service: d.Service, Version: d.To, Deleted: d.Deleted, Operations: d.Operations, Specification: d.Specification,
+	}
 	replaced := make(map[string]BackEnd, len(d.Set))
 	for _, backEnd := range d.Set {
 		replaced[backEnd.Address] = backEnd
--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -50,9 +50,9 @@
 // Document is the configuration of one service at one version.
 type Document struct {
 	Service string `json:"service"`
-	// Version rises with each change of the service. In each era of the store it goes on from another number, far above all of the eras before: of two
-	// changes that follow on the same one, since the store lost the first with a copy, the later one is in force everywhere, and no node takes them for
-	// the same.
+	// Version rises with each change of the service. In each era of the store it goes on from another number, far above all of
+	// the eras before: of two changes that follow on the same one, since the store lost the first with a copy, the later one is
+	// in force everywhere, and no node takes them for the same.
 	Version uint64 `json:"version"`
 	Deleted bool   `json:"deleted,omitempty"`
 	// Operations are the ids of the last operations, newest last; an answer lost after the write is settled by them.
@@ -60,7 +60,8 @@
 	Specification Specification `json:"specification"`
 }
 
-// eraVersions is how far above the versions of one era of the store those of the next one begin: more than the changes that a service will have in one.
+// eraVersions is how far above the versions of one era of the store those of the next one begin: more than the changes that a
+// service will have in one.
 const eraVersions = 1_000_000_000
 
 // Next returns the document that an operation puts in place of d in an era of the store.
--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -21,7 +21,8 @@
 //   - where it is under quarantine, for what is left of that;
 //   - where the predicted wait for a slot is over Settings.MaximumQueueWait, or over half the time left, for that wait.
 //
-// Besides, Submit refuses what is of a group that this node does not own and drops what came before, and Refuse what comes to a node that is stopping.
+// Besides, Submit refuses what is of a group that this node does not own and drops what came before, and Refuse what comes to a
+// node that is stopping.
 func (c *Core) admit(now time.Duration, q *subQuery, verdict quarantine.Verdict) (refusal, bool) {
 	if verdict == quarantine.Quarantined {
 		c.Counters.Quarantined++
@@ -35,7 +36,8 @@
 	return refusal{}, true
 }
 
-// longestWait predicts the wait for a slot of the shard that has to wait longest, each at its best replica. A shard without a replica waits for none.
+// longestWait predicts the wait for a slot of the shard that has to wait longest, each at its best replica. A shard without a
+// replica waits for none.
 func (c *Core) longestWait(now time.Duration, q *subQuery) time.Duration {
 	var longest time.Duration
 	for _, shard := range q.request.Shards {
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -48,7 +48,8 @@
 	return first, second
 }
 
-// cost is the expected time at a back end per shard it could answer, in nanoseconds: one that holds more of what is left takes fewer requests.
+// cost is the expected time at a back end per shard it could answer, in nanoseconds: one that holds more of what is left takes
+// fewer requests.
 func (c *Core) cost(now time.Duration, b *backEnd, left []uint32) float64 {
 	held := 0
 	for _, shard := range left {
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -16,7 +16,8 @@
 	Ejections      uint64
 	ShedByBackEnd  uint64
 	ExpiredInQueue uint64
-	// EndedBackEnds counts attempts whose back end ended, Quarantined the sub-queries that were given up or refused for ending them.
+	// EndedBackEnds counts attempts whose back end ended, Quarantined the sub-queries that were given up or refused for ending
+	// them.
 	EndedBackEnds uint64
 	Quarantined   uint64
 	Replayed      uint64
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,13 +1,15 @@
-// Package dispatch decides, for the back ends of the groups a node owns, which replica gets which shards of a sub-query, when an attempt is hedged or
-// retried, and what is refused.
+// Package dispatch decides, for the back ends of the groups a node owns, which replica gets which shards of a sub-query, when an
+// attempt is hedged or retried, and what is refused.
 //
-// Where each rule stands: admission and refusals in admit.go, the choice of a replica in choose.go, hedges in hedge.go, retries in retry.go, what is
-// known of a back end and when it is taken out of use in backend.go and health.go, queries that end back ends in quarantine.go. The way of a sub-query:
-// dispatch.go (in), place.go and queue.go (to back ends), outcome.go (answers), finish.go (out).
+// Where each rule stands: admission and refusals in admit.go, the choice of a replica in choose.go, hedges in hedge.go, retries
+// in retry.go, what is known of a back end and when it is taken out of use in backend.go and health.go, queries that end back
+// ends in quarantine.go. The way of a sub-query: dispatch.go (in), place.go and queue.go (to back ends), outcome.go (answers),
+// finish.go (out).
 //
-// It owns what the node knows of the back ends of its groups, the sub-queries it serves and their attempts. All of that is lost with the node: roots
-// ask a deputy, and a new owner starts with windows of one. It relies on package placement for the groups, on package limit for windows, budgets and
-// latencies, and on its caller for the time, one call at a time; it does no I/O, takes no lock and reads no clock. Invariants:
+// It owns what the node knows of the back ends of its groups, the sub-queries it serves and their attempts. All of that is lost
+// with the node: roots ask a deputy, and a new owner starts with windows of one. It relies on package placement for the groups,
+// on package limit for windows, budgets and latencies, and on its caller for the time, one call at a time; it does no I/O, takes
+// no lock and reads no clock. Invariants:
 //   - attempts in flight at a back end never exceed this node's share of its slots;
 //   - a sub-query is reported as not run only if every attempt handed out is proved not to have run;
 //   - an attempt that is not repeatable is started again only after such proof;
--- a/internal/dispatch/group.go
+++ b/internal/dispatch/group.go
@@ -1,6 +1,8 @@
 package dispatch
 
 import (
+	"cmp"
+	"maps"
 	"slices"
 	"time"
 
@@ -10,8 +12,10 @@
 	"stiletrail/internal/placement"
 )
 
+// group is one that this node dispatches to, or stands by for as a deputy.
 type group struct {
 	placement.Group
+	// version of the document it is of, which this node took in at changedAt.
 	version   uint64
 	changedAt time.Duration
 	// lastUsed is when the last sub-query came.
@@ -57,6 +61,7 @@
 	return c.take()
 }
 
+// updateGroup returns a group as this node owns it now. What waits at back ends that went or drain goes to others.
 func (c *Core) updateGroup(now time.Duration, known *group, owned placement.Ownership) *group {
 	if known == nil {
 		known = &group{
@@ -88,7 +93,10 @@
 	return known
 }
 
-func (c *Core) updateBackEnd(now time.Duration, previous []*backEnd, specified catalog.BackEnd, owned placement.Ownership) *backEnd {
+// updateBackEnd returns a back end of a group as it is specified now, with what was known of it before.
+func (c *Core) updateBackEnd(
+	now time.Duration, previous []*backEnd, specified catalog.BackEnd, owned placement.Ownership,
+) *backEnd {
 	share := placement.Share(specified, owned.Rank, owned.Dispatchers)
 	var found *backEnd
 	for _, b := range previous {
@@ -109,21 +117,11 @@
 	return found
 }
 
+// orderedGroups returns the groups in order, so that a seed gives one trace.
 func (c *Core) orderedGroups() []*group {
-	result := make([]*group, 0, len(c.groups))
-	for _, g := range c.groups {
-		result = append(result, g)
-	}
-	slices.SortFunc(result, func(a, b *group) int {
-		if a.Service != b.Service {
-			if a.Service < b.Service {
-				return -1
-			}
-			return 1
-		}
-		return int(a.Number) - int(b.Number)
+	return slices.SortedFunc(maps.Values(c.groups), func(a, b *group) int {
+		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Number, b.Number))
 	})
-	return result
 }
 
 // SetLeaving takes in which back ends the machine list says are leaving.
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -57,8 +57,8 @@
 // mostDoublings of an ejection, whatever MaximumEjection is.
 const mostDoublings = 8
 
-// eject takes a back end out for EjectFor, twice as long each time without an answer in between, unless too many of the group are out or a shard would
-// be left without a holder.
+// eject takes a back end out for EjectFor, twice as long each time without an answer in between, unless too many of the group are
+// out or a shard would be left without a holder.
 func (c *Core) eject(now time.Duration, g *group, b *backEnd) {
 	if b.ejected(now) || c.ejectedEnough(now, g) || lastHolder(now, g, b) {
 		return
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -7,10 +7,10 @@
 	"stiletrail/internal/query"
 )
 
-// The rule of hedges. An attempt is hedged once it takes hedgeDelay: HedgeMedians medians of the group's latencies or their HedgeQuantile, whichever is
-// less, and MinimumHedgeDelay at least. It is hedged only into a free slot and from the group's budget of hedges, each shard on its own, and never where
-// the request is not repeatable. Where that fails it is looked at again, hedgeRetries times per delay; after overdueDelays delays it also gets the next
-// slot that frees at a replica that can help.
+// The rule of hedges. An attempt is hedged once it takes hedgeDelay: HedgeMedians medians of the group's latencies or their
+// HedgeQuantile, whichever is less, and MinimumHedgeDelay at least. It is hedged only into a free slot and from the group's
+// budget of hedges, each shard on its own, and never where the request is not repeatable. Where that fails it is looked at again,
+// hedgeRetries times per delay; after overdueDelays delays it also gets the next slot that frees at a replica that can help.
 const (
 	hedgeRetries      = 16
 	minimumHedgeRetry = time.Millisecond
@@ -57,7 +57,8 @@
 	}
 }
 
-// hedgeLater looks at an attempt again soon: a slot may free, or the budget earn, at any moment. One that is very late gets the next slot that frees.
+// hedgeLater looks at an attempt again soon: a slot may free, or the budget earn, at any moment. One that is very late gets the
+// next slot that frees.
 func (c *Core) hedgeLater(now time.Duration, a *attempt) {
 	g := a.subQuery.group
 	delay := c.hedgeDelay(g)
@@ -78,7 +79,8 @@
 	})
 }
 
-// hedgeOverdue returns a hedge for an attempt that is very late and that this back end, whose slot has just become free, can help.
+// hedgeOverdue returns a hedge for an attempt that is very late and that this back end, whose slot has just become free, can
+// help.
 func (c *Core) hedgeOverdue(now time.Duration, g *group, b *backEnd) *queuedAttempt {
 	if len(g.overdue) == 0 || !b.usable(now) || now < b.notBefore {
 		return nil
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -27,9 +27,9 @@
 	held []uint32
 }
 
-// backEndEnded decides what becomes of the shards of an attempt whose back end has ended: they are retried once the sub-query has an answer or where it is
-// not repeatable (retry then asks for proof that it did not run), given up under quarantine, and else wait until another shard is answered or asked as a
-// trial. Ends are counted by this node; other dispatchers count their own.
+// backEndEnded decides what becomes of the shards of an attempt whose back end has ended: they are retried once the sub-query has
+// an answer or where it is not repeatable (retry then asks for proof that it did not run), given up under quarantine, and else
+// wait until another shard is answered or asked as a trial. Ends are counted by this node; other dispatchers count their own.
 func (c *Core) backEndEnded(now time.Duration, a *attempt) {
 	q := a.subQuery
 	verdict, _ := c.quarantine.Ended(clock.Of(now), identityOf(q.request), quarantine.Run{
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -6,8 +6,8 @@
 	"stiletrail/internal/query"
 )
 
-// retry asks another replica for what a failed attempt left open, each replica once at most. It gives up, and the shards are missing for the reason that
-// the attempt failed for, where
+// retry asks another replica for what a failed attempt left open, each replica once at most. It gives up, and the shards are
+// missing for the reason that the attempt failed for, where
 //   - the deadline has passed;
 //   - the request is not repeatable, and an attempt of it is not proved not to have run;
 //   - the group's budget of retries is spent, unless the retry costs none (costsBudget).
--- a/internal/engine/admit.go
+++ b/internal/engine/admit.go
@@ -7,13 +7,14 @@
 	"stiletrail/internal/membership"
 )
 
-// The refusals of a node. Each proves that nothing ran; what back ends refuse, or fail to answer, is decided in scatter and dispatch.
+// The refusals of a node. Each proves that nothing ran; what back ends refuse, or fail to answer, is decided in scatter and
+// dispatch.
 //
 //	LEAVING          the node is stopping: at once, at another node, whose address is given
-//	NOT_READY        it does not know the configuration and the members yet, or joins them anew after a freeze: notReadyRetryAfter. Tickets also
-//	                 within mintWait of being ready for the first time
-//	OVERLOADED       Settings.MaximumQueries searches and executes are under way: tooManyRetryAfter. An execute whose dispatchers are all asked
-//	                 and have not run it: triedRetryAfter
+//	NOT_READY        it does not know the configuration and the members yet, or joins them anew after a freeze:
+//	                 notReadyRetryAfter. Tickets also within mintWait of being ready for the first time
+//	OVERLOADED       Settings.MaximumQueries searches and executes are under way: tooManyRetryAfter. An execute whose
+//	                 dispatchers are all asked and have not run it: triedRetryAfter
 //	UNKNOWN_SERVICE  no time to come back
 //	NO_REPLICA       nobody is known to hold the shard of an execute: noReplicaRetryAfter
 const (
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -25,8 +25,8 @@
 // freezeGap without any call means that the process did not run: ticks come every 100 ms.
 const freezeGap = 2 * time.Second
 
-// resume makes a node that did not run for a while join again before it takes new work. What back ends said before is forgotten; until they are heard
-// again sub-queries are refused as not run.
+// resume makes a node that did not run for a while join again before it takes new work. What back ends said before is forgotten;
+// until they are heard again sub-queries are refused as not run.
 func (e *Engine) resume() {
 	e.Counters.Freezes++
 	if e.gossip.Ready() {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,7 +1,9 @@
-// Package engine joins the decision packages into one node: messages, requests, outcomes and the time go in, an Output of things to do comes out.
+// Package engine joins the decision packages into one node: messages, requests, outcomes and the time go in, an Output of things
+// to do comes out.
 //
-// It does no I/O, starts no goroutine and reads no clock, so that the node and the simulation drive the very same code. All methods must be called by one
-// goroutine at a time, with a time that never goes back. What it draws at random comes from the source that New is given.
+// It does no I/O, starts no goroutine and reads no clock, so that the node and the simulation drive the very same code. All
+// methods must be called by one goroutine at a time, with a time that never goes back. What it draws at random comes from the
+// source that New is given.
 //
 // Its files by matter, with the package that decides and keeps the state where it is not the engine:
 //
--- a/internal/engine/forward.go
+++ b/internal/engine/forward.go
@@ -92,7 +92,8 @@
 		}
 		if f = e.forwards[sequence]; f != nil && e.now >= f.until {
 			delete(e.forwards, sequence)
-			e.answerExecute(waiter{caller: f.caller}, unknownOutcome("the node that minted the ticket did not answer in time or is not known"))
+			unknown := unknownOutcome("the node that minted the ticket did not answer in time or is not known")
+			e.answerExecute(waiter{caller: f.caller}, unknown)
 		}
 	}
 }
--- a/internal/engine/route.go
+++ b/internal/engine/route.go
@@ -87,7 +87,9 @@
 	r.known[m.Group] = true
 	for _, holding := range m.Holdings {
 		if holding.Epoch >= r.lastTotal.Epoch {
-			r.lastTotal = query.Holding{Epoch: holding.Epoch, ShardsTotal: holding.ShardsTotal, Newest: holding.Newest, Oldest: holding.Oldest}
+			r.lastTotal = query.Holding{
+				Epoch: holding.Epoch, ShardsTotal: holding.ShardsTotal, Newest: holding.Newest, Oldest: holding.Oldest,
+			}
 		}
 	}
 	if r.complete() {
--- a/internal/engine/status.go
+++ b/internal/engine/status.go
@@ -40,10 +40,13 @@
 	Alarms           []string
 }
 
+// statusRun is a status request under way.
 type statusRun struct {
-	caller   Caller
-	service  string
-	until    time.Duration
+	caller Caller
+	// service is the only one asked for, or empty for all.
+	service string
+	until   time.Duration
+	// waiting are the members that have not answered; versions what the others have in force, by member and service.
 	waiting  map[string]bool
 	versions map[string]map[string]uint64
 }
@@ -51,7 +54,10 @@
 // Status asks the members which versions they have in force.
 func (e *Engine) Status(now time.Duration, caller Caller, service string) Output {
 	e.begin(now)
-	run := &statusRun{caller: caller, service: service, until: now + statusWait, waiting: map[string]bool{}, versions: map[string]map[string]uint64{}}
+	run := &statusRun{
+		caller: caller, service: service, until: now + statusWait,
+		waiting: map[string]bool{}, versions: map[string]map[string]uint64{},
+	}
 	number := e.next()
 	e.statuses[number] = run
 	for _, peer := range e.members.Pick(statusMembers, func(m membership.Member) bool { return m.Usable() }) {
@@ -132,7 +138,8 @@
 func (e *Engine) Alarms() []string {
 	var alarms []string
 	for _, service := range sortedKeys(e.store.behind) {
-		alarms = append(alarms, fmt.Sprintf("STORE_BEHIND: the store holds version %d of %s, in force is %d; confirm any plan for it to repair the store",
+		alarms = append(alarms, fmt.Sprintf(
+			"STORE_BEHIND: the store holds version %d of %s, in force is %d; confirm any plan for it to repair the store",
 			e.store.behind[service], service, e.catalog.Version(service)))
 	}
 	return alarms
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,12 +1,12 @@
-// Package gossip spreads the catalog between nodes: a new document is pushed on from node to node (spread.go), and random
-// pairs of nodes compare hashes and exchange what differs (compare.go; Demers et al., "Epidemic algorithms for replicated
-// database maintenance", 1987). It decides when a node knows enough of the configuration to serve from it.
+// Package gossip spreads the catalog between nodes: a new document is pushed on from node to node (spread.go), and random pairs
+// of nodes compare hashes and exchange what differs (compare.go; Demers et al., "Epidemic algorithms for replicated database
+// maintenance", 1987). It decides when a node knows enough of the configuration to serve from it.
 //
-// Ages: every node knows how long ago its catalog was last known equal to the store's, by its own reading or because a
-// peer with that knowledge held the same. Ages only ever shrink by such proof, and otherwise grow with time.
+// Ages: every node knows how long ago its catalog was last known equal to the store's, by its own reading or because a peer with
+// that knowledge held the same. Ages only ever shrink by such proof, and otherwise grow with time.
 //
-// It owns that age and the peers that agreed with a fresh node; the documents are the catalog's. It relies on Peers for a choice of members, and on its
-// caller for the time and the store, one call at a time; it does no I/O, takes no lock and reads no clock.
+// It owns that age and the peers that agreed with a fresh node; the documents are the catalog's. It relies on Peers for a choice
+// of members, and on its caller for the time and the store, one call at a time; it does no I/O, takes no lock and reads no clock.
 package gossip
 
 import (
--- a/internal/intent/parse.go
+++ b/internal/intent/parse.go
@@ -1,5 +1,5 @@
-// Package intent turns what an operator writes into a plan. Planning is pure: the same intent against the same
-// base gives the same plan and digest, on every node.
+// Package intent decides what an operator may ask for, and turns what is asked for into a plan. Planning is pure: the same intent
+// against the same base gives the same plan and digest, on every node. The package owns no state, does no I/O and reads no clock.
 package intent
 
 import (
@@ -18,13 +18,15 @@
 
 // Limits of an intent.
 const (
+	// maximumSize in bytes.
 	maximumSize        = 4 << 20
 	maximumBackEnds    = 20000
 	maximumServiceName = 64
 	maximumSlots       = 4096
 	maximumConnections = 65536
-	maximumDeadline    = 60000
-	maximumRegionName  = 32
+	// maximumDeadline in milliseconds.
+	maximumDeadline   = 60000
+	maximumRegionName = 32
 )
 
 // Intent is what an operator wants of one service.
@@ -36,7 +38,7 @@
 	catalog.Specification `yaml:",inline"`
 }
 
-// Problem is one fault of an intent or settings file, placed where it stands.
+// Problem is one fault of an intent, placed where it stands.
 type Problem struct {
 	Field string
 	// Line counts from one; zero where the field is absent.
@@ -70,14 +72,19 @@
 	}
 	checks := validator{file: file}
 	checks.intent(intent)
-	if len(checks.problems) > 0 {
-		lines := make([]string, 0, len(checks.problems))
-		for _, problem := range checks.problems {
-			lines = append(lines, problem.String())
-		}
-		return intent, failure.Refused(failure.InvalidArgument, strings.Join(lines, "; "), 0)
+	return intent, checks.failure()
+}
+
+// failure lists all problems, nil if there are none.
+func (v *validator) failure() error {
+	if len(v.problems) == 0 {
+		return nil
+	}
+	lines := make([]string, 0, len(v.problems))
+	for _, problem := range v.problems {
+		lines = append(lines, problem.String())
 	}
-	return intent, nil
+	return failure.Refused(failure.InvalidArgument, strings.Join(lines, "; "), 0)
 }
 
 type validator struct {
@@ -85,8 +92,8 @@
 	problems []Problem
 }
 
-// LineOf returns the line of a field by its YAML path, zero where it is absent.
-func LineOf(file *ast.File, path string) int {
+// lineOf returns the line of a field by its YAML path, zero where it is absent.
+func lineOf(file *ast.File, path string) int {
 	compiled, err := yaml.PathString("$." + path)
 	if err != nil {
 		return 0
@@ -102,7 +109,7 @@
 	if ok {
 		return
 	}
-	problem := Problem{Field: field, Line: LineOf(v.file, field), Found: fmt.Sprintf("%v", found), Allowed: allowed}
+	problem := Problem{Field: field, Line: lineOf(v.file, field), Found: fmt.Sprintf("%v", found), Allowed: allowed}
 	if problem.Found == "" {
 		problem.Found = "nothing"
 	}
@@ -115,11 +122,13 @@
 		v.check(len(intent.BackEnds) == 0, "back_ends", len(intent.BackEnds), "none with delete")
 		return
 	}
-	v.check(len(intent.BackEnds) > 0 && len(intent.BackEnds) <= maximumBackEnds, "back_ends", len(intent.BackEnds), "1 to 20000 back ends")
+	count := len(intent.BackEnds)
+	v.check(count > 0 && count <= maximumBackEnds, "back_ends", count, "1 to 20000 back ends")
 	v.check(intent.MinimumCoverage >= 0 && intent.MinimumCoverage <= 1, "minimum_coverage", intent.MinimumCoverage, "0 to 1")
 	known := intent.Preference == catalog.LatencyFirst || intent.Preference == catalog.CoverageFirst
 	v.check(known, "preference", intent.Preference, "latency or coverage")
-	v.check(intent.DeadlineMilliseconds >= 1 && intent.DeadlineMilliseconds <= maximumDeadline, "deadline_milliseconds", intent.DeadlineMilliseconds, "1 to 60000")
+	deadline := intent.DeadlineMilliseconds >= 1 && intent.DeadlineMilliseconds <= maximumDeadline
+	v.check(deadline, "deadline_milliseconds", intent.DeadlineMilliseconds, "1 to 60000")
 	tail := intent.TailBudgetMilliseconds >= 0 && intent.TailBudgetMilliseconds <= intent.DeadlineMilliseconds
 	v.check(tail, "tail_budget_milliseconds", intent.TailBudgetMilliseconds, "0 to deadline_milliseconds")
 	seen := map[string]bool{}
@@ -136,7 +145,8 @@
 	v.check(validName(backEnd.Zone), path+".zone", backEnd.Zone, "1 to 64 of a-z, 0-9, '-' and '.'")
 	v.check(len(backEnd.Region) <= maximumRegionName, path+".region", backEnd.Region, "up to 32 characters")
 	v.check(backEnd.Slots >= 1 && backEnd.Slots <= maximumSlots, path+".slots", backEnd.Slots, "1 to 4096")
-	v.check(backEnd.Connections >= 1 && backEnd.Connections <= maximumConnections, path+".connections", backEnd.Connections, "1 to 65536")
+	connections := backEnd.Connections >= 1 && backEnd.Connections <= maximumConnections
+	v.check(connections, path+".connections", backEnd.Connections, "1 to 65536")
 }
 
 func validName(name string) bool {
--- a/internal/intent/plan.go
+++ b/internal/intent/plan.go
@@ -125,7 +125,8 @@
 	if backEnd.Draining {
 		draining = ", draining"
 	}
-	p.change("%s back end %s (zone %s, %d slots, %d connections%s)", verb, backEnd.Address, backEnd.Zone, backEnd.Slots, backEnd.Connections, draining)
+	p.change("%s back end %s (zone %s, %d slots, %d connections%s)",
+		verb, backEnd.Address, backEnd.Zone, backEnd.Slots, backEnd.Connections, draining)
 }
 
 func byAddress(backEnds []catalog.BackEnd) map[string]catalog.BackEnd {
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -52,7 +52,7 @@
 		"./internal/simulation", "TestAtMostOnce",
 	},
 	{
-		"a lost attempt counts as not run", "internal/query/query.go",
+		"a lost attempt counts as not run", "internal/query/attempt.go",
 		"return s >= StatusShed && s <= StatusNotSent", "return s >= StatusShed && s <= StatusLost",
 		"./internal/dispatch", "TestOutcomesOfOneAttempt",
 	},
@@ -137,12 +137,12 @@
 		"./internal/engine", "TestWokenNodeRefusesUntilItHasJoined",
 	},
 	{
-		"checksums of answers are not compared", "internal/backend/backend.go",
+		"checksums of answers are not compared", "internal/backend/answer.go",
 		"if checksum != response.GetChecksum() || count != response.GetDocumentCount() {", "if checksum == 0 && count == 1 {",
 		"./internal/backend", "TestAnswers",
 	},
 	{
-		"echoes are not compared", "internal/backend/backend.go",
+		"echoes are not compared", "internal/backend/answer.go",
 		"if response.GetGeneration() != attempt.Generation || response.GetAttempt() != attempt.Number {", "if false {",
 		"./internal/backend", "TestAnswers",
 	},
--- a/internal/placement/owners.go
+++ b/internal/placement/owners.go
@@ -63,7 +63,9 @@
 		for _, p := range service.groups {
 			rank := slices.IndexFunc(p.owners, func(m scoredMember) bool { return m.address == address })
 			if rank >= 0 {
-				owned = append(owned, Ownership{Group: p.group, Version: service.version, Rank: rank, Dispatchers: min(p.dispatchers, len(p.owners))})
+				owned = append(owned, Ownership{
+					Group: p.group, Version: service.version, Rank: rank, Dispatchers: min(p.dispatchers, len(p.owners)),
+				})
 			}
 		}
 	}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,10 +1,11 @@
 // Package placement decides which back ends form a group, which nodes dispatch to it, and which nodes of a zone read the store.
 //
-// It uses rendezvous hashing (Thaler and Ravishankar, 1998): every node computes the same from the catalog and its view of the members; no agreement is
-// needed. Nodes with different views may for a moment both dispatch to a back end: it then sheds, which is a refusal that did not run, and a new owner
-// starts with a window of one.
+// It uses rendezvous hashing (Thaler and Ravishankar, 1998): every node computes the same from the catalog and its view of the
+// members; no agreement is needed. Nodes with different views may for a moment both dispatch to a back end: it then sheds, which
+// is a refusal that did not run, and a new owner starts with a window of one.
 //
-// It owns a Table of the owners of each group, which is made anew from documents and members. It does no I/O, takes no lock and reads no clock.
+// It owns a Table of the owners of each group, which is made anew from documents and members. It does no I/O, takes no lock and
+// reads no clock.
 package placement
 
 import (
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -19,7 +19,10 @@
 
 // NewTable returns an empty table.
 func NewTable(settings Settings) *Table {
-	return &Table{settings: settings, regions: map[string]map[string]bool{}, usable: map[string]string{}, services: map[string]*serviceGroups{}}
+	return &Table{
+		settings: settings, usable: map[string]string{}, regions: map[string]map[string]bool{},
+		services: map[string]*serviceGroups{},
+	}
 }
 
 type serviceGroups struct {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,8 +1,8 @@
-// Package platform states what the daemon needs of the platform's services, in its own terms (platform.go), and holds the adapter that reaches them over
-// connect (connect.go).
+// Package platform states what the daemon needs of the platform's services, in its own terms (platform.go), and holds the adapter
+// that reaches them over connect (connect.go).
 //
-// It decides what an error of the store proves: that a request took no effect, or that it may have. It owns no state; a Client does I/O, bounds each
-// request but a watch by RequestTimeout, and may be used by many goroutines at once.
+// It decides what an error of the store proves: that a request took no effect, or that it may have. It owns no state; a Client
+// does I/O, bounds each request but a watch by RequestTimeout, and may be used by many goroutines at once.
 package platform
 
 import (
@@ -12,7 +12,8 @@
 
 // Stamp says which write of a key is meant; only equality is relied on.
 type Stamp struct {
-	// Era of the service: it rises when the service comes back from a copy that lacks its latest writes, and gives versions out again.
+	// Era of the service: it rises when the service comes back from a copy that lacks its latest writes, and gives versions out
+	// again.
 	Era uint64
 	// Version is the service's own, raised with each write; zero for a key that is not there.
 	Version uint64
@@ -32,7 +33,8 @@
 	Get(ctx context.Context, key string) (entry Entry, found bool, err error)
 	// List returns all entries with the prefix, without their values, which take megabytes where there are many services.
 	List(ctx context.Context, prefix string) ([]Entry, error)
-	// CompareAndSwap writes if the key is still at the base (version zero: absent). swapped is false, with the present entry, if it is not.
+	// CompareAndSwap writes if the key is still at the base (version zero: absent). swapped is false, with the present entry, if
+	// it is not.
 	CompareAndSwap(ctx context.Context, key string, base Stamp, value []byte) (entry Entry, swapped bool, err error)
 	// Watch calls changed for each write until the context ends or the connection breaks. Events may be lost.
 	Watch(ctx context.Context, prefix string, changed func(Entry)) error
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -82,7 +82,8 @@
 
 func age(length clock.Ms) uint32 { return uint32(max(0, min(length, longestAge))) }
 
-// Receive takes in what another node knows. What was seen there counts as what is seen here; a quarantine holds for as long as it would there.
+// Receive takes in what another node knows. What was seen there counts as what is seen here; a quarantine holds for as long as it
+// would there.
 func (c *Core) Receive(now clock.Ms, m *message.Evidence) (change Change) {
 	for i := range m.Requests[:min(len(m.Requests), mostRequestsSent)] {
 		c.receive(now, &m.Requests[i], &change)
--- a/internal/quarantine/exceptions.go
+++ b/internal/quarantine/exceptions.go
@@ -6,8 +6,8 @@
 	"stiletrail/internal/clock"
 )
 
-// otherAfter is how long after the last end under a question another caller may ask it: one that asks it at the same time loses its back ends to the
-// first one.
+// otherAfter is how long after the last end under a question another caller may ask it: one that asks it at the same time loses
+// its back ends to the first one.
 const otherAfter = 2 * clock.Second
 
 // LeftOut reports whether a request is to be kept from one shard, whose back ends it ends while others answer it.
@@ -16,7 +16,8 @@
 	return r != nil && c.settings.Rounds > 0 && now < r.shardsUntil[service]
 }
 
-// Left is how much longer a request is under quarantine at most, unless it ends more back ends; at least a second, and 0 where it is not.
+// Left is how much longer a request is under quarantine at most, unless it ends more back ends; at least a second, and 0 where it
+// is not.
 func (c *Core) Left(now clock.Ms, id Identity) clock.Ms {
 	r, found := c.quarantineOf(now, id)
 	if !found {
@@ -50,8 +51,8 @@
 	return nil
 }
 
-// Untried gives one of some versions that a request under quarantine has neither ended nor been answered by, and the mark that it is under quarantine
-// by; false if there is none.
+// Untried gives one of some versions that a request under quarantine has neither ended nor been answered by, and the mark that it
+// is under quarantine by; false if there is none.
 func (c *Core) Untried(now clock.Ms, id Identity, versions []string) (mark Mark, version string, found bool) {
 	r, quarantined := c.quarantineOf(now, id)
 	if !quarantined || len(r.versions) == 0 {
@@ -66,8 +67,8 @@
 	return mark, "", false
 }
 
-// OtherCaller reports whether a request is under quarantine by what is asked alone, and this caller is none of those by whom it is; and how much
-// longer the caller is not to ask it even so.
+// OtherCaller reports whether a request is under quarantine by what is asked alone, and this caller is none of those by whom it
+// is; and how much longer the caller is not to ask it even so.
 func (c *Core) OtherCaller(now clock.Ms, id Identity) (mark Mark, wait clock.Ms, other bool) {
 	r, quarantined := c.quarantineOf(now, id)
 	if !quarantined || r.mark != id.Question {
--- a/internal/quarantine/mark.go
+++ b/internal/quarantine/mark.go
@@ -9,17 +9,18 @@
 	"stiletrail/internal/failure"
 )
 
-// Mark names a request, a place or a caller. It is a cryptographic hash, the same on all nodes, so that nobody can make a request of his own that
-// bears the mark of somebody else's.
+// Mark names a request, a place or a caller. It is a cryptographic hash, the same on all nodes, so that nobody can make a request
+// of his own that bears the mark of somebody else's.
 type Mark [16]byte
 
-// Identity is what a request is known by. A caller may come from another address the next time, and the same question may end back ends for one caller
-// and not for another, so either is looked at.
+// Identity is what a request is known by. A caller may come from another address the next time, and the same question may end
+// back ends for one caller and not for another, so either is looked at.
 type Identity struct {
-	// Question is what is asked, whoever asks it, and Asked that by this caller: what bears one of these can be put under quarantine.
+	// Question is what is asked, whoever asks it, and Asked that by this caller: what bears one of these can be put under
+	// quarantine.
 	Question, Asked Mark
-	// Place is where it is asked, whatever the details, and Caller who asks, whatever it is. What bears one of these is sent on with care while
-	// requests that bear it end back ends, also if each is another one.
+	// Place is where it is asked, whatever the details, and Caller who asks, whatever it is. What bears one of these is sent on
+	// with care while requests that bear it end back ends, also if each is another one.
 	Place, Caller Mark
 }
 
--- a/internal/quarantine/outcome.go
+++ b/internal/quarantine/outcome.go
@@ -25,8 +25,8 @@
 	Judged []Mark
 }
 
-// Ended takes in that a back end ended under a request, and gives the verdict on it: a place or a caller whose requests go on ending back ends, one
-// after the other and none answered, gets no second back end for another one.
+// Ended takes in that a back end ended under a request, and gives the verdict on it: a place or a caller whose requests go on
+// ending back ends, one after the other and none answered, gets no second back end for another one.
 func (c *Core) Ended(now clock.Ms, id Identity, run Run) (Verdict, Change) {
 	c.noteEnd(now, run)
 	var change Change
@@ -104,8 +104,8 @@
 	return change
 }
 
-// answeredBy takes in that a version of a service's software has answered the request just now. Where only other versions than this one are known to
-// be ended by it, the request stays under quarantine there.
+// answeredBy takes in that a version of a service's software has answered the request just now. Where only other versions than
+// this one are known to be ended by it, the request stays under quarantine there.
 func (r *record) answeredBy(now clock.Ms, service, version string) {
 	r.touched = now
 	if version != "" && r.quarantined(now) && !slices.Contains(r.versions, version) {
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,21 +1,22 @@
-// Package quarantine tells requests that end the back ends that run them from requests that were at a back end when it ended for another reason.
+// Package quarantine tells requests that end the back ends that run them from requests that were at a back end when it ended for
+// another reason.
 //
-// It decides: whether a request is clear, suspect or under quarantine (verdict.go), when an end or an answer changes that (outcome.go), and what a
-// request under quarantine may still do (exceptions.go).
+// It decides: whether a request is clear, suspect or under quarantine (verdict.go), when an end or an answer changes that
+// (outcome.go), and what a request under quarantine may still do (exceptions.go).
 //
-// It owns: what a node remembers of such requests (Core, record.go), the identity of a request (mark.go), the form in which quarantines stand in the
-// store (store.go) and in which nodes send them to each other (evidence.go).
+// It owns: what a node remembers of such requests (Core, record.go), the identity of a request (mark.go), the form in which
+// quarantines stand in the store (store.go) and in which nodes send them to each other (evidence.go).
 //
-// It relies on: a time that its callers give, on one clock that never goes back, and on one call at a time: a Core has no lock. It does no I/O, draws
-// nothing at random and reads no clock.
+// It relies on: a time that its callers give, on one clock that never goes back, and on one call at a time: a Core has no lock.
+// It does no I/O, draws nothing at random and reads no clock.
 package quarantine
 
 import "stiletrail/internal/clock"
 
 // Settings of a Core.
 type Settings struct {
-	// Rounds that put a request under quarantine; 0 switches quarantines off. Runs that follow each other, each begun after the one before had ended
-	// its back end and none answered, are one round each.
+	// Rounds that put a request under quarantine; 0 switches quarantines off. Runs that follow each other, each begun after the
+	// one before had ended its back end and none answered, are one round each.
 	Rounds int
 	// For is how long it is under quarantine.
 	For clock.Ms
@@ -69,8 +70,8 @@
 	}
 }
 
-// recordOf returns the record of a mark, a new one if there is none. Where there are too many the one goes that was not touched for longest, of those
-// that are not under quarantine if there are any.
+// recordOf returns the record of a mark, a new one if there is none. Where there are too many the one goes that was not touched
+// for longest, of those that are not under quarantine if there are any.
 func (c *Core) recordOf(now clock.Ms, mark Mark) *record {
 	if known := c.records[mark]; known != nil {
 		return known
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -30,7 +30,8 @@
 	// versions of software that the request ended, sound ones that have answered it since.
 	versions []string
 	sound    []string
-	// askers are who has asked it round after round: their marks of the question as they ask it. Who was only there once may ask it and be answered.
+	// askers are who has asked it round after round: their marks of the question as they ask it. Who was only there once may ask
+	// it and be answered.
 	askers []Mark
 	// touched is when something was last learned of it.
 	touched clock.Ms
@@ -64,8 +65,8 @@
 
 func (r *record) quarantined(now clock.Ms) bool { return r.stored || now < r.until }
 
-// rounds is the greatest number of runs that followed each other since the request was last answered: each began after the one before had
-// ended. Runs at the same time count once, since whatever ended one back end may have ended the others.
+// rounds is the greatest number of runs that followed each other since the request was last answered: each began after the one
+// before had ended. Runs at the same time count once, since whatever ended one back end may have ended the others.
 func (r *record) rounds() int {
 	return chain(r.runs, func(run Run) bool { return !r.answered || run.Ended > r.answeredAt })
 }
@@ -75,8 +76,8 @@
 	return chain(r.runs, func(run Run) bool { return run.Service == service })
 }
 
-// chain is the length of the longest sequence of runs that follow each other, of those that count: of the runs left, the one that ended first is
-// always part of one.
+// chain is the length of the longest sequence of runs that follow each other, of those that count: of the runs left, the one that
+// ended first is always part of one.
 func chain(runs []Run, counts func(Run) bool) int {
 	sorted := slices.SortedFunc(slices.Values(runs), func(a, b Run) int { return int(a.Ended - b.Ended) })
 	length := 0
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -27,8 +27,8 @@
 // KeyOf is the store's key of a request.
 func KeyOf(mark Mark) string { return keyPrefix + hex.EncodeToString(mark[:]) }
 
-// RetrialKey is the store's key by which nodes agree on who sends a request under quarantine to a new version of the software, or with no version
-// for another caller.
+// RetrialKey is the store's key by which nodes agree on who sends a request under quarantine to a new version of the software, or
+// with no version for another caller.
 func RetrialKey(mark Mark, version string) string {
 	return retrialsPrefix + hex.EncodeToString(mark[:]) + "/" + hex.EncodeToString([]byte(version))
 }
@@ -59,8 +59,8 @@
 	return value
 }
 
-// Store takes in what the store says of a request. It reports whether the request is under quarantine by it that was not before. An error, of code
-// MALFORMED, changes nothing.
+// Store takes in what the store says of a request. It reports whether the request is under quarantine by it that was not before.
+// An error, of code MALFORMED, changes nothing.
 func (c *Core) Store(now clock.Ms, mark Mark, value []byte) (begun bool, err error) {
 	var item Item
 	if err := json.Unmarshal(value, &item); err != nil {
@@ -78,7 +78,8 @@
 	return begun, nil
 }
 
-// Unstore takes in that the store says nothing of a request any more: its quarantine is over, unless this node has seen more itself or heard of it.
+// Unstore takes in that the store says nothing of a request any more: its quarantine is over, unless this node has seen more
+// itself or heard of it.
 func (c *Core) Unstore(now clock.Ms, mark Mark) (released bool) {
 	r := c.records[mark]
 	if r == nil || !r.stored {
@@ -88,8 +89,8 @@
 	return !r.quarantined(now)
 }
 
-// Lost takes in that the store, back from a copy, says nothing of a request any more. Nobody has ended its quarantine: that goes on for what was left
-// of it, and Unstored names the request, so that it is written again.
+// Lost takes in that the store, back from a copy, says nothing of a request any more. Nobody has ended its quarantine: that goes
+// on for what was left of it, and Unstored names the request, so that it is written again.
 func (c *Core) Lost(mark Mark) {
 	r := c.records[mark]
 	if r == nil || !r.stored {
@@ -99,8 +100,8 @@
 	r.until = max(r.until, r.storedAt+c.settings.For)
 }
 
-// Lifted reports whether a request is known to have been answered since it was last under quarantine: what a store that is back from a copy says of it
-// is older than that.
+// Lifted reports whether a request is known to have been answered since it was last under quarantine: what a store that is back
+// from a copy says of it is older than that.
 func (c *Core) Lifted(mark Mark) bool {
 	r := c.records[mark]
 	return r != nil && r.lifted
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -10,15 +10,18 @@
 //
 //	suspect      one round; a place or a caller after wideRounds
 //	withdraw     the other attempts of a request: endsToWithdraw ends under it, or one where it was suspect already
-//	quarantine   Settings.Rounds rounds, and one more for each endsPerRound other back ends that ended within doubtFor, up to mostDoubt more
+//	quarantine   Settings.Rounds rounds, and one more for each endsPerRound other back ends that ended within doubtFor, up to
+//	             mostDoubt more
 //	leave out    one shard, whose back ends a request ends while others answer it: shardRounds more than for a quarantine
 //	refuse       a request whose place or caller has more than Settings.Rounds rounds, as if it were under quarantine
-//	answer       any answer begins the count anew and ends a quarantine, unless it came from a version of the software that the request never ended
+//	answer       any answer begins the count anew and ends a quarantine, unless it came from a version of the software that the
+//	             request never ended
 const (
-	// wideRounds: with one, all that a caller asks would wait for a trial each time that a back end ends by itself under one of its requests.
+	// wideRounds: with one, all that a caller asks would wait for a trial each time that a back end ends by itself under one of
+	// its requests.
 	wideRounds = 2
-	// endsToWithdraw back ends that ended under one request that nobody has answered are no accident of one of them. With one, requests whose back end
-	// ended by itself would lose the work of all other shards.
+	// endsToWithdraw back ends that ended under one request that nobody has answered are no accident of one of them. With one,
+	// requests whose back end ended by itself would lose the work of all other shards.
 	endsToWithdraw = 2
 	// shardRounds more are needed to leave out one shard: there is less to tell it by.
 	shardRounds = 1
@@ -35,7 +38,8 @@
 const (
 	// Clear: it may be sent to all that it asks for.
 	Clear Verdict = iota
-	// Suspect: back ends ended under it and none has answered it since. It may be sent to one back end at a time, until one answers.
+	// Suspect: back ends ended under it and none has answered it since. It may be sent to one back end at a time, until one
+	// answers.
 	Suspect
 	// Quarantined: it ends what runs it, and is sent to nobody.
 	Quarantined
@@ -60,8 +64,8 @@
 	return Clear
 }
 
-// WithdrawOthers reports whether the other attempts of a request that nobody has answered are taken back, before they end more: suspect is whether
-// it was sent to one back end at a time already, ends how many back ends have ended under it.
+// WithdrawOthers reports whether the other attempts of a request that nobody has answered are taken back, before they end more:
+// suspect is whether it was sent to one back end at a time already, ends how many back ends have ended under it.
 func WithdrawOthers(suspect bool, ends int) bool { return suspect || ends >= endsToWithdraw }
 
 // quarantineOf gives the record by which a request is under quarantine.
--- /dev/null
+++ b/internal/query/holding.go
@@ -0,0 +1,37 @@
+package query
+
+import "slices"
+
+// State is the state a back end is in.
+type State uint8
+
+// The states a back end states of itself.
+const (
+	StateUnknown State = iota
+	StateCold
+	StateServing
+	StateDraining
+)
+
+// Holding is what a back end says of itself for one service.
+type Holding struct {
+	State       State
+	Epoch       uint64
+	ShardsTotal uint32
+	Shards      []uint32
+	Oldest      uint64
+	Newest      uint64
+}
+
+// At reports whether the back end can answer at a snapshot, for the shards it holds.
+func (h Holding) At(at Snapshot) bool {
+	return h.Epoch == at.Epoch && at.Version >= h.Oldest && at.Version <= h.Newest
+}
+
+// Holds reports whether the back end can answer for a shard at a snapshot.
+func (h Holding) Holds(shard uint32, at Snapshot) bool { return h.At(at) && h.HasShard(shard) }
+
+// HasShard reports whether the shard is among those held.
+func (h Holding) HasShard(shard uint32) bool {
+	return slices.Contains(h.Shards, shard)
+}
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -1,10 +1,10 @@
-// Package query holds the terms shared by everything on the query path: requests, snapshots, shards and coverage.
+// Package query holds the terms shared by everything on the query path of the daemon: requests, snapshots, shards and coverage
+// (query.go), what a back end holds (holding.go), attempts, what came of them and what that proves (attempt.go). Its values are
+// plain data; it decides nothing else and owns no state.
 package query
 
 import (
 	"encoding/binary"
-	"slices"
-	"time"
 
 	"github.com/cespare/xxhash/v2"
 )
@@ -77,112 +77,6 @@
 	return float64(c.Answered) / float64(c.Total)
 }
 
-// State is the state a back end is in.
-type State uint8
-
-// The states a back end states of itself.
-const (
-	StateUnknown State = iota
-	StateCold
-	StateServing
-	StateDraining
-)
-
-// Holding is what a back end says of itself for one service.
-type Holding struct {
-	State       State
-	Epoch       uint64
-	ShardsTotal uint32
-	Shards      []uint32
-	Oldest      uint64
-	Newest      uint64
-}
-
-// At reports whether the back end can answer at a snapshot, for the shards it holds.
-func (h Holding) At(at Snapshot) bool {
-	return h.Epoch == at.Epoch && at.Version >= h.Oldest && at.Version <= h.Newest
-}
-
-// Holds reports whether the back end can answer for a shard at a snapshot.
-func (h Holding) Holds(shard uint32, at Snapshot) bool { return h.At(at) && h.HasShard(shard) }
-
-// HasShard reports whether the shard is among those held.
-func (h Holding) HasShard(shard uint32) bool {
-	return slices.Contains(h.Shards, shard)
-}
-
-// Status is what came of an attempt.
-type Status uint8
-
-// The statuses of an attempt. Those from StatusShed to StatusNotSent prove that it did not run.
-const (
-	StatusNone Status = iota
-	StatusOK
-	StatusShed
-	StatusDraining
-	StatusVersionUnavailable
-	StatusNotHeld
-	StatusExpired
-	// StatusNotSent: no byte of the request was written.
-	StatusNotSent
-	// StatusLost: the request may have run; no answer came.
-	StatusLost
-	// StatusInvalid: an answer came that does not match its request, count or checksum.
-	StatusInvalid
-)
-
-// NotRun reports whether the status proves that the attempt did not run.
-func (s Status) NotRun() bool {
-	return s >= StatusShed && s <= StatusNotSent
-}
-
-// Reason gives the reason a shard is missing for when its last attempt ended so.
-func (s Status) Reason() Reason {
-	switch s {
-	case StatusShed:
-		return ReasonOverloaded
-	case StatusDraining:
-		return ReasonDraining
-	case StatusVersionUnavailable, StatusNotHeld:
-		return ReasonVersionUnavailable
-	case StatusExpired:
-		return ReasonDeadline
-	case StatusNotSent, StatusLost:
-		return ReasonLost
-	case StatusInvalid:
-		return ReasonInvalidAnswer
-	}
-	return ReasonNone
-}
-
-// Attempt is one request to one back end.
-type Attempt struct {
-	// Number is unique within the generation of the node that sends it.
-	Number     uint64
-	Generation uint64
-	Service    string
-	BackEnd    string
-	Shards     []uint32
-	Snapshot   Snapshot
-	Body       []byte
-	Execute    bool
-	// Deadline is on the sender's monotonic clock.
-	Deadline time.Duration
-}
-
-// AttemptResult is what came of an attempt, already matched and verified by the adapter.
-type AttemptResult struct {
-	Attempt    uint64
-	Status     Status
-	Snapshot   Snapshot
-	Results    []ShardDocuments
-	Holding    Holding
-	HasHolding bool
-	RetryAfter time.Duration
-	// BackEndEnded: the back end itself ended, and not just the connection: it takes no connections any more.
-	BackEndEnded bool
-}
-
 // Checksum is the checksum a back end states with its answer: xxhash64 over shard numbers, keys and bodies in
 // order, each preceded by its length; the second value is the count of documents.
 func Checksum(results []ShardDocuments) (checksum uint64, documents uint32) {
--- a/internal/rollout/request.go
+++ b/internal/rollout/request.go
@@ -18,8 +18,8 @@
 	Document catalog.Document
 }
 
-// Adopt a document that is accepted by the store: take it into force, hand it to peers, and say to how many through Spreading. Each answers with an
-// ack, which comes back through Copied.
+// Adopt a document that is accepted by the store: take it into force, hand it to peers, and say to how many through Spreading.
+// Each answers with an ack, which comes back through Copied.
 type Adopt struct{ Document catalog.Document }
 
 // Result is what the operator is told; it ends the rollout.
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,11 +1,11 @@
 // Package rollout decides when a confirmed plan has been accepted.
 //
-// Accepted is said only when the compare-and-swap is known to have taken effect. An answer lost after the write is settled
-// by reading back: a document carries the ids of its last operations. Before saying so the document is handed to a few
-// peers, in another zone where one can be reached, so that it stays in force although this node and the store are lost next.
+// Accepted is said only when the compare-and-swap is known to have taken effect. An answer lost after the write is settled by
+// reading back: a document carries the ids of its last operations. Before saying so the document is handed to a few peers, in
+// another zone where one can be reached, so that it stays in force although this node and the store are lost next.
 //
-// It owns one Rollout per confirmation under way; what is in force is the catalog's. It relies on its caller for the time and for carrying out each
-// Request, on one call at a time; it does no I/O, takes no lock and reads no clock.
+// It owns one Rollout per confirmation under way; what is in force is the catalog's. It relies on its caller for the time and for
+// carrying out each Request, on one call at a time; it does no I/O, takes no lock and reads no clock.
 package rollout
 
 import (
@@ -208,9 +208,11 @@
 // expire ends a rollout that the store has not settled in time.
 func (r *Rollout) expire() Request {
 	if !r.wrote {
-		return r.end(Result{Failure: failure.Refused(failure.StoreUnavailable, "the store cannot be reached; nothing changed", storeRetryAfter)})
+		const text = "the store cannot be reached; nothing changed"
+		return r.end(Result{Failure: failure.Refused(failure.StoreUnavailable, text, storeRetryAfter)})
 	}
-	unknown := failure.New(failure.OutcomeUnknown, "the store did not answer the write; confirm again with the same operation to settle it")
+	const text = "the store did not answer the write; confirm again with the same operation to settle it"
+	unknown := failure.New(failure.OutcomeUnknown, text)
 	unknown.RetryAfter = storeRetryAfter
 	return r.end(Result{Failure: unknown})
 }
--- a/internal/scatter/finish.go
+++ b/internal/scatter/finish.go
@@ -68,7 +68,8 @@
 	q.conclude(answer)
 }
 
-// finishWithoutPlan ends a query for which no snapshot is left: one that was planned before with what it lacks, a new one with a refusal.
+// finishWithoutPlan ends a query for which no snapshot is left: one that was planned before with what it lacks, a new one with a
+// refusal.
 func (q *Query) finishWithoutPlan(routing Routing) {
 	if len(q.excluded) > 0 {
 		q.finish(query.ReasonVersionUnavailable)
@@ -91,8 +92,8 @@
 	tooFewRetryAfter = 100 * time.Millisecond
 )
 
-// failureFor returns the failure of an answer with too little coverage, or nil. It is a refusal, proved not to have run, where no shard answered and no
-// sub-query may have run.
+// failureFor returns the failure of an answer with too little coverage, or nil. It is a refusal, proved not to have run, where no
+// shard answered and no sub-query may have run.
 func (q *Query) failureFor(coverage query.Coverage) *failure.Failure {
 	if q.answered > 0 && q.enough() {
 		return nil
--- a/internal/scatter/retry.go
+++ b/internal/scatter/retry.go
@@ -12,19 +12,22 @@
 
 // The rules of asking elsewhere:
 //
-//	missing   a shard that came back missing is asked of a dispatcher, or a group, that was not asked for it; of deputies only where the reason
-//	          is not overload, to which they would only add
+//	missing   a shard that came back missing is asked of a dispatcher, or a group, that was not asked for it; of deputies only
+//	          where the reason is not overload, to which they would only add
 //	lost      so is a shard whose dispatcher cannot be reached; that one is suspected
-//	silent    a dispatcher from which nothing came for patienceLatencies times the usual latency, or one of patienceParts of the time left while
-//	          that is not known, is suspected, and its shards are asked of a second one, once and within the budget of the node
-//	replan    the whole query begins anew at another snapshot where a back end does not hold this one, at maximumPlans snapshots at most
+//	silent    a dispatcher from which nothing came for patienceLatencies times the usual latency, or one of patienceParts of the
+//	          time left while that is not known, is suspected, and its shards are asked of a second one, once and within the
+//	          budget of the node
+//	replan    the whole query begins anew at another snapshot where a back end does not hold this one, at maximumPlans snapshots
+//	          at most
 //
 // Nothing is retried or planned again in the last two margins before the deadline.
 const (
 	maximumPlans      = 4
 	patienceLatencies = 4
 	patienceParts     = 3
-	// minimumPatience bounds the wait for a silent dispatcher from below, and is the wait for results that come after the final answer.
+	// minimumPatience bounds the wait for a silent dispatcher from below, and is the wait for results that come after the final
+	// answer.
 	minimumPatience = 25 * time.Millisecond
 )
 
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -1,11 +1,12 @@
-// Package scatter decides, at the node a caller reached, at which snapshot a query runs, which group is asked for which shard, when another dispatcher is
-// asked, and what the answer may claim.
+// Package scatter decides, at the node a caller reached, at which snapshot a query runs, which group is asked for which shard,
+// when another dispatcher is asked, and what the answer may claim.
 //
-// The way of a query: scatter.go (start and plan, with routing.go for the choice of the snapshot), ask.go (sub-queries out), receive.go (answers in),
-// retry.go (other dispatchers and other snapshots), finish.go (the answer, and each failure with its time to come back).
+// The way of a query: scatter.go (start and plan, with routing.go for the choice of the snapshot), ask.go (sub-queries out),
+// receive.go (answers in), retry.go (other dispatchers and other snapshots), finish.go (the answer, and each failure with its
+// time to come back).
 //
-// It owns one Query per search under way. It relies on its Environment for what is known of shards and dispatchers, and on its caller for the time, one
-// call at a time; it does no I/O, takes no lock and reads no clock. Invariants:
+// It owns one Query per search under way. It relies on its Environment for what is known of shards and dispatchers, and on its
+// caller for the time, one call at a time; it does no I/O, takes no lock and reads no clock. Invariants:
 //   - documents of one answer are all of one snapshot;
 //   - a shard counts as answered only with an answer to this query at that snapshot, once;
 //   - answered and missing shards together are all the shards of the epoch;
--- a/internal/ticket/ticket.go
+++ b/internal/ticket/ticket.go
@@ -1,11 +1,11 @@
 // Package ticket makes a request that is not repeatable run at most once, whatever the caller resends.
 //
-// A ticket is minted by a node and is good once, at that node, in that generation of its process. Any other node
-// forwards it there. Where the generation is gone nobody can know whether the request ran, so nothing runs and the
-// outcome is unknown. The invariant: Use returns Fresh at most once for a ticket.
+// A ticket is minted by a node and is good once, at that node, in that generation of its process. Any other node forwards it
+// there. Where the generation is gone nobody can know whether the request ran, so nothing runs and the outcome is unknown. The
+// invariant: Use returns Fresh at most once for a ticket.
 //
-// It owns the outcomes of the requests whose tickets this process minted; they are lost with it. It relies on its caller for the time, one call at a time;
-// it does no I/O, takes no lock and reads no clock.
+// It owns the outcomes of the requests whose tickets this process minted; they are lost with it. It relies on its caller for the
+// time, one call at a time; it does no I/O, takes no lock and reads no clock.
 package ticket
 
 import (
@@ -26,7 +26,8 @@
 	// maximumOutcomes bounds the table; over it nothing new is taken, and callers are told to come back after fullRetryAfter.
 	maximumOutcomes = 1 << 17
 	fullRetryAfter  = time.Second
-	// Sizes of a ticket, in bytes: the generation, the sequence and the moment of minting; then the address; then the code that proves who minted it.
+	// Sizes of a ticket, in bytes: the generation, the sequence and the moment of minting; then the address; then the code that
+	// proves who minted it.
 	fixedSize   = 8 + 8 + 8
 	macSize     = 16
 	maximumSize = 256
@@ -78,7 +79,8 @@
 // Finished: the outcome is known.
 type Finished struct{ Outcome Outcome }
 
-// Rejected: nothing runs. The failure is a refusal where nothing ran with this ticket, and of code OUTCOME_UNKNOWN where that cannot be told any more.
+// Rejected: nothing runs. The failure is a refusal where nothing ran with this ticket, and of code OUTCOME_UNKNOWN where that
+// cannot be told any more.
 type Rejected struct{ Failure *failure.Failure }
 
 func (Fresh) isUse()    {}
