--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -74,10 +74,8 @@
 
 // Submit takes a sub-query from a root, and serves it or refuses it as not run.
 func (c *Core) Submit(now time.Duration, root string, request *message.SubQuery) []Action {
-	c.Counters.SubQueries++
 	c.Counters.ShardsAsked += uint64(len(request.Shards))
 	if c.replayed(now, request.ID) {
-		c.Counters.Replayed++
 		return c.take()
 	}
 	g := c.groups[groupKey{service: request.Service, number: request.Group}]
@@ -115,7 +113,6 @@
 }
 
 func (c *Core) refuse(root string, request *message.SubQuery, reason query.Reason, retryAfter time.Duration) {
-	c.Counters.Refused++
 	answer := &message.SubAnswer{ID: request.ID, Snapshot: request.Snapshot, Done: true, NotRun: true}
 	answer.RetryAfterMilliseconds = uint32(retryAfter.Milliseconds())
 	for _, shard := range request.Shards {
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -11,7 +11,6 @@
 func (c *Core) AttemptEnded(now time.Duration, result query.AttemptResult) []Action {
 	a := c.attempts[result.Attempt]
 	if a == nil {
-		c.Counters.DroppedAnswers++
 		return c.take()
 	}
 	delete(c.attempts, a.number)
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -36,7 +36,6 @@
 		Service: q.request.Service, BackEnd: a.backEnd.address + "#" + strconv.FormatUint(a.number, 10),
 		Began: clock.Of(a.startedAt), Ended: clock.Of(now),
 	})
-	c.Counters.EndedBackEnds++
 	c.eject(now, a.group, a.backEnd)
 	if q.finished {
 		return
@@ -87,7 +86,6 @@
 // quarantined ends a sub-query that ends the back ends that run it.
 func (c *Core) quarantined(now time.Duration, q *subQuery) {
 	q.caution.held = nil
-	c.Counters.Quarantined++
 	c.finish(now, q, query.ReasonLost)
 }
 
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -48,6 +48,7 @@
 	return nil
 }
 
+// canServe reports whether a back end may be asked for all shards of an attempt that waits.
 func (c *Core) canServe(now time.Duration, it *queuedAttempt, b *backEnd) bool {
 	for _, shard := range it.shards {
 		if !slices.Contains(c.candidates(now, it.subQuery, shard), b) {
@@ -62,15 +63,9 @@
 	if it.subQuery.finished {
 		return false
 	}
-	if now >= it.subQuery.deadline {
-		c.Counters.ExpiredInQueue++
-		c.release(it.subQuery, it.shards)
-		return false
-	}
-	for _, shard := range it.shards {
-		if !it.subQuery.shards[shard].answered {
-			return true
-		}
+	open := slices.ContainsFunc(it.shards, func(shard uint32) bool { return !it.subQuery.shards[shard].answered })
+	if now < it.subQuery.deadline && open {
+		return true
 	}
 	c.release(it.subQuery, it.shards)
 	return false
@@ -83,6 +78,7 @@
 	}
 }
 
+// start hands out an attempt, and sets the time at which it is hedged.
 func (c *Core) start(now time.Duration, it *queuedAttempt, b *backEnd) {
 	c.number++
 	q := it.subQuery
--- a/internal/engine/dispatcher.go
+++ b/internal/engine/dispatcher.go
@@ -27,28 +27,22 @@
 	return found
 }
 
-// Dispatcher implements scatter.Environment: the less loaded of two random dispatchers of the group; where all are excluded
-// or silent, and deputies are wanted too, a deputy, then a silent one, then who dispatched before.
+// Dispatcher implements scatter.Environment. It picks the less loaded of two random nodes of the first of these that has any,
+// none of them excluded:
+//   - the dispatchers of the group that are not suspected;
+//   - with deputiesToo, its deputies that are not suspected;
+//   - those that are;
+//   - with deputiesToo, nodes that dispatched to it before.
 func (e *Engine) Dispatcher(service string, group uint32, excluded []string, deputiesToo bool) (string, bool) {
 	dispatchers, deputies := e.table.Owners(service, group)
-	var silent []string
-	for _, owners := range [][]string{dispatchers, deputies} {
-		var candidates []string
-		for _, owner := range owners {
-			switch {
-			case slices.Contains(excluded, owner):
-			case e.now < e.load(owner).suspectUntil:
-				silent = append(silent, owner)
-			default:
-				candidates = append(candidates, owner)
-			}
-		}
-		if len(candidates) > 0 {
-			return e.lessLoaded(candidates), true
-		}
-		if !deputiesToo {
-			break
-		}
+	candidates, silent := e.split(dispatchers, excluded)
+	if len(candidates) == 0 && deputiesToo {
+		var silentDeputies []string
+		candidates, silentDeputies = e.split(deputies, excluded)
+		silent = append(silent, silentDeputies...)
+	}
+	if len(candidates) > 0 {
+		return e.lessLoaded(candidates), true
 	}
 	if len(silent) == 0 && deputiesToo {
 		silent = e.previousOwners(service, group, excluded)
@@ -59,6 +53,20 @@
 	return e.lessLoaded(silent), true
 }
 
+// split tells nodes that may be asked from those that were silent of late, without those excluded.
+func (e *Engine) split(owners, excluded []string) (candidates, silent []string) {
+	for _, owner := range owners {
+		switch {
+		case slices.Contains(excluded, owner):
+		case e.now < e.load(owner).suspectUntil:
+			silent = append(silent, owner)
+		default:
+			candidates = append(candidates, owner)
+		}
+	}
+	return candidates, silent
+}
+
 // lessLoaded picks the one with less under way of two random candidates.
 func (e *Engine) lessLoaded(candidates []string) string {
 	if len(candidates) == 1 {
@@ -100,11 +108,7 @@
 
 // SpendReissue implements scatter.Environment.
 func (e *Engine) SpendReissue(shards int) bool {
-	if !e.reissues.Spend(shards) {
-		return false
-	}
-	e.Counters.Reissues++
-	return true
+	return e.reissues.Spend(shards)
 }
 
 // Suspect implements scatter.Environment.
--- a/internal/engine/groups.go
+++ b/internal/engine/groups.go
@@ -34,7 +34,6 @@
 
 // documentArrived takes a document that was merged into the catalog into force.
 func (e *Engine) documentArrived(document catalog.Document) {
-	e.Counters.CatalogMoves++
 	e.table.SetDocument(document)
 	delete(e.routes, document.Service)
 	e.takeGroups()
--- a/internal/engine/route.go
+++ b/internal/engine/route.go
@@ -14,8 +14,10 @@
 
 // route is what this root knows of the shards of a service it serves.
 type route struct {
-	groups   []scatter.GroupHoldings
-	known    []bool
+	groups []scatter.GroupHoldings
+	// known: a dispatcher has said what the group holds, by group.
+	known []bool
+	// lastUsed is when a search or an execute last came; nextAsk when dispatchers are asked again.
 	lastUsed time.Duration
 	nextAsk  time.Duration
 	// lastTotal keeps the number of shards of the newest epoch when all who state it are gone.
@@ -38,8 +40,10 @@
 	return found
 }
 
+// complete reports whether it is known what all groups hold.
 func (r *route) complete() bool { return !slices.Contains(r.known, false) }
 
+// askGroups asks the dispatchers of a service what its back ends hold.
 func (e *Engine) askGroups(service string, r *route) {
 	r.nextAsk = e.now + e.settings.RoutingInterval
 	for i, group := range r.groups {
--- a/internal/engine/store.go
+++ b/internal/engine/store.go
@@ -51,7 +51,6 @@
 	}
 	e.store.underWay = true
 	e.store.startedAt = e.now
-	e.Counters.StoreLists++
 	e.output.StoreLists++
 }
 
