--- a/cmd/stiletrail/call.go
+++ b/cmd/stiletrail/call.go
@@ -25,11 +25,7 @@
 		if err != nil {
 			return 0, err
 		}
-		if shared.output == "json" {
-			shared.printJSON(response.Msg)
-		} else {
-			printAnswer(response.Msg)
-		}
+		shared.show(response.Msg, func() { printAnswer(response.Msg) })
 		if coverage := response.Msg.GetCoverage(); coverage.GetShardsAnswered() < coverage.GetShardsTotal() {
 			return exitPartial, nil
 		}
@@ -74,11 +70,9 @@
 		if err != nil {
 			return 0, err
 		}
-		if shared.output == "json" {
-			shared.printJSON(response.Msg)
-			return exitOK, nil
-		}
-		fmt.Printf("done on shard %d: %s\n", response.Msg.GetShard(), response.Msg.GetResult())
+		shared.show(response.Msg, func() {
+			fmt.Printf("done on shard %d: %s\n", response.Msg.GetShard(), response.Msg.GetResult())
+		})
 		return exitOK, nil
 	}
 }
--- a/cmd/stiletrail/nodes.go
+++ b/cmd/stiletrail/nodes.go
@@ -31,11 +31,7 @@
 		defer cancel()
 		view := nodesView{Nodes: askNodes(ctx, *addresses)}
 		view.Differences = overview.Differences(view.Nodes)
-		if shared.output == "json" {
-			shared.printJSON(view)
-		} else {
-			printNodes(view)
-		}
+		shared.show(view, func() { printNodes(view) })
 		for _, node := range view.Nodes {
 			if node.Problem != "" {
 				return exitFailed, nil
--- a/cmd/stiletrail/operate.go
+++ b/cmd/stiletrail/operate.go
@@ -26,6 +26,15 @@
 	Alternative            string `json:"alternative,omitempty"`
 }
 
+// show prints a value as the user wants it: as JSON, or by human.
+func (c *client) show(value any, human func()) {
+	if c.output == "json" {
+		c.printJSON(value)
+		return
+	}
+	human()
+}
+
 func (c *client) printJSON(value any) {
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
@@ -54,11 +63,7 @@
 		if err != nil {
 			return 0, err
 		}
-		if shared.output == "json" {
-			shared.printJSON(response.Msg)
-			return exitOK, nil
-		}
-		printPlan(*file, response.Msg)
+		shared.show(response.Msg, func() { printPlan(*file, response.Msg) })
 		return exitOK, nil
 	}
 }
@@ -102,12 +107,10 @@
 			fmt.Fprintln(os.Stderr, "operation", *operation)
 			return 0, err
 		}
-		if shared.output == "json" {
-			shared.printJSON(response.Msg)
-			return exitOK, nil
-		}
-		fmt.Printf("accepted: %s is at version %d, held by %d more nodes in %d zones\n",
-			response.Msg.GetService(), response.Msg.GetVersion(), response.Msg.GetCopies(), response.Msg.GetCopyZones())
+		shared.show(response.Msg, func() {
+			fmt.Printf("accepted: %s is at version %d, held by %d more nodes in %d zones\n",
+				response.Msg.GetService(), response.Msg.GetVersion(), response.Msg.GetCopies(), response.Msg.GetCopyZones())
+		})
 		return exitOK, nil
 	}
 }
@@ -122,11 +125,7 @@
 		if err != nil {
 			return 0, err
 		}
-		if shared.output == "json" {
-			shared.printJSON(response.Msg)
-			return exitOK, nil
-		}
-		printStatus(response.Msg)
+		shared.show(response.Msg, func() { printStatus(response.Msg) })
 		return exitOK, nil
 	}
 }
@@ -163,11 +162,9 @@
 		if err != nil {
 			return 0, err
 		}
-		if shared.output == "json" {
-			shared.printJSON(loaded)
-			return exitOK, nil
-		}
-		fmt.Println("the settings are valid")
+		shared.show(loaded, func() {
+			fmt.Println("the settings are valid")
+		})
 		return exitOK, nil
 	}
 }
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -7,7 +7,8 @@
 package catalog
 
 import (
-	"sort"
+	"maps"
+	"slices"
 	"unique"
 
 	"github.com/cespare/xxhash/v2"
@@ -114,12 +115,7 @@
 
 // Services returns the names of all services, deleted ones included, in order.
 func (c *Catalog) Services() []string {
-	names := make([]string, 0, len(c.documents))
-	for name := range c.documents {
-		names = append(names, name)
-	}
-	sort.Strings(names)
-	return names
+	return slices.Sorted(maps.Keys(c.documents))
 }
 
 // InBucket returns the names of the services in a bucket, in order.
@@ -130,7 +126,7 @@
 			names = append(names, name)
 		}
 	}
-	sort.Strings(names)
+	slices.Sort(names)
 	return names
 }
 
--- a/internal/dispatch/describe.go
+++ b/internal/dispatch/describe.go
@@ -55,7 +55,7 @@
 	return c.settings.DescribeInterval
 }
 
-// TickBackEnds starts the probes that are due; call it a few times per describe interval.
+// TickBackEnds asks the back ends whose turn has come what they hold; call it a few times per describe interval.
 func (c *Core) TickBackEnds(now time.Duration) []Action {
 	c.forgetRoots(now)
 	for _, g := range c.orderedGroups() {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -91,7 +91,7 @@
 		return c.take()
 	}
 	c.subQueries[q.id] = q
-	c.schedule(timer{at: q.deadline, subQuery: q})
+	c.schedule(q.deadline, q)
 	g.hedges.Earn(len(request.Shards))
 	g.retries.Earn(len(request.Shards))
 	if verdict == quarantine.Suspect {
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -66,7 +66,7 @@
 	if next >= a.subQuery.deadline {
 		return
 	}
-	c.schedule(timer{at: next, attempt: a})
+	c.schedule(next, a)
 	if float64(now-a.startedAt) > overdueDelays*float64(delay) && !slices.Contains(g.overdue, a) {
 		g.overdue = append(g.overdue, a)
 	}
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -95,7 +95,7 @@
 		Snapshot: q.request.Snapshot, Body: q.request.Body, Execute: q.request.Execute, Deadline: q.deadline,
 	}})
 	if c.settings.Hedging && !q.request.Execute {
-		c.schedule(timer{at: now + c.hedgeDelay(q.group), attempt: a})
+		c.schedule(now+c.hedgeDelay(q.group), a)
 	}
 }
 
--- a/internal/dispatch/timer.go
+++ b/internal/dispatch/timer.go
@@ -2,19 +2,26 @@
 
 import (
 	"container/heap"
+	"fmt"
 	"time"
 
 	"stiletrail/internal/query"
 )
 
-// timer fires a hedge of an attempt or the deadline of a sub-query.
+// timed is what a timer is set for: an *attempt, which may be hedged then, or a *subQuery, whose deadline passes then.
+type timed interface{ isTimed() }
+
+func (*attempt) isTimed()  {}
+func (*subQuery) isTimed() {}
+
 type timer struct {
-	at       time.Duration
-	order    uint64
-	attempt  *attempt
-	subQuery *subQuery
+	at time.Duration
+	// order tells timers of one moment apart.
+	order   uint64
+	subject timed
 }
 
+// timerHeap has the timer that fires next first.
 type timerHeap []timer
 
 func (h timerHeap) Len() int { return len(h) }
@@ -40,10 +47,9 @@
 	return value
 }
 
-func (c *Core) schedule(t timer) {
+func (c *Core) schedule(at time.Duration, subject timed) {
 	c.number++
-	t.order = c.number
-	heap.Push(&c.timers, t)
+	heap.Push(&c.timers, timer{at: at, order: c.number, subject: subject})
 }
 
 // NextWake returns when Tick must be called at the latest; false while nothing is due.
@@ -54,14 +60,18 @@
 	return c.timers[0].at, true
 }
 
-// Tick fires what is due: hedges, deadlines and the probes of idle back ends.
+// Tick fires the timers whose time has come: those of hedges and deadlines.
 func (c *Core) Tick(now time.Duration) []Action {
 	for len(c.timers) > 0 && c.timers[0].at <= now {
-		due := heap.Pop(&c.timers).(timer)
-		if due.attempt != nil {
-			c.hedge(now, due.attempt)
-		} else if !due.subQuery.finished {
-			c.finish(now, due.subQuery, query.ReasonDeadline)
+		switch subject := heap.Pop(&c.timers).(timer).subject.(type) {
+		case *attempt:
+			c.hedge(now, subject)
+		case *subQuery:
+			if !subject.finished {
+				c.finish(now, subject, query.ReasonDeadline)
+			}
+		default:
+			panic(fmt.Sprintf("dispatch: no case for a timer of %T", subject))
 		}
 	}
 	return c.take()
--- a/internal/engine/execute.go
+++ b/internal/engine/execute.go
@@ -46,27 +46,33 @@
 	waiters []waiter
 }
 
-// waiter is someone to be told the outcome of an execute.
-type waiter struct {
-	caller Caller
-	// peer and sequence are set where another node forwarded the request.
-	peer     string
+// waiter is someone to be told the outcome of an execute: a localCaller, or a forwardingPeer.
+type waiter interface{ isWaiter() }
+
+type localCaller struct{ caller Caller }
+
+// forwardingPeer is a node that forwarded the request, with its number for it.
+type forwardingPeer struct {
+	address  string
 	sequence uint64
 }
 
+func (localCaller) isWaiter()    {}
+func (forwardingPeer) isWaiter() {}
+
 // Execute takes a caller's request that is not repeatable.
 func (e *Engine) Execute(now time.Duration, caller Caller, request ExecuteRequest) Output {
 	e.begin(now)
 	parsed, err := ticket.Parse(request.Ticket)
 	if err != nil {
-		e.answerExecute(waiter{caller: caller}, ticket.Outcome{Failure: failure.From(err)})
+		e.answerExecute(localCaller{caller}, ticket.Outcome{Failure: failure.From(err)})
 		return e.end()
 	}
 	if parsed.Address != e.Address() {
 		e.forwardExecute(caller, parsed.Address, request)
 		return e.end()
 	}
-	e.takeExecute(waiter{caller: caller}, request)
+	e.takeExecute(localCaller{caller}, request)
 	return e.end()
 }
 
@@ -236,18 +242,25 @@
 }
 
 func (e *Engine) answerExecute(w waiter, outcome ticket.Outcome) {
-	if w.peer == "" {
+	switch w := w.(type) {
+	case localCaller:
 		e.output.ExecuteAnswers = append(e.output.ExecuteAnswers, ExecuteAnswer{Caller: w.caller, Outcome: outcome})
-		return
+	case forwardingPeer:
+		e.send(w.address, forwardReply(w.sequence, outcome))
+	default:
+		panic(fmt.Sprintf("engine: no case for the waiter %T", w))
 	}
-	reply := &message.ForwardReply{Sequence: w.sequence, Shard: outcome.Shard, Result: outcome.Result}
+}
+
+func forwardReply(sequence uint64, outcome ticket.Outcome) *message.ForwardReply {
+	reply := &message.ForwardReply{Sequence: sequence, Shard: outcome.Shard, Result: outcome.Result}
 	if problem := outcome.Failure; problem != nil {
 		reply.Code = string(problem.Code)
 		reply.Text = problem.Message
 		reply.NotRun = problem.NotRun
 		reply.RetryAfterMilliseconds = uint32(problem.RetryAfter.Milliseconds())
 	}
-	e.send(w.peer, reply)
+	return reply
 }
 
 // tickExecutes ends what its deadline has passed for, and sends what has waited long enough for what the shards hold.
--- a/internal/engine/forward.go
+++ b/internal/engine/forward.go
@@ -62,7 +62,7 @@
 }
 
 func (e *Engine) receiveForward(from string, m *message.ForwardExecute) {
-	e.takeExecute(waiter{peer: from, sequence: m.Sequence}, ExecuteRequest{
+	e.takeExecute(forwardingPeer{address: from, sequence: m.Sequence}, ExecuteRequest{
 		Service: m.Service, Key: m.Key, Body: m.Body, Ticket: m.Ticket,
 		Within: time.Duration(m.RemainingMicroseconds) * time.Microsecond,
 	})
@@ -80,7 +80,7 @@
 		outcome.Failure.NotRun = m.NotRun
 		outcome.Failure.RetryAfter = time.Duration(m.RetryAfterMilliseconds) * time.Millisecond
 	}
-	e.answerExecute(waiter{caller: f.caller}, outcome)
+	e.answerExecute(localCaller{f.caller}, outcome)
 }
 
 // tickForwards sends the forwards whose node has become known, and ends those that waited too long.
@@ -93,7 +93,7 @@
 		if f = e.forwards[sequence]; f != nil && e.now >= f.until {
 			delete(e.forwards, sequence)
 			unknown := unknownOutcome("the node that minted the ticket did not answer in time or is not known")
-			e.answerExecute(waiter{caller: f.caller}, unknown)
+			e.answerExecute(localCaller{f.caller}, unknown)
 		}
 	}
 }
--- a/internal/engine/lost.go
+++ b/internal/engine/lost.go
@@ -47,7 +47,7 @@
 	delete(e.forwards, sequence)
 	unknown := failure.New(failure.OutcomeUnknown, "the node that minted the ticket cannot be reached")
 	unknown.RetryAfter = time.Second
-	e.answerExecute(waiter{caller: f.caller}, ticket.Outcome{Failure: unknown})
+	e.answerExecute(localCaller{f.caller}, ticket.Outcome{Failure: unknown})
 }
 
 // Disconnected takes in that the connection on which queries went to a peer broke: what was asked of it may have run.
