--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -62,7 +62,8 @@
 // New returns a core that spreads the given catalog. onNew is called with each document that a peer brought.
 func New(held *catalog.Catalog, peers Peers, settings Settings, onNew func(catalog.Document)) *Core {
 	return &Core{
-		settings: settings, catalog: held, peers: peers, refreshed: never, agreed: map[string]bool{}, onNew: onNew,
+		settings: settings, catalog: held, peers: peers,
+		refreshed: never, agreed: map[string]bool{}, onNew: onNew,
 	}
 }
 
