--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -50,7 +50,7 @@
 	attempt.Replica.Tell(now, outcome.Load)
 	ejected := attempt.Replica.Finish(now, attempt.StartedAt, backEndVerdict(outcome, cancelled))
 	if !cancelled || outcome.Kind == forward.Answered {
-		g.noteMet(now, attempt.Replica)
+		g.reportHealth(now, attempt.Replica)
 	}
 	g.mu.Unlock()
 	if outcome.BackEndEnded {
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -60,7 +60,7 @@
 		n.run.evidencePending = n.run.evidencePending || len(change.Tell) > 0
 		change.Tell = nil
 	}
-	g.changed(now, change, byOwn)
+	g.verdictsChanged(now, change, byOwn)
 	return verdict
 }
 
@@ -83,5 +83,5 @@
 		_, held := g.quarantine.Held(now, mark)
 		g.quarantineWrites.settle(mark, held)
 	}
-	g.changed(now, change, byOwn)
+	g.verdictsChanged(now, change, byOwn)
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -15,7 +15,7 @@
 func (g *Gateway) Serve(ctx context.Context, call *Call) Result {
 	arrived := g.now()
 	g.mu.Lock()
-	age := g.copyAge(arrived)
+	age := g.storeCopy.age(arrived)
 	g.mu.Unlock()
 	result := g.answer(ctx, call, arrived)
 	result.Arrived, result.CopyAge = arrived, age
