--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -169,7 +169,7 @@
 			fmt.Fprintf(&line, "%d %s", (attempt.EndedAt - result.Arrived).Milliseconds(), attempt.Outcome.Kind)
 		}
 		if load := attempt.Outcome.Load; load.Told {
-			fmt.Fprintf(&line, " load %d+%d/%d x%.2f", load.Running, load.Waiting, load.Slots, load.Pace)
+			fmt.Fprintf(&line, " load %d+%d/%d x%.2f", load.Running, load.Waiting, load.Slots, load.Slowdown)
 		}
 		if attempt.Outcome.Detail != "" {
 			line.WriteString(": " + attempt.Outcome.Detail)
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -53,16 +53,16 @@
 	// Prove has a new connection wait for a way there and back before it is used: a back end at its limit has closed it by then.
 	Prove bool
 	// Once: the request cannot be sent again if nothing comes back. It goes over a connection that has carried an answer within provenWithin, or
-	// over a new one: a connection that has rested for longer may have fallen silent.
+	// over a new one: a connection that has been idle for longer may have fallen silent.
 	Once bool
 	// Prepare builds the message at the moment at which it is written, when the connection is there.
 	Prepare func() (*http.Request, error)
 	// MaximumBody bounds the answer in bytes.
 	MaximumBody int64
-	// Resting is how many connections to the address may rest for later requests; one more is closed after its answer.
-	Resting int
-	// RestFor bounds how long it rests, beside what the back end says; 0 does not.
-	RestFor time.Duration
+	// MaximumIdle is how many connections to the address may be kept idle for later requests; one more is closed after its answer.
+	MaximumIdle int
+	// IdleFor bounds how long it is idle, beside what the back end says; 0 does not.
+	IdleFor time.Duration
 	// Trusted reports whether an answer belongs to the request; the connection is not used again if it does not.
 	Trusted func(status int, header http.Header) bool
 }
@@ -98,7 +98,7 @@
 	reader  *bufio.Reader
 	counted *countingWriter
 	writer  *bufio.Writer
-	// idleSince, on the pool's clock, and idleFor bound how long it may rest, as the back end said.
+	// idleSince, on the pool's clock, and idleFor bound how long it may be idle, as the back end said.
 	idleSince time.Duration
 	idleFor   time.Duration
 	closed    func()
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -59,7 +59,7 @@
 
 func request(address string) exchange.Request {
 	return exchange.Request{
-		Address: address, Deadline: time.Now().Add(time.Minute), ConnectTimeout: time.Minute, MaximumBody: 1000, Resting: 8,
+		Address: address, Deadline: time.Now().Add(time.Minute), ConnectTimeout: time.Minute, MaximumBody: 1000, MaximumIdle: 8,
 		Prepare: func() (*http.Request, error) {
 			return &http.Request{Method: http.MethodGet, URL: &url.URL{Opaque: "/x"}, Host: "h", Header: http.Header{}}, nil
 		},
@@ -183,8 +183,8 @@
 	}
 }
 
-// TestResting: no more connections rest than may; one more is closed after its answer.
-func TestResting(t *testing.T) {
+// TestMaximumIdle: no more connections rest than may; one more is closed after its answer.
+func TestMaximumIdle(t *testing.T) {
 	s := serve(t, func(socket net.Conn, _ int64) bool {
 		respond(socket, "")
 		return true
@@ -192,7 +192,7 @@
 	for resting := range int64(2) {
 		pool := exchange.NewPool()
 		limited := request(s.address())
-		limited.Resting = int(resting)
+		limited.MaximumIdle = int(resting)
 		if result := pool.Do(context.Background(), limited); result.Stage != exchange.Answered {
 			t.Errorf("%+v", result)
 		}
@@ -202,9 +202,9 @@
 	}
 }
 
-// TestRestedConnectionIsNotTrustedOnce: a request that cannot be sent again takes no connection that has rested since long enough to have fallen
+// TestIdleConnectionIsNotTrustedOnce: a request that cannot be sent again takes no connection that has been idle for long enough to have fallen
 // silent unseen; others do, and so does it where the connection has just carried an answer.
-func TestRestedConnectionIsNotTrustedOnce(t *testing.T) {
+func TestIdleConnectionIsNotTrustedOnce(t *testing.T) {
 	s := serve(t, func(socket net.Conn, _ int64) bool {
 		respond(socket, "")
 		return true
@@ -227,8 +227,8 @@
 	}
 }
 
-// TestRestFor: a connection that has rested as long as the request allowed is not used again.
-func TestRestFor(t *testing.T) {
+// TestIdleFor: a connection that has been idle as long as the request allowed is not used again.
+func TestIdleFor(t *testing.T) {
 	for restFor, connections := range map[time.Duration]int64{time.Nanosecond: 2, time.Hour: 1, 0: 1} {
 		s := serve(t, func(socket net.Conn, _ int64) bool {
 			respond(socket, "")
@@ -236,7 +236,7 @@
 		})
 		pool := exchange.NewPool()
 		bounded := request(s.address())
-		bounded.RestFor = restFor
+		bounded.IdleFor = restFor
 		pool.Do(context.Background(), bounded)
 		pool.Do(context.Background(), bounded)
 		if got := s.connections.Load(); got != connections {
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -20,7 +20,7 @@
 
 // Limits of connections.
 const (
-	// defaultIdle is how long a connection rests unused where the back end names no time.
+	// defaultIdle is how long a connection is idle where the back end names no time.
 	defaultIdle = 4 * time.Second
 	// idleMargin is kept before the time a back end names, so that a request does not cross its close.
 	idleMargin = 500 * time.Millisecond
@@ -48,7 +48,7 @@
 
 // Pool keeps idle connections by address. It is safe for concurrent use.
 type Pool struct {
-	// clock counts how long connections rest, also while the machine is suspended: back ends close them meanwhile.
+	// clock counts how long connections are idle, also while the machine is suspended: back ends close them meanwhile.
 	clock clock.Clock
 	mutex sync.Mutex
 	idle  map[string][]*connection
@@ -138,15 +138,15 @@
 	return last
 }
 
-// put has a connection rest, or closes it where as many rest already as may.
+// put keeps a connection idle, or closes it where as many are idle already as may be.
 func (p *Pool) put(request Request, c *connection) {
 	c.idleSince = p.clock.Elapsed()
 	_ = c.socket.SetDeadline(time.Time{})
-	if request.RestFor > 0 {
-		c.idleFor = min(c.idleFor, request.RestFor)
+	if request.IdleFor > 0 {
+		c.idleFor = min(c.idleFor, request.IdleFor)
 	}
 	p.mutex.Lock()
-	kept := len(p.idle[request.Address]) < request.Resting
+	kept := len(p.idle[request.Address]) < request.MaximumIdle
 	if kept {
 		p.idle[request.Address] = append(p.idle[request.Address], c)
 	}
@@ -156,7 +156,7 @@
 	}
 }
 
-// Prune closes connections that have rested as long as they may, and all to addresses that are no longer in use.
+// Prune closes connections that have been idle as long as they may, and all to addresses that are no longer in use.
 func (p *Pool) Prune(inUse func(address string) bool) {
 	now := p.clock.Elapsed()
 	var stale []*connection
@@ -165,7 +165,7 @@
 		used := inUse(address)
 		kept := idle[:0]
 		for _, c := range idle {
-			if used && !c.rested(now) {
+			if used && !c.idleTooLong(now) {
 				kept = append(kept, c)
 			} else {
 				stale = append(stale, c)
@@ -183,14 +183,14 @@
 	}
 }
 
-func (c *connection) rested(now time.Duration) bool {
+func (c *connection) idleTooLong(now time.Duration) bool {
 	return now-c.idleSince >= c.idleFor
 }
 
-// sound reports whether a connection may carry another request: it has not rested too long, the back end has not closed it,
+// sound reports whether a connection may carry another request: it has not been idle too long, the back end has not closed it,
 // and no byte came that belongs to no request.
 func (c *connection) sound(now time.Duration) bool {
-	if c.rested(now) {
+	if c.idleTooLong(now) {
 		return false
 	}
 	raw, err := c.socket.(*net.TCPConn).SyscallConn()
@@ -206,7 +206,7 @@
 	return err == nil && quiet
 }
 
-// keepAliveTimeout is how long a connection may rest by what the back end says.
+// keepAliveTimeout is how long a connection may be idle by what the back end says.
 func keepAliveTimeout(header http.Header) time.Duration {
 	for part := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/internal/exchange/suspended_test.go
+++ b/internal/exchange/suspended_test.go
@@ -11,7 +11,7 @@
 	"stiletrail/internal/exchange"
 )
 
-// TestConnectionOfASuspendedMachine: a connection that has just carried an answer by the monotonic clock, and has rested while the machine was suspended, is not used for a
+// TestConnectionOfASuspendedMachine: a connection that has just carried an answer by the monotonic clock, and has been idle while the machine was suspended, is not used for a
 // request that cannot be sent again.
 func TestConnectionOfASuspendedMachine(t *testing.T) {
 	var behind atomic.Int64
@@ -23,7 +23,7 @@
 	pool := exchange.NewPool()
 	pool.SetProvenWithin(time.Hour)
 	r := request(s.address())
-	r.Once, r.Resting = true, 1
+	r.Once, r.MaximumIdle = true, 1
 	for _, suspended := range []time.Duration{0, 0, 2 * time.Hour} {
 		behind.Add(int64(suspended))
 		if result := pool.Do(context.Background(), r); result.Stage != exchange.Answered {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -350,7 +350,7 @@
 	t.Run("refused though slots are free", func(t *testing.T) {
 		world := newWorld(0, "a", "b", "c")
 		refused := ended(forward.Refused)
-		refused.Load = replica.Load{Told: true, Running: 1, Slots: 4, Pace: 1}
+		refused.Load = replica.Load{Told: true, Running: 1, Slots: 4, Slowdown: 1}
 		start(t, fanOut("a", "b", "c"), world).end(0, part("sa", "")).end(1, refused).at(190 * millisecond)
 		if len(world.met) != 1 || world.met[0].Shed != 0 {
 			t.Errorf("told %+v: no back end was full", world.met)
--- a/internal/gateway/belief.go
+++ b/internal/gateway/belief.go
@@ -45,7 +45,7 @@
 	now := g.now()
 	belief := Belief{
 		StoreRevision: g.view.Revision(), StoreContactAge: g.follower.ContactAge(now), CopyAge: g.copyAge(now), Nodes: g.nodes, BackEnds: map[string]int{},
-		Quarantined: g.quarantine.Count(clock.Of(now)), EvacuatedZones: g.replicas.Evacuated(),
+		Quarantined: g.quarantine.Count(clock.Of(now)), EvacuatedZones: g.replicas.EvacuatedZones(),
 	}
 	g.replicas.All(func(known *replica.Replica) { belief.BackEnds[stateOf(now, known)]++ })
 	return belief
--- a/internal/gateway/era.go
+++ b/internal/gateway/era.go
@@ -15,7 +15,7 @@
 		return
 	}
 	g.era = era
-	g.replicas.DoubtOld(now + g.settings.Load().DoubtOldFor)
+	g.replicas.DistrustDeparted(now + g.settings.Load().DoubtOldFor)
 	g.keeping.rewriteClaims()
 	g.journal.Returned(era)
 }
@@ -71,7 +71,7 @@
 		return
 	}
 	delete(g.returning, key)
-	if g.replicas.Return(now, zone) {
+	if g.replicas.TakeZoneBack(now, zone) {
 		g.journal.TakenBack(zone)
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -55,7 +55,7 @@
 	// Once: the request cannot be sent again if its connection carries no answer.
 	Once bool
 	// Rest says which connections to the back end may rest for later requests.
-	Rest replica.Rest
+	Idle replica.IdleLimit
 }
 
 // BackEnds carries out attempts. One attempt reaches a back end at most once.
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -186,20 +186,20 @@
 	}
 	part := 1
 	young := g.young(g.now())
-	g.replicas.SetYoung(young)
+	g.replicas.SetManyStarting(young)
 	if young {
 		part = g.settings.Load().YoungPart
 	}
 	if !g.settings.Load().ShareConnections {
 		return
 	}
-	shares := map[string]replica.Share{}
+	shares := map[string]replica.ConnectionShare{}
 	for _, service := range table.Services() {
 		if service.MaximumConnections > 0 {
-			shares[service.Name] = replica.NewShare(service.MaximumConnections/part, nodes, near, most)
+			shares[service.Name] = replica.NewConnectionShare(service.MaximumConnections/part, nodes, near, most)
 		}
 	}
-	g.replicas.SetShares(shares)
+	g.replicas.SetConnectionShares(shares)
 }
 
 // shareColdBackEnds has the nodes known divide what cold back ends bear; the lock is held. While the node has not joined the others it has no part.
@@ -211,7 +211,7 @@
 		}
 	}
 	slices.Sort(nodes)
-	g.replicas.SetFleet(g.members.Self().Address, nodes)
+	g.replicas.SetNodes(g.members.Self().Address, nodes)
 }
 
 // young reports whether back ends may still count many connections of earlier lives: this node has just started, and so have many
--- a/internal/gateway/reports.go
+++ b/internal/gateway/reports.go
@@ -31,8 +31,8 @@
 	if g.members == nil || !g.settings.Load().Reports {
 		return
 	}
-	pace, faults := r.Met(now)
-	if g.reports.Note(clock.Of(now), hearsay.Report{BackEnd: r.Key(), Pace: pace, Faults: faults, SeenAt: clock.Of(now)}) {
+	slowdown, faults := r.Health(now)
+	if g.reports.Note(clock.Of(now), hearsay.Report{BackEnd: r.Key(), Pace: slowdown, Faults: faults, SeenAt: clock.Of(now)}) {
 		g.reportsDue()
 	}
 }
@@ -105,7 +105,7 @@
 func (g *Gateway) receiveReports(now time.Duration, m *message.BackEndReports) {
 	news := g.reports.Hear(clock.Of(now), m)
 	for _, r := range news {
-		g.replicas.Hear(now, r.BackEnd, r.Pace, r.Faults, r.SeenAt.Duration())
+		g.replicas.TakeReport(now, r.BackEnd, r.Pace, r.Faults, r.SeenAt.Duration())
 	}
 	if len(news) > 0 {
 		g.reportsDue()
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -252,7 +252,7 @@
 	r.cancels[attempt] = cancel
 	send := Send{
 		Call: r.call, Attempt: attempt, Entry: attempt.Replica.Entry, Deadline: r.deadline, Left: r.left,
-		Once: !r.route.Repeatable, Rest: r.gateway.replicas.Rest(attempt.Replica), Prove: r.gateway.replicas.Crowded(now, attempt.Replica),
+		Once: !r.route.Repeatable, Idle: r.gateway.replicas.IdleLimit(attempt.Replica), Prove: r.gateway.replicas.MustProve(now, attempt.Replica),
 	}
 	go func() {
 		outcome := r.gateway.exchange(ctx, send)
@@ -294,7 +294,7 @@
 func (g *Gateway) attemptEnded(call *Call, attempt *forward.Attempt, outcome forward.Outcome, cancelled bool) {
 	g.mutex.Lock()
 	now := g.now()
-	attempt.Replica.Tell(now, outcome.Load)
+	attempt.Replica.TakeLoad(now, outcome.Load)
 	ejected := attempt.Replica.Finish(now, attempt.StartedAt, verdict(outcome, cancelled))
 	if !cancelled || outcome.Kind == forward.Answered {
 		g.noteMet(now, attempt.Replica)
@@ -311,7 +311,7 @@
 func verdict(outcome forward.Outcome, cancelled bool) replica.Verdict {
 	switch {
 	case cancelled && outcome.Kind != forward.Answered:
-		return replica.Abandoned
+		return replica.Withdrawn
 	case outcome.BackEndEnded:
 		return replica.Unreachable
 	case outcome.TurnedAway:
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -51,8 +51,8 @@
 			HedgeShare: s.HedgeShare, SiblingHedges: s.SiblingHedges, LastExtras: s.LastExtras, EarlyFinish: s.EarlyFinish, Pace: s.RetryPace, AnswerMargin: answerMargin, Caution: s.QuarantineRounds > 0, ComeBack: s.EntryInterval / 2,
 		},
 		Replica: replica.Settings{
-			Connections: s.Connections, FarPrice: s.FarPrice, FaultPrice: s.FaultPrice, GoByPace: s.GoByPace,
-			SubsetSize: s.SubsetSize, FewRest: s.FewRest, Ejection: s.Ejection, Prove: s.ProveConnections, WithdrawnFactor: s.WithdrawnFactor,
+			Connections: s.Connections, FarPrice: s.FarPrice, FaultPrice: s.FaultPrice, UseSlowdown: s.GoByPace,
+			SubsetSize: s.SubsetSize, FewIdle: s.FewRest, Ejection: s.Ejection, Prove: s.ProveConnections, WithdrawnFactor: s.WithdrawnFactor,
 		},
 		Follow: follow.Settings{
 			WatchFor: min(watchFor, clock.Ms(watchPart*float64(waits.StaleAfter))).Duration(), GatherFor: gatherFor, FirstBackoff: firstBackoff, LongestBackoff: longestBackoff,
--- a/internal/gateway/starting.go
+++ b/internal/gateway/starting.go
@@ -69,7 +69,7 @@
 	defer g.mutex.Unlock()
 	if !route.FansOut() {
 		for _, target := range route.Targets {
-			if g.replicas.Known(target.Service, route.Regions) {
+			if g.replicas.HasCandidate(target.Service, route.Regions) {
 				return true
 			}
 		}
@@ -77,7 +77,7 @@
 	}
 	known := 0
 	for _, service := range route.Shards {
-		if g.replicas.Known(service, route.Regions) {
+		if g.replicas.HasCandidate(service, route.Regions) {
 			known++
 		}
 	}
--- a/internal/gateway/store.go
+++ b/internal/gateway/store.go
@@ -265,7 +265,7 @@
 		// Of what the first listing brings, one line tells how much it is.
 		g.journal.BackEnd(*item.BackEnd, item.Revision)
 	}
-	if item.EvacuatedZone != "" && g.replicas.Evacuate(item.EvacuatedZone) {
+	if item.EvacuatedZone != "" && g.replicas.EvacuateZone(item.EvacuatedZone) {
 		g.journal.Evacuated(item.EvacuatedZone, item.Revision)
 	}
 	if item.Configuration != nil {
--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -45,8 +45,8 @@
 		"./platform", "TestLostWithACopy",
 	},
 	{
-		"a back end changes its mind about leaving", "internal/replica/replica.go",
-		"		entry.Draining = entry.Draining || known.Draining\n", "",
+		"a back end changes its mind about leaving", "internal/replica/set.go",
+		"	entry.Draining = entry.Draining || known.Draining\n", "",
 		"./platform", "TestLostWithACopy",
 	},
 	{
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -35,13 +35,13 @@
 		"./internal/replica", "TestNeverPicked",
 	},
 	{
-		"vanished entries are used for ever", "internal/replica/replica.go",
-		"	if until <= now {\n		s.noteLeft(now, id)\n		s.forget(known)\n		return true\n	}\n", "",
+		"vanished entries are used for ever", "internal/replica/doubt.go",
+		"	if until <= now {\n		s.noteDeparted(now, id)\n		s.forget(known)\n		return true\n	}\n", "",
 		"./internal/replica", "TestVanished",
 	},
 	{
-		"an entry that lapsed in an outage is gone at once", "internal/replica/replica.go",
-		"	if until <= now {\n		s.noteLeft(now, id)", "	if true {\n		s.noteLeft(now, id)",
+		"an entry that lapsed in an outage is gone at once", "internal/replica/doubt.go",
+		"	if until <= now {\n		s.noteDeparted(now, id)", "	if true {\n		s.noteDeparted(now, id)",
 		"./internal/gateway", "TestLapsedEntries",
 	},
 	{
@@ -125,8 +125,8 @@
 		"./internal/exchange", "TestTurnedAway",
 	},
 	{
-		"a back end that is full counts as failing", "internal/replica/outcome.go",
-		"		r.crowdedUntil = now + crowdedFor\n", "		r.failures += failuresToEject\n		r.eject(now)\n",
+		"a back end that is full counts as failing", "internal/replica/replica.go",
+		"		r.connectionsDoubtedUntil = now + connectionsDoubtedFor\n", "		r.ejection.failures += failuresToEject\n		r.ejection.extend(now)\n",
 		"./internal/replica", "TestTurnedAway",
 	},
 	{
@@ -172,7 +172,7 @@
 	{
 		"a request that cannot be sent again goes over a connection that may have fallen silent", "internal/exchange/pool.go",
 		"kept.sound(now) && !(request.Once && now-kept.idleSince > p.provenWithin)", "kept.sound(now)",
-		"./internal/exchange", "TestRestedConnectionIsNotTrustedOnce",
+		"./internal/exchange", "TestIdleConnectionIsNotTrustedOnce",
 	},
 	{
 		"a request is sent whose caller has left", "internal/gateway/serve.go",
@@ -217,7 +217,7 @@
 		"./internal/gateway", "TestRegionThatTheStoreRefuses",
 	},
 	{
-		"a withdrawn attempt counts as quick as it was old", "internal/replica/outcome.go",
+		"a withdrawn attempt counts as quick as it was old", "internal/replica/replica.go",
 		"time.Duration(r.withdrawnFactor*float64(elapsed))", "elapsed",
 		"./internal/replica", "TestWithdrawnAttempt",
 	},
@@ -262,23 +262,23 @@
 		"./internal/gateway", "TestYoungShare",
 	},
 	{
-		"near back ends get no larger share", "internal/replica/share.go",
+		"near back ends get no larger share", "internal/replica/connections.go",
 		"Near: min(max(near, each), most)", "Near: min(max(near, each), each)",
-		"./internal/replica", "TestShare",
+		"./internal/replica", "TestConnectionShare",
 	},
 	{
-		"connections to far back ends rest like others", "internal/replica/share.go",
-		"return Rest{Most: 1, For: farRest}", "return Rest{Most: 1}",
-		"./internal/replica", "TestRest",
+		"connections to far back ends rest like others", "internal/replica/connections.go",
+		"return IdleLimit{Most: 1, For: farIdleFor}", "return IdleLimit{Most: 1}",
+		"./internal/replica", "TestIdleLimit",
 	},
 	{
 		"any number of connections rests", "internal/exchange/pool.go",
-		"kept := len(p.idle[request.Address]) < request.Resting", "kept := true",
-		"./internal/exchange", "TestResting",
+		"kept := len(p.idle[request.Address]) < request.MaximumIdle", "kept := true",
+		"./internal/exchange", "TestMaximumIdle",
 	},
 	{
 		"a node spreads over all near replicas", "internal/replica/subset.go",
-		"		r.outside = true\n", "		r.outside = false\n",
+		"		r.outsideSubset = true\n", "		r.outsideSubset = false\n",
 		"./internal/replica", "TestSubset",
 	},
 	{
@@ -308,7 +308,7 @@
 	},
 	{
 		"cold back ends get what anybody asks", "internal/replica/pick.go",
-		" || !s.mayStart(now, member)", "",
+		" && s.withinWarmup(now, r)", "",
 		"./internal/replica", "TestColdBackEndsGetNoMoreThanTheyBear",
 	},
 	{
@@ -318,7 +318,7 @@
 	},
 	{
 		"back ends of a zone that was taken back count as warm", "internal/replica/zones.go",
-		"known.coldUntil = max(known.coldUntil, now+s.warmups[known.Service].For.Duration())", "_ = now",
+		"known.cold.until = max(known.cold.until, now+s.warmups[known.Service].For.Duration())", "_ = now",
 		"./internal/replica", "TestZoneTakenBackIsCold",
 	},
 	{
@@ -327,8 +327,8 @@
 		"./internal/gateway", "TestRefusedThoughSlotsAreFree",
 	},
 	{
-		"hearsay goes before what a node met itself", "internal/replica/load.go",
-		"if seenAt > r.paceAt && (r.loadAt == 0 || now-r.loadAt > firstHandFor) {", "if seenAt > r.paceAt {",
+		"hearsay goes before what a node met itself", "internal/replica/slowdown.go",
+		"if seenAt > r.slowdown.at && (r.load.at == 0 || now-r.load.at > firstHandFor) {", "if seenAt > r.slowdown.at {",
 		"./internal/replica", "TestHeardToBeSlow",
 	},
 	{
--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -95,8 +95,8 @@
 		"./internal/gateway", "TestRequestOfASuspendedNode",
 	},
 	{
-		"what was learned while a node stood still holds for good", "internal/replica/replica.go",
-		"unused >= forgetAfter && least > unknownLatency", "false && unused >= forgetAfter",
+		"what was learned while a node stood still holds for good", "internal/replica/latency.go",
+		"unused >= latencyHalfLife && learned > unknownLatency", "false && unused >= latencyHalfLife",
 		"./internal/gateway", "TestServesAgainAfterAPause",
 	},
 }
--- /dev/null
+++ b/internal/replica/departed.go
@@ -0,0 +1,69 @@
+package replica
+
+import "time"
+
+// A back end that has left never comes back by its id; what may still name it is an old copy of the store, from which it is no longer renewed.
+const (
+	// departedFor is how long it is remembered that a back end has left: the copies that a store comes back from are some seconds old.
+	departedFor = time.Minute
+	// mostDeparted are remembered at most: thirty times as many as a large fleet sees in a minute.
+	mostDeparted = 1024
+)
+
+// departed is a back end that has left, as the store said.
+type departed struct {
+	at time.Duration
+	// putAside: the store names it again since, by entry.
+	putAside bool
+	entry    Entry
+}
+
+// DistrustDeparted has entries of back ends that have left put aside until a moment, as old ones: the store has come back from a copy.
+func (s *Set) DistrustDeparted(until time.Duration) { s.distrustedUntil = until }
+
+// noteDeparted remembers that a back end has left.
+func (s *Set) noteDeparted(now time.Duration, id string) {
+	if len(s.departed) < mostDeparted {
+		s.departed[id] = departed{at: now}
+	}
+}
+
+// putAside reports whether an entry may be an old one of a back end that has left, and keeps it for Readmit if so.
+func (s *Set) putAside(now time.Duration, entry Entry) bool {
+	known, found := s.departed[entry.ID]
+	if !found {
+		return false
+	}
+	if now >= s.distrustedUntil {
+		delete(s.departed, entry.ID)
+		return false
+	}
+	known.putAside, known.entry = true, entry
+	s.departed[entry.ID] = known
+	return true
+}
+
+// dropPutAside takes in that an entry has vanished that was put aside.
+func (s *Set) dropPutAside(id string) {
+	if known, found := s.departed[id]; found && known.putAside {
+		s.departed[id] = departed{at: known.at}
+	}
+}
+
+// Readmit takes those entries in that were put aside and that the store still names, and returns them: their back ends live. It forgets who left long ago.
+func (s *Set) Readmit(now time.Duration) (readmitted []Entry) {
+	if now < s.distrustedUntil {
+		return nil
+	}
+	for id, known := range s.departed {
+		switch {
+		case known.putAside:
+			delete(s.departed, id)
+			s.Put(now, known.entry)
+			readmitted = append(readmitted, known.entry)
+		case now-known.at >= departedFor:
+			delete(s.departed, id)
+		}
+	}
+	return readmitted
+}
--- a/internal/replica/left_test.go
+++ b/internal/replica/departed_test.go
@@ -41,7 +41,7 @@
 			set.Put(0, entry("left", "a1"))
 			set.Remove(0, "left", 0)
 			if c.copied {
-				set.DoubtOld(doubt)
+				set.DistrustDeparted(doubt)
 			}
 			set.Put(time.Second, entry("left", "a1"))
 			if c.gone {
@@ -70,7 +70,7 @@
 		}
 	}
 	leave(0)
-	set.DoubtOld(time.Second)
+	set.DistrustDeparted(time.Second)
 	known := func(now time.Duration) (count int) {
 		for i := range many {
 			set.Put(now, entry(fmt.Sprint(i), "a1"))
@@ -83,7 +83,7 @@
 	set = newSet()
 	leave(0)
 	set.Readmit(time.Minute)
-	set.DoubtOld(2 * time.Minute)
+	set.DistrustDeparted(2 * time.Minute)
 	if count := known(time.Minute); count != many {
 		t.Errorf("%d of %d count after a minute", count, many)
 	}
--- a/internal/replica/faults.go
+++ b/internal/replica/faults.go
@@ -6,29 +6,36 @@
 )
 
 const (
-	// faultGain is the weight of a new attempt in the share of those that failed: two failures in a row are believed by half.
+	// faultGain is the weight of a new attempt in the rate: two failures in a row are believed by half.
 	faultGain = 0.3
-	// faultMemory is the time in which what is known of faults loses half of its weight. A node tries a back end of a wide service each second or two.
-	faultMemory = 4 * time.Second
+	// faultHalfLife is the time in which the rate halves without news. A node tries a back end of a wide service each second or two.
+	faultHalfLife = 4 * time.Second
 	// mostFaults bounds what is expected of a replica all of whose attempts have failed.
 	mostFaults = 0.9
 )
 
-// faultRate is the share of attempts of late that failed: that were lost, answered wrongly, or refused though the replica told of free slots. Being full
-// is no fault.
-func (r *Replica) faultRate(now time.Duration) float64 {
-	return r.faults * math.Exp2(-float64(now-r.faultsAt)/float64(faultMemory))
+// faultRate is the share of the attempts of late at a replica that failed: that were lost, answered wrongly, or refused though the replica told of free
+// slots. Being full is no fault.
+type faultRate struct {
+	rate float64
+	// at is when the rate was so.
+	at time.Duration
 }
 
-// noteFault takes in an attempt; failed is 1 for one that did, else 0.
-func (r *Replica) noteFault(now time.Duration, failed float64) {
-	rate := r.faultRate(now)
-	r.faults = rate + faultGain*(failed-rate)
-	r.faultsAt = now
+// now is the rate, from 0 to 1, decayed since the last attempt.
+func (f *faultRate) now(now time.Duration) float64 {
+	return f.rate * math.Exp2(-float64(now-f.at)/float64(faultHalfLife))
 }
 
-// faultOdds is how many attempts are expected to fail for one that does not.
-func (r *Replica) faultOdds(now time.Duration) float64 {
-	rate := min(r.faultRate(now), mostFaults)
+// note takes in an attempt; failed is 1 for one that did, else 0.
+func (f *faultRate) note(now time.Duration, failed float64) {
+	rate := f.now(now)
+	f.rate = rate + faultGain*(failed-rate)
+	f.at = now
+}
+
+// odds is how many attempts are expected to fail for one that does not.
+func (f *faultRate) odds(now time.Duration) float64 {
+	rate := min(f.now(now), mostFaults)
 	return rate / (1 - rate)
 }
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -63,11 +63,11 @@
 	for range 5 {
 		run(set, 0, "near", 3*millisecond, replica.Refused)
 	}
-	if _, faults := set.Get("near").Met(0); faults != 0 {
+	if _, faults := set.Get("near").Health(0); faults != 0 {
 		t.Errorf("%v of the attempts at a full replica count as failed", faults)
 	}
 	run(set, 0, "near", 3*millisecond, replica.RefusedWithRoom)
-	if _, faults := set.Get("near").Met(3 * millisecond); faults < 0.25 {
+	if _, faults := set.Get("near").Health(3 * millisecond); faults < 0.25 {
 		t.Errorf("%v of the attempts at a replica with room count as failed", faults)
 	}
 }
--- a/internal/replica/pick.go
+++ b/internal/replica/pick.go
@@ -7,47 +7,38 @@
 	"stiletrail/internal/region"
 )
 
-// How the choice weighs what is known.
+// The rule by which Pick chooses the back end of an attempt:
+//
+//  1. Of the back ends of the service those are candidates that are not draining, whose address does not answer for another, whose zone is not evacuated
+//     (candidate), and that the request allows: by region, software version, and what it has tried (Choice).
+//  2. A candidate that has as many attempts of this node under way as its share of the connections allows, or that is cold and has got this node's part of what
+//     it bears, is passed over (hasRoom: connections.go, warmup.go).
+//  3. The best rank goes first: good, then doubtful (doubt.go), then ejected (ejection.go).
+//  4. Of the same rank the lowest score wins. It is a latency, in nanoseconds:
+//
+//     expected x (1 + attempts under way) x slowdown x coldFactor x (1 +- jitter) + outsidePenalty + faults + distance
+//
+// with
+//
+//	expected        the moving average of latencies, or the age of the oldest attempt under way where that is more      latency.go
+//	slowdown        how many times longer than usual work takes there, as the back end or another node told; else 1     slowdown.go
+//	coldFactor      while the back end is cold; else 1                                                                  warmup.go
+//	outsidePenalty  for a near back end outside the subset that this node prefers; else 0                               subset.go
+//	faults          attempts expected to fail for one that does not, times FaultPrice, times the target latency         faults.go
+//	distance        0 in the own zone; FarPrice times the target latency in another region, otherZonePart of that
+//	                in another zone of the own one
+
 const (
-	// unknownLatency stands for the latency of a replica without a sample.
-	unknownLatency = 10 * time.Millisecond
 	// jitter spreads the choice among replicas that are about as good.
 	jitter = 0.1
 	// coldFactor is the slowdown expected of a back end that has just started.
 	coldFactor = 1.6
-	// forgetAfter is the time in which the latency of an unused replica halves, so that it is tried again.
-	forgetAfter = 2 * time.Second
-	// unstatedTarget stands for the target of a route that states none.
+	// unstatedTarget stands for the target latency of a route that states none.
 	unstatedTarget = 250 * time.Millisecond
-	// otherZonePart of the price of another region is that of another zone of the own one: 10 ms stood beside 130, and bytes cost a third.
+	// otherZonePart of the price of another region is that of another zone of the own one, which takes less time, and whose traffic costs less.
 	otherZonePart = 0.08
-	// latencyGain is the weight of a new sample in the moving average.
-	latencyGain = 0.3
 )
 
-// candidate reports whether a replica may be picked at all: it is not draining, its address does not answer for another, and its zone is not
-// evacuated.
-func (r *Replica) candidate() bool {
-	return !r.Draining && !r.misdirected && !r.evacuated
-}
-
-// Known reports whether a service has a back end in some regions that may be picked.
-func (s *Set) Known(service string, regions region.Set) bool {
-	choice := Choice{Regions: regions}
-	return slices.ContainsFunc(s.byService[service], func(r *Replica) bool { return r.candidate() && choice.allows(r) })
-}
-
-// Versions are those of the software of a service's back ends in some regions that may be picked.
-func (s *Set) Versions(service string, regions region.Set) (versions []string) {
-	choice := Choice{Regions: regions}
-	for _, member := range s.byService[service] {
-		if member.candidate() && choice.allows(member) && !slices.Contains(versions, member.Version) {
-			versions = append(versions, member.Version)
-		}
-	}
-	return versions
-}
-
 // Choice says which replicas of a service may be picked: of those in Only, if there are any, all but those excluded.
 type Choice struct {
 	Excluded []*Replica
@@ -56,7 +47,7 @@
 	Versions []string
 	// Regions whose back ends may be picked.
 	Regions region.Set
-	// Target is the time within which the request is to be answered; prices of a replica are shares of it.
+	// Target latency of the request, of which prices are shares; 0 where it has none.
 	Target time.Duration
 }
 
@@ -70,48 +61,23 @@
 	return !slices.Contains(c.Excluded, r) && (len(c.Only) == 0 || slices.Contains(c.Only, r))
 }
 
-// Recovers returns the first moment at which one of the replicas that may be picked is not ejected; false if there is none.
-func (s *Set) Recovers(service string, choice Choice) (at time.Duration, known bool) {
-	for _, member := range s.byService[service] {
-		if !member.candidate() || !choice.allows(member) {
-			continue
-		}
-		if !known || member.ejectedUntil < at {
-			at = member.ejectedUntil
-		}
-		if !s.settings.Ejection {
-			at = 0
-		}
-		known = true
-	}
-	return at, known
-}
-
-// Draw returns a random number from 0 to 1, of the set's own source.
-func (s *Set) Draw() float64 { return s.random.Float64() }
-
-// Pick returns the best replica of a service that the choice allows, or nil. Busy is set where there are replicas but each
-// has all the attempts under way that it may have.
+// Pick returns the best replica of a service that the choice allows, or nil. Busy is set where there are replicas but none has room for another attempt.
 func (s *Set) Pick(now time.Duration, service string, choice Choice) (best *Replica, busy bool) {
 	target := choice.Target
 	if target == 0 {
 		target = unstatedTarget
 	}
 	var bestScore float64
-	bestRank := rankNever
+	var bestRank rank
 	for _, member := range s.byService[service] {
 		if !member.candidate() || !choice.allows(member) {
 			continue
 		}
-		if len(member.inFlight) >= s.connectionsTo(member) || !s.mayStart(now, member) {
+		if !s.hasRoom(now, member) {
 			busy = true
 			continue
 		}
-		rank := member.rank(now)
-		if rank == rankEjected && !s.settings.Ejection {
-			rank = rankGood
-		}
-		score := s.score(now, member, target)
+		rank, score := s.rank(now, member), s.score(now, member, target)
 		if best == nil || rank < bestRank || (rank == bestRank && score < bestScore) {
 			best, bestRank, bestScore = member, rank, score
 		}
@@ -119,6 +85,16 @@
 	return best, best == nil && busy
 }
 
+// candidate reports whether a replica may be picked at all.
+func (r *Replica) candidate() bool {
+	return !r.Draining && !r.misdirected && !r.evacuated
+}
+
+// hasRoom reports whether this node may begin another attempt at a replica.
+func (s *Set) hasRoom(now time.Duration, r *Replica) bool {
+	return len(r.inFlight) < s.connectionsTo(r) && s.withinWarmup(now, r)
+}
+
 // rank orders replicas before their scores are compared.
 type rank int
 
@@ -126,33 +102,34 @@
 	rankGood rank = iota
 	rankDoubtful
 	rankEjected
-	rankNever
 )
 
-func (r *Replica) rank(now time.Duration) rank {
-	if r.Ejected(now) {
+func (s *Set) rank(now time.Duration, r *Replica) rank {
+	switch {
+	case r.Ejected(now) && s.settings.Ejection:
 		return rankEjected
-	}
-	if r.doubtful {
+	case r.Ejected(now):
+		return rankGood
+	case r.Doubtful():
 		return rankDoubtful
 	}
 	return rankGood
 }
 
-// score is the latency expected of one more attempt, in nanoseconds, with the prices of distance and of faults.
+// score is the latency expected of one more attempt with the prices of distance and of faults, in nanoseconds. It draws one random number.
 func (s *Set) score(now time.Duration, r *Replica, target time.Duration) float64 {
 	expected := float64(r.Expected(now)) * float64(1+len(r.inFlight))
-	if s.settings.GoByPace {
-		expected *= r.paceNow(now)
+	if s.settings.UseSlowdown {
+		expected *= r.slowdown.now(now, r.affinity)
 	}
-	if now < r.coldUntil {
+	if r.Cold(now) {
 		expected *= coldFactor
 	}
 	expected *= 1 + jitter*(2*s.random.Float64()-1)
-	if r.outside {
-		expected += outsidePenalty
+	if r.outsideSubset {
+		expected += float64(outsidePenalty)
 	}
-	faults := r.faultOdds(now) * s.settings.FaultPrice * float64(target)
+	faults := r.faults.odds(now) * s.settings.FaultPrice * float64(target)
 	return expected + faults + float64(s.distance(r, target))
 }
 
@@ -173,23 +150,36 @@
 	return r.Zone == s.places.Zone || r.region == s.places.Regions[s.places.Zone]
 }
 
-// Expected is the latency expected of an attempt: the average, decayed while the replica is unused, and no less than the age
-// of the oldest attempt without an answer.
-func (r *Replica) Expected(now time.Duration) time.Duration {
-	expected := r.decayed(now)
-	if len(r.inFlight) > 0 {
-		expected = max(expected, now-r.inFlight[0])
-	}
-	return expected
+// HasCandidate reports whether a service has a back end in some regions that may be picked.
+func (s *Set) HasCandidate(service string, regions region.Set) bool {
+	choice := Choice{Regions: regions}
+	return slices.ContainsFunc(s.byService[service], func(r *Replica) bool { return r.candidate() && choice.allows(r) })
 }
 
-func (r *Replica) decayed(now time.Duration) time.Duration {
-	if r.latency == 0 {
-		return unknownLatency
+// Versions are those of the software of a service's back ends in some regions that may be picked.
+func (s *Set) Versions(service string, regions region.Set) (versions []string) {
+	choice := Choice{Regions: regions}
+	for _, member := range s.byService[service] {
+		if member.candidate() && choice.allows(member) && !slices.Contains(versions, member.Version) {
+			versions = append(versions, member.Version)
+		}
 	}
-	expected := r.latency
-	for unused := now - r.sampledAt; unused >= forgetAfter && expected > unknownLatency; unused -= forgetAfter {
-		expected /= 2
+	return versions
+}
+
+// Recovers returns the first moment at which one of the replicas that may be picked is not ejected; false if there is none.
+func (s *Set) Recovers(service string, choice Choice) (at time.Duration, known bool) {
+	for _, member := range s.byService[service] {
+		if !member.candidate() || !choice.allows(member) {
+			continue
+		}
+		if !known || member.ejection.until < at {
+			at = member.ejection.until
+		}
+		if !s.settings.Ejection {
+			at = 0
+		}
+		known = true
 	}
-	return max(expected, unknownLatency)
+	return at, known
 }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -14,7 +14,7 @@
 
 var settings = replica.Settings{
 	Connections: 4, FarPrice: 0.4,
-	SubsetSize: 2, FewRest: true, Ejection: true, Prove: true, WithdrawnFactor: 2,
+	SubsetSize: 2, FewIdle: true, Ejection: true, Prove: true, WithdrawnFactor: 2,
 }
 
 func newSet(entries ...replica.Entry) *replica.Set {
@@ -88,11 +88,11 @@
 func TestWithdrawnAttempt(t *testing.T) {
 	set := newSet(entry("own", "a1"))
 	now := run(set, 0, "own", 20*millisecond, replica.Answered)
-	now = run(set, now, "own", 15*millisecond, replica.Abandoned)
+	now = run(set, now, "own", 15*millisecond, replica.Withdrawn)
 	if got := set.Get("own").Latency(); got != 20*millisecond {
 		t.Errorf("%v after a young attempt was withdrawn", got)
 	}
-	run(set, now, "own", 120*millisecond, replica.Abandoned)
+	run(set, now, "own", 120*millisecond, replica.Withdrawn)
 	// The average moves by three tenths of the way from 20 to 240 ms.
 	if got := set.Get("own").Latency(); got != 86*millisecond {
 		t.Errorf("%v after an attempt of 120 ms was withdrawn, want 86ms", got)
@@ -142,7 +142,7 @@
 func TestTurnedAway(t *testing.T) {
 	set := newSet(entry("own", "a1"), entry("near", "a2"))
 	own := set.Get("own")
-	if set.Crowded(0, own) {
+	if set.MustProve(0, own) {
 		t.Error("crowded without a sign")
 	}
 	now := time.Duration(0)
@@ -155,10 +155,10 @@
 	if got := picked(set, now+100*time.Millisecond); got != "own" {
 		t.Errorf("picked %s after a moment", got)
 	}
-	if !set.Crowded(now+3*time.Second, own) || set.Crowded(now+5*time.Second, own) || set.Crowded(now, set.Get("near")) {
+	if !set.MustProve(now+3*time.Second, own) || set.MustProve(now+5*time.Second, own) || set.MustProve(now, set.Get("near")) {
 		t.Error("crowded for another time, or another back end")
 	}
-	if set.SetYoung(true); !set.Crowded(now+5*time.Second, own) {
+	if set.SetManyStarting(true); !set.MustProve(now+5*time.Second, own) {
 		t.Error("not crowded among young nodes")
 	}
 }
@@ -200,41 +200,41 @@
 	}
 }
 
-// TestShare: where each node gets hardly one connection, the nodes near a back end get more of it than those far away.
-func TestShare(t *testing.T) {
+// TestConnectionShare: where each node gets hardly one connection, the nodes near a back end get more of it than those far away.
+func TestConnectionShare(t *testing.T) {
 	for _, test := range []struct {
 		connections, nodes, near, most int
-		want                           replica.Share
+		want                           replica.ConnectionShare
 	}{
-		{41, 9, 3, 8, replica.Share{Near: 4, Far: 4}},
-		{400, 6, 2, 8, replica.Share{Near: 8, Far: 8}},
-		{76, 88, 29, 8, replica.Share{Near: 2, Far: 1}},
-		{67, 70, 22, 8, replica.Share{Near: 2, Far: 1}},
-		{10, 88, 29, 8, replica.Share{Near: 1, Far: 1}},
-		{76, 88, 1, 8, replica.Share{Near: 8, Far: 1}},
+		{41, 9, 3, 8, replica.ConnectionShare{Near: 4, Far: 4}},
+		{400, 6, 2, 8, replica.ConnectionShare{Near: 8, Far: 8}},
+		{76, 88, 29, 8, replica.ConnectionShare{Near: 2, Far: 1}},
+		{67, 70, 22, 8, replica.ConnectionShare{Near: 2, Far: 1}},
+		{10, 88, 29, 8, replica.ConnectionShare{Near: 1, Far: 1}},
+		{76, 88, 1, 8, replica.ConnectionShare{Near: 8, Far: 1}},
 	} {
-		if got := replica.NewShare(test.connections, test.nodes, test.near, test.most); got != test.want {
+		if got := replica.NewConnectionShare(test.connections, test.nodes, test.near, test.most); got != test.want {
 			t.Errorf("%+v: got %+v", test, got)
 		}
 	}
 }
 
-// TestRest: where the share is not ample, one connection rests at each replica, at a far one not for long, and the attempts under way
+// TestIdleLimit: where the share is not ample, one connection rests at each replica, at a far one not for long, and the attempts under way
 // are bound by how far the replica is.
-func TestRest(t *testing.T) {
+func TestIdleLimit(t *testing.T) {
 	set := newSet(entry("own", "a1"), entry("near", "a2"), entry("far", "b1"))
-	for share, resting := range map[replica.Share]map[string]replica.Rest{
+	for share, resting := range map[replica.ConnectionShare]map[string]replica.IdleLimit{
 		{Near: 2, Far: 1}: {"own": {Most: 1}, "near": {Most: 1}, "far": {Most: 1, For: clock.Second}},
 		{Near: 3, Far: 3}: {"own": {Most: 3}, "near": {Most: 3}, "far": {Most: 3}},
 	} {
-		set.SetShares(map[string]replica.Share{"s": share})
+		set.SetConnectionShares(map[string]replica.ConnectionShare{"s": share})
 		for id, want := range resting {
-			if got := set.Rest(set.Get(id)); got != want {
+			if got := set.IdleLimit(set.Get(id)); got != want {
 				t.Errorf("share %+v: %+v rest at %q", share, got, id)
 			}
 		}
 	}
-	set.SetShares(map[string]replica.Share{"s": {Near: 2, Far: 1}})
+	set.SetConnectionShares(map[string]replica.ConnectionShare{"s": {Near: 2, Far: 1}})
 	for _, id := range []string{"own", "far"} {
 		set.Get(id).Start(0)
 	}
@@ -250,7 +250,7 @@
 	for node := range 60 {
 		places := replica.Places{Node: fmt.Sprint("node-", node), Zone: "a1", Regions: map[string]string{"a1": "a", "b1": "b"}}
 		set := replica.NewSet(settings, places, rand.New(rand.NewPCG(1, uint64(node))))
-		set.SetShares(map[string]replica.Share{"s": {Near: 1, Far: 1}})
+		set.SetConnectionShares(map[string]replica.ConnectionShare{"s": {Near: 1, Far: 1}})
 		for i := range 10 {
 			set.Put(0, entry(fmt.Sprint("near-", i), "a1"))
 		}
--- /dev/null
+++ b/internal/replica/set.go
@@ -0,0 +1,131 @@
+// Package replica keeps what a node believes of the back ends of each service, and picks one for an attempt: see pick.go for the rule.
+//
+// It owns the back ends that the store names, those that left it of late, and what attempts at each have shown: latency, slowdown, faults, ejection. It goes by
+// the entries, loads, verdicts on attempts, reports of other nodes and shares that its caller hands in.
+//
+// It does no I/O, has no goroutines and reads no clock: times are of the caller's monotonic clock, as durations from an arbitrary start. Random numbers are
+// drawn from the caller's source, one for each replica that Pick scores. It is not safe for concurrent use.
+package replica
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// Set is all back ends known to a node.
+type Set struct {
+	settings  Settings
+	places    Places
+	random    *rand.Rand
+	byID      map[string]*Replica
+	byKey     map[uint64]*Replica
+	byService map[string][]*Replica
+	// shares of the connections by service, where they differ from the settings'.
+	shares map[string]ConnectionShare
+	// manyStarting: back ends may still count connections of earlier lives of many nodes.
+	manyStarting bool
+	// evacuated zones, whose back ends get nothing.
+	evacuated map[string]bool
+	// warmups by service, and the nodes that divide what cold back ends bear.
+	warmups map[string]Warmup
+	nodes   nodeList
+	// departed are back ends that have left; until distrustedUntil entries that name them are put aside.
+	departed        map[string]departed
+	distrustedUntil time.Duration
+}
+
+// NewSet returns an empty set.
+func NewSet(settings Settings, places Places, random *rand.Rand) *Set {
+	return &Set{
+		settings: settings, places: places, random: random, byID: map[string]*Replica{}, byKey: map[uint64]*Replica{},
+		byService: map[string][]*Replica{}, evacuated: map[string]bool{}, departed: map[string]departed{},
+	}
+}
+
+// Reconfigure changes how replicas are chosen from now on.
+func (s *Set) Reconfigure(settings Settings, places Places) {
+	s.settings, s.places = settings, places
+	for _, known := range s.byID {
+		known.withdrawnFactor, known.useSlowdown = settings.WithdrawnFactor, settings.UseSlowdown
+		s.locate(known)
+	}
+	s.preferSubsets()
+}
+
+// Len is the number of back ends, vanished ones in doubt included.
+func (s *Set) Len() int { return len(s.byID) }
+
+// Get returns the back end of an id, or nil.
+func (s *Set) Get(id string) *Replica { return s.byID[id] }
+
+// All calls visit for each back end.
+func (s *Set) All(visit func(*Replica)) {
+	for _, known := range s.byID {
+		visit(known)
+	}
+}
+
+// Draw returns a random number from 0 to 1, of the set's own source.
+func (s *Set) Draw() float64 { return s.random.Float64() }
+
+// Put takes in an entry as it is now. It reports whether anything changed that a choice goes by. A back end that leaves does not change its mind: an entry that
+// says otherwise is older, from a copy of the store or a write that was held up.
+func (s *Set) Put(now time.Duration, entry Entry) bool {
+	known := s.byID[entry.ID]
+	if known == nil && s.putAside(now, entry) {
+		return false
+	}
+	if known != nil && known.Service == entry.Service {
+		return s.update(now, known, entry)
+	}
+	if known != nil {
+		s.forget(known)
+	}
+	s.add(now, entry)
+	return true
+}
+
+// update takes in another entry of a replica, and reports whether anything changed that a choice goes by.
+func (s *Set) update(now time.Duration, known *Replica, entry Entry) bool {
+	entry.Draining = entry.Draining || known.Draining
+	changed := known.Draining != entry.Draining || known.Address != entry.Address || known.Doubtful()
+	known.Entry = entry
+	known.doubt.doubtful = false
+	known.cold.until = now + entry.ColdFor
+	s.locate(known)
+	if changed {
+		s.preferSubset(entry.Service)
+	}
+	return changed
+}
+
+func (s *Set) add(now time.Duration, entry Entry) {
+	added := &Replica{
+		Entry: entry, key: xxhash.Sum64String(entry.ID), affinity: affinity(s.places.Node, entry.ID),
+		latency: latency{sampledAt: now}, cold: coldPhase{until: now + entry.ColdFor},
+		withdrawnFactor: s.settings.WithdrawnFactor, useSlowdown: s.settings.UseSlowdown,
+	}
+	s.locate(added)
+	s.byID[entry.ID] = added
+	s.byKey[added.key] = added
+	s.byService[entry.Service] = append(s.byService[entry.Service], added)
+	s.preferSubset(entry.Service)
+}
+
+func (s *Set) forget(known *Replica) {
+	delete(s.byID, known.ID)
+	delete(s.byKey, known.key)
+	members := s.byService[known.Service]
+	for i, member := range members {
+		if member != known {
+			continue
+		}
+		members[i] = members[len(members)-1]
+		members[len(members)-1] = nil
+		s.byService[known.Service] = members[:len(members)-1]
+		s.preferSubset(known.Service)
+		return
+	}
+}
--- /dev/null
+++ b/internal/replica/settings.go
@@ -0,0 +1,43 @@
+package replica
+
+// Settings of the choice of replicas. Prices are shares of the request's target latency.
+type Settings struct {
+	// Connections is the largest number of attempts this node has under way at one back end.
+	Connections int
+	// FarPrice is what a replica of another region is expected to cost beyond its latency, so that requests stay near unless the near replicas are worse by
+	// that much.
+	FarPrice float64
+	// FaultPrice is what an attempt that fails costs.
+	FaultPrice float64
+	// UseSlowdown multiplies the latency that is expected by the slowdown that the replica, or another node, tells.
+	UseSlowdown bool
+	// SubsetSize is how many near replicas of a service are preferred where its share of their connections is not ample; 0 prefers none.
+	SubsetSize int
+	// FewIdle lets only one connection be idle there.
+	FewIdle bool
+	// Ejection makes failing replicas a last choice for a while.
+	Ejection bool
+	// WithdrawnFactor times its age is taken for the latency of an attempt that was withdrawn without an answer.
+	WithdrawnFactor float64
+	// Prove has new connections prove themselves to a replica that may be at its limit of connections.
+	Prove bool
+}
+
+// Places tells how far a back end is.
+type Places struct {
+	// Node is the name of this node.
+	Node string
+	Zone string
+	// Regions gives the region of each zone.
+	Regions map[string]string
+}
+
+// KnowsRegion reports whether a zone of a region is known.
+func (p Places) KnowsRegion(name string) bool {
+	for _, region := range p.Regions {
+		if region == name {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/replica/load_test.go
+++ b/internal/replica/slowdown_test.go
@@ -11,14 +11,14 @@
 func pacedSet() (*replica.Set, time.Duration) {
 	set := newSet(entry("own", "a1"), entry("far", "b1"))
 	paced := settings
-	paced.GoByPace = true
+	paced.UseSlowdown = true
 	set.Reconfigure(paced, replica.Places{Zone: "a1", Regions: map[string]string{"a1": "a", "b1": "b"}})
 	now := run(set, 0, "own", 12*millisecond, replica.Answered)
 	return set, run(set, now, "far", 36*millisecond, replica.Answered)
 }
 
-func load(pace float64) replica.Load {
-	return replica.Load{Told: true, Running: 1, Slots: 4, Pace: pace}
+func load(slowed float64) replica.Load {
+	return replica.Load{Told: true, Running: 1, Slots: 4, Slowdown: slowed}
 }
 
 // TestHeardToBeSlow: a replica that another node met as slow is left before this node has met it; first-hand knowledge of late goes before that; what was
@@ -27,30 +27,30 @@
 	set, now := pacedSet()
 	now += 100 * millisecond
 	key := set.Get("own").Key()
-	set.Hear(now, key, 12, 0, now-50*millisecond)
+	set.TakeReport(now, key, 12, 0, now-50*millisecond)
 	if got := picked(set, now); got != "far" {
 		t.Errorf("picked %q, the near one is slow", got)
 	}
 	if got := picked(set, now+5*time.Second); got != "own" {
 		t.Errorf("picked %q five seconds later", got)
 	}
-	set.Hear(now, key, 1, 0, now)
+	set.TakeReport(now, key, 1, 0, now)
 	if got := picked(set, now); got != "own" {
 		t.Errorf("picked %q, the near one is well again", got)
 	}
-	set.Get("own").Tell(now, load(1))
-	set.Hear(now+100*millisecond, key, 12, 0, now+90*millisecond)
+	set.Get("own").TakeLoad(now, load(1))
+	set.TakeReport(now+100*millisecond, key, 12, 0, now+90*millisecond)
 	if got := picked(set, now+100*millisecond); got != "own" {
 		t.Errorf("picked %q, it was met as well 100 ms ago", got)
 	}
-	set.Hear(now, 4711, 12, 0, now)
+	set.TakeReport(now, 4711, 12, 0, now)
 }
 
 // TestHearsayEmptiesNoService: a node that tells of all replicas that they are slow and faulty changes which is picked, and not that one is.
 func TestHearsayEmptiesNoService(t *testing.T) {
 	set, now := pacedSet()
 	for _, id := range []string{"own", "far"} {
-		set.Hear(now, set.Get(id).Key(), 60, 1, now)
+		set.TakeReport(now, set.Get(id).Key(), 60, 1, now)
 	}
 	if got := picked(set, now); got == "" {
 		t.Error("no replica is picked")
@@ -62,13 +62,13 @@
 	set, now := pacedSet()
 	slow := set.Get("own")
 	slow.Start(now)
-	slow.Tell(now+100*millisecond, load(8))
+	slow.TakeLoad(now+100*millisecond, load(8))
 	slow.Finish(now+100*millisecond, now, replica.Answered)
 	now += 100 * millisecond
 	if got := picked(set, now); got != "far" {
 		t.Errorf("picked %q, the near one is slow", got)
 	}
-	slow.Tell(now, load(1))
+	slow.TakeLoad(now, load(1))
 	if got := picked(set, now); got != "own" || slow.Latency() > 20*millisecond {
 		t.Errorf("picked %q, expected of the near one: %v", got, slow.Latency())
 	}
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -47,7 +47,7 @@
 			ending := running[i]
 			running = append(running[:i], running[i+1:]...)
 			if random.IntN(2) == 0 {
-				ending.at.Tell(now, replica.Load{Told: true, Running: random.IntN(5), Waiting: random.IntN(2), Slots: 4, Pace: 0.5 + 3*random.Float64()})
+				ending.at.TakeLoad(now, replica.Load{Told: true, Running: random.IntN(5), Waiting: random.IntN(2), Slots: 4, Slowdown: 0.5 + 3*random.Float64()})
 			}
 			verdict := replica.Answered
 			if random.IntN(4) == 0 {
@@ -73,23 +73,23 @@
 		case what < 84:
 			note("expire", set.Expire(now))
 		case what < 88 && set.Get(id) != nil:
-			set.Hear(now, set.Get(id).Key(), 1+4*random.Float64(), random.Float64(), now-time.Duration(random.IntN(int(time.Second))))
+			set.TakeReport(now, set.Get(id).Key(), 1+4*random.Float64(), random.Float64(), now-time.Duration(random.IntN(int(time.Second))))
 		case what < 90:
 			tracePlace(random, now, set, note)
 		case what < 91 && step%5 == 0:
 			distrustedUntil = now + 2*time.Second
-			set.DoubtOld(distrustedUntil)
+			set.DistrustDeparted(distrustedUntil)
 		case what < 91:
 			traceNodes(random, set)
 		case what < 92 && step%7 == 0:
 			set.Reconfigure(traceSettings(random), tracePlaces)
 		case set.Get(id) != nil:
 			r := set.Get(id)
-			slowdown, faults := r.Met(now)
+			slowdown, faults := r.Health(now)
 			note(r.Latency(), r.Floor(), r.Least(now), r.Expected(now), r.InFlight(), r.Ejected(now), r.Doubtful(), r.Cold(now), r.Evacuated(), slowdown, faults)
-			note(set.Crowded(now, r), set.Rest(r))
+			note(set.MustProve(now, r), set.IdleLimit(r))
 			at, known := set.Recovers("s", replica.Choice{})
-			note(at, known, set.Known("s", region.Of("b")), set.Versions("s", region.Set{}), set.Len(), set.Draw())
+			note(at, known, set.HasCandidate("s", region.Of("b")), set.Versions("s", region.Set{}), set.Len(), set.Draw())
 		}
 	}
 	return sum.Sum64()
@@ -108,8 +108,8 @@
 func traceSettings(random *rand.Rand) replica.Settings {
 	often := func() bool { return random.IntN(4) > 0 }
 	return replica.Settings{
-		Connections: 1 + random.IntN(4), FarPrice: random.Float64(), FaultPrice: 3 * random.Float64(), GoByPace: often(),
-		SubsetSize: random.IntN(3), FewRest: often(), Ejection: often(), WithdrawnFactor: 1 + random.Float64(), Prove: often(),
+		Connections: 1 + random.IntN(4), FarPrice: random.Float64(), FaultPrice: 3 * random.Float64(), UseSlowdown: often(),
+		SubsetSize: random.IntN(3), FewIdle: often(), Ejection: often(), WithdrawnFactor: 1 + random.Float64(), Prove: often(),
 	}
 }
 
@@ -154,9 +154,9 @@
 	zone := []string{"a2", "b2", "c1"}[random.IntN(3)]
 	switch random.IntN(5) {
 	case 0:
-		note("evacuate", set.Evacuate(zone))
+		note("evacuate", set.EvacuateZone(zone))
 	case 1, 2, 3:
-		note("take back", set.Return(now, zone), set.Evacuated())
+		note("take back", set.TakeZoneBack(now, zone), set.EvacuatedZones())
 	default:
 		readmitted := set.Readmit(now)
 		note("readmit", len(readmitted))
@@ -169,10 +169,10 @@
 	for i := range random.IntN(20) {
 		nodes = append(nodes, fmt.Sprint("node-", i))
 	}
-	set.SetFleet("node-0", nodes)
-	set.SetYoung(random.IntN(3) == 0)
-	share := replica.NewShare(1+random.IntN(80), 1+random.IntN(40), 1+random.IntN(10), 8)
-	set.SetShares(map[string]replica.Share{"s": share})
+	set.SetNodes("node-0", nodes)
+	set.SetManyStarting(random.IntN(3) == 0)
+	share := replica.NewConnectionShare(1+random.IntN(80), 1+random.IntN(40), 1+random.IntN(10), 8)
+	set.SetConnectionShares(map[string]replica.ConnectionShare{"s": share})
 }
 
 func name(r *replica.Replica) string {
--- /dev/null
+++ b/internal/replica/verdict.go
@@ -0,0 +1,26 @@
+package replica
+
+// Verdict is what the end of an attempt says of its replica.
+type Verdict int
+
+// The verdicts.
+const (
+	// Answered: it gave an answer of its own.
+	Answered Verdict = iota
+	// Refused: it is too full to take the request.
+	Refused
+	// RefusedWithRoom: it refused the request though it says that slots are free.
+	RefusedWithRoom
+	// Failed: a broken connection or answer.
+	Failed
+	// Unreachable: no connection was had.
+	Unreachable
+	// TurnedAway: it ended a connection that had carried no answer yet. It may be at its limit, and sound.
+	TurnedAway
+	// Misdirected: its address answers for another back end.
+	Misdirected
+	// Withdrawn: the attempt was given up on before an answer.
+	Withdrawn
+	// Neutral: the end says nothing of the replica.
+	Neutral
+)
--- a/internal/replica/warmup_test.go
+++ b/internal/replica/warmup_test.go
@@ -22,7 +22,7 @@
 		places := replica.Places{Node: names[i], Zone: "a1", Regions: map[string]string{"a1": "a", "b1": "b"}}
 		set := replica.NewSet(settings, places, rand.New(rand.NewPCG(uint64(i), 2)))
 		set.SetWarmups(map[string]replica.Warmup{"s": {For: clock.Of(cold), Rate: rate}})
-		set.SetFleet(names[i], names)
+		set.SetNodes(names[i], names)
 		set.Put(0, replica.Entry{ID: "cold", Service: "s", Address: "127.0.0.1:1", Zone: "a1", ColdFor: cold})
 		set.Put(0, entry("warm", "b1"))
 		sets = append(sets, set)
@@ -94,7 +94,7 @@
 				known = append(known, name)
 			}
 		}
-		set.SetFleet(names[i], known)
+		set.SetNodes(names[i], known)
 	}
 	if most := mostWithin(drive(sets, 40*millisecond, cold-millisecond)); float64(most) > 1.5*rate+5 {
 		t.Errorf("%d requests in a second, a cold back end bears %v", most, rate)
@@ -106,7 +106,7 @@
 func TestColdBackEndAndNodesThatStart(t *testing.T) {
 	_, sets := coldFleet(3, 10, 10*time.Second)
 	alone := sets[0]
-	alone.SetFleet("node-0", nil)
+	alone.SetNodes("node-0", nil)
 	for _, now := range []time.Duration{0, 500 * millisecond, 3 * time.Second} {
 		if got := picked(alone, now); got != "warm" {
 			t.Errorf("a node that knows nobody picks %q at %v", got, now)
@@ -132,19 +132,19 @@
 func TestZoneTakenBackIsCold(t *testing.T) {
 	set := newSet(entry("own", "a1"), entry("far", "b1"))
 	set.SetWarmups(map[string]replica.Warmup{"s": {For: 3 * clock.Second, Rate: 1}})
-	set.SetFleet("self", []string{"self"})
+	set.SetNodes("self", []string{"self"})
 	now := 10 * time.Second
-	if !set.Evacuate("a1") || set.Evacuate("a1") || set.Evacuated() != 1 {
+	if !set.EvacuateZone("a1") || set.EvacuateZone("a1") || set.EvacuatedZones() != 1 {
 		t.Error("an evacuation is news once")
 	}
 	set.Put(now, entry("late", "a1"))
 	if got := picked(set, now); got != "far" {
 		t.Errorf("picked %q while the zone is evacuated", got)
 	}
-	if set.Known("s", region.Of("a")) || !set.Known("s", region.Of("b")) {
+	if set.HasCandidate("s", region.Of("a")) || !set.HasCandidate("s", region.Of("b")) {
 		t.Error("the back ends of an evacuated zone count as known")
 	}
-	if !set.Return(now, "a1") || set.Return(now, "a1") {
+	if !set.TakeZoneBack(now, "a1") || set.TakeZoneBack(now, "a1") {
 		t.Error("the end of an evacuation is news once")
 	}
 	if !set.Get("own").Cold(now+2*time.Second) || set.Get("own").Cold(now+4*time.Second) {
