--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -41,7 +41,7 @@
 	},
 	{
 		"back ends that had left come back with a copy", "internal/gateway/era.go",
-		"	g.replicas.DoubtOld(now + g.settings.Load().DoubtOldFor)\n", "",
+		"	g.replicas.DistrustDeparted(now + g.settings.Load().DoubtOldFor)\n", "",
 		"./platform", "TestLostWithACopy",
 	},
 	{
