--- a/internal/gateway/reports.go
+++ b/internal/gateway/reports.go
@@ -15,7 +15,7 @@
 )
 
 // reportPause is the least time between two messages of a node to another: what comes first goes at once, and where more comes it piles up to be one
-// message. At 300 nodes, where some back end changes its pace every 10 ms, it is what bounds the telling.
+// message. At 300 nodes, where some back end changes its speed every 10 ms, it is what bounds the telling.
 const reportPause = 150 * clock.Ms(1)
 
 // Nodes that are told of back ends: reportNext in the order of the region, reportSteady others of it, and reportFar of other regions.
@@ -32,7 +32,7 @@
 		return
 	}
 	slowdown, faults := r.Health(now)
-	if g.reports.Observe(clock.Of(now), healthreport.Report{BackEnd: r.Key(), Pace: slowdown, Faults: faults, SeenAt: clock.Of(now)}) {
+	if g.reports.Observe(clock.Of(now), healthreport.Report{BackEnd: r.Key(), Slowdown: slowdown, Faults: faults, SeenAt: clock.Of(now)}) {
 		g.reportsDue()
 	}
 }
@@ -105,7 +105,7 @@
 func (g *Gateway) receiveReports(now time.Duration, m *message.BackEndReports) {
 	news := g.reports.Receive(clock.Of(now), m)
 	for _, r := range news {
-		g.replicas.TakeReport(now, r.BackEnd, r.Pace, r.Faults, r.SeenAt.Duration())
+		g.replicas.TakeReport(now, r.BackEnd, r.Slowdown, r.Faults, r.SeenAt.Duration())
 	}
 	if len(news) > 0 {
 		g.reportsDue()
--- a/internal/healthreport/healthreport.go
+++ b/internal/healthreport/healthreport.go
@@ -27,9 +27,9 @@
 	keptFor = 3 * clock.Second
 	// maximumReports of a message: 420 bytes.
 	maximumReports = 32
-	// paceUnit stands for the usual pace in a message; maximumPace is the slowest that is reported.
-	paceUnit    = 16
-	maximumPace = 60
+	// slowdownUnit stands for the usual speed in a message; maximumSlowdown is the slowest that is reported.
+	slowdownUnit    = 16
+	maximumSlowdown = 60
 	// faultUnit stands in a message for a back end at which all attempts fail.
 	faultUnit = 100
 	// maximumAge of a report that is taken in.
@@ -40,17 +40,17 @@
 type Report struct {
 	// BackEnd is the hash of its id, so that one that was started again is another one.
 	BackEnd uint64
-	// Pace is how long work takes there as a multiple of the usual; Faults is the share of recent attempts that failed.
-	Pace   float64
-	Faults float64
+	// Slowdown is how long work takes there as a multiple of the usual; Faults is the share of recent attempts that failed.
+	Slowdown float64
+	Faults   float64
 	// SeenAt is when it was met.
 	SeenAt clock.Ms
 }
 
-// level of a report: one more for each doubling of the pace and for each threshold of faults.
+// level of a report: one more for each doubling of the slowdown and for each threshold of faults.
 func (r Report) level() (level int) {
-	if r.Pace > 1 {
-		level = int(math.Round(math.Log2(r.Pace)))
+	if r.Slowdown > 1 {
+		level = int(math.Round(math.Log2(r.Slowdown)))
 	}
 	switch {
 	case r.Faults >= veryFaultyFrom:
@@ -99,9 +99,9 @@
 	for _, received := range m.Reports {
 		age := clock.Ms(received.AgeMs)
 		r := Report{
-			BackEnd: received.BackEnd, Pace: float64(received.Pace) / paceUnit, Faults: float64(received.Faults) / faultUnit, SeenAt: now - age,
+			BackEnd: received.BackEnd, Slowdown: float64(received.Slowdown) / slowdownUnit, Faults: float64(received.Faults) / faultUnit, SeenAt: now - age,
 		}
-		if age > maximumAge || r.Faults > 1 || r.Pace > maximumPace || !c.isNews(r) {
+		if age > maximumAge || r.Faults > 1 || r.Slowdown > maximumSlowdown || !c.isNews(r) {
 			continue
 		}
 		news = append(news, r)
@@ -139,10 +139,10 @@
 	for _, id := range c.pending[:count] {
 		r := c.latest[id].report
 		m.Reports = append(m.Reports, message.BackEndReport{
-			BackEnd: id,
-			Pace:    uint16(math.Round(paceUnit * min(max(r.Pace, 0), maximumPace))),
-			Faults:  uint8(math.Round(faultUnit * r.Faults)),
-			AgeMs:   uint16(min(max(now-r.SeenAt, 0), maximumAge)),
+			BackEnd:  id,
+			Slowdown: uint16(math.Round(slowdownUnit * min(max(r.Slowdown, 0), maximumSlowdown))),
+			Faults:   uint8(math.Round(faultUnit * r.Faults)),
+			AgeMs:    uint16(min(max(now-r.SeenAt, 0), maximumAge)),
 		})
 	}
 	c.pending = slices.Delete(c.pending, 0, count)
--- a/internal/healthreport/healthreport_test.go
+++ b/internal/healthreport/healthreport_test.go
@@ -12,7 +12,7 @@
 const slowBackEnd = 7
 
 func slow(seenAt clock.Ms) healthreport.Report {
-	return healthreport.Report{BackEnd: slowBackEnd, Pace: 8.5, SeenAt: seenAt}
+	return healthreport.Report{BackEnd: slowBackEnd, Slowdown: 8.5, SeenAt: seenAt}
 }
 
 // fleet is some nodes that each tell three others each 50 ms what is news to them: the next two in a ring and a random one.
@@ -87,15 +87,15 @@
 		told   bool
 		why    string
 	}{
-		{0, healthreport.Report{BackEnd: 1, Pace: 1}, false, "sound"},
-		{10, healthreport.Report{BackEnd: 1, Pace: 1.2, Faults: 0.3}, false, "a little slower, one failure"},
-		{20, healthreport.Report{BackEnd: 1, Pace: 4}, true, "slow"},
-		{500, healthreport.Report{BackEnd: 1, Pace: 4.2}, false, "still slow"},
-		{1100, healthreport.Report{BackEnd: 1, Pace: 4.2}, true, "slow for a second"},
-		{1200, healthreport.Report{BackEnd: 1, Pace: 8.5}, true, "slower"},
-		{1300, healthreport.Report{BackEnd: 1, Pace: 1}, true, "well again"},
-		{1400, healthreport.Report{BackEnd: 1, Pace: 1}, false, "well"},
-		{1500, healthreport.Report{BackEnd: 1, Pace: 1, Faults: 0.5}, true, "faulty"},
+		{0, healthreport.Report{BackEnd: 1, Slowdown: 1}, false, "sound"},
+		{10, healthreport.Report{BackEnd: 1, Slowdown: 1.2, Faults: 0.3}, false, "a little slower, one failure"},
+		{20, healthreport.Report{BackEnd: 1, Slowdown: 4}, true, "slow"},
+		{500, healthreport.Report{BackEnd: 1, Slowdown: 4.2}, false, "still slow"},
+		{1100, healthreport.Report{BackEnd: 1, Slowdown: 4.2}, true, "slow for a second"},
+		{1200, healthreport.Report{BackEnd: 1, Slowdown: 8.5}, true, "slower"},
+		{1300, healthreport.Report{BackEnd: 1, Slowdown: 1}, true, "well again"},
+		{1400, healthreport.Report{BackEnd: 1, Slowdown: 1}, false, "well"},
+		{1500, healthreport.Report{BackEnd: 1, Slowdown: 1, Faults: 0.5}, true, "faulty"},
 	}
 	for _, step := range steps {
 		step.report.SeenAt = step.at
@@ -113,21 +113,21 @@
 	hear := func(r message.BackEndReport) bool {
 		return len(c.Receive(now, &message.BackEndReports{Reports: []message.BackEndReport{r}})) > 0
 	}
-	good := message.BackEndReport{BackEnd: 1, Pace: 136, AgeMs: 100}
+	good := message.BackEndReport{BackEnd: 1, Slowdown: 136, AgeMs: 100}
 	if !hear(good) || hear(good) {
 		t.Error("a report is news once")
 	}
 	for why, bad := range map[string]message.BackEndReport{
-		"older":      {BackEnd: 1, Pace: 16, AgeMs: 500},
-		"very old":   {BackEnd: 2, Pace: 136, AgeMs: 2500},
-		"impossible": {BackEnd: 3, Pace: 136, Faults: 200},
-		"too slow":   {BackEnd: 4, Pace: 60000},
+		"older":      {BackEnd: 1, Slowdown: 16, AgeMs: 500},
+		"very old":   {BackEnd: 2, Slowdown: 136, AgeMs: 2500},
+		"impossible": {BackEnd: 3, Slowdown: 136, Faults: 200},
+		"too slow":   {BackEnd: 4, Slowdown: 60000},
 	} {
 		if hear(bad) {
 			t.Errorf("a report that is %s is believed", why)
 		}
 	}
-	if !hear(message.BackEndReport{BackEnd: 1, Pace: 16, AgeMs: 20}) {
+	if !hear(message.BackEndReport{BackEnd: 1, Slowdown: 16, AgeMs: 20}) {
 		t.Error("a newer report that says otherwise is not believed")
 	}
 }
@@ -136,7 +136,7 @@
 func TestManyReports(t *testing.T) {
 	c := healthreport.New()
 	for i := range 100 {
-		c.Observe(0, healthreport.Report{BackEnd: uint64(i), Pace: 8})
+		c.Observe(0, healthreport.Report{BackEnd: uint64(i), Slowdown: 8})
 	}
 	seen := map[uint64]bool{}
 	for range 4 {
@@ -152,7 +152,7 @@
 		t.Errorf("%d of 100 were told, more is due: %v", len(seen), c.Pending())
 	}
 	c.Forget(10 * clock.Second)
-	if !c.Observe(10*clock.Second, healthreport.Report{BackEnd: 1, Pace: 8, SeenAt: 10 * clock.Second}) {
+	if !c.Observe(10*clock.Second, healthreport.Report{BackEnd: 1, Slowdown: 8, SeenAt: 10 * clock.Second}) {
 		t.Error("a slow back end is no news after all was forgotten")
 	}
 }
--- a/internal/message/message_test.go
+++ b/internal/message/message_test.go
@@ -38,7 +38,7 @@
 			Mark: [16]byte{1, 15: 2}, Wide: true, Runs: []EndedRun{{Service: "s", BackEnd: "b", Version: "v", BeganMs: 3, EndedMs: 4}}, Answered: true, AnsweredMs: 5,
 			QuarantinedMs: 6, HeldMs: 7, Versions: []string{"v"}, Sound: []string{"w"}, Askers: [][16]byte{{3}},
 		}}},
-		&BackEndReports{Reports: []BackEndReport{{BackEnd: 1 << 60, Pace: 136, Faults: 45, AgeMs: 200}}},
+		&BackEndReports{Reports: []BackEndReport{{BackEnd: 1 << 60, Slowdown: 136, Faults: 45, AgeMs: 200}}},
 	}
 }
 
--- a/internal/message/reports.go
+++ b/internal/message/reports.go
@@ -15,8 +15,8 @@
 type BackEndReport struct {
 	// BackEnd is the hash of its id.
 	BackEnd uint64
-	// Pace is how long work takes there, in sixteenths of the usual.
-	Pace uint16
+	// Slowdown is how long work takes there, in sixteenths of the usual.
+	Slowdown uint16
 	// Faults is the share of attempts that failed, in hundredths.
 	Faults uint8
 	// AgeMs is how long ago that was met, in milliseconds.
