--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Gateway settings: of a node that asks back ends itself and learns everything else from the store.
+// Gateway settings: of a node that asks back ends itself and learns everything else from the store. The names of the fields stand in the log line of a start.
 type Gateway struct {
 	Node string
 	// CallerAddress serves callers, ReadyAddress tells whether the node should get any, MetricsAddress serves metrics.
@@ -54,11 +54,11 @@
 	LastExtras int
 	// SubsetSize is how many near replicas a node prefers where connections are few; 0 prefers none.
 	SubsetSize int
-	// FewRest lets only one connection rest at a back end where they are few.
+	// FewRest lets only one connection be idle at a back end where they are few.
 	FewRest bool
 	// ShareConnections divides the connections of a back end among the nodes known.
 	ShareConnections bool
-	// YoungPart of the connections is shared while many nodes have just started: one in so many.
+	// YoungPart of the connections, one in so many, is shared while many nodes have just started.
 	YoungPart int
 	// Ejection leaves failing back ends out for a while.
 	Ejection bool
@@ -70,10 +70,10 @@
 	Watchers int
 	// PeerCopies has nodes tell each other what they know of the store.
 	PeerCopies bool
-	// ProveConnections has new connections to a crowded back end prove themselves before they are used.
+	// ProveConnections has new connections prove themselves before they are used, where the back end may be at its limit of them.
 	ProveConnections bool
-	// StartingHold is how long a request that comes while the node starts waits for its first listing, and for back ends that the listing lacks. Longer
-	// holds measured worse: requests that have waited together are let go together, onto the first back end of each shard (docs/POLICY.md).
+	// StartingHold is how long a request that comes while the node starts waits for its first listing, and for back ends that the listing lacks. Requests
+	// that have waited together are let go together, onto the first back end of each shard.
 	StartingHold time.Duration
 	// TurnAway refuses a part of the requests at once, as not run, while back ends cannot answer all of them by the target.
 	TurnAway bool
@@ -87,7 +87,7 @@
 	// neither.
 	FarPrice   float64
 	FaultPrice float64
-	// GoByPace has choices go by how long work takes at a back end, as it tells.
+	// GoByPace has choices go by the slowdown that back ends tell.
 	GoByPace bool
 	// Reports has nodes tell each other of back ends that turn slow or faulty.
 	Reports bool
@@ -99,12 +99,13 @@
 // DefaultGateway gives the settings of fields that are not set.
 func DefaultGateway() Gateway {
 	return Gateway{
-		LogLevel: "info", StopWithin: 6 * time.Second, EntryInterval: 1200 * time.Millisecond, LeavingTime: 3 * time.Second, ApplyWithin: 3 * time.Second, EvacuateWithin: 5 * time.Second, RetryShare: 0.2,
-		RetryWindow: 10 * time.Second, Connections: 4, HedgeShare: 0.45, RetryPace: 25 * time.Millisecond, EarlyFinish: true,
-		MaximumRequests: 2000, SiblingHedges: true, LastExtras: 2, SubsetSize: 2, FewRest: true, ShareConnections: true, YoungPart: 2,
-		Ejection: true, Doubt: true, StoreTurns: true, Watchers: 3, PeerCopies: true, ProveConnections: true, StartingHold: 250 * time.Millisecond, TurnAway: true, WithdrawnFactor: 2,
-		FarPrice: 0.5, FaultPrice: 2, GoByPace: true, Reports: true,
-		QuarantineRounds: 3, QuarantineFor: 10 * time.Minute,
+		LogLevel: "info", StopWithin: 6 * time.Second,
+		EntryInterval: 1200 * time.Millisecond, LeavingTime: 3 * time.Second, ApplyWithin: 3 * time.Second, EvacuateWithin: 5 * time.Second,
+		RetryShare: 0.2, RetryWindow: 10 * time.Second, HedgeShare: 0.45, RetryPace: 25 * time.Millisecond, EarlyFinish: true,
+		SiblingHedges: true, LastExtras: 2, WithdrawnFactor: 2, FarPrice: 0.5, FaultPrice: 2, GoByPace: true, Reports: true,
+		Connections: 4, SubsetSize: 2, FewRest: true, ShareConnections: true, YoungPart: 2, ProveConnections: true,
+		Ejection: true, Doubt: true, StoreTurns: true, Watchers: 3, PeerCopies: true,
+		MaximumRequests: 2000, StartingHold: 250 * time.Millisecond, TurnAway: true, QuarantineRounds: 3, QuarantineFor: 10 * time.Minute,
 	}
 }
 
@@ -119,7 +120,7 @@
 	{"store_address", addressAllowed, true, address(func(s *Gateway) *string { return &s.StoreAddress })},
 	{"zone", "1 to 32 characters without blanks and slashes", true, name(func(s *Gateway) *string { return &s.Zone })},
 	{"regions", "a list of zone=region", false, setRegions},
-	{"log_level", "debug, info, warn or error", false, func(s *Gateway, value string) bool { return setLevel(&s.LogLevel, value) }},
+	{"log_level", "debug, info, warn or error", false, level(func(s *Gateway) *string { return &s.LogLevel })},
 	{"stop_within", "1s to 10m", false, duration(time.Second, 10*time.Minute, func(s *Gateway) *time.Duration { return &s.StopWithin })},
 	{"entry_interval", "50ms to 1m", false, duration(50*time.Millisecond, time.Minute, func(s *Gateway) *time.Duration { return &s.EntryInterval })},
 	{"leaving_time", "2s to 10m", false, duration(2*time.Second, 10*time.Minute, func(s *Gateway) *time.Duration { return &s.LeavingTime })},
@@ -130,7 +131,7 @@
 	{"retry_slack", "0 to 1000000", false, fraction(0, 1000000, func(s *Gateway) *float64 { return &s.RetrySlack })},
 	{"peer_address", addressAllowed, false, address(func(s *Gateway) *string { return &s.PeerAddress })},
 	{"peer_advertised_address", addressAllowed, false, address(func(s *Gateway) *string { return &s.PeerAdvertisedAddress })},
-	{"seeds", "a list of IP addresses and ports", false, func(s *Gateway, value string) bool { return setAddresses(&s.Seeds, value) }},
+	{"seeds", "a list of IP addresses and ports", false, addresses(func(s *Gateway) *[]string { return &s.Seeds })},
 	{"connections_per_back_end", "1 to 4096", false, integer(1, 4096, func(s *Gateway) *int { return &s.Connections })},
 	{"hedge_share", "0 to 1", false, share(func(s *Gateway) *float64 { return &s.HedgeShare })},
 	{"retry_pace", "0s to 10s", false, duration(0, 10*time.Second, func(s *Gateway) *time.Duration { return &s.RetryPace })},
@@ -172,25 +173,10 @@
 	return true
 }
 
-// switchAllowed is what a switch may be set to.
-const switchAllowed = "true or false"
-
-func onOff(of func(*Gateway) *bool) func(*Gateway, string) bool {
-	return func(s *Gateway, value string) bool {
-		*of(s) = value == "true"
-		return value == "true" || value == "false"
-	}
-}
-
 // LoadGateway reads the settings file of a gateway and the overrides. The failure, of code SETTINGS_INVALID, lists all problems.
 func LoadGateway(path string, overrides []Override) (Gateway, error) {
 	return load(path, overrides, DefaultGateway(), gatewayFields)
 }
 
-// ParseGateway reads the settings of a gateway from the text of a file, and returns all problems.
-func ParseGateway(file string, text []byte, overrides []Override) (Gateway, []Problem) {
-	return parse(file, text, overrides, DefaultGateway(), gatewayFields)
-}
-
 // GatewayNames returns the names of all fields of a gateway.
 func GatewayNames() []string { return namesOf(gatewayFields) }
