--- a/internal/gateway/world.go
+++ b/internal/gateway/world.go
@@ -34,7 +34,7 @@
 
 // ExtrasLeft implements forward.World.
 func (w world) ExtrasLeft(service string) float64 {
-	return w.gateway.budget(service).Left(w.now, w.gateway.retrySlack())
+	return w.gateway.budget(service).Remaining(w.now, w.gateway.retrySlack())
 }
 
 // SpendRetry implements forward.World.
--- /dev/null
+++ b/internal/limit/latencies.go
@@ -0,0 +1,63 @@
+package limit
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	bucketsPerDoubling = 4
+	buckets            = 80
+	smallestLatency    = 50 * time.Microsecond
+	// decayAfter samples all counts are halved, so that the histogram follows the last few hundred.
+	decayAfter = 512
+)
+
+// Latencies is a decaying histogram of latencies with logarithmic buckets (a quarter of a doubling each, from
+// 50 microseconds to about 50 seconds); 336 bytes.
+type Latencies struct {
+	counts [buckets]float32
+	total  float32
+}
+
+func bucketOf(latency time.Duration) int {
+	if latency <= smallestLatency {
+		return 0
+	}
+	bucket := int(math.Log2(float64(latency)/float64(smallestLatency)) * bucketsPerDoubling)
+	return min(bucket, buckets-1)
+}
+
+// Record adds a sample.
+func (l *Latencies) Record(latency time.Duration) {
+	l.counts[bucketOf(latency)]++
+	l.total++
+	if l.total < decayAfter {
+		return
+	}
+	for i := range l.counts {
+		l.counts[i] /= 2
+	}
+	l.total /= 2
+}
+
+// Samples is the weight of what was recorded, after decay.
+func (l *Latencies) Samples() int { return int(l.total) }
+
+// Quantile returns the upper edge of the bucket that holds the quantile, or otherwise while there are too few
+// samples (fewer than minimum) to say.
+func (l *Latencies) Quantile(quantile float64, minimum int, otherwise time.Duration) time.Duration {
+	if l.Samples() < minimum {
+		return otherwise
+	}
+	below := float32(quantile) * l.total
+	var sum float32
+	for i, count := range l.counts {
+		sum += count
+		if sum >= below {
+			edge := math.Exp2(float64(i+1) / bucketsPerDoubling)
+			return time.Duration(float64(smallestLatency) * edge)
+		}
+	}
+	return otherwise
+}
--- a/internal/limit/sliding_test.go
+++ b/internal/limit/sliding_test.go
@@ -124,20 +124,20 @@
 	for budget.Spend(0, 0.5, 0) {
 		continue
 	}
-	if left := budget.Left(0, 0); left != 5 {
+	if left := budget.Remaining(0, 0); left != 5 {
 		t.Errorf("%v left, 5 were kept back of 10", left)
 	}
 	for budget.Spend(0, 0, 0) {
 		continue
 	}
 	budget.Request(9*time.Second, 10)
-	if budget.Left(9*time.Second, 0) != 2 {
-		t.Errorf("%v left of 12 with 10 spent", budget.Left(9*time.Second, 0))
+	if budget.Remaining(9*time.Second, 0) != 2 {
+		t.Errorf("%v left of 12 with 10 spent", budget.Remaining(9*time.Second, 0))
 	}
-	if budget.Left(10*time.Second, 0) != 0 {
-		t.Errorf("%v left while what was spent may still be in the window", budget.Left(10*time.Second, 0))
+	if budget.Remaining(10*time.Second, 0) != 0 {
+		t.Errorf("%v left while what was spent may still be in the window", budget.Remaining(10*time.Second, 0))
 	}
-	if budget.Left(11*time.Second, 0) != 2 {
-		t.Errorf("%v left after all of it left the window", budget.Left(11*time.Second, 0))
+	if budget.Remaining(11*time.Second, 0) != 2 {
+		t.Errorf("%v left after all of it left the window", budget.Remaining(11*time.Second, 0))
 	}
 }
