--- a/internal/message/catalog.go
+++ b/internal/message/catalog.go
@@ -28,7 +28,7 @@
 // Kind implements Message.
 func (*CatalogBuckets) Kind() Kind { return KindCatalogBuckets }
 func (m *CatalogBuckets) fields(c *codec) {
-	list(c, &m.Hashes, func(c *codec, hash *uint64) { c.uint64(hash) })
+	list(c, &m.Hashes, (*codec).uint64)
 }
 
 // ServiceVersion names a version of a service's document.
@@ -37,6 +37,11 @@
 	Version uint64
 }
 
+func walkServiceVersion(c *codec, key *ServiceVersion) {
+	c.string(&key.Service)
+	c.uint64(&key.Version)
+}
+
 // CatalogKeys lists what the sender holds in the buckets that differ.
 type CatalogKeys struct {
 	Buckets []uint32
@@ -46,11 +51,8 @@
 // Kind implements Message.
 func (*CatalogKeys) Kind() Kind { return KindCatalogKeys }
 func (m *CatalogKeys) fields(c *codec) {
-	list(c, &m.Buckets, walkUint32)
-	list(c, &m.Keys, func(c *codec, key *ServiceVersion) {
-		c.string(&key.Service)
-		c.uint64(&key.Version)
-	})
+	list(c, &m.Buckets, (*codec).uint32)
+	list(c, &m.Keys, walkServiceVersion)
 }
 
 // CatalogDocuments carries documents, and the services the sender wants in return.
@@ -71,12 +73,9 @@
 func (m *CatalogDocuments) fields(c *codec) {
 	c.uint64(&m.Operation)
 	c.bool(&m.Rumor)
-	list(c, &m.Documents, func(c *codec, document *[]byte) { c.bytes(document) })
-	list(c, &m.Deltas, func(c *codec, delta *[]byte) { c.bytes(delta) })
-	list(c, &m.Wanted, func(c *codec, key *ServiceVersion) {
-		c.string(&key.Service)
-		c.uint64(&key.Version)
-	})
+	list(c, &m.Documents, (*codec).bytes)
+	list(c, &m.Deltas, (*codec).bytes)
+	list(c, &m.Wanted, walkServiceVersion)
 }
 
 // CatalogAck says that the documents of an operation are held.
@@ -87,3 +86,29 @@
 // Kind implements Message.
 func (*CatalogAck) Kind() Kind        { return KindCatalogAck }
 func (m *CatalogAck) fields(c *codec) { c.uint64(&m.Operation) }
+
+// VersionRequest asks which versions a node has in force; an empty service means all.
+type VersionRequest struct {
+	Sequence uint64
+	Service  string
+}
+
+// Kind implements Message.
+func (*VersionRequest) Kind() Kind { return KindVersionRequest }
+func (m *VersionRequest) fields(c *codec) {
+	c.uint64(&m.Sequence)
+	c.string(&m.Service)
+}
+
+// VersionReply answers a VersionRequest.
+type VersionReply struct {
+	Sequence uint64
+	Versions []ServiceVersion
+}
+
+// Kind implements Message.
+func (*VersionReply) Kind() Kind { return KindVersionReply }
+func (m *VersionReply) fields(c *codec) {
+	c.uint64(&m.Sequence)
+	list(c, &m.Versions, walkServiceVersion)
+}
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -1,7 +1,9 @@
 // Package message holds the typed messages nodes send each other and their binary form.
 //
 // A frame is a Header and a payload; both are bounded, checksummed and big endian. The order of the fields in
-// a payload is the order in the message's fields method.
+// a payload is the order in the message's fields method, which serves writing and reading (codec.go).
+//
+// It owns the kinds, the limits of a frame and the protocol's version. It keeps no state and does no I/O: transport carries the frames.
 package message
 
 // Kind names the type of a message on the wire; values never change meaning.
@@ -86,117 +88,6 @@
 	return true
 }
 
-// MemberUpdate is what is said of one member.
-type MemberUpdate struct {
-	Address     string
-	Zone        string
-	Region      string
-	Generation  uint64
-	Incarnation uint64
-	State       uint8
-}
-
-func walkUpdate(c *codec, u *MemberUpdate) {
-	c.string(&u.Address)
-	c.string(&u.Zone)
-	c.string(&u.Region)
-	c.uint64(&u.Generation)
-	c.uint64(&u.Incarnation)
-	c.uint8(&u.State)
-}
-
-// Probe asks a member whether it lives.
-type Probe struct {
-	Sequence uint64
-	// Origin, where set, is the member the ack is to be relayed to.
-	Origin  string
-	Updates []MemberUpdate
-}
-
-// Kind implements Message.
-func (*Probe) Kind() Kind { return KindProbe }
-func (m *Probe) fields(c *codec) {
-	c.uint64(&m.Sequence)
-	c.string(&m.Origin)
-	list(c, &m.Updates, walkUpdate)
-}
-
-// ProbeAck answers a Probe.
-type ProbeAck struct {
-	Sequence uint64
-	Updates  []MemberUpdate
-}
-
-// Kind implements Message.
-func (*ProbeAck) Kind() Kind { return KindProbeAck }
-func (m *ProbeAck) fields(c *codec) {
-	c.uint64(&m.Sequence)
-	list(c, &m.Updates, walkUpdate)
-}
-
-// ProbeRequest asks a member to probe another on the sender's behalf.
-type ProbeRequest struct {
-	Sequence uint64
-	Target   string
-	Updates  []MemberUpdate
-}
-
-// Kind implements Message.
-func (*ProbeRequest) Kind() Kind { return KindProbeRequest }
-func (m *ProbeRequest) fields(c *codec) {
-	c.uint64(&m.Sequence)
-	c.string(&m.Target)
-	list(c, &m.Updates, walkUpdate)
-}
-
-// MemberSync compares views of the members. It carries updates, and asks for what the receiver knows better where Reply is set.
-type MemberSync struct {
-	Reply bool
-	// Whole: the updates are all that the sender knows.
-	Whole bool
-	// Hash of the sender's whole view, 0 where it is not told; a receiver with the same has nothing to say.
-	Hash    uint64
-	Updates []MemberUpdate
-}
-
-// Kind implements Message.
-func (*MemberSync) Kind() Kind { return KindMemberSync }
-func (m *MemberSync) fields(c *codec) {
-	c.bool(&m.Reply)
-	c.bool(&m.Whole)
-	c.uint64(&m.Hash)
-	list(c, &m.Updates, walkUpdate)
-}
-
-// VersionRequest asks which versions a node has in force; an empty service means all.
-type VersionRequest struct {
-	Sequence uint64
-	Service  string
-}
-
-// Kind implements Message.
-func (*VersionRequest) Kind() Kind { return KindVersionRequest }
-func (m *VersionRequest) fields(c *codec) {
-	c.uint64(&m.Sequence)
-	c.string(&m.Service)
-}
-
-// VersionReply answers a VersionRequest.
-type VersionReply struct {
-	Sequence uint64
-	Versions []ServiceVersion
-}
-
-// Kind implements Message.
-func (*VersionReply) Kind() Kind { return KindVersionReply }
-func (m *VersionReply) fields(c *codec) {
-	c.uint64(&m.Sequence)
-	list(c, &m.Versions, func(c *codec, key *ServiceVersion) {
-		c.string(&key.Service)
-		c.uint64(&key.Version)
-	})
-}
-
 // Hello opens a connection: it names the sender, by the address it takes connections at.
 type Hello struct {
 	Address string
--- a/internal/message/work.go
+++ b/internal/message/work.go
@@ -18,20 +18,16 @@
 // Kind implements Message.
 func (*SubQuery) Kind() Kind { return KindSubQuery }
 func (m *SubQuery) fields(c *codec) {
-	walkID(c, &m.ID)
+	c.fixed(&m.ID)
 	c.string(&m.Service)
 	c.uint32(&m.Group)
-	list(c, &m.Shards, walkUint32)
-	walkSnapshot(c, &m.Snapshot)
+	list(c, &m.Shards, (*codec).uint32)
+	c.fixed(&m.Snapshot)
 	c.bool(&m.Execute)
 	c.bytes(&m.Body)
 	c.uint64(&m.RemainingMicroseconds)
 }
 
-func walkID(c *codec, id *query.ID) { c.fixed(id) }
-
-func walkSnapshot(c *codec, snapshot *query.Snapshot) { c.fixed(snapshot) }
-
 // SubAnswer carries results of a sub-query as they come; the last one has Done set.
 type SubAnswer struct {
 	ID       query.ID
@@ -49,8 +45,8 @@
 // Kind implements Message.
 func (*SubAnswer) Kind() Kind { return KindSubAnswer }
 func (m *SubAnswer) fields(c *codec) {
-	walkID(c, &m.ID)
-	walkSnapshot(c, &m.Snapshot)
+	c.fixed(&m.ID)
+	c.fixed(&m.Snapshot)
 	list(c, &m.Results, walkShardDocuments)
 	c.bool(&m.Done)
 	list(c, &m.Missing, func(c *codec, missing *query.Missing) {
@@ -77,7 +73,7 @@
 
 // Kind implements Message.
 func (*SubCancel) Kind() Kind        { return KindSubCancel }
-func (m *SubCancel) fields(c *codec) { walkID(c, &m.ID) }
+func (m *SubCancel) fields(c *codec) { c.fixed(&m.ID) }
 
 // GroupRequest asks a dispatcher what the back ends of a group hold.
 type GroupRequest struct {
@@ -111,7 +107,7 @@
 		c.uint8((*uint8)(&holding.State))
 		c.uint64(&holding.Epoch)
 		c.uint32(&holding.ShardsTotal)
-		list(c, &holding.Shards, walkUint32)
+		list(c, &holding.Shards, (*codec).uint32)
 		c.uint64(&holding.Oldest)
 		c.uint64(&holding.Newest)
 	})
