--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -65,7 +65,7 @@
 		"./internal/gateway", "TestNodeThatTheStoreRefuses",
 	},
 	{
-		"bytes after an answer are kept", "internal/exchange/exchange.go",
+		"bytes after an answer are kept", "internal/exchange/connection.go",
 		"!lengthKnown || response.Close || c.reader.Buffered() > 0", "!lengthKnown || response.Close",
 		"./platform", "TestSurplusBytesBelongToNoRequest",
 	},
@@ -120,7 +120,7 @@
 		"./internal/forward", "TestNothingCanCome",
 	},
 	{
-		"a new connection to a crowded back end is used at once", "internal/exchange/pool.go",
+		"a new connection to a crowded back end is used at once", "internal/exchange/dial.go",
 		"if request.Prove && !quiet(", "if false && !quiet(",
 		"./internal/exchange", "TestTurnedAway",
 	},
