--- a/internal/gateway/era.go
+++ b/internal/gateway/era.go
@@ -16,14 +16,14 @@
 	}
 	g.era = era
 	g.replicas.DistrustDeparted(now + g.settings.Load().DoubtOldFor)
-	g.keeping.rewriteClaims()
-	g.journal.Returned(era)
+	g.quarantineWrites.rewriteClaims()
+	g.log.Returned(era)
 }
 
 // noteReturn notes that the store tells a revision of another era than was known, or in the same era an earlier one.
 func (g *Gateway) noteReturn(known, told history.Revision) {
 	if !known.Unknown() && (told.Era != known.Era || told.Before(known)) {
-		g.journal.WentBack(known, told)
+		g.log.WentBack(known, told)
 	}
 }
 
@@ -37,7 +37,7 @@
 	}
 	if count > 0 {
 		known, _ := g.view.Record(last.Key)
-		g.journal.Older(last.Key, last.Revision, known.Revision, count)
+		g.log.Older(last.Key, last.Revision, known.Revision, count)
 	}
 }
 
@@ -47,7 +47,7 @@
 		g.view.Keep(g.inForce)
 		return
 	}
-	g.view.Drop(key)
+	g.view.Unkeep(key)
 }
 
 // takeKept takes in what a peer goes by though the store, back from a copy, says otherwise; the lock is held.
@@ -66,13 +66,13 @@
 // takeBack has a zone get requests again that the store says nothing of any more. Where the store has just come back from a copy that may be a loss: the
 // zone is left alone until that would have been written again.
 func (g *Gateway) takeBack(now time.Duration, key, zone string) {
-	if left := g.view.Unwritten(now); left > 0 {
+	if left := g.view.RewriteLeft(now); left > 0 {
 		g.returning[key] = now + left.Duration()
 		return
 	}
 	delete(g.returning, key)
 	if g.replicas.TakeZoneBack(now, zone) {
-		g.journal.TakenBack(zone)
+		g.log.TakenBack(zone)
 	}
 }
 
--- a/internal/settings/export_test.go
+++ b/internal/settings/export_test.go
@@ -7,5 +7,5 @@
 
 // ParseGateway is Parse for a gateway.
 func ParseGateway(file string, text []byte, overrides []Override) (Gateway, []Problem) {
-	return parse(file, text, overrides, DefaultGateway(), gatewayFields)
+	return parse(file, text, overrides, DefaultGateway(), accepted())
 }
