--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -145,8 +145,8 @@
 		"./internal/follow", "TestStaleCopyIsLookedAt",
 	},
 	{
-		"a connection on which nothing is acknowledged is kept", "internal/transport/line.go",
-		"if unacknowledged > 0 {", "if false {",
+		"a connection on which nothing is acknowledged is kept", "internal/transport/sending.go",
+		"if s.unacknowledged > 0 {", "if false {",
 		"./internal/transport", "TestSilentConnectionIsReplaced",
 	},
 	{
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,14 +1,15 @@
 // Package transport carries frames between nodes over TCP.
 //
 // Each node keeps up to two connections to a peer, one for control and one for queries, so that a large answer does not
-// delay a probe. A connection carries messages one way; the other way goes a byte for each frame that was read. Frames are never sent a second time by the transport; what
-// was not delivered is reported with whether the peer may have got it.
+// delay a probe. A connection carries messages one way; the other way goes a byte for each frame that was read. Frames are never
+// sent a second time by the transport; what was not delivered is reported with whether the peer may have got it.
+//
+// It owns the listener, a queue and a goroutine for each line to a peer (line.go, sending.go), and a goroutine for each connection that a peer opened
+// (incoming.go). What bounds each wait stands in the constants below. Handlers are called without its lock, from many goroutines.
 package transport
 
 import (
-	"bufio"
 	"context"
-	"io"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -26,11 +27,13 @@
 	payloadTimeout = 10 * time.Second
 	writeTimeout   = 5 * time.Second
 	idleTimeout    = 30 * time.Second
-	redialWait     = 250 * time.Millisecond
+	// redialWait is the pause after a failure to dial a peer or to take a connection.
+	redialWait = 250 * time.Millisecond
 	// controlSilence and querySilence are how long a frame may stay unacknowledged before its connection counts as silent. Control goes on every
 	// second, and a way there and back takes some tens of milliseconds; a peer that stands still for a while must not lose its queries for it.
-	controlSilence  = time.Second
-	querySilence    = 5 * time.Second
+	controlSilence = time.Second
+	querySilence   = 5 * time.Second
+	// maximumIncoming connections of peers are open at a time.
 	maximumIncoming = 16384
 )
 
@@ -41,9 +44,6 @@
 	largeFrame  = 64 << 10
 )
 
-// acknowledgement of a frame. What it says is of no matter.
-var acknowledgement = []byte{1}
-
 // Sizes of what a transport holds per connection.
 type Sizes struct {
 	// Queue is the number of messages that may wait for a peer.
@@ -171,84 +171,6 @@
 	t.tasks.Wait()
 }
 
-func (t *Transport) accept() {
-	for {
-		connection, err := t.listener.Accept()
-		if t.ctx.Err() != nil {
-			return
-		}
-		if err != nil {
-			time.Sleep(redialWait)
-			continue
-		}
-		select {
-		case t.incoming <- struct{}{}:
-			t.tasks.Go(func() {
-				defer func() { <-t.incoming }()
-				t.receive(connection)
-			})
-		default:
-			_ = connection.Close()
-		}
-	}
-}
-
-// receive reads frames until the connection ends or breaks the protocol.
-func (t *Transport) receive(connection net.Conn) {
-	unregister := context.AfterFunc(t.ctx, func() { _ = connection.Close() })
-	defer unregister()
-	defer func() { _ = connection.Close() }()
-	reader := bufio.NewReaderSize(connection, t.sizes.Buffer)
-	_ = connection.SetReadDeadline(time.Now().Add(helloTimeout))
-	first, err := t.readFrame(connection, reader)
-	hello, isHello := first.(*message.Hello)
-	if err != nil || !isHello || hello.Address == "" {
-		t.malformed(connection, err)
-		return
-	}
-	for {
-		_ = connection.SetReadDeadline(time.Now().Add(2 * idleTimeout))
-		m, err := t.readFrame(connection, reader)
-		if err != nil {
-			t.malformed(connection, err)
-			return
-		}
-		_ = connection.SetWriteDeadline(time.Now().Add(writeTimeout))
-		if _, err := connection.Write(acknowledgement); err != nil {
-			return
-		}
-		t.handler.Message(hello.Address, m)
-	}
-}
-
-// malformed reports a protocol error; a connection that just ended is none.
-func (t *Transport) malformed(connection net.Conn, err error) {
-	if failure.CodeOf(err) != failure.Malformed {
-		return
-	}
-	t.Counters.MalformedInput.Add(1)
-	t.handler.Malformed(connection.RemoteAddr().String(), err)
-}
-
-func (t *Transport) readFrame(connection net.Conn, reader *bufio.Reader) (message.Message, error) {
-	var encoded [message.HeaderSize]byte
-	if _, err := io.ReadFull(reader, encoded[:]); err != nil {
-		return nil, failure.Wrap(err, failure.PeerUnreachable, "the connection ended")
-	}
-	header, err := message.DecodeHeader(encoded[:])
-	if err != nil {
-		return nil, err
-	}
-	_ = connection.SetReadDeadline(time.Now().Add(payloadTimeout))
-	payload := make([]byte, header.Length)
-	if _, err := io.ReadFull(reader, payload); err != nil {
-		return nil, failure.Wrap(err, failure.PeerUnreachable, "the connection ended within a frame")
-	}
-	t.Counters.ReceivedFrames.Add(1)
-	t.Counters.ReceivedBytes.Add(uint64(len(payload)) + message.HeaderSize)
-	return message.DecodePayload(header, payload)
-}
-
 // Send queues a message for a peer. It does not block; what cannot be queued is reported as undelivered.
 func (t *Transport) Send(to string, m message.Message) {
 	key := lineKey{to: to, control: message.Control(m)}
