--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -17,8 +17,8 @@
 	r.cancels[attempt] = cancel
 	send := Send{
 		Call: r.call, Attempt: attempt, Entry: attempt.Replica.Entry, Deadline: r.deadlineTime, Left: r.left,
-		Once: !r.route.Repeatable, Rest: r.gateway.replicas.Rest(attempt.Replica),
-		Prove: r.gateway.replicas.Crowded(now, attempt.Replica),
+		Once: !r.route.Repeatable, Idle: r.gateway.replicas.IdleLimit(attempt.Replica),
+		Prove: r.gateway.replicas.MustProve(now, attempt.Replica),
 	}
 	go func() {
 		outcome := r.gateway.exchange(ctx, send)
@@ -47,7 +47,7 @@
 func (g *Gateway) attemptEnded(call *Call, attempt *forward.Attempt, outcome forward.Outcome, cancelled bool) {
 	g.mu.Lock()
 	now := g.now()
-	attempt.Replica.Tell(now, outcome.Load)
+	attempt.Replica.TakeLoad(now, outcome.Load)
 	ejected := attempt.Replica.Finish(now, attempt.StartedAt, backEndVerdict(outcome, cancelled))
 	if !cancelled || outcome.Kind == forward.Answered {
 		g.reportHealth(now, attempt.Replica)
@@ -66,7 +66,7 @@
 func backEndVerdict(outcome forward.Outcome, cancelled bool) replica.Verdict {
 	switch {
 	case cancelled && outcome.Kind != forward.Answered:
-		return replica.Abandoned
+		return replica.Withdrawn
 	case outcome.BackEndEnded:
 		return replica.Unreachable
 	case outcome.ConnectionTurnedAway:
--- a/internal/gateway/belief.go
+++ b/internal/gateway/belief.go
@@ -46,7 +46,7 @@
 	belief := Belief{
 		StoreRevision: g.storeCopy.records.Revision(), StoreContactAge: g.storeCopy.reader.ContactAge(now),
 		CopyAge: g.storeCopy.age(now), Nodes: g.fleet.nodes, BackEnds: map[string]int{},
-		Quarantined: g.quarantine.Count(clock.Of(now)), EvacuatedZones: g.replicas.Evacuated(),
+		Quarantined: g.quarantine.Count(clock.Of(now)), EvacuatedZones: g.replicas.EvacuatedZones(),
 	}
 	g.replicas.All(func(known *replica.Replica) { belief.BackEnds[stateOf(now, known)]++ })
 	return belief
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -42,8 +42,8 @@
 	Prove bool
 	// Once: the request cannot be sent again if its connection carries no answer.
 	Once bool
-	// Rest says which connections to the back end may rest for later requests.
-	Rest replica.Rest
+	// Idle says which connections to the back end may be kept idle for later requests.
+	Idle replica.IdleLimit
 }
 
 // BackEnds carries out attempts. One attempt reaches a back end at most once.
--- a/internal/gateway/fleet_share.go
+++ b/internal/gateway/fleet_share.go
@@ -48,7 +48,7 @@
 		}
 	}
 	slices.Sort(nodes)
-	g.replicas.SetFleet(g.fleet.members.Self().Address, nodes)
+	g.replicas.SetNodes(g.fleet.members.Self().Address, nodes)
 }
 
 // shareConnections divides the connections of each back end. A node that has not joined the others yet goes by those it has
@@ -67,7 +67,7 @@
 		}
 	}
 	startedTogether := g.fleet.manyStarted(g.now())
-	g.replicas.SetYoung(startedTogether)
+	g.replicas.SetManyStarting(startedTogether)
 	part := 1
 	if startedTogether {
 		part = settings.YoungPart
@@ -75,13 +75,13 @@
 	if !settings.ShareConnections {
 		return
 	}
-	shares := map[string]replica.Share{}
+	shares := map[string]replica.ConnectionShare{}
 	for _, service := range table.Services() {
 		if service.MaximumConnections > 0 {
-			shares[service.Name] = replica.NewShare(service.MaximumConnections/part, nodes, near, most)
+			shares[service.Name] = replica.NewConnectionShare(service.MaximumConnections/part, nodes, near, most)
 		}
 	}
-	g.replicas.SetShares(shares)
+	g.replicas.SetConnectionShares(shares)
 }
 
 // retrySlack is this node's part of the extra attempts allowed beyond the share. In the first window of a life it has none: an
--- a/internal/gateway/health_reports.go
+++ b/internal/gateway/health_reports.go
@@ -80,8 +80,8 @@
 	if g.fleet.members == nil || !g.settings.Load().Reports {
 		return
 	}
-	pace, faults := r.Met(now)
-	report := healthreport.Report{BackEnd: r.Key(), Pace: pace, Faults: faults, SeenAt: clock.Of(now)}
+	slowdown, faults := r.Health(now)
+	report := healthreport.Report{BackEnd: r.Key(), Slowdown: slowdown, Faults: faults, SeenAt: clock.Of(now)}
 	if g.reports.core.Observe(clock.Of(now), report) {
 		g.reports.signal()
 	}
@@ -117,7 +117,7 @@
 func (g *Gateway) receiveReports(now time.Duration, m *message.BackEndReports) {
 	news := g.reports.core.Receive(clock.Of(now), m)
 	for _, r := range news {
-		g.replicas.Hear(now, r.BackEnd, r.Pace, r.Faults, r.SeenAt.Duration())
+		g.replicas.TakeReport(now, r.BackEnd, r.Slowdown, r.Faults, r.SeenAt.Duration())
 	}
 	if len(news) > 0 {
 		g.reports.signal()
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -34,7 +34,7 @@
 
 // ExtrasLeft implements forward.Node.
 func (n runNode) ExtrasLeft(service string) float64 {
-	return n.gateway.budget(service).Left(n.now, n.gateway.retrySlack())
+	return n.gateway.budget(service).Remaining(n.now, n.gateway.retrySlack())
 }
 
 // SpendRetry implements forward.Node.
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -17,7 +17,7 @@
 	if !entered {
 		return
 	}
-	g.replicas.DoubtOld(now + g.settings.Load().DoubtOldFor)
+	g.replicas.DistrustDeparted(now + g.settings.Load().DoubtOldFor)
 	g.quarantineWrites.rewriteClaims()
 	g.log.Returned(era)
 }
@@ -65,7 +65,7 @@
 		// Of what the first listing brings, one line tells how much it is.
 		g.log.BackEnd(*item.BackEnd, item.Revision)
 	}
-	if item.EvacuatedZone != "" && g.replicas.Evacuate(item.EvacuatedZone) {
+	if item.EvacuatedZone != "" && g.replicas.EvacuateZone(item.EvacuatedZone) {
 		g.log.Evacuated(item.EvacuatedZone, item.Revision)
 	}
 	if item.Configuration != nil {
@@ -97,7 +97,7 @@
 	if g.storeCopy.holdZoneReturn(now, key) {
 		return
 	}
-	if g.replicas.Return(now, zone) {
+	if g.replicas.TakeZoneBack(now, zone) {
 		g.log.TakenBack(zone)
 	}
 }
--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -41,12 +41,12 @@
 	},
 	{
 		"back ends that had left come back with a copy", "internal/gateway/store_changes.go",
-		"	g.replicas.DoubtOld(now + g.settings.Load().DoubtOldFor)\n", "",
+		"	g.replicas.DistrustDeparted(now + g.settings.Load().DoubtOldFor)\n", "",
 		"./platform", "TestLostWithACopy",
 	},
 	{
-		"a back end changes its mind about leaving", "internal/replica/replica.go",
-		"		entry.Draining = entry.Draining || known.Draining\n", "",
+		"a back end changes its mind about leaving", "internal/replica/set.go",
+		"	entry.Draining = entry.Draining || known.Draining\n", "",
 		"./platform", "TestLostWithACopy",
 	},
 	{
