--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,13 +1,15 @@
-// Package dispatch decides, for the back ends of the groups a node owns, which replica gets which shards of a sub-query, when an attempt is hedged or
-// retried, and what is refused.
+// Package dispatch decides, for the back ends of the groups a node owns, which replica gets which shards of a sub-query, when an
+// attempt is hedged or retried, and what is refused.
 //
-// Where each rule stands: admission and refusals in admit.go, the choice of a replica in choose.go, hedges in hedge.go, retries in retry.go, what is
-// known of a back end and when it is taken out of use in backend.go and health.go, queries that end back ends in quarantine.go. The way of a sub-query:
-// dispatch.go (in), place.go and queue.go (to back ends), outcome.go (answers), finish.go (out).
+// Where each rule stands: admission and refusals in admit.go, the choice of a replica in choose.go, hedges in hedge.go, retries
+// in retry.go, what is known of a back end and when it is taken out of use in backend.go and health.go, queries that end back
+// ends in quarantine.go. The way of a sub-query: dispatch.go (in), place.go and queue.go (to back ends), outcome.go (answers),
+// finish.go (out).
 //
-// It owns what the node knows of the back ends of its groups, the sub-queries it serves and their attempts. All of that is lost with the node: roots
-// ask a deputy, and a new owner starts with windows of one. It relies on package placement for the groups, on package limit for windows, budgets and
-// latencies, and on its caller for the time, one call at a time; it does no I/O, takes no lock and reads no clock. Invariants:
+// It owns what the node knows of the back ends of its groups, the sub-queries it serves and their attempts. All of that is lost
+// with the node: roots ask a deputy, and a new owner starts with windows of one. It relies on package placement for the groups,
+// on package limit for windows, budgets and latencies, and on its caller for the time, one call at a time; it does no I/O, takes
+// no lock and reads no clock. Invariants:
 //   - attempts in flight at a back end never exceed this node's share of its slots;
 //   - a sub-query is reported as not run only if every attempt handed out is proved not to have run;
 //   - an attempt that is not repeatable is started again only after such proof;
@@ -72,10 +74,8 @@
 
 // Submit takes a sub-query from a root, and serves it or refuses it as not run.
 func (c *Core) Submit(now time.Duration, root string, request *message.SubQuery) []Action {
-	c.Counters.SubQueries++
 	c.Counters.ShardsAsked += uint64(len(request.Shards))
 	if c.replayed(now, request.ID) {
-		c.Counters.Replayed++
 		return c.take()
 	}
 	g := c.groups[groupKey{service: request.Service, number: request.Group}]
@@ -91,7 +91,7 @@
 		return c.take()
 	}
 	c.subQueries[q.id] = q
-	c.schedule(timer{at: q.deadline, subQuery: q})
+	c.schedule(q.deadline, q)
 	g.hedges.Earn(len(request.Shards))
 	g.retries.Earn(len(request.Shards))
 	if verdict == quarantine.Suspect {
@@ -113,7 +113,6 @@
 }
 
 func (c *Core) refuse(root string, request *message.SubQuery, reason query.Reason, retryAfter time.Duration) {
-	c.Counters.Refused++
 	answer := &message.SubAnswer{ID: request.ID, Snapshot: request.Snapshot, Done: true, NotRun: true}
 	answer.RetryAfterMilliseconds = uint32(retryAfter.Milliseconds())
 	for _, shard := range request.Shards {
--- a/internal/gateway/belief.go
+++ b/internal/gateway/belief.go
@@ -44,8 +44,9 @@
 	defer g.mu.Unlock()
 	now := g.now()
 	belief := Belief{
-		StoreRevision: g.view.Revision(), StoreContactAge: g.follower.ContactAge(now), CopyAge: g.copyAge(now), Nodes: g.nodes, BackEnds: map[string]int{},
-		Quarantined: g.quarantine.Count(clock.Of(now)), EvacuatedZones: g.replicas.Evacuated(),
+		StoreRevision: g.storeCopy.records.Revision(), StoreContactAge: g.storeCopy.reader.ContactAge(now),
+		CopyAge: g.storeCopy.age(now), Nodes: g.fleet.nodes, BackEnds: map[string]int{},
+		Quarantined: g.quarantine.Count(clock.Of(now)), EvacuatedZones: g.replicas.EvacuatedZones(),
 	}
 	g.replicas.All(func(known *replica.Replica) { belief.BackEnds[stateOf(now, known)]++ })
 	return belief
@@ -77,7 +78,7 @@
 // Outcome names how a request ended.
 func (r *Result) Outcome() string {
 	switch {
-	case r.Gone:
+	case r.CallerGone:
 		return OutcomeGone
 	case r.Failure != nil:
 		return string(r.Failure.Code)
