--- a/internal/region/region.go
+++ b/internal/region/region.go
@@ -29,6 +29,3 @@
 	}
 	return unknown
 }
-
-// Names of the regions, none where the set allows all.
-func (s Set) Names() []string { return slices.Clone(s.names) }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -97,8 +97,7 @@
 type Table struct {
 	configuration Configuration
 	// byHost has the routes of a host, longest prefix first.
-	byHost   map[string][]*Route
-	services map[string]*Service
+	byHost map[string][]*Route
 }
 
 // Compile checks a configuration and builds its table. The failure, of code INVALID_ARGUMENT, names the first fault.
@@ -106,13 +105,7 @@
 	if err := check(&configuration); err != nil {
 		return nil, err
 	}
-	table := &Table{
-		configuration: configuration, byHost: map[string][]*Route{}, services: map[string]*Service{},
-	}
-	for i := range configuration.Services {
-		service := &configuration.Services[i]
-		table.services[service.Name] = service
-	}
+	table := &Table{configuration: configuration, byHost: map[string][]*Route{}}
 	for i := range configuration.Routes {
 		route := &configuration.Routes[i]
 		host := strings.ToLower(route.Host)
@@ -138,9 +131,6 @@
 // RouteCount is the number of routes.
 func (t *Table) RouteCount() int { return len(t.configuration.Routes) }
 
-// Service returns what is configured of a service, or nil.
-func (t *Table) Service(name string) *Service { return t.services[name] }
-
 // Services of the configuration.
 func (t *Table) Services() []Service { return t.configuration.Services }
 
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -196,10 +196,3 @@
 	t.Counters.UndeliveredFrames.Add(1)
 	go t.handler.Undelivered(to, m, written)
 }
-
-// Connections counts the lines to peers.
-func (t *Transport) Connections() int {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	return len(t.lines)
-}
