--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -19,7 +19,7 @@
 	if !entered {
 		return
 	}
-	g.replicas.DoubtOld(now + g.settings.Load().Copy.DoubtOldFor)
+	g.replicas.DistrustDeparted(now + g.settings.Load().Copy.DoubtOldFor)
 	g.quarantineWrites.rewriteClaims()
 	g.log.Returned(era)
 }
@@ -70,7 +70,7 @@
 			g.putBackEnd(now, *content.Entry, item.Revision)
 		}
 	case Evacuation:
-		if content.Zone != "" && g.replicas.Evacuate(content.Zone) {
+		if content.Zone != "" && g.replicas.EvacuateZone(content.Zone) {
 			g.log.Evacuated(content.Zone, item.Revision)
 		}
 	case Configuration:
@@ -117,7 +117,7 @@
 	if g.storeCopy.holdZoneReturn(now, key) {
 		return
 	}
-	if g.replicas.Return(now, zone) {
+	if g.replicas.TakeZoneBack(now, zone) {
 		g.log.TakenBack(zone)
 	}
 }
--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -41,12 +41,12 @@
 	},
 	{
 		"back ends that had left come back with a copy", "internal/gateway/store_changes.go",
-		"	g.replicas.DoubtOld(now + g.settings.Load().Copy.DoubtOldFor)\n", "",
+		"	g.replicas.DistrustDeparted(now + g.settings.Load().Copy.DoubtOldFor)\n", "",
 		"./platform", "TestLostWithACopy",
 	},
 	{
-		"a back end changes its mind about leaving", "internal/replica/replica.go",
-		"		entry.Draining = entry.Draining || known.Draining\n", "",
+		"a back end changes its mind about leaving", "internal/replica/set.go",
+		"	entry.Draining = entry.Draining || known.Draining\n", "",
 		"./platform", "TestLostWithACopy",
 	},
 	{
@@ -105,7 +105,7 @@
 		"./platform", "TestStoreThatTellsNoEra",
 	},
 	{
-		"documents of another era go on from the versions before", "internal/catalog/catalog.go",
+		"documents of another era go on from the versions before", "internal/catalog/document.go",
 		"version := max(d.Version, era*eraVersions) + 1", "version := max(d.Version, era) + 1",
 		"./internal/simulation", "TestTwoHistories",
 	},
--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -11,7 +11,7 @@
 	},
 	{
 		"a connection that was reset is taken for the end of a back end", "platform/backend.go",
-		"outcome.BackEndEnded = b.pool.Ended(ctx, send.Entry.Address, endTimeout, outcome.TurnedAway)", "outcome.BackEndEnded = true",
+		"outcome.BackEndEnded = b.pool.Ended(ctx, send.Entry.Address, endTimeout, outcome.ConnectionTurnedAway)", "outcome.BackEndEnded = true",
 		"./platform", "TestEndOfABackEndIsTold",
 	},
 	{
@@ -51,7 +51,7 @@
 	},
 	{
 		"attempts go on after two back ends have ended", "internal/forward/caution.go",
-		"if r.caution.suspect || r.caution.ends >= endsToWithdraw {", "if r.caution.suspect {",
+		"if quarantine.WithdrawOthers(r.caution.suspect, r.caution.ends) {", "if r.caution.suspect {",
 		"./internal/forward", "TestTwoEndsWithdrawTheOthers",
 	},
 	{
@@ -95,8 +95,8 @@
 		"./internal/gateway", "TestRequestOfASuspendedNode",
 	},
 	{
-		"what was learned while a node stood still holds for good", "internal/replica/replica.go",
-		"unused >= forgetAfter && least > unknownLatency", "false && unused >= forgetAfter",
+		"what was learned while a node stood still holds for good", "internal/replica/latency.go",
+		"unused >= latencyHalfLife && learned > unknownLatency", "false && unused >= latencyHalfLife",
 		"./internal/gateway", "TestServesAgainAfterAPause",
 	},
 }
