--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -35,7 +35,7 @@
 	// ejections since the last answer.
 	ejections    int
 	ejectedUntil time.Duration
-	// notBefore is when the back end may be asked again by its own word when it last shed.
+	// notBefore is when the back end may be asked again: when it last shed, plus the retry-after it gave.
 	notBefore   time.Duration
 	lastSuccess time.Duration
 	// refusedAt is when it last refused work as leaving.
@@ -58,7 +58,7 @@
 	return b.window.HasRoom() && len(b.queue) == 0 && now >= b.notBefore
 }
 
-// assumedLatency of a back end that was not measured yet. Zero would draw all work to it, and no queue would ever look long.
+// assumedLatency of a back end that has answered nothing yet. Zero would draw all work to it, and no queue would ever look long.
 const assumedLatency = 10 * time.Millisecond
 
 func (b *backEnd) expected() time.Duration {
--- a/internal/dispatch/crashing_test.go
+++ b/internal/dispatch/crashing_test.go
@@ -8,8 +8,8 @@
 	"stiletrail/internal/query"
 )
 
-// What was seen, and how it came about, is told at the head of the gateway's tests of requests that end back ends. The dispatcher of stiletraild did the same: it
-// asked another replica at once for what a back end that ended had been asked for, and kept nothing of the query once it was answered.
+// A dispatcher that asks another replica at once for what a back end that ended was asked for, and keeps nothing of the query
+// once it is answered, lets one query end all back ends. The gateway's tests of requests that end back ends say more of it.
 
 // ask submits a search with a body over some shards.
 func (h *harness) ask(body string, shards []uint32) {
@@ -20,7 +20,8 @@
 	}))
 }
 
-// settle ends all attempts that have started, and those that start by that, until there are none. Those for a certain body end their back ends.
+// settle ends all attempts that have started, and those that start by that, until there are none. Those for a certain body end
+// their back ends.
 func (h *harness) settle(crashing string) (ended int) {
 	for len(h.started) > 0 {
 		a := h.started[0]
@@ -36,8 +37,8 @@
 	return ended
 }
 
-// TestQueryThatEndsBackEnds: a query that ends each back end that runs it, and comes again and again, ends one of those asked at first each and a few more; others are
-// served all the while.
+// TestQueryThatEndsBackEnds: a query that ends each back end that runs it, and comes again and again, ends one of those asked at
+// first each and a few more; others are served all the while.
 func TestQueryThatEndsBackEnds(t *testing.T) {
 	const backEnds, tries = 12, 10
 	h := newHarness(backEnds, 4, DefaultSettings())
--- a/internal/dispatch/drain.go
+++ b/internal/dispatch/drain.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// DrainSignal is a source that says a back end is leaving. Any one is believed; each takes back only its own word.
+// DrainSignal is a source that says a back end is leaving. One is enough; each takes back only what it said itself.
 type DrainSignal uint8
 
 // The sources of a drain.
--- a/internal/dispatch/group.go
+++ b/internal/dispatch/group.go
@@ -33,8 +33,8 @@
 	number  uint32
 }
 
-// undescribed reports whether a new group still waits for the first word of a back end. Shown now it would make shards
-// look lost that are not.
+// undescribed reports whether a new group still waits for a back end to describe itself for the first time. Shown now it would
+// make shards look lost that are not.
 func (g *group) undescribed(now time.Duration) bool {
 	if now-g.changedAt > describeGrace {
 		return false
@@ -42,7 +42,7 @@
 	return slices.ContainsFunc(g.backEnds, func(b *backEnd) bool { return !b.described && b.failures == 0 })
 }
 
-// describeGrace is how long a new group may wait for the first word of its back ends before it is shown without some.
+// describeGrace is how long a new group may wait for its back ends to describe themselves before it is shown without some.
 const describeGrace = 200 * time.Millisecond
 
 // SetGroups replaces the groups this node owns. Work under way in a group that is given up is finished.
@@ -151,7 +151,7 @@
 		}
 		holding := b.holding
 		if !b.usable(now) {
-			// Its word on the number of shards stands; it cannot be asked for any.
+			// The number of shards that it states still holds; it cannot be asked for any.
 			holding.Shards = nil
 		}
 		state.Holdings = append(state.Holdings, holding)
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -23,7 +23,7 @@
 		b.notBefore = now + result.RetryAfter
 	case query.StatusDraining:
 		if !result.HasHolding || result.Holding.State != query.StateDraining {
-			// Its health lies; else it is believed again when it says that it serves.
+			// Its health contradicts it; else it is used again as soon as it says that it serves.
 			b.draining |= DrainByAttempt
 			b.refusedAt = now
 			c.refusals[b.address] = now
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -98,9 +98,7 @@
 			continue
 		}
 		for _, shard := range shards {
-			state := a.subQuery.shards[shard]
-			state.tried = append(state.tried, b)
-			state.live++
+			a.subQuery.shards[shard].askAt(b)
 		}
 		c.Counters.Hedges++
 		return &queuedAttempt{subQuery: a.subQuery, shards: shards, hedge: true}
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -7,11 +7,16 @@
 	"stiletrail/internal/query"
 )
 
-// place gives each shard to a replica, as few attempts as the sampling allows, and starts or queues them. Shards
-// without a replica become missing for the given reason.
+// placedAttempt is an attempt with the replica that it was given to.
+type placedAttempt struct {
+	*queuedAttempt
+	backEnd *backEnd
+}
+
+// place gives each shard to a replica, as few attempts as the sampling allows, and starts or queues them; hedges only where they
+// start at once. Shards without a replica become missing for the given reason.
 func (c *Core) place(now time.Duration, q *subQuery, shards []uint32, hedge bool, reason query.Reason) {
-	var items []*queuedAttempt
-	var targets []*backEnd
+	var placed []placedAttempt
 	for i, shard := range shards {
 		candidates := c.candidates(now, q, shard)
 		if hedge {
@@ -21,20 +26,19 @@
 			c.noReplica(q, shard, reason)
 			continue
 		}
-		slot := slices.IndexFunc(targets, func(b *backEnd) bool { return slices.Contains(candidates, b) })
-		if slot < 0 || len(items[slot].shards) >= c.settings.ShardsPerAttempt {
-			targets = append(targets, c.choose(now, candidates, shards[i:]))
-			items = append(items, &queuedAttempt{subQuery: q, hedge: hedge})
-			slot = len(items) - 1
+		chosen := slices.IndexFunc(placed, func(p placedAttempt) bool { return slices.Contains(candidates, p.backEnd) })
+		if chosen < 0 || len(placed[chosen].shards) >= c.settings.ShardsPerAttempt {
+			b := c.choose(now, candidates, shards[i:])
+			placed = append(placed, placedAttempt{queuedAttempt: &queuedAttempt{subQuery: q, hedge: hedge}, backEnd: b})
+			chosen = len(placed) - 1
 		}
-		items[slot].shards = append(items[slot].shards, shard)
-		state := q.shards[shard]
-		state.tried = append(state.tried, targets[slot])
-		state.live++
+		p := placed[chosen]
+		p.shards = append(p.shards, shard)
+		q.shards[shard].askAt(p.backEnd)
 	}
-	for i, it := range items {
-		targets[i].queue = append(targets[i].queue, it)
-		c.pump(now, q.group, targets[i])
+	for _, p := range placed {
+		p.backEnd.queue = append(p.backEnd.queue, p.queuedAttempt)
+		c.pump(now, q.group, p.backEnd)
 	}
 }
 
--- a/internal/dispatch/subquery.go
+++ b/internal/dispatch/subquery.go
@@ -8,7 +8,7 @@
 	"stiletrail/internal/query"
 )
 
-// subQuery is one that is being served.
+// subQuery is what a root has asked this dispatcher for, while it is served.
 type subQuery struct {
 	id       query.ID
 	root     string
@@ -50,6 +50,12 @@
 	tried []*backEnd
 }
 
+// askAt notes an attempt for the shard at a replica, queued or under way.
+func (s *shardState) askAt(b *backEnd) {
+	s.tried = append(s.tried, b)
+	s.live++
+}
+
 // answered reports whether a shard of the sub-query was answered.
 func (q *subQuery) answered() bool {
 	for _, state := range q.shards {
@@ -75,6 +81,7 @@
 	return slices.ContainsFunc(shards, func(shard uint32) bool { return len(q.shards[shard].tried) > 0 })
 }
 
+// attempt is one request to a back end, under way.
 type attempt struct {
 	number    uint64
 	subQuery  *subQuery
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -180,7 +180,8 @@
 	}
 }
 
-// TestListedInAnotherEra: an entry whose version is known is read again where the store has come back from a copy since: it may be another write of that number.
+// TestListedInAnotherEra: an entry whose version is known is read again where the store has come back from a copy since: it may
+// be another write of that number.
 func TestListedInAnotherEra(t *testing.T) {
 	e := alone(t)
 	list := func(at time.Duration, era uint64) []StoreRead {
--- a/internal/engine/execute.go
+++ b/internal/engine/execute.go
@@ -14,7 +14,7 @@
 // executeMargin is kept before the deadline for handing the outcome to the caller.
 const executeMargin = 5 * time.Millisecond
 
-// resultWait is how long a result may come after the dispatcher's last word.
+// resultWait is how long a result may come after the dispatcher's final answer.
 const resultWait = 50 * time.Millisecond
 
 // ExecuteRequest is a caller's request that is not repeatable.
--- a/internal/engine/forward.go
+++ b/internal/engine/forward.go
@@ -26,7 +26,7 @@
 // introducers is how many members are asked for their view of a node that is not known here.
 const introducers = 3
 
-// forwardExecute passes a request on to the node that minted its ticket. The address is the caller's word, so only a node
+// forwardExecute passes a request on to the node that minted its ticket. The address comes from the caller, so only a node
 // that other nodes know is connected to.
 func (e *Engine) forwardExecute(caller Caller, to string, request ExecuteRequest) {
 	within := e.withinFor(request)
--- a/internal/engine/groups.go
+++ b/internal/engine/groups.go
@@ -39,8 +39,8 @@
 	e.takeGroups()
 }
 
-// SetMachines takes in the machine list: it seeds the membership and says which back ends are leaving. It lags, so its
-// word alone makes no live peer dead and no dead one live.
+// SetMachines takes in the machine list: it seeds the membership and says which back ends are leaving. It lags, so it
+// alone makes no live peer dead and no dead one live.
 func (e *Engine) SetMachines(now time.Duration, machines []platform.Machine) Output {
 	e.begin(now)
 	leaving := map[string]bool{}
