--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -35,17 +35,17 @@
 		"./internal/replica", "TestNeverPicked",
 	},
 	{
-		"vanished entries are used for ever", "internal/replica/replica.go",
-		"	if until <= now {\n		s.noteLeft(now, id)\n		s.forget(known)\n		return true\n	}\n", "",
+		"vanished entries are used for ever", "internal/replica/doubt.go",
+		"	if until <= now {\n		s.noteDeparted(now, id)\n		s.forget(known)\n		return true\n	}\n", "",
 		"./internal/replica", "TestVanished",
 	},
 	{
-		"an entry that lapsed in an outage is gone at once", "internal/replica/replica.go",
-		"	if until <= now {\n		s.noteLeft(now, id)", "	if true {\n		s.noteLeft(now, id)",
+		"an entry that lapsed in an outage is gone at once", "internal/replica/doubt.go",
+		"	if until <= now {\n		s.noteDeparted(now, id)", "	if true {\n		s.noteDeparted(now, id)",
 		"./internal/gateway", "TestLapsedEntries",
 	},
 	{
-		"an older configuration is put in force", "internal/gateway/store.go",
+		"an older configuration is put in force", "internal/gateway/store_changes.go",
 		"if current != nil && item.Configuration.Version <= current.Version() {", "if current != nil && current.Version() == 0 {",
 		"./platform", "TestConfigurationIsTaken",
 	},
@@ -65,7 +65,7 @@
 		"./internal/gateway", "TestNodeThatTheStoreRefuses",
 	},
 	{
-		"bytes after an answer are kept", "internal/exchange/exchange.go",
+		"bytes after an answer are kept", "internal/exchange/connection.go",
 		"!lengthKnown || response.Close || c.reader.Buffered() > 0", "!lengthKnown || response.Close",
 		"./platform", "TestSurplusBytesBelongToNoRequest",
 	},
@@ -120,13 +120,13 @@
 		"./internal/forward", "TestNothingCanCome",
 	},
 	{
-		"a new connection to a crowded back end is used at once", "internal/exchange/pool.go",
+		"a new connection to a crowded back end is used at once", "internal/exchange/dial.go",
 		"if request.Prove && !quiet(", "if false && !quiet(",
 		"./internal/exchange", "TestTurnedAway",
 	},
 	{
-		"a back end that is full counts as failing", "internal/replica/outcome.go",
-		"		r.crowdedUntil = now + crowdedFor\n", "		r.failures += failuresToEject\n		r.eject(now)\n",
+		"a back end that is full counts as failing", "internal/replica/replica.go",
+		"		r.connectionsDoubtedUntil = now + connectionsDoubtedFor\n", "		r.ejection.failures += failuresToEject\n		r.ejection.extend(now)\n",
 		"./internal/replica", "TestTurnedAway",
 	},
 	{
@@ -135,7 +135,7 @@
 		"./internal/forward", "TestNoSendThatCannotBeAnswered",
 	},
 	{
-		"a watch that has fallen silent is waited for", "internal/gateway/news.go",
+		"a watch that has fallen silent is waited for", "internal/gateway/store_reading.go",
 		"	if g.staleIn() <= 0 {\n		return func() bool { return false }", "	if true {\n		return func() bool { return false }",
 		"./platform", "TestCopyIsNeverOld",
 	},
@@ -145,23 +145,23 @@
 		"./internal/follow", "TestStaleCopyIsLookedAt",
 	},
 	{
-		"a connection on which nothing is acknowledged is kept", "internal/transport/line.go",
-		"if unacknowledged > 0 {", "if false {",
+		"a connection on which nothing is acknowledged is kept", "internal/transport/sending.go",
+		"if s.unacknowledged > 0 {", "if false {",
 		"./internal/transport", "TestSilentConnectionIsReplaced",
 	},
 	{
-		"watchers are not told by each other", "internal/gateway/watchers.go",
-		"		default:\n			g.duty.others", "		case !slices.Contains(watchers, address):\n			g.duty.others",
+		"watchers are not told by each other", "internal/gateway/watch_assignment.go",
+		"		default:\n			a.notified", "		case !slices.Contains(watchers, address):\n			a.notified",
 		"./internal/gateway", "TestCallsFallWithNodes",
 	},
 	{
-		"trouble of a single node puts entries in doubt", "internal/gateway/news.go",
-		"case !g.view.Settled(now):", "case true:",
+		"trouble of a single node puts entries in doubt", "internal/gateway/store_copy.go",
+		"case !c.records.Settled(now):", "case true:",
 		"./platform", "TestLeavingWithoutAWord",
 	},
 	{
-		"many entries that go at once are in doubt for longer than a leaving back end is given", "internal/gateway/news.go",
-		"return min(full, now+(settings.Waits.Within-age-doubtMargin).Duration())", "return full",
+		"many entries that go at once are in doubt for longer than a leaving back end is given", "internal/gateway/store_copy.go",
+		"return min(longest, now+(c.waits.Within-age-doubtMargin).Duration())", "return longest",
 		"./platform", "TestLeavingWithoutAWord",
 	},
 	{
@@ -172,11 +172,11 @@
 	{
 		"a request that cannot be sent again goes over a connection that may have fallen silent", "internal/exchange/pool.go",
 		"kept.sound(now) && !(request.Once && now-kept.idleSince > p.provenWithin)", "kept.sound(now)",
-		"./internal/exchange", "TestRestedConnectionIsNotTrustedOnce",
+		"./internal/exchange", "TestIdleConnectionIsNotTrustedOnce",
 	},
 	{
 		"a request is sent whose caller has left", "internal/gateway/serve.go",
-		"		// Nobody waits for the answer: no back end shall begin to work on it.\n		return Result{Gone: true, Version: table.Version(), Route: route}\n", "",
+		"		// Nobody waits for the answer: no back end shall begin to work on it.\n		return Result{CallerGone: true}\n", "",
 		"./internal/gateway", "TestCallerThatLeftIsNotServed",
 	},
 	{
@@ -186,11 +186,11 @@
 	},
 	{
 		"a request does not wait for back ends to come back", "internal/gateway/serve.go",
-		"	g.awaitBackEnds(ctx, route, until)\n", "",
+		"	g.awaitBackEnds(ctx, route, holdUntil)\n", "",
 		"./internal/gateway", "TestFirstListing",
 	},
 	{
-		"attempts of no more use go on for a while", "internal/gateway/serve.go",
+		"attempts of no more use go on for a while", "internal/gateway/run.go",
 		"r.cancels[action.Attempt]()", "time.AfterFunc(150*time.Millisecond, r.cancels[action.Attempt])",
 		"./internal/gateway", "TestLosersAreWithdrawn",
 	},
@@ -201,8 +201,8 @@
 		"./internal/limit", "TestSpentEarlyInAWindow",
 	},
 	{
-		"each life of a node has its whole slack at once", "internal/gateway/peers.go",
-		"if g.nodes == 0 || g.now() < settings.RetryWindow {", "if g.nodes == 0 {",
+		"each life of a node has its whole slack at once", "internal/gateway/fleet_share.go",
+		"if g.fleet.nodes == 0 || g.now() < settings.RetryWindow {", "if g.fleet.nodes == 0 {",
 		"./internal/gateway", "TestYoungSlack",
 	},
 	{
@@ -211,13 +211,13 @@
 		"./internal/follow", "TestTrouble",
 	},
 	{
-		"no copy of the store crosses a region's border", "internal/gateway/peers.go",
-		"return append(picked, g.members.Pick(count-len(picked), membership.Member.Usable)...)",
-		"return append(picked, g.members.Pick(count-len(picked), near)...)",
+		"no copy of the store crosses a region's border", "internal/gateway/fleet.go",
+		"return append(picked, f.members.Pick(count-len(picked), membership.Member.Usable)...)",
+		"return append(picked, f.members.Pick(count-len(picked), near)...)",
 		"./internal/gateway", "TestRegionThatTheStoreRefuses",
 	},
 	{
-		"a withdrawn attempt counts as quick as it was old", "internal/replica/outcome.go",
+		"a withdrawn attempt counts as quick as it was old", "internal/replica/replica.go",
 		"time.Duration(r.withdrawnFactor*float64(elapsed))", "elapsed",
 		"./internal/replica", "TestWithdrawnAttempt",
 	},
@@ -238,12 +238,12 @@
 	},
 	{
 		"a request is refused while the node starts", "internal/gateway/serve.go",
-		"		g.awaitFirstListing(ctx, until)\n", "",
+		"		g.awaitFirstListing(ctx, holdUntil)\n", "",
 		"./internal/gateway", "TestFirstListing",
 	},
 	{
-		"a node stands by whatever it hears", "internal/gateway/watchers.go",
-		"return g.duty.shared && !g.duty.watches && g.fresh(now)", "return g.duty.shared && !g.duty.watches",
+		"a node stands by whatever it hears", "internal/gateway/watch_assignment.go",
+		"return g.fleet.watch.shared && !g.fleet.watch.watches && !g.storeCopy.stale(now)", "return g.fleet.watch.shared && !g.fleet.watch.watches",
 		"./internal/gateway", "TestWatchersInTrouble",
 	},
 	{
@@ -257,28 +257,28 @@
 		"./internal/spread", "TestGapIsAskedFor",
 	},
 	{
-		"a young node uses its whole share of connections", "internal/gateway/peers.go",
-		"		part = g.settings.Load().YoungPart\n", "		part = 1\n",
+		"a young node uses its whole share of connections", "internal/gateway/fleet_share.go",
+		"		part = settings.YoungPart\n", "		part = 1\n",
 		"./internal/gateway", "TestYoungShare",
 	},
 	{
-		"near back ends get no larger share", "internal/replica/share.go",
+		"near back ends get no larger share", "internal/replica/connections.go",
 		"Near: min(max(near, each), most)", "Near: min(max(near, each), each)",
-		"./internal/replica", "TestShare",
+		"./internal/replica", "TestConnectionShare",
 	},
 	{
-		"connections to far back ends rest like others", "internal/replica/share.go",
-		"return Rest{Most: 1, For: farRest}", "return Rest{Most: 1}",
-		"./internal/replica", "TestRest",
+		"connections to far back ends rest like others", "internal/replica/connections.go",
+		"return IdleLimit{Most: 1, For: farIdleFor}", "return IdleLimit{Most: 1}",
+		"./internal/replica", "TestIdleLimit",
 	},
 	{
 		"any number of connections rests", "internal/exchange/pool.go",
-		"kept := len(p.idle[request.Address]) < request.Resting", "kept := true",
-		"./internal/exchange", "TestResting",
+		"kept := len(p.idle[request.Address]) < request.MaximumIdle", "kept := true",
+		"./internal/exchange", "TestMaximumIdle",
 	},
 	{
 		"a node spreads over all near replicas", "internal/replica/subset.go",
-		"		r.outside = true\n", "		r.outside = false\n",
+		"		r.outsideSubset = true\n", "		r.outsideSubset = false\n",
 		"./internal/replica", "TestSubset",
 	},
 	{
@@ -297,8 +297,8 @@
 		"./internal/gateway", "TestRequestsStayInTheirRegions",
 	},
 	{
-		"a configuration with an unknown region is put in force", "internal/gateway/store.go",
-		"err = compiled.CheckRegions(g.settings.Load().Places.KnowsRegion)", "err = nil",
+		"a configuration with an unknown region is put in force", "internal/gateway/store_changes.go",
+		"err = table.CheckRegions(g.settings.Load().Places.KnowsRegion)", "err = nil",
 		"./internal/gateway", "TestUnknownRegionIsRejected",
 	},
 	{
@@ -308,7 +308,7 @@
 	},
 	{
 		"cold back ends get what anybody asks", "internal/replica/pick.go",
-		" || !s.mayStart(now, member)", "",
+		" && s.withinWarmup(now, r)", "",
 		"./internal/replica", "TestColdBackEndsGetNoMoreThanTheyBear",
 	},
 	{
@@ -318,17 +318,17 @@
 	},
 	{
 		"back ends of a zone that was taken back count as warm", "internal/replica/zones.go",
-		"known.coldUntil = max(known.coldUntil, now+s.warmups[known.Service].For.Duration())", "_ = now",
+		"known.cold.until = max(known.cold.until, now+s.warmups[known.Service].For.Duration())", "_ = now",
 		"./internal/replica", "TestZoneTakenBackIsCold",
 	},
 	{
-		"a refusal with free slots counts as one of a full back end", "internal/gateway/serve.go",
+		"a refusal with free slots counts as one of a full back end", "internal/gateway/attempt.go",
 		"			return replica.RefusedWithRoom\n", "			return replica.Refused\n",
 		"./internal/gateway", "TestRefusedThoughSlotsAreFree",
 	},
 	{
-		"hearsay goes before what a node met itself", "internal/replica/load.go",
-		"if seenAt > r.paceAt && (r.loadAt == 0 || now-r.loadAt > firstHandFor) {", "if seenAt > r.paceAt {",
+		"hearsay goes before what a node met itself", "internal/replica/slowdown.go",
+		"if seenAt > r.slowdown.at && (r.load.at == 0 || now-r.load.at > firstHandFor) {", "if seenAt > r.slowdown.at {",
 		"./internal/replica", "TestHeardToBeSlow",
 	},
 	{
@@ -337,8 +337,8 @@
 		"./internal/healthreport", "TestBadReportsAreDropped",
 	},
 	{
-		"reports are not told on", "internal/gateway/reports.go",
-		"	if len(news) > 0 {\n		g.reportsDue()\n	}\n", "",
+		"reports are not told on", "internal/gateway/health_reports.go",
+		"	if len(news) > 0 {\n		g.reports.signal()\n	}\n", "",
 		"./internal/gateway", "TestStragglerIsLeftByAll",
 	},
 }
--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -11,7 +11,7 @@
 	},
 	{
 		"a connection that was reset is taken for the end of a back end", "platform/backend.go",
-		"outcome.BackEndEnded = b.pool.Ended(ctx, send.Entry.Address, endTimeout, outcome.TurnedAway)", "outcome.BackEndEnded = true",
+		"outcome.BackEndEnded = b.pool.Ended(ctx, send.Entry.Address, endTimeout, outcome.ConnectionTurnedAway)", "outcome.BackEndEnded = true",
 		"./platform", "TestEndOfABackEndIsTold",
 	},
 	{
@@ -51,7 +51,7 @@
 	},
 	{
 		"attempts go on after two back ends have ended", "internal/forward/caution.go",
-		"if r.caution.suspect || r.caution.ends >= endsToWithdraw {", "if r.caution.suspect {",
+		"if quarantine.WithdrawOthers(r.caution.suspect, r.caution.ends) {", "if r.caution.suspect {",
 		"./internal/forward", "TestTwoEndsWithdrawTheOthers",
 	},
 	{
@@ -70,18 +70,18 @@
 		"./internal/forward", "TestRetrialReachesOneBackEnd",
 	},
 	{
-		"nodes do not tell each other of requests that end back ends", "internal/gateway/quarantine.go",
-		"if g.members == nil || len(marks) == 0 || !g.quarantineWrites.mayTell(now) {", "if true {",
+		"nodes do not tell each other of requests that end back ends", "internal/gateway/quarantine_evidence.go",
+		"if g.fleet.members == nil || len(marks) == 0 || !g.evidence.mayTell(now) {", "if true {",
 		"./internal/gateway", "TestManyNodesKnowARequest",
 	},
 	{
-		"a quarantine is not kept in the store", "internal/gateway/store.go",
-		"	go g.keepQuarantines(ctx)\n", "",
+		"a quarantine is not kept in the store", "internal/gateway/gateway.go",
+		"	go g.writeQuarantines(ctx)\n", "",
 		"./platform", "TestQuarantine",
 	},
 	{
-		"a new version is tried by every node", "internal/gateway/keeping.go",
-		"	return won\n", "	return true\n",
+		"a new version is tried by every node", "internal/gateway/quarantine_writes.go",
+		"	return claimed\n", "	return true\n",
 		"./internal/gateway", "TestNewVersionIsTriedOnce",
 	},
 	{
@@ -95,8 +95,8 @@
 		"./internal/gateway", "TestRequestOfASuspendedNode",
 	},
 	{
-		"what was learned while a node stood still holds for good", "internal/replica/replica.go",
-		"unused >= forgetAfter && least > unknownLatency", "false && unused >= forgetAfter",
+		"what was learned while a node stood still holds for good", "internal/replica/latency.go",
+		"unused >= latencyHalfLife && learned > unknownLatency", "false && unused >= latencyHalfLife",
 		"./internal/gateway", "TestServesAgainAfterAPause",
 	},
 }
