--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -25,7 +25,7 @@
 	holding query.Holding
 	// described: the holding is known.
 	described bool
-	draining  DrainSignal
+	draining  drainSignal
 	// latency is a moving average, zero while nothing was answered.
 	latency time.Duration
 	queue   []*queuedAttempt
@@ -106,9 +106,9 @@
 	b.holding = holding
 	b.described = true
 	b.lastHeard = now
-	b.setDraining(DrainByHealth, holding.State == query.StateDraining)
+	b.setDraining(drainByHealth, holding.State == query.StateDraining)
 	if now-b.refusedAt > drainBelief {
-		b.setDraining(DrainByAttempt, false)
+		b.setDraining(drainByAttempt, false)
 	}
 	if holding.State == query.StateCold {
 		b.window.SetCold()
--- a/internal/dispatch/drain.go
+++ b/internal/dispatch/drain.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// DrainSignal is a source that says a back end is leaving. One is enough; each takes back only what it said itself.
-type DrainSignal uint8
+// drainSignal is a source that says a back end is leaving. One is enough; each takes back only what it said itself.
+type drainSignal uint8
 
 // The sources of a drain.
 const (
-	// DrainByAttempt is a refusal of work; health may not take it back for drainBelief.
-	DrainByAttempt DrainSignal = 1 << iota
-	DrainByHealth
-	DrainByMachineList
-	DrainByCatalog
+	// drainByAttempt is a refusal of work; health may not take it back for drainBelief.
+	drainByAttempt drainSignal = 1 << iota
+	drainByHealth
+	drainByMachineList
+	drainByCatalog
 )
 
 // drainBelief is how long the refusal of an attempt outweighs health that claims otherwise.
 const drainBelief = time.Minute
 
-func (b *backEnd) setDraining(signal DrainSignal, draining bool) {
+func (b *backEnd) setDraining(signal drainSignal, draining bool) {
 	if draining {
 		b.draining |= signal
 	} else {
--- a/internal/dispatch/group.go
+++ b/internal/dispatch/group.go
@@ -81,7 +81,7 @@
 	}
 	for _, old := range previous {
 		if !slices.Contains(known.backEnds, old) {
-			old.draining |= DrainByCatalog
+			old.draining |= drainByCatalog
 			c.requeue(now, known, old)
 		}
 	}
@@ -108,12 +108,12 @@
 		found = &backEnd{address: specified.Address, window: limit.NewWindow(share), nextDescribe: now}
 	}
 	if refusedAt, refused := c.refusals[specified.Address]; refused && now-refusedAt <= drainBelief {
-		found.draining |= DrainByAttempt
+		found.draining |= drainByAttempt
 		found.refusedAt = refusedAt
 	}
 	found.window.SetCeiling(share)
-	found.setDraining(DrainByCatalog, specified.Draining)
-	found.setDraining(DrainByMachineList, c.leavingMachines[specified.Address])
+	found.setDraining(drainByCatalog, specified.Draining)
+	found.setDraining(drainByMachineList, c.leavingMachines[specified.Address])
 	return found
 }
 
@@ -129,7 +129,7 @@
 	c.leavingMachines = leaving
 	for _, g := range c.orderedGroups() {
 		for _, b := range g.backEnds {
-			b.setDraining(DrainByMachineList, leaving[b.address])
+			b.setDraining(drainByMachineList, leaving[b.address])
 			if b.draining != 0 {
 				c.requeue(now, g, b)
 			}
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -24,7 +24,7 @@
 	case query.StatusDraining:
 		if !result.HasHolding || result.Holding.State != query.StateDraining {
 			// Its health contradicts it; else it is used again as soon as it says that it serves.
-			b.draining |= DrainByAttempt
+			b.draining |= drainByAttempt
 			b.refusedAt = now
 			c.refusals[b.address] = now
 		}
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -68,7 +68,7 @@
 	},
 	{
 		"refusals of work do not count as a drain", "internal/dispatch/health.go",
-		"		b.draining |= DrainByAttempt\n", "",
+		"		b.draining |= drainByAttempt\n", "",
 		"./internal/dispatch", "TestDrainSignals",
 	},
 	{
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -138,6 +138,3 @@
 	defer n.mutex.Unlock()
 	inspect(n.engine)
 }
-
-// Traffic returns the counters of the peer transport.
-func (n *Node) Traffic() *transport.Counters { return &n.transport.Counters }
