--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -80,7 +80,7 @@
 	relay    bool
 	store    storeReading
 	statuses map[uint64]*statusRun
-	forwards map[uint64]*forward
+	forwards map[uint64]*forwardedExecute
 
 	nextBackEnds time.Duration
 	nextMembers  time.Duration
@@ -120,7 +120,7 @@
 		tickets:    ticket.NewTable(identity.Address, identity.Generation, identity.TicketKey),
 		routes:     map[string]*route{}, loads: map[string]*dispatcherLoad{},
 		searches: map[uint64]*search{}, executes: map[uint64]*execute{}, subQueryOwners: map[query.ID]uint64{},
-		rollouts: map[uint64]*rolloutRun{}, statuses: map[uint64]*statusRun{}, forwards: map[uint64]*forward{},
+		rollouts: map[uint64]*rolloutRun{}, statuses: map[uint64]*statusRun{}, forwards: map[uint64]*forwardedExecute{},
 		store:    newStoreReading(),
 		reissues: limit.NewBudget(settings.ReissueShare, settings.Dispatch.BudgetCapacity),
 	}
--- a/internal/engine/execute.go
+++ b/internal/engine/execute.go
@@ -29,17 +29,20 @@
 
 // execute is a request that is not repeatable under way at the node that minted its ticket.
 type execute struct {
+	// number is the engine's own; sequence is that of the ticket.
 	number   uint64
 	sequence uint64
 	request  ExecuteRequest
 	deadline time.Duration
-	wakeAt   time.Duration
-	id       query.ID
-	shard    uint32
-	epoch    uint64
-	sent     bool
-	to       string
-	tried    []string
+	// wakeAt is when the wait for what the shards hold is over, or for a result, or the deadline.
+	wakeAt time.Duration
+	shard  uint32
+	epoch  uint64
+	// sent: it was handed to a dispatcher, the last time to the one in to, as the sub-query id. tried are all that had it.
+	sent  bool
+	id    query.ID
+	to    string
+	tried []string
 	// askDeputies: the dispatcher was lost or did not know its part, so that a deputy may be asked.
 	askDeputies bool
 	// waiters are told the outcome: the caller, and those of resends that came meanwhile.
@@ -123,6 +126,7 @@
 	return append(body, request.Body...)
 }
 
+// joinExecute has a resend wait for the outcome of the request that its ticket was used for.
 func (e *Engine) joinExecute(w waiter, sequence uint64) {
 	for _, x := range e.executes {
 		if x.sequence == sequence {
@@ -132,6 +136,7 @@
 	}
 }
 
+// startExecute runs a request once it is known what the shards hold, or that was waited for long enough.
 func (e *Engine) startExecute(w waiter, sequence uint64, request ExecuteRequest) {
 	x := &execute{
 		number: e.next(), sequence: sequence, request: request, waiters: []waiter{w},
@@ -229,6 +234,7 @@
 	e.dispatchExecute(x)
 }
 
+// finishExecute tells the outcome to all that wait for it, and keeps it for resends.
 func (e *Engine) finishExecute(x *execute, outcome ticket.Outcome) {
 	delete(e.subQueryOwners, x.id)
 	delete(e.executes, x.number)
--- a/internal/engine/forward.go
+++ b/internal/engine/forward.go
@@ -9,13 +9,14 @@
 	"stiletrail/internal/ticket"
 )
 
-// forward is a request passed on to the node that minted its ticket.
-type forward struct {
+// forwardedExecute is a request passed on to the node that minted its ticket.
+type forwardedExecute struct {
 	caller   Caller
 	peer     string
 	request  ExecuteRequest
 	deadline time.Duration
-	until    time.Duration
+	// until is when it is given up: introduceWait while it is not sent, then the deadline.
+	until time.Duration
 	// sent is false while this node has not heard of the peer yet, as of one that has just started.
 	sent bool
 }
@@ -30,7 +31,7 @@
 // that other nodes know is connected to.
 func (e *Engine) forwardExecute(caller Caller, to string, request ExecuteRequest) {
 	within := e.withinFor(request)
-	f := &forward{caller: caller, peer: to, request: request, deadline: e.now + within - executeMargin}
+	f := &forwardedExecute{caller: caller, peer: to, request: request, deadline: e.now + within - executeMargin}
 	f.until = min(f.deadline, e.now+introduceWait)
 	sequence := e.next()
 	e.forwards[sequence] = f
@@ -43,7 +44,7 @@
 }
 
 // sendForward sends a forward once its node is known.
-func (e *Engine) sendForward(sequence uint64, f *forward) {
+func (e *Engine) sendForward(sequence uint64, f *forwardedExecute) {
 	member, known := e.members.Lookup(f.peer)
 	if !known {
 		return
--- a/internal/engine/search.go
+++ b/internal/engine/search.go
@@ -154,6 +154,7 @@
 	e.performSearch(s, actions)
 }
 
+// finishSearch gives the answer of a search to its caller.
 func (e *Engine) finishSearch(s *search, answer scatter.Answer) {
 	for id := range s.dispatchers {
 		e.untrack(s, id)
@@ -162,6 +163,7 @@
 	e.answerSearch(s.caller, s.request.Service, answer)
 }
 
+// answerSearch counts an answer and hands it to the driver.
 func (e *Engine) answerSearch(caller Caller, service string, answer scatter.Answer) {
 	switch {
 	case answer.Failure != nil && answer.Failure.NotRun:
