--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -11,6 +11,14 @@
 	"stiletrail/internal/routing"
 )
 
+// The way of a request:
+//
+//	Serve        from its arrival to the line of the log
+//	answer       waits for the first listing (starting.go), finds the route
+//	serveOn      refuses (refusals.go), or waits for a trial (trial.go) and for back ends (starting.go)
+//	run          drives a forward.Request, which decides on all else (run.go), and carries its attempts out (attempt.go)
+//	runNode      is what the forward.Request asks of the node: replicas, budgets, verdicts (run_node.go)
+
 // Serve runs a call to its answer. The context ends when the caller leaves.
 func (g *Gateway) Serve(ctx context.Context, call *Call) Result {
 	arrived := g.now()
