--- a/internal/node/http.go
+++ b/internal/node/http.go
@@ -12,7 +12,7 @@
 	"stiletrail/internal/failure"
 )
 
-// Limits of what callers and operators may send.
+// Limits of what callers and operators may send, sizes in bytes.
 const (
 	maximumRequest    = 1 << 20
 	maximumIntent     = 5 << 20
@@ -22,6 +22,7 @@
 	idleTimeout       = 2 * time.Minute
 )
 
+// serveHTTP serves callers, operators, metrics, and whether the node lives and is ready.
 func (n *Node) serveHTTP() {
 	mux := http.NewServeMux()
 	mux.Handle(stiletrailv1connect.NewQueryServiceHandler(queryServer{n}, connect.WithReadMaxBytes(maximumRequest)))
@@ -58,12 +59,12 @@
 	}
 }
 
-// request is a call of the engine that takes a request; its answer comes in a later output, or in this one.
-type request func(now time.Duration, caller engine.Caller) engine.Output
+// engineCall takes a request to the engine; its answer comes in a later output, or in this one.
+type engineCall func(now time.Duration, caller engine.Caller) engine.Output
 
 // ask runs a request through the engine and waits for its answer. A caller that goes away gets none; the engine ends the
 // request at its own deadline.
-func ask[Answer any](ctx context.Context, n *Node, answers waiting[Answer], call request) (Answer, error) {
+func ask[Answer any](ctx context.Context, n *Node, answers waiting[Answer], call engineCall) (Answer, error) {
 	channel := make(chan Answer, 1)
 	n.step(func(now time.Duration) engine.Output {
 		n.caller++
--- a/internal/node/step.go
+++ b/internal/node/step.go
@@ -23,6 +23,7 @@
 	}
 }
 
+// perform carries out an output; the lock is held.
 func (n *Node) perform(output engine.Output) {
 	for _, envelope := range output.Sends {
 		n.transport.Send(envelope.To, envelope.Message)
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -32,6 +32,7 @@
 	}
 }
 
+// outcomeOf is what an error of the store proves of a request.
 func outcomeOf(err error) rollout.Outcome {
 	switch failure.CodeOf(err) {
 	case "":
@@ -87,6 +88,7 @@
 	return relay
 }
 
+// sleep waits, or until the node stops.
 func (n *Node) sleep(length time.Duration) {
 	select {
 	case <-n.ctx.Done():
