--- a/cmd/stiletrail-gateway/main.go
+++ b/cmd/stiletrail-gateway/main.go
@@ -5,7 +5,6 @@
 import (
 	"context"
 	"fmt"
-	"math/rand/v2"
 	"os"
 	"os/signal"
 	"runtime/debug"
@@ -19,11 +18,9 @@
 	"stiletrail/internal/exchange"
 	"stiletrail/internal/failure"
 	"stiletrail/internal/gateway"
-	"stiletrail/internal/membership"
 	"stiletrail/internal/serving"
 	"stiletrail/internal/settings"
 	"stiletrail/internal/telemetry"
-	"stiletrail/internal/transport"
 	"stiletrail/platform"
 )
 
@@ -38,13 +35,8 @@
 // garbageTarget is the growth of the heap in percent at which garbage is collected: memory is dearer here than processor time.
 const garbageTarget = 40
 
-// Bounds of the end of the process.
-const (
-	// logCloseTime is for the writing of the last lines.
-	logCloseTime = 100 * time.Millisecond
-	// peerCloseTime is for connections to other nodes; a peer that does not answer must not hold up the end.
-	peerCloseTime = 50 * time.Millisecond
-)
+// logCloseTime bounds the writing of the last lines of the log.
+const logCloseTime = 100 * time.Millisecond
 
 func main() {
 	app := kingpin.New("stiletrail-gateway", "A node of the stiletrail query tier on a platform. SIGTERM is a planned stop, SIGHUP reads the settings again.")
@@ -66,6 +58,7 @@
 	os.Exit(run(*file, loaded))
 }
 
+// run joins the parts of a gateway, serves until the process is to end, and returns the exit code.
 func run(file string, loaded settings.Gateway) int {
 	writer := decisionlog.NewWriter(os.Stdout)
 	defer writer.Close(logCloseTime)
@@ -80,69 +73,26 @@
 	addresses := serving.Addresses{Callers: loaded.CallerAddress, Ready: loaded.ReadyAddress, Metrics: loaded.MetricsAddress}
 	server, err := serving.Start(node, addresses, platform.NewIngress(node), measured, log)
 	if err != nil {
-		log.Lifecycle(decisionlog.EventStop, map[string]any{"reason": err.Error()})
+		log.Stopped(err.Error())
 		return exitFailed
 	}
 	closePeers, frames, err := join(node, loaded)
 	if err != nil {
-		log.Lifecycle(decisionlog.EventStop, map[string]any{"reason": err.Error()})
+		log.Stopped(err.Error())
 		return exitFailed
 	}
 	defer closePeers()
 	measured.Observe(telemetry.Source{
-		Gateway: node, BackEndConnections: pool.Open.Load, BackEndConnectionsOpened: pool.Opened.Load, LogLinesDropped: writer.Dropped, MalformedLoads: backEnds.MalformedLoads,
-		PeerFrames: frames,
+		Gateway: node, BackEndConnections: pool.Open.Load, BackEndConnectionsOpened: pool.Opened.Load,
+		LogLinesDropped: writer.Dropped, MalformedLoads: backEnds.MalformedLoads, PeerFrames: frames,
 	})
-	log.Lifecycle(decisionlog.EventStart, inForce(loaded))
+	log.Started(loaded, loaded.WithoutEffect())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go node.Run(ctx)
 	return wait(newReloader(file, loaded, node, store, log), server, log)
 }
 
-// inForce are the fields of a log line that tells which settings are in force, and which ones of the file have no effect.
-func inForce(loaded settings.Gateway) map[string]any {
-	fields := map[string]any{"settings": loaded}
-	if names := loaded.WithoutEffect(); len(names) > 0 {
-		fields["settings_without_effect"] = names
-	}
-	return fields
-}
-
-// join listens for other nodes and makes the node a member, where the settings name an address for that. It returns the count of what is
-// exchanged with them, nil where they name none.
-func join(node *gateway.Gateway, loaded settings.Gateway) (closePeers func(), frames *transport.Counters, err error) {
-	if loaded.PeerAddress == "" {
-		return func() {}, nil, nil
-	}
-	advertised := loaded.PeerAddress
-	if loaded.PeerAdvertisedAddress != "" {
-		advertised = loaded.PeerAdvertisedAddress
-	}
-	peers, err := transport.ListenWith(loaded.PeerAddress, advertised, transport.ControlSizes)
-	if err != nil {
-		return nil, nil, err
-	}
-	self := membership.Member{
-		Address: advertised, Zone: loaded.Zone, Region: loaded.Regions[loaded.Zone], Generation: rand.Uint64(),
-		Incarnation: uint64(time.Now().UnixMilli()),
-	}
-	node.Join(self, loaded.Seeds, peers)
-	peers.Serve(node)
-	closeSoon := func() {
-		closed := make(chan struct{})
-		go func() {
-			peers.Close()
-			close(closed)
-		}()
-		select {
-		case <-closed:
-		case <-time.After(peerCloseTime):
-		}
-	}
-	return closeSoon, &peers.Counters, nil
-}
-
 // wait handles signals until the node stops.
 func wait(settingsFile *reloader, server *serving.Server, log *decisionlog.Log) int {
 	signals := make(chan os.Signal, 4)
@@ -154,14 +104,14 @@
 		case <-ticker.C:
 			settingsFile.look(false)
 		case err := <-server.Failed():
-			log.Lifecycle(decisionlog.EventStop, map[string]any{"reason": err.Error()})
+			log.Stopped(err.Error())
 			return exitFailed
 		case received := <-signals:
 			if received == syscall.SIGHUP {
 				settingsFile.look(true)
 				continue
 			}
-			log.Lifecycle(decisionlog.EventStop, map[string]any{"reason": received.String()})
+			log.Stopped(received.String())
 			if !server.Stop(settingsFile.inUse.StopWithin) {
 				return exitCutShort
 			}
--- a/cmd/stiletrail-gateway/reload.go
+++ b/cmd/stiletrail-gateway/reload.go
@@ -40,12 +40,12 @@
 	r.text = text
 	changed, err := settings.LoadGateway(r.file, nil)
 	if err != nil {
-		r.log.Lifecycle(decisionlog.EventReload, map[string]any{"reason": failure.From(err).Message})
+		r.log.ReloadRefused(failure.From(err).Message)
 		return
 	}
 	changed.Zone = r.inUse.Zone
 	r.inUse = changed
 	r.store.SetAddress(changed.StoreAddress)
 	r.node.Reconfigure(gateway.FromSettings(changed))
-	r.log.Lifecycle(decisionlog.EventReload, inForce(changed))
+	r.log.Reloaded(changed, changed.WithoutEffect())
 }
--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -39,8 +39,29 @@
 	return &Log{log: log.WithField(fieldNode, node), writer: writer}
 }
 
-// Lifecycle writes a line at start, stop and reload.
-func (l *Log) Lifecycle(event string, fields map[string]any) { l.info(event, fields) }
+// Started writes that the node runs with some settings. Those withoutEffect were named in the file and have been removed since.
+func (l *Log) Started(settings any, withoutEffect []string) {
+	l.info(EventStart, inForce(settings, withoutEffect))
+}
+
+// Reloaded is Started for settings that were read again.
+func (l *Log) Reloaded(settings any, withoutEffect []string) {
+	l.info(EventReload, inForce(settings, withoutEffect))
+}
+
+// ReloadRefused writes that a settings file was read again, and why it is not in force.
+func (l *Log) ReloadRefused(reason string) { l.info(EventReload, logrus.Fields{fieldReason: reason}) }
+
+// Stopped writes that the node stops, and why.
+func (l *Log) Stopped(reason string) { l.info(EventStop, logrus.Fields{fieldReason: reason}) }
+
+func inForce(settings any, withoutEffect []string) logrus.Fields {
+	fields := logrus.Fields{fieldSettings: settings}
+	if len(withoutEffect) > 0 {
+		fields[fieldWithoutEffect] = withoutEffect
+	}
+	return fields
+}
 
 func (l *Log) info(event string, fields logrus.Fields) {
 	l.log.WithFields(fields).WithField(fieldEvent, event).Info(event)
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -35,9 +35,9 @@
 	answered, lost, open := attempts()
 	down := failure.New(failure.StoreUnavailable, "down")
 	lines := logged(func(log *decisionlog.Log) {
-		log.Lifecycle(decisionlog.EventStart, map[string]any{"settings": "s"})
-		log.Lifecycle(decisionlog.EventReload, map[string]any{"reason": "not valid"})
-		log.Lifecycle(decisionlog.EventStop, map[string]any{"reason": "terminated"})
+		log.Started("s", nil)
+		log.ReloadRefused("not valid")
+		log.Stopped("terminated")
 		log.Request(call, ended(forward.Answer{Total: 3, Reason: forward.TargetReached}, answered))
 		log.Request(call, ended(forward.Answer{Total: 3, Missing: 1, Reason: forward.TargetReached}, answered, lost, open))
 		log.Request(call, &gateway.Result{
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -33,6 +33,9 @@
 	fieldShed    = "shed_percent"
 	fieldShare   = "turned_away_percent"
 	fieldKey     = "key"
+	// fieldSettings are those in force, fieldWithoutEffect the names of removed ones that the file gives all the same.
+	fieldSettings      = "settings"
+	fieldWithoutEffect = "settings_without_effect"
 	// fieldItems counts items of the store, fieldRoutes those of a configuration, fieldAlive members that are alive, this node among them.
 	fieldItems  = "items"
 	fieldRoutes = "routes"
