--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,4 +1,4 @@
-// Package explain finds in the logs of some nodes what decided the fate of one request.
+// Package explain finds in the logs of some nodes what decided the fate of one request. It reads lines that decisionlog wrote, of any release, and keeps nothing.
 package explain
 
 import (
@@ -20,11 +20,12 @@
 
 // line is a log line as far as it matters here.
 type line struct {
-	Time     string   `json:"time"`
-	Event    string   `json:"event"`
-	Node     string   `json:"node"`
-	Request  string   `json:"request"`
-	Route    string   `json:"route"`
+	Time    string `json:"time"`
+	Event   string `json:"event"`
+	Node    string `json:"node"`
+	Request string `json:"request"`
+	Route   string `json:"route"`
+	// Version of the configuration.
 	Version  uint64   `json:"version"`
 	Revision uint64   `json:"revision"`
 	Era      uint64   `json:"era"`
--- a/internal/serving/callers.go
+++ b/internal/serving/callers.go
@@ -24,40 +24,14 @@
 	onState    func(net.Conn, http.ConnState)
 	complaints *log.Logger
 
-	mutex   sync.Mutex
-	limits  routing.Limits
+	mutex  sync.Mutex
+	limits routing.Limits
+	// current takes connections for the newest of the servers.
 	current *handedOver
 	servers []*http.Server
 	closed  bool
 }
 
-// handedOver is a listener whose connections another one accepted.
-type handedOver struct {
-	address     net.Addr
-	connections chan net.Conn
-	closeOnce   sync.Once
-	done        chan struct{}
-}
-
-// Accept implements net.Listener.
-func (h *handedOver) Accept() (net.Conn, error) {
-	select {
-	case connection := <-h.connections:
-		return connection, nil
-	case <-h.done:
-		return nil, net.ErrClosed
-	}
-}
-
-// Close implements net.Listener.
-func (h *handedOver) Close() error {
-	h.closeOnce.Do(func() { close(h.done) })
-	return nil
-}
-
-// Addr implements net.Listener.
-func (h *handedOver) Addr() net.Addr { return h.address }
-
 func newCallerListener(listener net.Listener, handler http.Handler, onState func(net.Conn, http.ConnState), complaints io.Writer) *callerListener {
 	c := &callerListener{listener: listener, handler: handler, onState: onState, complaints: log.New(complaints, "", 0)}
 	c.open()
@@ -86,6 +60,7 @@
 
 // use applies limits to connections that come from now on.
 func (c *callerListener) use(limits routing.Limits) {
+	// The limit of bodies is not the server's, which need not change with it.
 	limits.BodyBytes = 0
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -98,28 +73,28 @@
 	_ = previous.Close()
 }
 
-// acceptAgain is the first pause after the machine had nothing left for another connection; it doubles up to longestAcceptAgain. A node that is
-// ready must take connections again as soon as it can.
+// Pauses after the machine had nothing left for another connection, each twice as long as the one before. A node that is ready must take connections
+// again as soon as it can.
 const (
-	acceptAgain        = 5 * time.Millisecond
-	longestAcceptAgain = 500 * time.Millisecond
+	firstAcceptPause   = 5 * time.Millisecond
+	longestAcceptPause = 500 * time.Millisecond
 )
 
 // accept hands connections over until the listener is closed.
 func (c *callerListener) accept(limits func() (routing.Limits, bool)) error {
-	wait := acceptAgain
+	wait := firstAcceptPause
 	for {
 		connection, err := c.listener.Accept()
 		if exhausted(err) {
 			c.complaints.Printf("no connection can be taken: %v; tried again after %v", err, wait)
 			time.Sleep(wait)
-			wait = min(2*wait, longestAcceptAgain)
+			wait = min(2*wait, longestAcceptPause)
 			continue
 		}
 		if err != nil {
 			return failure.Wrap(err, failure.Internal, "the listener for callers failed")
 		}
-		wait = acceptAgain
+		wait = firstAcceptPause
 		if known, ok := limits(); ok {
 			c.use(known)
 		}
