--- a/cmd/stiletrail/operate.go
+++ b/cmd/stiletrail/operate.go
@@ -26,6 +26,15 @@
 	Alternative            string `json:"alternative,omitempty"`
 }
 
+// show prints a value as the user wants it: as JSON, or by human.
+func (c *client) show(value any, human func()) {
+	if c.output == "json" {
+		c.printJSON(value)
+		return
+	}
+	human()
+}
+
 func (c *client) printJSON(value any) {
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
@@ -54,11 +63,7 @@
 		if err != nil {
 			return 0, err
 		}
-		if shared.output == "json" {
-			shared.printJSON(response.Msg)
-			return exitOK, nil
-		}
-		printPlan(*file, response.Msg)
+		shared.show(response.Msg, func() { printPlan(*file, response.Msg) })
 		return exitOK, nil
 	}
 }
@@ -71,12 +76,15 @@
 	for _, warning := range plan.GetWarnings() {
 		fmt.Println("  warning:", warning)
 	}
-	fmt.Printf("touches %d back ends; good until %s\n", len(plan.GetBackEnds()), time.Unix(plan.GetExpiresUnixSeconds(), 0).UTC().Format(time.RFC3339))
-	fmt.Printf("confirm with: stiletrail confirm %s --base %d --digest %s --expires %d\n", file, plan.GetBaseVersion(), plan.GetDigest(), plan.GetExpiresUnixSeconds())
+	expires := time.Unix(plan.GetExpiresUnixSeconds(), 0).UTC()
+	fmt.Printf("touches %d back ends; good until %s\n", len(plan.GetBackEnds()), expires.Format(time.RFC3339))
+	fmt.Printf("confirm with: stiletrail confirm %s --base %d --digest %s --expires %d\n",
+		file, plan.GetBaseVersion(), plan.GetDigest(), plan.GetExpiresUnixSeconds())
 }
 
 func addConfirm(app *kingpin.Application, commands map[string]command) {
-	c := app.Command("confirm", "Put a plan into force. Exit 6 if another change came first; exit 5 if the outcome is unknown: repeat with the same --operation.")
+	c := app.Command("confirm", "Put a plan into force. Exit 6 if another change came first; exit 5 if the outcome is unknown: "+
+		"repeat with the same --operation.")
 	file := c.Arg("intent", "The file that was planned.").Required().String()
 	base := c.Flag("base", "Base version of the plan.").Required().Uint64()
 	digest := c.Flag("digest", "Digest of the plan.").Required().String()
@@ -99,11 +107,10 @@
 			fmt.Fprintln(os.Stderr, "operation", *operation)
 			return 0, err
 		}
-		if shared.output == "json" {
-			shared.printJSON(response.Msg)
-			return exitOK, nil
-		}
-		fmt.Printf("accepted: %s is at version %d, held by %d more nodes in %d zones\n", response.Msg.GetService(), response.Msg.GetVersion(), response.Msg.GetCopies(), response.Msg.GetCopyZones())
+		shared.show(response.Msg, func() {
+			fmt.Printf("accepted: %s is at version %d, held by %d more nodes in %d zones\n",
+				response.Msg.GetService(), response.Msg.GetVersion(), response.Msg.GetCopies(), response.Msg.GetCopyZones())
+		})
 		return exitOK, nil
 	}
 }
@@ -118,17 +125,14 @@
 		if err != nil {
 			return 0, err
 		}
-		if shared.output == "json" {
-			shared.printJSON(response.Msg)
-			return exitOK, nil
-		}
-		printStatus(response.Msg)
+		shared.show(response.Msg, func() { printStatus(response.Msg) })
 		return exitOK, nil
 	}
 }
 
 func printStatus(status *stiletrailv1.StatusResponse) {
-	fmt.Printf("node %s in %s, ready %t, %d members alive\n", status.GetNode(), status.GetZone(), status.GetReady(), status.GetMembersAlive())
+	fmt.Printf("node %s in %s, ready %t, %d members alive\n",
+		status.GetNode(), status.GetZone(), status.GetReady(), status.GetMembersAlive())
 	if age := status.GetConfigurationAgeMilliseconds(); age >= 0 {
 		fmt.Printf("configuration known equal to the store's %s ago\n", time.Duration(age)*time.Millisecond)
 	} else {
@@ -139,7 +143,8 @@
 		if service.GetDeleted() {
 			state = " (deleted)"
 		}
-		fmt.Printf("  %-24s version %d%s in force on %d of %d nodes\n", service.GetService(), service.GetVersion(), state, service.GetNodesInForce(), service.GetNodesAsked())
+		fmt.Printf("  %-24s version %d%s in force on %d of %d nodes\n",
+			service.GetService(), service.GetVersion(), state, service.GetNodesInForce(), service.GetNodesAsked())
 		for _, address := range service.GetUnreachable() {
 			fmt.Println("    not reached:", address)
 		}
@@ -157,11 +162,9 @@
 		if err != nil {
 			return 0, err
 		}
-		if shared.output == "json" {
-			shared.printJSON(loaded)
-			return exitOK, nil
-		}
-		fmt.Println("the settings are valid")
+		shared.show(loaded, func() {
+			fmt.Println("the settings are valid")
+		})
 		return exitOK, nil
 	}
 }
--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -24,7 +24,6 @@
 // Log implements gateway.DecisionLog.
 type Log struct {
 	log     *logrus.Entry
-	writer  *Writer
 	rate    rate
 	lost    lostStore
 	ordinal ordinal
@@ -36,7 +35,7 @@
 	log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: "2006-01-02T15:04:05.000Z07:00", DisableHTMLEscape: true})
 	log.SetOutput(writer)
 	log.SetLevel(level)
-	return &Log{log: log.WithField(fieldNode, node), writer: writer}
+	return &Log{log: log.WithField(fieldNode, node)}
 }
 
 // Started writes that the node runs with some settings. Those withoutEffect were named in the file and have been removed since.
--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -25,7 +25,7 @@
 	holding query.Holding
 	// described: the holding is known.
 	described bool
-	draining  DrainSignal
+	draining  drainSignal
 	// latency is a moving average, zero while nothing was answered.
 	latency time.Duration
 	queue   []*queuedAttempt
@@ -35,7 +35,7 @@
 	// ejections since the last answer.
 	ejections    int
 	ejectedUntil time.Duration
-	// notBefore is when the back end may be asked again by its own word when it last shed.
+	// notBefore is when the back end may be asked again: when it last shed, plus the retry-after it gave.
 	notBefore   time.Duration
 	lastSuccess time.Duration
 	// refusedAt is when it last refused work as leaving.
@@ -58,7 +58,7 @@
 	return b.window.HasRoom() && len(b.queue) == 0 && now >= b.notBefore
 }
 
-// assumedLatency of a back end that was not measured yet. Zero would draw all work to it, and no queue would ever look long.
+// assumedLatency of a back end that has answered nothing yet. Zero would draw all work to it, and no queue would ever look long.
 const assumedLatency = 10 * time.Millisecond
 
 func (b *backEnd) expected() time.Duration {
@@ -106,9 +106,9 @@
 	b.holding = holding
 	b.described = true
 	b.lastHeard = now
-	b.setDraining(DrainByHealth, holding.State == query.StateDraining)
+	b.setDraining(drainByHealth, holding.State == query.StateDraining)
 	if now-b.refusedAt > drainBelief {
-		b.setDraining(DrainByAttempt, false)
+		b.setDraining(drainByAttempt, false)
 	}
 	if holding.State == query.StateCold {
 		b.window.SetCold()
--- a/internal/dispatch/group.go
+++ b/internal/dispatch/group.go
@@ -1,6 +1,8 @@
 package dispatch
 
 import (
+	"cmp"
+	"maps"
 	"slices"
 	"time"
 
@@ -10,8 +12,10 @@
 	"stiletrail/internal/placement"
 )
 
+// group is one that this node dispatches to, or stands by for as a deputy.
 type group struct {
 	placement.Group
+	// version of the document it is of, which this node took in at changedAt.
 	version   uint64
 	changedAt time.Duration
 	// lastUsed is when the last sub-query came.
@@ -29,8 +33,8 @@
 	number  uint32
 }
 
-// undescribed reports whether a new group still waits for the first word of a back end. Shown now it would make shards
-// look lost that are not.
+// undescribed reports whether a new group still waits for a back end to describe itself for the first time. Shown now it would
+// make shards look lost that are not.
 func (g *group) undescribed(now time.Duration) bool {
 	if now-g.changedAt > describeGrace {
 		return false
@@ -38,7 +42,7 @@
 	return slices.ContainsFunc(g.backEnds, func(b *backEnd) bool { return !b.described && b.failures == 0 })
 }
 
-// describeGrace is how long a new group may wait for the first word of its back ends before it is shown without some.
+// describeGrace is how long a new group may wait for its back ends to describe themselves before it is shown without some.
 const describeGrace = 200 * time.Millisecond
 
 // SetGroups replaces the groups this node owns. Work under way in a group that is given up is finished.
@@ -57,6 +61,7 @@
 	return c.take()
 }
 
+// updateGroup returns a group as this node owns it now. What waits at back ends that went or drain goes to others.
 func (c *Core) updateGroup(now time.Duration, known *group, owned placement.Ownership) *group {
 	if known == nil {
 		known = &group{
@@ -76,7 +81,7 @@
 	}
 	for _, old := range previous {
 		if !slices.Contains(known.backEnds, old) {
-			old.draining |= DrainByCatalog
+			old.draining |= drainByCatalog
 			c.requeue(now, known, old)
 		}
 	}
@@ -88,7 +93,10 @@
 	return known
 }
 
-func (c *Core) updateBackEnd(now time.Duration, previous []*backEnd, specified catalog.BackEnd, owned placement.Ownership) *backEnd {
+// updateBackEnd returns a back end of a group as it is specified now, with what was known of it before.
+func (c *Core) updateBackEnd(
+	now time.Duration, previous []*backEnd, specified catalog.BackEnd, owned placement.Ownership,
+) *backEnd {
 	share := placement.Share(specified, owned.Rank, owned.Dispatchers)
 	var found *backEnd
 	for _, b := range previous {
@@ -100,30 +108,20 @@
 		found = &backEnd{address: specified.Address, window: limit.NewWindow(share), nextDescribe: now}
 	}
 	if refusedAt, refused := c.refusals[specified.Address]; refused && now-refusedAt <= drainBelief {
-		found.draining |= DrainByAttempt
+		found.draining |= drainByAttempt
 		found.refusedAt = refusedAt
 	}
 	found.window.SetCeiling(share)
-	found.setDraining(DrainByCatalog, specified.Draining)
-	found.setDraining(DrainByMachineList, c.leavingMachines[specified.Address])
+	found.setDraining(drainByCatalog, specified.Draining)
+	found.setDraining(drainByMachineList, c.leavingMachines[specified.Address])
 	return found
 }
 
+// orderedGroups returns the groups in order, so that a seed gives one trace.
 func (c *Core) orderedGroups() []*group {
-	result := make([]*group, 0, len(c.groups))
-	for _, g := range c.groups {
-		result = append(result, g)
-	}
-	slices.SortFunc(result, func(a, b *group) int {
-		if a.Service != b.Service {
-			if a.Service < b.Service {
-				return -1
-			}
-			return 1
-		}
-		return int(a.Number) - int(b.Number)
+	return slices.SortedFunc(maps.Values(c.groups), func(a, b *group) int {
+		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Number, b.Number))
 	})
-	return result
 }
 
 // SetLeaving takes in which back ends the machine list says are leaving.
@@ -131,7 +129,7 @@
 	c.leavingMachines = leaving
 	for _, g := range c.orderedGroups() {
 		for _, b := range g.backEnds {
-			b.setDraining(DrainByMachineList, leaving[b.address])
+			b.setDraining(drainByMachineList, leaving[b.address])
 			if b.draining != 0 {
 				c.requeue(now, g, b)
 			}
@@ -153,7 +151,7 @@
 		}
 		holding := b.holding
 		if !b.usable(now) {
-			// Its word on the number of shards stands; it cannot be asked for any.
+			// The number of shards that it states still holds; it cannot be asked for any.
 			holding.Shards = nil
 		}
 		state.Holdings = append(state.Holdings, holding)
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -23,8 +23,8 @@
 		b.notBefore = now + result.RetryAfter
 	case query.StatusDraining:
 		if !result.HasHolding || result.Holding.State != query.StateDraining {
-			// Its health lies; else it is believed again when it says that it serves.
-			b.draining |= DrainByAttempt
+			// Its health contradicts it; else it is used again as soon as it says that it serves.
+			b.draining |= drainByAttempt
 			b.refusedAt = now
 			c.refusals[b.address] = now
 		}
@@ -57,8 +57,8 @@
 // mostDoublings of an ejection, whatever MaximumEjection is.
 const mostDoublings = 8
 
-// eject takes a back end out for EjectFor, twice as long each time without an answer in between, unless too many of the group are out or a shard would
-// be left without a holder.
+// eject takes a back end out for EjectFor, twice as long each time without an answer in between, unless too many of the group are
+// out or a shard would be left without a holder.
 func (c *Core) eject(now time.Duration, g *group, b *backEnd) {
 	if b.ejected(now) || c.ejectedEnough(now, g) || lastHolder(now, g, b) {
 		return
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -27,16 +27,15 @@
 	held []uint32
 }
 
-// backEndEnded decides what becomes of the shards of an attempt whose back end has ended: they are retried once the sub-query has an answer or where it is
-// not repeatable (retry then asks for proof that it did not run), given up under quarantine, and else wait until another shard is answered or asked as a
-// trial. Ends are counted by this node; other dispatchers count their own.
+// backEndEnded decides what becomes of the shards of an attempt whose back end has ended: they are retried once the sub-query has
+// an answer or where it is not repeatable (retry then asks for proof that it did not run), given up under quarantine, and else
+// wait until another shard is answered or asked as a trial. Ends are counted by this node; other dispatchers count their own.
 func (c *Core) backEndEnded(now time.Duration, a *attempt) {
 	q := a.subQuery
 	verdict, _ := c.quarantine.Ended(clock.Of(now), identityOf(q.request), quarantine.Run{
 		Service: q.request.Service, BackEnd: a.backEnd.address + "#" + strconv.FormatUint(a.number, 10),
 		Began: clock.Of(a.startedAt), Ended: clock.Of(now),
 	})
-	c.Counters.EndedBackEnds++
 	c.eject(now, a.group, a.backEnd)
 	if q.finished {
 		return
@@ -87,7 +86,6 @@
 // quarantined ends a sub-query that ends the back ends that run it.
 func (c *Core) quarantined(now time.Duration, q *subQuery) {
 	q.caution.held = nil
-	c.Counters.Quarantined++
 	c.finish(now, q, query.ReasonLost)
 }
 
--- a/internal/engine/execute.go
+++ b/internal/engine/execute.go
@@ -1,6 +1,7 @@
 package engine
 
 import (
+	"fmt"
 	"slices"
 	"time"
 
@@ -13,7 +14,7 @@
 // executeMargin is kept before the deadline for handing the outcome to the caller.
 const executeMargin = 5 * time.Millisecond
 
-// resultWait is how long a result may come after the dispatcher's last word.
+// resultWait is how long a result may come after the dispatcher's final answer.
 const resultWait = 50 * time.Millisecond
 
 // ExecuteRequest is a caller's request that is not repeatable.
@@ -28,44 +29,53 @@
 
 // execute is a request that is not repeatable under way at the node that minted its ticket.
 type execute struct {
+	// number is the engine's own; sequence is that of the ticket.
 	number   uint64
 	sequence uint64
 	request  ExecuteRequest
 	deadline time.Duration
-	wakeAt   time.Duration
-	id       query.ID
-	shard    uint32
-	epoch    uint64
-	sent     bool
-	to       string
-	tried    []string
+	// wakeAt is when the wait for what the shards hold is over, or for a result, or the deadline.
+	wakeAt time.Duration
+	shard  uint32
+	epoch  uint64
+	// sent: it was handed to a dispatcher, the last time to the one in to, as the sub-query id. tried are all that had it.
+	sent  bool
+	id    query.ID
+	to    string
+	tried []string
 	// askDeputies: the dispatcher was lost or did not know its part, so that a deputy may be asked.
 	askDeputies bool
 	// waiters are told the outcome: the caller, and those of resends that came meanwhile.
 	waiters []waiter
 }
 
-// waiter is someone to be told the outcome of an execute.
-type waiter struct {
-	caller Caller
-	// peer and sequence are set where another node forwarded the request.
-	peer     string
+// waiter is someone to be told the outcome of an execute: a localCaller, or a forwardingPeer.
+type waiter interface{ isWaiter() }
+
+type localCaller struct{ caller Caller }
+
+// forwardingPeer is a node that forwarded the request, with its number for it.
+type forwardingPeer struct {
+	address  string
 	sequence uint64
 }
 
+func (localCaller) isWaiter()    {}
+func (forwardingPeer) isWaiter() {}
+
 // Execute takes a caller's request that is not repeatable.
 func (e *Engine) Execute(now time.Duration, caller Caller, request ExecuteRequest) Output {
 	e.begin(now)
 	parsed, err := ticket.Parse(request.Ticket)
 	if err != nil {
-		e.answerExecute(waiter{caller: caller}, ticket.Outcome{Failure: failure.From(err)})
+		e.answerExecute(localCaller{caller}, ticket.Outcome{Failure: failure.From(err)})
 		return e.end()
 	}
 	if parsed.Address != e.Address() {
 		e.forwardExecute(caller, parsed.Address, request)
 		return e.end()
 	}
-	e.takeExecute(waiter{caller: caller}, request)
+	e.takeExecute(localCaller{caller}, request)
 	return e.end()
 }
 
@@ -82,28 +92,32 @@
 // that was refused asks again with a new ticket.
 func (e *Engine) takeExecute(w waiter, request ExecuteRequest) {
 	e.Counters.Executes++
-	parsed, use, outcome, problem := e.tickets.Use(e.now, request.Ticket, executeBody(request))
-	if problem != nil {
-		e.answerExecute(w, ticket.Outcome{Failure: problem})
-		return
-	}
-	switch use {
+	switch use := e.tickets.Use(e.now, request.Ticket, executeBody(request)).(type) {
+	case ticket.Rejected:
+		e.answerExecute(w, ticket.Outcome{Failure: use.Failure})
 	case ticket.Finished:
-		e.answerExecute(w, *outcome)
+		e.answerExecute(w, use.Outcome)
 	case ticket.Running:
-		e.joinExecute(w, parsed.Sequence)
+		e.joinExecute(w, use.Sequence)
 	case ticket.Fresh:
-		if refusal := e.admit(request.Service); refusal != nil {
-			// Final for the ticket: a copy of the request that is still on its way must not run after this.
-			e.tickets.Finish(parsed.Sequence, ticket.Outcome{Failure: refusal})
-			e.answerExecute(w, ticket.Outcome{Failure: refusal})
-			return
-		}
-		e.startExecute(w, parsed.Sequence, request)
+		e.runFresh(w, use.Sequence, request)
+	default:
+		panic(fmt.Sprintf("engine: no case for the use %T of a ticket", use))
 	}
 }
 
-// executeBody identifies a request: service, key and body, each with its length.
+// runFresh runs a request whose ticket was not used before, or refuses it.
+func (e *Engine) runFresh(w waiter, sequence uint64, request ExecuteRequest) {
+	if refusal := e.admit(request.Service); refusal != nil {
+		// Final for the ticket: a copy of the request that is still on its way must not run after this.
+		e.tickets.Finish(sequence, ticket.Outcome{Failure: refusal})
+		e.answerExecute(w, ticket.Outcome{Failure: refusal})
+		return
+	}
+	e.startExecute(w, sequence, request)
+}
+
+// executeBody identifies a request: service, key and body, with a zero byte between.
 func executeBody(request ExecuteRequest) []byte {
 	body := []byte(request.Service)
 	body = append(body, 0)
@@ -112,6 +126,7 @@
 	return append(body, request.Body...)
 }
 
+// joinExecute has a resend wait for the outcome of the request that its ticket was used for.
 func (e *Engine) joinExecute(w waiter, sequence uint64) {
 	for _, x := range e.executes {
 		if x.sequence == sequence {
@@ -121,6 +136,7 @@
 	}
 }
 
+// startExecute runs a request once it is known what the shards hold, or that was waited for long enough.
 func (e *Engine) startExecute(w waiter, sequence uint64, request ExecuteRequest) {
 	x := &execute{
 		number: e.next(), sequence: sequence, request: request, waiters: []waiter{w},
@@ -218,6 +234,7 @@
 	e.dispatchExecute(x)
 }
 
+// finishExecute tells the outcome to all that wait for it, and keeps it for resends.
 func (e *Engine) finishExecute(x *execute, outcome ticket.Outcome) {
 	delete(e.subQueryOwners, x.id)
 	delete(e.executes, x.number)
@@ -231,18 +248,25 @@
 }
 
 func (e *Engine) answerExecute(w waiter, outcome ticket.Outcome) {
-	if w.peer == "" {
+	switch w := w.(type) {
+	case localCaller:
 		e.output.ExecuteAnswers = append(e.output.ExecuteAnswers, ExecuteAnswer{Caller: w.caller, Outcome: outcome})
-		return
+	case forwardingPeer:
+		e.send(w.address, forwardReply(w.sequence, outcome))
+	default:
+		panic(fmt.Sprintf("engine: no case for the waiter %T", w))
 	}
-	reply := &message.ForwardReply{Sequence: w.sequence, Shard: outcome.Shard, Result: outcome.Result}
+}
+
+func forwardReply(sequence uint64, outcome ticket.Outcome) *message.ForwardReply {
+	reply := &message.ForwardReply{Sequence: sequence, Shard: outcome.Shard, Result: outcome.Result}
 	if problem := outcome.Failure; problem != nil {
 		reply.Code = string(problem.Code)
 		reply.Text = problem.Message
 		reply.NotRun = problem.NotRun
 		reply.RetryAfterMilliseconds = uint32(problem.RetryAfter.Milliseconds())
 	}
-	e.send(w.peer, reply)
+	return reply
 }
 
 // tickExecutes ends what its deadline has passed for, and sends what has waited long enough for what the shards hold.
--- a/internal/engine/forward.go
+++ b/internal/engine/forward.go
@@ -9,13 +9,14 @@
 	"stiletrail/internal/ticket"
 )
 
-// forward is a request passed on to the node that minted its ticket.
-type forward struct {
+// forwardedExecute is a request passed on to the node that minted its ticket.
+type forwardedExecute struct {
 	caller   Caller
 	peer     string
 	request  ExecuteRequest
 	deadline time.Duration
-	until    time.Duration
+	// until is when it is given up: introduceWait while it is not sent, then the deadline.
+	until time.Duration
 	// sent is false while this node has not heard of the peer yet, as of one that has just started.
 	sent bool
 }
@@ -26,11 +27,11 @@
 // introducers is how many members are asked for their view of a node that is not known here.
 const introducers = 3
 
-// forwardExecute passes a request on to the node that minted its ticket. The address is the caller's word, so only a node
+// forwardExecute passes a request on to the node that minted its ticket. The address comes from the caller, so only a node
 // that other nodes know is connected to.
 func (e *Engine) forwardExecute(caller Caller, to string, request ExecuteRequest) {
 	within := e.withinFor(request)
-	f := &forward{caller: caller, peer: to, request: request, deadline: e.now + within - executeMargin}
+	f := &forwardedExecute{caller: caller, peer: to, request: request, deadline: e.now + within - executeMargin}
 	f.until = min(f.deadline, e.now+introduceWait)
 	sequence := e.next()
 	e.forwards[sequence] = f
@@ -43,7 +44,7 @@
 }
 
 // sendForward sends a forward once its node is known.
-func (e *Engine) sendForward(sequence uint64, f *forward) {
+func (e *Engine) sendForward(sequence uint64, f *forwardedExecute) {
 	member, known := e.members.Lookup(f.peer)
 	if !known {
 		return
@@ -62,7 +63,7 @@
 }
 
 func (e *Engine) receiveForward(from string, m *message.ForwardExecute) {
-	e.takeExecute(waiter{peer: from, sequence: m.Sequence}, ExecuteRequest{
+	e.takeExecute(forwardingPeer{address: from, sequence: m.Sequence}, ExecuteRequest{
 		Service: m.Service, Key: m.Key, Body: m.Body, Ticket: m.Ticket,
 		Within: time.Duration(m.RemainingMicroseconds) * time.Microsecond,
 	})
@@ -80,7 +81,7 @@
 		outcome.Failure.NotRun = m.NotRun
 		outcome.Failure.RetryAfter = time.Duration(m.RetryAfterMilliseconds) * time.Millisecond
 	}
-	e.answerExecute(waiter{caller: f.caller}, outcome)
+	e.answerExecute(localCaller{f.caller}, outcome)
 }
 
 // tickForwards sends the forwards whose node has become known, and ends those that waited too long.
@@ -92,7 +93,8 @@
 		}
 		if f = e.forwards[sequence]; f != nil && e.now >= f.until {
 			delete(e.forwards, sequence)
-			e.answerExecute(waiter{caller: f.caller}, unknownOutcome("the node that minted the ticket did not answer in time or is not known"))
+			unknown := unknownOutcome("the node that minted the ticket did not answer in time or is not known")
+			e.answerExecute(localCaller{f.caller}, unknown)
 		}
 	}
 }
--- a/internal/engine/groups.go
+++ b/internal/engine/groups.go
@@ -34,14 +34,13 @@
 
 // documentArrived takes a document that was merged into the catalog into force.
 func (e *Engine) documentArrived(document catalog.Document) {
-	e.Counters.CatalogMoves++
 	e.table.SetDocument(document)
 	delete(e.routes, document.Service)
 	e.takeGroups()
 }
 
-// SetMachines takes in the machine list: it seeds the membership and says which back ends are leaving. It lags, so its
-// word alone makes no live peer dead and no dead one live.
+// SetMachines takes in the machine list: it seeds the membership and says which back ends are leaving. It lags, so it
+// alone makes no live peer dead and no dead one live.
 func (e *Engine) SetMachines(now time.Duration, machines []platform.Machine) Output {
 	e.begin(now)
 	leaving := map[string]bool{}
--- a/internal/forward/caution.go
+++ b/internal/forward/caution.go
@@ -6,21 +6,20 @@
 	"stiletrail/internal/quarantine"
 )
 
-// The rule of caution: how a request is sent on under which back ends end, so that it ends no more of them than it takes to know it.
-//   - A shard whose back end ended is held until another shard has answered.
-//   - With endsToWithdraw ends and no answer, all attempts under way are withdrawn, their shards held, and the request is suspected.
-//   - A request that is suspected, also when it comes, is tried at one back end at a time: once nothing is under way, or trialPatience after
-//     the last trial began.
+// The rule of caution: how a request is sent on under which back ends end, so that it ends no more of them than it takes
+// to know it.
+//   - A shard whose back end ended is held until another shard has answered, or nothing is under way.
+//   - With two ends and no answer (quarantine.WithdrawOthers), all attempts under way are withdrawn, their shards held,
+//     and the request is suspected.
+//   - A request that is suspected, also when it comes, is tried at one back end at a time: once nothing is under way, or
+//     trialPatience after the last trial began.
 //   - The first answer clears it: all shards that are held are asked.
 //   - Put under quarantine, or tried in vain as one that is, it ends with what is there.
-const (
-	// endsToWithdraw back ends that ended are no accident of one of them; with one, requests whose back end ended by itself would lose the
-	// work of all other shards.
-	endsToWithdraw = 2
-	// trialPatience is the share of the target latency after which another trial begins beside one that was not answered. It is twice what a
-	// hedge waits for: a back end that is about to end takes its time too, and one more trial may end one more.
-	trialPatience = 0.9
-)
+//
+// trialPatience is the share of the target latency after which another trial begins beside one that was not answered. It
+// is twice what a hedge waits for: a back end that is about to end takes its time too, and one more trial may end one
+// more.
+const trialPatience = 0.9
 
 // caution is what is known of the back ends that have ended under a request, none of which has answered it.
 type caution struct {
@@ -38,7 +37,8 @@
 	trialAt time.Duration
 }
 
-// backEndEnded decides what becomes of a request under which a back end has ended. Once a shard has answered, the end says nothing of the request.
+// backEndEnded decides what becomes of a request under which a back end has ended. Once a shard has answered, the end
+// says nothing of the request.
 func (r *Request) backEndEnded(now time.Duration, attempt *Attempt) {
 	s := &r.shards[attempt.Shard]
 	verdict := r.node.BackEndEnded(attempt)
@@ -60,13 +60,14 @@
 	if s.live() == 0 {
 		s.become(held{})
 	}
-	if r.caution.suspect || r.caution.ends >= endsToWithdraw {
+	if quarantine.WithdrawOthers(r.caution.suspect, r.caution.ends) {
 		r.caution.suspect = true
 		r.withdrawAll()
 	}
 }
 
-// withdrawAll takes back all attempts under way, whose shards are asked again later. They may have run. Shards that pause go on to.
+// withdrawAll takes back all attempts under way, whose shards are asked again later. They may have run. Shards that pause
+// go on to.
 func (r *Request) withdrawAll() {
 	r.mayHaveRun = true
 	for i := range r.shards {
@@ -95,8 +96,8 @@
 	}
 }
 
-// clear has all shards that are held asked: a back end has answered the request, so that it does not end what runs it.
-func (r *Request) clear(now time.Duration) {
+// clearSuspicion has all shards that are held asked: a back end has answered the request, so that it does not end what runs it.
+func (r *Request) clearSuspicion(now time.Duration) {
 	r.caution = caution{from: r.caution.from}
 	for i := range r.shards {
 		if r.shards[i].held() {
@@ -118,7 +119,8 @@
 	}
 }
 
-// beginTrial begins the next trial, if it is due, at the first shard from which on one is looked for that is held and can be asked.
+// beginTrial begins the next trial, if it is due, at the first shard from which on one is looked for that is held and can
+// be asked.
 func (r *Request) beginTrial(now time.Duration) {
 	if r.done {
 		return
--- a/internal/gateway/belief.go
+++ b/internal/gateway/belief.go
@@ -25,8 +25,8 @@
 	StoreRevision history.Revision
 	// StoreContactAge is the time since the store last answered, negative if it never did.
 	StoreContactAge time.Duration
-	// CopyAge is how long ago the copy of the store was last known to be complete, by the store itself or another node; negative if it
-	// never was.
+	// CopyAge is how long ago the copy of the store was last known to be complete, by the store itself or another node; negative
+	// if it never was.
 	CopyAge clock.Ms
 	// Nodes known, 0 while this one has not joined the others.
 	Nodes int
@@ -44,7 +44,8 @@
 	defer g.mu.Unlock()
 	now := g.now()
 	belief := Belief{
-		StoreRevision: g.view.Revision(), StoreContactAge: g.follower.ContactAge(now), CopyAge: g.copyAge(now), Nodes: g.nodes, BackEnds: map[string]int{},
+		StoreRevision: g.storeCopy.records.Revision(), StoreContactAge: g.storeCopy.reader.ContactAge(now),
+		CopyAge: g.storeCopy.age(now), Nodes: g.fleet.nodes, BackEnds: map[string]int{},
 		Quarantined: g.quarantine.Count(clock.Of(now)), EvacuatedZones: g.replicas.EvacuatedZones(),
 	}
 	g.replicas.All(func(known *replica.Replica) { belief.BackEnds[stateOf(now, known)]++ })
@@ -77,7 +78,7 @@
 // Outcome names how a request ended.
 func (r *Result) Outcome() string {
 	switch {
-	case r.Gone:
+	case r.CallerGone:
 		return OutcomeGone
 	case r.Failure != nil:
 		return string(r.Failure.Code)
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -4,9 +4,12 @@
 	"context"
 	"time"
 
+	"stiletrail/internal/admit"
+	"stiletrail/internal/clock"
 	"stiletrail/internal/forward"
 	"stiletrail/internal/quarantine"
 	"stiletrail/internal/replica"
+	"stiletrail/internal/routing"
 )
 
 // Call is a request of a caller.
@@ -17,7 +20,8 @@
 	Path string
 	// Deadline is when the caller stops waiting; zero if it did not say.
 	Deadline time.Time
-	// Identity is what the request is known by when it comes again with another id; Caller is the address it came from, without the port.
+	// Identity is what the request is known by when it comes again with another id; Caller is the address it came from,
+	// without the port.
 	Identity quarantine.Identity
 	Caller   string
 	// Message is the request as the adapter holds it, handed through to the back-end client.
@@ -30,7 +34,8 @@
 	Attempt *forward.Attempt
 	// Entry of the back end, as it was when the attempt was decided.
 	Entry replica.Entry
-	// Deadline is when the work is of no more use, unless the machine is suspended before; Left is what is left of it at the moment of a call.
+	// Deadline is when the work is of no more use, unless the machine is suspended before; Left is what is left of it at the
+	// moment of a call.
 	Deadline time.Time
 	Left     func() time.Duration
 	// Prove has a new connection prove first that the back end takes it.
@@ -47,3 +52,23 @@
 	// Prune closes idle connections to addresses that no back end has any more.
 	Prune(inUse func(address string) bool)
 }
+
+// Result is the answer to a call.
+type Result struct {
+	forward.Answer
+	// Version of the configuration that decided it, 0 without one.
+	Version uint64
+	Route   *routing.Route
+	// CopyAge is how long before the call the copy of the store was last known to be complete, negative if it never was.
+	CopyAge clock.Ms
+	// Attempts that were decided, and when the call arrived on the gateway's clock and how long it took.
+	Attempts []*forward.Attempt
+	Arrived  time.Duration
+	Elapsed  time.Duration
+	// Denied says, for the shard of an attempt, why an extra attempt that was due was not sent.
+	Denied func(*forward.Attempt) forward.Denied
+	// CallerGone: the caller left; there is nobody to answer.
+	CallerGone bool
+	// Overload is by what a request was turned away.
+	Overload admit.Level
+}
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -29,7 +29,7 @@
 
 // SpendHedge implements forward.Node.
 func (n runNode) SpendHedge(service string) bool {
-	return n.gateway.budget(service).Spend(n.now, n.gateway.settings.Load().HedgeReserve, n.gateway.retrySlack())
+	return n.gateway.budget(service).Spend(n.now, n.gateway.settings.Load().Retries.HedgeReserve, n.gateway.retrySlack())
 }
 
 // ExtrasLeft implements forward.Node.
@@ -43,7 +43,7 @@
 }
 
 // Sample implements forward.Node.
-func (n runNode) Sample(sample admit.Sample) { n.gateway.gate.Note(n.now, sample) }
+func (n runNode) Sample(sample admit.Sample) { n.gateway.gate.Note(clock.Of(n.now), sample) }
 
 // BackEndEnded implements forward.Node.
 func (n runNode) BackEndEnded(attempt *forward.Attempt) quarantine.Verdict {
@@ -57,10 +57,10 @@
 	})
 	if change.First && n.run.route.FansOut() {
 		// Most often another shard answers soon, and nobody need hear of it.
-		n.run.untold = n.run.untold || len(change.Tell) > 0
+		n.run.evidencePending = n.run.evidencePending || len(change.Tell) > 0
 		change.Tell = nil
 	}
-	g.changed(now, change, byOwn)
+	g.verdictsChanged(now, change, byOwn)
 	return verdict
 }
 
@@ -77,11 +77,11 @@
 // Answered implements forward.Node.
 func (n runNode) Answered(attempt *forward.Attempt) {
 	g, now := n.gateway, clock.Of(n.now)
-	n.run.untold = false
+	n.run.evidencePending = false
 	change := g.quarantine.Answered(now, n.run.call.Identity, attempt.Service, attempt.Replica.Version)
 	for _, mark := range change.Judged {
 		_, held := g.quarantine.Held(now, mark)
 		g.quarantineWrites.settle(mark, held)
 	}
-	g.changed(now, change, byOwn)
+	g.verdictsChanged(now, change, byOwn)
 }
--- a/internal/gateway/simulation_backend_test.go
+++ b/internal/gateway/simulation_backend_test.go
@@ -47,7 +47,7 @@
 	s.backEnds[b.entry.ID] = b
 	s.mutex.Unlock()
 	entry := b.entry
-	s.cluster.store.put(gateway.Item{Key: "back ends/" + entry.ID, BackEnd: &entry})
+	s.cluster.store.put(backEndItem(&entry))
 }
 
 // exchange is what a back end does with an attempt.
@@ -132,7 +132,7 @@
 	if send.Prove {
 		outcome.Kind = forward.NotSent
 	}
-	outcome.TurnedAway = true
+	outcome.ConnectionTurnedAway = true
 	return outcome
 }
 
--- a/internal/region/region.go
+++ b/internal/region/region.go
@@ -1,4 +1,5 @@
-// Package region holds sets of regions, such as those in which the requests of a route may be served.
+// Package region decides whether a region belongs to a set, such as that in which the requests of a route may be served.
+// It owns nothing and relies on nothing.
 package region
 
 import "slices"
@@ -28,6 +29,3 @@
 	}
 	return unknown
 }
-
-// Names of the regions, none where the set allows all.
-func (s Set) Names() []string { return slices.Clone(s.names) }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,6 +1,9 @@
-// Package routing holds a configuration of routes as one immutable version, and finds the route of a request in it.
+// Package routing decides which route a request takes and, where that splits its requests, to which service each goes;
+// and whether a configuration may be put in force at all.
 //
-// A request takes one Table when it arrives and keeps it to its end, so that nothing it does mixes two versions.
+// It owns a Table, an immutable version of the configuration: a request takes one when it arrives and keeps it to its
+// end, so that nothing it does mixes two versions. A Splitter has the state of the splits over all versions. It relies on
+// nothing: no I/O, clock or lock.
 package routing
 
 import (
@@ -38,7 +41,8 @@
 	HealthPath string
 	// ColdFor is how long a back end is cold after its start, or when it has got nothing for long.
 	ColdFor clock.Ms
-	// ColdRate is the number of requests a second that a cold back end bears from all nodes together; 0 where that is not bounded.
+	// ColdRate is the number of requests a second that a cold back end bears from all nodes together; 0 where that is not
+	// bounded.
 	ColdRate float64
 }
 
@@ -55,7 +59,7 @@
 	Prefix string
 	// Repeatable requests may run more than once.
 	Repeatable bool
-	// Timeout is the longest a request is held.
+	// Timeout is the longest a request is held, whatever its caller allows.
 	Timeout time.Duration
 	// TargetLatency is the time within which an answer is worth most.
 	TargetLatency time.Duration
@@ -93,8 +97,7 @@
 type Table struct {
 	configuration Configuration
 	// byHost has the routes of a host, longest prefix first.
-	byHost   map[string][]*Route
-	services map[string]*Service
+	byHost map[string][]*Route
 }
 
 // Compile checks a configuration and builds its table. The failure, of code INVALID_ARGUMENT, names the first fault.
@@ -102,13 +105,7 @@
 	if err := check(&configuration); err != nil {
 		return nil, err
 	}
-	table := &Table{
-		configuration: configuration, byHost: map[string][]*Route{}, services: map[string]*Service{},
-	}
-	for i := range configuration.Services {
-		service := &configuration.Services[i]
-		table.services[service.Name] = service
-	}
+	table := &Table{configuration: configuration, byHost: map[string][]*Route{}}
 	for i := range configuration.Routes {
 		route := &configuration.Routes[i]
 		host := strings.ToLower(route.Host)
@@ -134,9 +131,6 @@
 // RouteCount is the number of routes.
 func (t *Table) RouteCount() int { return len(t.configuration.Routes) }
 
-// Service returns what is configured of a service, or nil.
-func (t *Table) Service(name string) *Service { return t.services[name] }
-
 // Services of the configuration.
 func (t *Table) Services() []Service { return t.configuration.Services }
 
