--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -23,10 +23,10 @@
 	peerTick = 200 * time.Millisecond
 	// farPickEvery single peers one is picked anywhere.
 	farPickEvery = 4
-	// startedTogetherFor is how long after a start back ends may count connections that died with an earlier life.
-	startedTogetherFor = 8 * clock.Second
-	// startedTogetherPart: many nodes have just started where at least one in so many has.
-	startedTogetherPart = 3
+	// startingFor is how long after a start back ends may count connections that died with an earlier life.
+	startingFor = 8 * clock.Second
+	// manyStartingPart: many nodes are starting where at least one in so many has started with this one.
+	manyStartingPart = 3
 )
 
 // fleet is the nodes that this one knows, and its part in what they do together. Guarded by Gateway.mu.
@@ -41,10 +41,10 @@
 	nodes int
 	// watch is this node's part in watching the store.
 	watch watchAssignment
-	// version of the members, whether this node has joined them, and whether many have just started, as of the last look.
-	version         uint64
-	joined          bool
-	startedTogether bool
+	// version of the members, whether this node has joined them, and whether many are starting, as of the last look.
+	version      uint64
+	joined       bool
+	wereStarting bool
 }
 
 // usable gives the addresses of the nodes that may be given work: those of this node's region, itself included, and the others.
@@ -92,21 +92,21 @@
 	return append(picked, f.members.Pick(count-len(picked), membership.Member.Usable)...)
 }
 
-// manyStarted reports whether back ends may still count many connections of earlier lives: this node has just started, and so
+// manyStarting reports whether back ends may still count many connections of earlier lives: this node has just started, and so
 // have many others, as after a loss of power. What a node that was started alone has left behind is little.
-func (f *fleet) manyStarted(now time.Duration) bool {
-	if clock.Of(now) >= startedTogetherFor {
+func (f *fleet) manyStarting(now time.Duration) bool {
+	if clock.Of(now) >= startingFor {
 		return false
 	}
 	members := f.members.Members()
-	together := 0
+	starting := 0
 	for _, m := range members {
 		// An incarnation begins as the time of day of the start, in milliseconds.
-		if m.Incarnation+uint64(startedTogetherFor) >= f.members.Self().Incarnation {
-			together++
+		if m.Incarnation+uint64(startingFor) >= f.members.Self().Incarnation {
+			starting++
 		}
 	}
-	return together*startedTogetherPart >= len(members)
+	return starting*manyStartingPart >= len(members)
 }
 
 // Join makes the gateway a member among the nodes that the seeds know. It is called before Run.
@@ -116,7 +116,7 @@
 	random := rand.New(rand.NewPCG(g.settings.Load().Seed, self.Generation))
 	g.fleet = fleet{
 		members:   membership.New(g.now(), self, seeds, membership.DefaultSettings(), random),
-		transport: peers, startedTogether: true,
+		transport: peers, wereStarting: true,
 	}
 }
 
@@ -165,10 +165,10 @@
 	g.noteMembers(now)
 }
 
-// noteStarted shares out anew once not many nodes have just started any more.
+// noteStarted shares out anew once not many nodes are starting any more.
 func (g *Gateway) noteStarted(now time.Duration) {
-	if together := g.fleet.manyStarted(now); together != g.fleet.startedTogether {
-		g.fleet.startedTogether = together
+	if starting := g.fleet.manyStarting(now); starting != g.fleet.wereStarting {
+		g.fleet.wereStarting = starting
 		g.shareAmongNodes()
 	}
 }
--- a/internal/gateway/fleet_share.go
+++ b/internal/gateway/fleet_share.go
@@ -66,10 +66,10 @@
 			near++
 		}
 	}
-	startedTogether := g.fleet.manyStarted(g.now())
-	g.replicas.SetManyStarting(startedTogether)
+	manyStarting := g.fleet.manyStarting(g.now())
+	g.replicas.SetManyStarting(manyStarting)
 	part := 1
-	if startedTogether {
+	if manyStarting {
 		part = settings.Fleet.YoungPart
 	}
 	if !settings.Fleet.ShareConnections {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -6,7 +6,8 @@
 // that are guarded by it don't lock; methods of the gateway that use them lock, or are called by one that does.
 //
 // Requests:
-//   - call.go, serve.go, starting.go, trial.go, run_node.go: a call from its arrival to its answer.
+//   - call.go, serve.go, starting.go, trial.go, run.go, run_node.go, attempt.go: a call from its arrival to its answer.
+//   - refusals.go, outcome.go: how it is refused, and what its end is called.
 //
 // What a node knows, each matter a type in a file of its own:
 //   - store_copy.go: storeCopy, what is known of the store and how old that is. store_reading.go carries out the calls to the
@@ -18,7 +19,7 @@
 //     quarantine_evidence.go: evidenceSchedule, when other nodes are told.
 //   - health_reports.go: healthReports, what other nodes are told of slow and faulty back ends.
 //   - maintain.go ends doubts that are over; wakes.go notices that the machine was suspended.
-//   - belief.go and decision_log.go: what is shown of all that.
+//   - status.go and decision_log.go: what is shown of all that.
 package gateway
 
 import (
--- /dev/null
+++ b/internal/gateway/outcome.go
@@ -0,0 +1,25 @@
+package gateway
+
+import "strconv"
+
+// Outcomes of requests, beside the codes of failures and the statuses of single back ends.
+const (
+	OutcomeGone     = "caller_gone"
+	OutcomePartial  = "partial"
+	OutcomeComplete = "complete"
+)
+
+// Outcome names how a request ended.
+func (r *Result) Outcome() string {
+	switch {
+	case r.CallerGone:
+		return OutcomeGone
+	case r.Failure != nil:
+		return string(r.Failure.Code)
+	case r.Missing > 0:
+		return OutcomePartial
+	case r.Passed != nil:
+		return strconv.Itoa(r.Passed.Status)
+	}
+	return OutcomeComplete
+}
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -41,8 +41,8 @@
 	Waits Waits
 	// DoubtFor is how long an entry that vanished without proof that its back end leaves is used on at most.
 	DoubtFor time.Duration
-	// DoubtOldFor is how long after the store was restored from a backup it may name back ends that have left.
-	DoubtOldFor time.Duration
+	// DistrustDepartedFor is how long after the store was restored from a backup it may name back ends that have left.
+	DistrustDepartedFor time.Duration
 }
 
 // FleetSettings are those of what nodes do together.
@@ -130,7 +130,7 @@
 		Spread:     spreadSettings(s, waits),
 		Quarantine: quarantine.Settings{Rounds: s.QuarantineRounds, For: clock.Of(s.QuarantineFor)},
 		Copy: CopySettings{
-			Waits: waits, DoubtFor: doubtFor(s), DoubtOldFor: rewriteWithin.Duration() + oldIntervals*s.EntryInterval,
+			Waits: waits, DoubtFor: doubtFor(s), DistrustDepartedFor: rewriteWithin.Duration() + oldIntervals*s.EntryInterval,
 		},
 		Fleet: FleetSettings{
 			Watchers: s.Watchers, StoreTurns: s.StoreTurns, PeerCopies: s.PeerCopies, Reports: s.Reports,
--- a/internal/gateway/belief.go
+++ b/internal/gateway/status.go
@@ -1,7 +1,6 @@
 package gateway
 
 import (
-	"strconv"
 	"time"
 
 	"stiletrail/internal/clock"
@@ -9,7 +8,7 @@
 	"stiletrail/internal/replica"
 )
 
-// States of back ends in Belief.
+// States of back ends in a Status.
 const (
 	BackEndReady    = "ready"
 	BackEndDraining = "draining"
@@ -20,8 +19,8 @@
 	BackEndCold      = "cold"
 )
 
-// Belief is what a gateway believes at a moment, for metrics.
-type Belief struct {
+// Status is what a gateway knows at a moment, for metrics.
+type Status struct {
 	StoreRevision history.Revision
 	// StoreContactAge is the time since the store last answered, negative if it never did.
 	StoreContactAge time.Duration
@@ -38,18 +37,18 @@
 	Quarantined int
 }
 
-// Belief returns what the gateway believes now.
-func (g *Gateway) Belief() Belief {
+// Status returns what the gateway knows now.
+func (g *Gateway) Status() Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	belief := Belief{
+	status := Status{
 		StoreRevision: g.storeCopy.records.Revision(), StoreContactAge: g.storeCopy.reader.ContactAge(now),
 		CopyAge: g.storeCopy.age(now), Nodes: g.fleet.nodes, BackEnds: map[string]int{},
 		Quarantined: g.quarantine.Count(clock.Of(now)), EvacuatedZones: g.replicas.EvacuatedZones(),
 	}
-	g.replicas.All(func(known *replica.Replica) { belief.BackEnds[stateOf(now, known)]++ })
-	return belief
+	g.replicas.All(func(known *replica.Replica) { status.BackEnds[stateOf(now, known)]++ })
+	return status
 }
 
 func stateOf(now time.Duration, known *replica.Replica) string {
@@ -67,25 +66,3 @@
 	}
 	return BackEndReady
 }
-
-// Outcomes of requests, beside the codes of failures and the statuses of single back ends.
-const (
-	OutcomeGone     = "caller_gone"
-	OutcomePartial  = "partial"
-	OutcomeComplete = "complete"
-)
-
-// Outcome names how a request ended.
-func (r *Result) Outcome() string {
-	switch {
-	case r.CallerGone:
-		return OutcomeGone
-	case r.Failure != nil:
-		return string(r.Failure.Code)
-	case r.Missing > 0:
-		return OutcomePartial
-	case r.Passed != nil:
-		return strconv.Itoa(r.Passed.Status)
-	}
-	return OutcomeComplete
-}
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -19,7 +19,7 @@
 	if !entered {
 		return
 	}
-	g.replicas.DistrustDeparted(now + g.settings.Load().Copy.DoubtOldFor)
+	g.replicas.DistrustDeparted(now + g.settings.Load().Copy.DistrustDepartedFor)
 	g.quarantineWrites.rewriteClaims()
 	g.log.Returned(era)
 }
@@ -182,11 +182,11 @@
 		// A node that has just started: it must not serve before it knows what to send to nobody.
 		g.tellEvidenceTo(now, from)
 	}
-	known := g.storeCopy
-	age := known.age(now)
-	received := known.records.Receive(now, from, m, g.served(now))
+	c := g.storeCopy
+	age := c.age(now)
+	received := c.records.Receive(now, from, m, g.served(now))
 	g.enterRestoredEra(now)
-	doubt := known.doubtUntil(now, age, countGone(received.Records)+len(received.Gone), g.replicas.Len())
+	doubt := c.doubtUntil(now, age, countGone(received.Records)+len(received.Gone), g.replicas.Len())
 	for _, record := range received.Records {
 		if record.Gone {
 			g.vanished(now, record.Key, doubt)
@@ -199,9 +199,9 @@
 	}
 	g.takeKept(received.Kept)
 	if received.Advanced {
-		known.reader.Advance(known.records.Revision())
+		c.reader.Advance(c.records.Revision())
 		g.noteListed()
-		g.log.Learned(from, len(received.Records)+len(received.Gone), known.records.Revision())
+		g.log.Learned(from, len(received.Records)+len(received.Gone), c.records.Revision())
 	}
 	g.sendSpread(received.Sends)
 }
--- a/internal/gateway/store_reading.go
+++ b/internal/gateway/store_reading.go
@@ -74,37 +74,37 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now, known := g.now(), g.storeCopy
-	g.log.StoreAnswered(known.reader.ContactAge(now))
+	now, c := g.now(), g.storeCopy
+	g.log.StoreAnswered(c.reader.ContactAge(now))
 	if call.After == "" {
-		known.logRevision(call.Revision, page.At)
-		clear(known.listedKeys)
+		c.logRevision(call.Revision, page.At)
+		clear(c.listedKeys)
 	}
-	known.logOlder(page.Records)
+	c.logOlder(page.Records)
 	for _, record := range page.Records {
-		known.listedKeys[record.Key] = true
+		c.listedKeys[record.Key] = true
 		g.take(now, record)
 	}
-	if known.reader.Page(now, page.Last, page.At, page.More) {
+	if c.reader.Page(now, page.Last, page.At, page.More) {
 		g.listedAll(now)
 	}
 }
 
 // listedAll takes every known key that a whole listing did not name as vanished.
 func (g *Gateway) listedAll(now time.Duration) {
-	known := g.storeCopy
-	revision := known.reader.Revision()
-	g.log.Listed(len(known.listedKeys), revision)
-	gone := known.records.Listed(now, known.listedKeys, revision)
-	age := known.age(now)
+	c := g.storeCopy
+	revision := c.reader.Revision()
+	g.log.Listed(len(c.listedKeys), revision)
+	gone := c.records.Listed(now, c.listedKeys, revision)
+	age := c.age(now)
 	// Whether the store was restored, which decides what it means that something is gone, is known from here on.
-	sends := known.records.Advance(now, revision)
+	sends := c.records.Advance(now, revision)
 	g.enterRestoredEra(now)
-	doubt := known.doubtUntil(now, age, len(gone), g.replicas.Len())
+	doubt := c.doubtUntil(now, age, len(gone), g.replicas.Len())
 	for _, key := range gone {
 		g.vanished(now, key, doubt)
 	}
-	clear(known.listedKeys)
+	clear(c.listedKeys)
 	g.noteListed()
 	g.sendSpread(sends)
 	g.confirmed(now, revision, nil)
@@ -126,16 +126,16 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now, known := g.now(), g.storeCopy
-	g.log.StoreAnswered(known.reader.ContactAge(now))
-	if !known.reader.Changes(now, call.Revision, at, len(records)) {
+	now, c := g.now(), g.storeCopy
+	g.log.StoreAnswered(c.reader.ContactAge(now))
+	if !c.reader.Changes(now, call.Revision, at, len(records)) {
 		// The number that the watch went on from is one of another era: what the store had before it there is not known.
-		known.logRevision(call.Revision, at)
+		c.logRevision(call.Revision, at)
 		return
 	}
-	known.logOlder(records)
-	g.takeChanges(now, records, known.doubtUntil(now, known.age(now), countGone(records), g.replicas.Len()))
-	g.sendSpread(known.records.Advance(now, known.reader.Revision()))
+	c.logOlder(records)
+	g.takeChanges(now, records, c.doubtUntil(now, c.age(now), countGone(records), g.replicas.Len()))
+	g.sendSpread(c.records.Advance(now, c.reader.Revision()))
 	g.confirmed(now, call.Revision, records)
 }
 
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -47,7 +47,7 @@
 		s.store.put(configuration(2))
 		s.store.set(func(s *fakeStore) { s.silent = false })
 		machine.suspend(away)
-		if age := s.gateway.Belief().CopyAge.Duration(); age < away {
+		if age := s.gateway.Status().CopyAge.Duration(); age < away {
 			t.Errorf("after %v the copy passes for %v old", away, age)
 		}
 		time.Sleep(soon)
--- a/internal/gateway/traffic_test.go
+++ b/internal/gateway/traffic_test.go
@@ -88,8 +88,8 @@
 		}
 		time.Sleep(41 * time.Second)
 		for number, g := range c.gateways {
-			if g.BackEndsKnown() != backEnds || g.Belief().Nodes != nodes {
-				t.Errorf("node %d knows %d back ends and %d nodes", number, g.BackEndsKnown(), g.Belief().Nodes)
+			if g.BackEndsKnown() != backEnds || g.Status().Nodes != nodes {
+				t.Errorf("node %d knows %d back ends and %d nodes", number, g.BackEndsKnown(), g.Status().Nodes)
 			}
 		}
 		all, far := sent.all/nodes, sent.far/nodes
@@ -138,7 +138,7 @@
 		time.Sleep(within - 300*time.Millisecond)
 		know := 0
 		for _, g := range c.gateways {
-			if g.Belief().Quarantined > 0 {
+			if g.Status().Quarantined > 0 {
 				know++
 			}
 		}
--- a/internal/gateway/watch_assignment.go
+++ b/internal/gateway/watch_assignment.go
@@ -87,11 +87,11 @@
 // confirmed takes in that the store has told all changes after a revision, and tells the group: also the watchers of it, whose
 // own watches may have fallen silent.
 func (g *Gateway) confirmed(now time.Duration, since history.Revision, records []message.StoreRecord) {
-	known, watch := g.storeCopy, &g.fleet.watch
-	known.records.Confirm(now)
-	known.logStaleness(now)
+	c, watch := g.storeCopy, &g.fleet.watch
+	c.records.Confirm(now)
+	c.logStaleness(now)
 	if watch.watches && g.settings.Load().Fleet.PeerCopies {
-		g.sendSpread(known.records.Tell(now, watch.receivers, since, records))
-		g.sendSpread(known.records.Tell(now, watch.notified, since, nil))
+		g.sendSpread(c.records.Tell(now, watch.receivers, since, records))
+		g.sendSpread(c.records.Tell(now, watch.notified, since, nil))
 	}
 }
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -184,12 +184,12 @@
 const quietFactor = 10
 
 // Tick takes in the passing of time. Served says whether the store's changes come to this node; if not, others are asked at
-// once. Told says that watchers tell it of them: what it knows is news to hardly anyone.
-func (c *Core) Tick(now time.Duration, served, told bool) []Send {
+// once. WatchersTell says that watchers tell it of them: what it knows is news to hardly anyone.
+func (c *Core) Tick(now time.Duration, served, watchersTell bool) []Send {
 	var sends []Send
 	if now >= c.nextDigest {
 		c.nextDigest = now + c.settings.Interval
-		if told {
+		if watchersTell {
 			c.nextDigest = now + quietFactor*c.settings.Interval
 		}
 		c.forget(now)
