--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -109,12 +109,12 @@
 	if s.err != nil {
 		return false, s.err
 	}
-	if _, there := s.items[w.Key]; there && w.First {
+	if _, there := s.items[w.Key]; there && w.IfAbsent {
 		return false, nil
 	}
 	s.note(message.StoreRecord{Key: w.Key, Value: w.Value})
 	lease := s.revision
-	time.AfterFunc(w.For.Duration(), func() {
+	time.AfterFunc(w.Lease.Duration(), func() {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
 		if s.items[w.Key].Revision.Number == lease {
--- a/internal/gateway/quarantine_writes.go
+++ b/internal/gateway/quarantine_writes.go
@@ -148,7 +148,7 @@
 
 // claimWrite is the write by which a node is let do something that is for one node alone.
 func claimWrite(key string, length clock.Ms) Write {
-	return Write{Key: key, Value: []byte("{}"), For: length, First: true}
+	return Write{Key: key, Value: []byte("{}"), Lease: length, IfAbsent: true}
 }
 
 // writeQuarantines writes quarantines to the store until the context ends, so that nodes that start know them.
@@ -178,12 +178,12 @@
 	defer g.mu.Unlock()
 	now := clock.Of(g.now())
 	unstored := g.quarantine.Unstored(now)
-	add := func(mark quarantine.Mark, first bool) {
+	add := func(mark quarantine.Mark, ifAbsent bool) {
 		length, held := g.quarantine.Held(now, mark)
 		if !held {
 			return
 		}
-		w := Write{Key: quarantine.KeyOf(mark), Value: g.quarantine.Encode(mark), For: length, First: first}
+		w := Write{Key: quarantine.KeyOf(mark), Value: g.quarantine.Encode(mark), Lease: length, IfAbsent: ifAbsent}
 		writes = append(writes, markedWrite{mark, w})
 	}
 	for _, mark := range g.quarantineWrites.takeDue(now, unstored, g.fleet.nodes) {
@@ -217,7 +217,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.log.QuarantineLost(w.mark, failure.From(err))
-	if !w.First {
+	if !w.IfAbsent {
 		g.quarantineWrites.settle(w.mark, true)
 	}
 }
--- a/internal/gateway/store.go
+++ b/internal/gateway/store.go
@@ -15,21 +15,23 @@
 	Records []message.StoreRecord
 	// Last key of the page, from which the next one goes on.
 	Last string
+	// At is the revision of the store when the page was read; More says that other pages follow.
 	At   history.Revision
 	More bool
 }
 
-// Write is something that a node keeps in the store.
+// Write is something that a node keeps in the store: a quarantine or a claim.
 type Write struct {
 	Key   string
 	Value []byte
-	// For is how long it stays at most.
-	For clock.Ms
-	// First: it is written only where there is nothing yet.
-	First bool
+	// Lease is how long it stays at most.
+	Lease clock.Ms
+	// IfAbsent: it is written only where there is nothing yet.
+	IfAbsent bool
 }
 
-// Store is read for the configuration and the back ends. Failures have the code STORE_UNAVAILABLE; Trouble tells their kind.
+// Store is read for the configuration, the back ends and evacuated zones; nodes keep quarantines and claims of retrials there.
+// Failures have the code STORE_UNAVAILABLE or, where an answer cannot be read, MALFORMED; Trouble tells their kind.
 type Store interface {
 	// List reads the page of keys after one. Known is the revision that the node knows, by which the answer is told from one of an
 	// earlier era.
