--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -43,8 +43,6 @@
 	mutex   sync.Mutex
 	clients map[string]stiletrailv1connect.BackEndServiceClient
 	cancels map[uint64]context.CancelFunc
-	// Written counts the attempts of which a byte may have been written.
-	Written atomic.Uint64
 }
 
 // NewClient returns a client that keeps at most so many connections to each back end.
@@ -108,7 +106,6 @@
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		connection.Store(&info.Conn)
 		written.Store(true)
-		c.Written.Add(1)
 	}}
 	deadline, _ := ctx.Deadline()
 	remaining := time.Until(deadline)
--- a/internal/scatter/ask.go
+++ b/internal/scatter/ask.go
@@ -57,9 +57,7 @@
 func (q *Query) sendSubQuery(now time.Duration, owner triedOwner, shards []uint32) {
 	id := q.environment.NextID()
 	remaining := q.request.Deadline - answerMargin - now
-	q.subQueries[id] = &subQuery{
-		group: owner.group, dispatcher: owner.dispatcher, shards: shards, waitUntil: now + q.patience(remaining),
-	}
+	q.subQueries[id] = &subQuery{dispatcher: owner.dispatcher, shards: shards, waitUntil: now + q.patience(remaining)}
 	q.order = append(q.order, id)
 	for _, number := range shards {
 		q.shards[number].live++
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -89,7 +89,6 @@
 }
 
 type subQuery struct {
-	group      uint32
 	dispatcher string
 	shards     []uint32
 	// heard: something came back.
