--- a/internal/dispatch/finish.go
+++ b/internal/dispatch/finish.go
@@ -28,7 +28,7 @@
 func (c *Core) finish(now time.Duration, q *subQuery, reason query.Reason) {
 	answer := &message.SubAnswer{
 		ID: q.id, Snapshot: q.request.Snapshot, Done: true, ShardAttempts: q.shardAttempts,
-		NotRun: q.mayHaveRun == 0, RetryAfterMilliseconds: uint32(q.retryAfter.Milliseconds()),
+		NotRun: q.unproved == 0, RetryAfterMilliseconds: uint32(q.retryAfter.Milliseconds()),
 	}
 	versionLost := false
 	for _, shard := range q.request.Shards {
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -20,7 +20,7 @@
 	}
 	status := c.verify(a, result)
 	if status.NotRun() {
-		a.subQuery.mayHaveRun--
+		a.subQuery.unproved--
 	}
 	c.release(a.subQuery, a.shards)
 	c.noteOutcome(now, a, status, result)
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -85,7 +85,7 @@
 	a := &attempt{number: c.number, subQuery: q, backEnd: b, group: q.group, shards: it.shards, startedAt: now, hedge: it.hedge}
 	c.attempts[a.number] = a
 	q.attempts = append(q.attempts, a)
-	q.mayHaveRun++
+	q.unproved++
 	q.shardAttempts += uint32(len(it.shards))
 	b.window.Start()
 	c.Counters.Attempts++
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -36,7 +36,7 @@
 
 // mayRetry decides whether some shards are asked for again, and takes that from the budget.
 func (c *Core) mayRetry(now time.Duration, q *subQuery, status query.Status, shards int) bool {
-	if now >= q.deadline || q.request.Execute && q.mayHaveRun > 0 {
+	if now >= q.deadline || q.request.Execute && q.unproved > 0 {
 		return false
 	}
 	return !costsBudget(status) || q.group.retries.Spend(shards)
--- a/internal/dispatch/subquery.go
+++ b/internal/dispatch/subquery.go
@@ -17,8 +17,8 @@
 	deadline time.Duration
 	shards   map[uint32]*shardState
 	attempts []*attempt
-	// mayHaveRun counts the attempts that were handed out and are not proved not to have run.
-	mayHaveRun int
+	// unproved counts the attempts that were handed out and are not proved not to have run.
+	unproved int
 	// shardAttempts counts the shards asked of back ends, hedges and retries included.
 	shardAttempts uint32
 	// retryAfter is the longest that a back end has asked for.
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -75,6 +75,7 @@
 	done       bool
 }
 
+// shard is what became of a shard so far: it is answered, or live, or missing for a reason.
 type shard struct {
 	answered bool
 	reason   query.Reason
@@ -83,11 +84,13 @@
 	tried []triedOwner
 }
 
+// triedOwner is a dispatcher of a group that was asked for a shard.
 type triedOwner struct {
 	group      uint32
 	dispatcher string
 }
 
+// subQuery is what one dispatcher was asked for.
 type subQuery struct {
 	dispatcher string
 	shards     []uint32
