--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -327,7 +327,7 @@
 		"./internal/gateway", "TestRefusedThoughSlotsAreFree",
 	},
 	{
-		"hearsay goes before what a node met itself", "internal/replica/slowdown.go",
+		"hearsay goes before what a node met itself", "internal/replica/report.go",
 		"if seenAt > r.slowdown.at && (r.load.at == 0 || now-r.load.at > firstHandFor) {", "if seenAt > r.slowdown.at {",
 		"./internal/replica", "TestHeardToBeSlow",
 	},
