--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -95,7 +95,7 @@
 		"./internal/gateway", "TestRetrialLostWithACopy",
 	},
 	{
-		"a lease of an earlier era is relied on", "platform/store.go",
+		"a lease of an earlier era is relied on", "platform/storewrite.go",
 		"return a == b || a != nil && b != nil && *a == *b", "return a == b || a != nil || b != nil",
 		"./platform", "TestWritesAcrossEras",
 	},
