--- a/cmd/stiletrail-gateway/peers.go
+++ b/cmd/stiletrail-gateway/peers.go
@@ -10,11 +10,12 @@
 	"stiletrail/internal/transport"
 )
 
-// peerCloseTime is for the end of connections to other nodes; a peer that does not answer must not hold up the end of the process.
+// peerCloseTime is for the end of connections to other nodes; a peer that does not answer must not hold up the end of
+// the process.
 const peerCloseTime = 50 * time.Millisecond
 
-// join listens for other nodes and makes the node a member, where the settings name an address for that. It returns the count of what is
-// exchanged with them, nil where they name none.
+// join listens for other nodes and makes the node a member, where the settings name an address for that. It returns the
+// count of what is exchanged with them, nil where they name none.
 func join(node *gateway.Gateway, loaded settings.Gateway) (closePeers func(), frames *transport.Counters, err error) {
 	if loaded.PeerAddress == "" {
 		return func() {}, nil, nil
--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -1,7 +1,8 @@
 // Package decisionlog writes one JSON line for each decision that touches a request or changes what the process believes.
 //
-// It owns the names of events and fields (names.go), which explain reads, the bounds on the number of lines (bounds.go), and the writer. Lines never block what
-// they tell of: they are handed to the writer's goroutine through a buffer of fixed size, and what finds it full is dropped and counted (writer.go).
+// It owns the names of events and fields (names.go), which explain reads, the bounds on the number of lines
+// (bounds.go), and the writer. Lines never block what they tell of: they are handed to the writer's goroutine through a
+// buffer of fixed size, and what finds it full is dropped and counted (writer.go).
 package decisionlog
 
 import (
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -24,11 +24,13 @@
 	fieldCopyAge  = "copy_age_ms"
 	fieldNode     = "node"
 	fieldPeer     = "peer"
-	// fieldMark is the same for requests that ask the same for the same caller, fieldRan how long an attempt was at a back end, in milliseconds.
+	// fieldMark is the same for requests that ask the same for the same caller, fieldRan how long an attempt was at a
+	// back end, in milliseconds.
 	fieldMark   = "mark"
 	fieldCaller = "caller"
 	fieldRan    = "ran_ms"
-	// What a request was turned away by, in hundredths: shards lacking of those that may lack, attempts shed, and the share turned away.
+	// What a request was turned away by, in hundredths: shards lacking of those that may lack, attempts shed, and the
+	// share turned away.
 	fieldLacking = "lacking_percent"
 	fieldShed    = "shed_percent"
 	fieldShare   = "turned_away_percent"
@@ -36,7 +38,8 @@
 	// fieldSettings are those in force, fieldWithoutEffect the names of removed ones that the file gives all the same.
 	fieldSettings      = "settings"
 	fieldWithoutEffect = "settings_without_effect"
-	// fieldItems counts items of the store, fieldRoutes those of a configuration, fieldAlive members that are alive, this node among them.
+	// fieldItems counts items of the store, fieldRoutes those of a configuration, fieldAlive members that are alive,
+	// this node among them.
 	fieldItems  = "items"
 	fieldRoutes = "routes"
 	fieldAlive  = "alive"
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -4,10 +4,11 @@
 // request is written to exactly one connection, and the caller learns whether any byte of it was written. Requests are written
 // and answers parsed by net/http.
 //
-// It owns the connections to back ends. A connection belongs to the exchange that uses it (connection.go), between exchanges to the pool, which closes it when
-// it has been idle for as long as it may (pool.go); one that leaves anything in doubt is closed. What bounds the waits: Request.ConnectTimeout the opening of a
-// connection, Request.Deadline and the context all of an exchange, userTimeout bytes that nobody acknowledges. It reads the machine's clocks and does network
-// I/O; a Pool has a lock of its own, which is not held during I/O.
+// It owns the connections to back ends. A connection belongs to the exchange that uses it (connection.go), between
+// exchanges to the pool, which closes it when it has been idle for as long as it may (pool.go); one that leaves
+// anything in doubt is closed. What bounds the waits: Request.ConnectTimeout the opening of a connection,
+// Request.Deadline and the context all of an exchange, userTimeout bytes that nobody acknowledges. It reads the
+// machine's clocks and does network I/O; a Pool has a lock of its own, which is not held during I/O.
 package exchange
 
 import (
@@ -52,8 +53,8 @@
 	ConnectTimeout time.Duration
 	// Prove has a new connection wait for a way there and back before it is used: a back end at its limit has closed it by then.
 	Prove bool
-	// Once: the request cannot be sent again if nothing comes back. It goes over a connection that has carried an answer within provenWithin, or
-	// over a new one: a connection that has been idle for longer may have fallen silent.
+	// Once: the request cannot be sent again if nothing comes back. It goes over a connection that has carried an
+	// answer within provenWithin, or over a new one: a connection that has been idle for longer may have fallen silent.
 	Once bool
 	// Prepare builds the message at the moment at which it is written, when the connection is there.
 	Prepare func() (*http.Request, error)
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -9,8 +9,8 @@
 	"stiletrail/internal/clock"
 )
 
-// defaultProvenWithin is how long after an answer a connection counts as sound for a request that cannot be sent again. A new connection costs it
-// only a way there and back; without an answer it is lost.
+// defaultProvenWithin is how long after an answer a connection counts as sound for a request that cannot be sent again.
+// A new connection costs it only a way there and back; without an answer it is lost.
 const defaultProvenWithin = 250 * time.Millisecond
 
 // Pool keeps idle connections by address. It is safe for concurrent use.
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,4 +1,5 @@
-// Package explain finds in the logs of some nodes what decided the fate of one request. It reads lines that decisionlog wrote, of any release, and keeps nothing.
+// Package explain finds in the logs of some nodes what decided the fate of one request. It reads lines that decisionlog
+// wrote, of any release, and keeps nothing.
 package explain
 
 import (
@@ -99,8 +100,8 @@
 	return lines, nil
 }
 
-// background is what the node of a request believed when it decided: the last line of each matter before the request. What it believed
-// in an earlier life is left out, but for how it stood with the store.
+// background is what the node of a request believed when it decided: the last line of each matter before the request.
+// What it believed in an earlier life is left out, but for how it stood with the store.
 func background(before []line, request *line) []string {
 	last := map[string]*line{}
 	var order []string
--- a/internal/limit/sliding.go
+++ b/internal/limit/sliding.go
@@ -14,8 +14,9 @@
 //	slack     extra attempts beyond the share: this node's part of the setting retry_slack    gateway.Settings.RetrySlack
 //	keptBack  the part, from 0 to 1, that hedges leave to retries; 0 for a retry              gateway.Settings.HedgeReserve
 
-// A window is counted in parts. The present part is not over, so that the last windowParts reach back for less than a window, and one more for
-// more than one: requests are counted in the former and extra attempts in the latter, which makes the sum hold for any window, wherever it begins.
+// A window is counted in parts. The present part is not over, so that the last windowParts reach back for less than a
+// window, and one more for more than one: requests are counted in the former and extra attempts in the latter, which
+// makes the sum hold for any window, wherever it begins.
 const (
 	windowParts = 10
 	partsKept   = windowParts + 1
--- a/internal/overview/overview.go
+++ b/internal/overview/overview.go
@@ -1,5 +1,6 @@
-// Package overview tells operators what some nodes believe, side by side, from their metrics: which configuration and which moment of the store each goes by,
-// and what it knows of back ends and zones. It reads metrics that telemetry served; it asks nobody itself and keeps nothing.
+// Package overview tells operators what some nodes believe, side by side, from their metrics: which configuration and
+// which moment of the store each goes by, and what it knows of back ends and zones. It reads metrics that telemetry
+// served; it asks nobody itself and keeps nothing.
 package overview
 
 import (
@@ -22,8 +23,8 @@
 	Ready   bool   `json:"ready"`
 	// Version of the configuration in force, 0 without one.
 	Version uint64 `json:"version"`
-	// Era and Revision of the store up to which the node knows all changes; CopyAge is how long ago its copy was last known to be complete,
-	// negative if it never was.
+	// Era and Revision of the store up to which the node knows all changes; CopyAge is how long ago its copy was last
+	// known to be complete, negative if it never was.
 	Era      uint64   `json:"era"`
 	Revision uint64   `json:"revision"`
 	CopyAge  clock.Ms `json:"copy_age_ms"`
@@ -82,8 +83,8 @@
 	return metric.GetUntyped().GetValue() + metric.GetGauge().GetValue() + metric.GetCounter().GetValue()
 }
 
-// Differences says in what the nodes that were asked do not agree, a line for each matter. For some seconds that is how news spreads; for longer a node misses
-// something.
+// Differences says in what the nodes that were asked do not agree, a line for each matter. For some seconds that is how
+// news spreads; for longer a node misses something.
 func Differences(nodes []Node) []string {
 	lines := []string{}
 	for _, matter := range []struct {
--- a/internal/replica/connections.go
+++ b/internal/replica/connections.go
@@ -13,8 +13,8 @@
 	farPart = 8
 	// farIdleFor is how long a connection to a far replica is idle where the share is not ample.
 	farIdleFor = clock.Second
-	// connectionsDoubtedFor is how long new connections must prove themselves after one was turned away: back ends count those of lives that ended for some
-	// seconds.
+	// connectionsDoubtedFor is how long new connections must prove themselves after one was turned away: back ends
+	// count those of lives that ended for some seconds.
 	connectionsDoubtedFor = 4 * time.Second
 )
 
@@ -25,8 +25,9 @@
 	Far  int
 }
 
-// NewConnectionShare divides the connections that a back end accepts among nodes, so many of them in its own region; no node gets more than most. Where that
-// leaves hardly one for each, those of its own region, which send it nearly all its requests, get what the others need only now and then.
+// NewConnectionShare divides the connections that a back end accepts among nodes, so many of them in its own region; no
+// node gets more than most. Where that leaves hardly one for each, those of its own region, which send it nearly all
+// its requests, get what the others need only now and then.
 func NewConnectionShare(connections, nodes, nearNodes, most int) ConnectionShare {
 	each := min(max(connections/nodes, 1), most)
 	if each >= ampleShare {
@@ -66,9 +67,10 @@
 	For clock.Ms
 }
 
-// IdleLimit of connections to a replica. Where the share is not ample, one is kept, and at a far replica only for a while: an idle one takes the place of
-// connections that other nodes need, and after a loss of power the back end counts it on for seconds. None at all would have each hedge open one, which under
-// load takes the slots that the hedge is for.
+// IdleLimit of connections to a replica. Where the share is not ample, one is kept, and at a far replica only for a
+// while: an idle one takes the place of connections that other nodes need, and after a loss of power the back end
+// counts it on for seconds. None at all would have each hedge open one, which under load takes the slots that the hedge
+// is for.
 func (s *Set) IdleLimit(r *Replica) IdleLimit {
 	share := s.connectionShare(r.Service)
 	switch {
@@ -80,8 +82,8 @@
 	return IdleLimit{Most: 1, For: farIdleFor}
 }
 
-// MustProve reports whether a new connection to the replica must prove itself before it is used, since the replica may be at the limit of the connections that
-// it takes.
+// MustProve reports whether a new connection to the replica must prove itself before it is used, since the replica may
+// be at the limit of the connections that it takes.
 func (s *Set) MustProve(now time.Duration, r *Replica) bool {
 	return s.settings.Prove && (s.manyStarting || now < r.connectionsDoubtedUntil)
 }
--- a/internal/replica/departed.go
+++ b/internal/replica/departed.go
@@ -2,9 +2,11 @@
 
 import "time"
 
-// A back end that has left never comes back by its id; what may still name it is an old copy of the store, from which it is no longer renewed.
+// A back end that has left never comes back by its id; what may still name it is an old copy of the store, from which
+// it is no longer renewed.
 const (
-	// departedFor is how long it is remembered that a back end has left: the copies that a store comes back from are some seconds old.
+	// departedFor is how long it is remembered that a back end has left: the copies that a store comes back from are
+	// some seconds old.
 	departedFor = time.Minute
 	// mostDeparted are remembered at most: thirty times as many as a large fleet sees in a minute.
 	mostDeparted = 1024
@@ -18,7 +20,8 @@
 	entry    Entry
 }
 
-// DistrustDeparted has entries of back ends that have left put aside until a moment, as old ones: the store has come back from a copy.
+// DistrustDeparted has entries of back ends that have left put aside until a moment, as old ones: the store has come
+// back from a copy.
 func (s *Set) DistrustDeparted(until time.Duration) { s.distrustedUntil = until }
 
 // noteDeparted remembers that a back end has left.
@@ -50,7 +53,8 @@
 	}
 }
 
-// Readmit takes those entries in that were put aside and that the store still names, and returns them: their back ends live. It forgets who left long ago.
+// Readmit takes those entries in that were put aside and that the store still names, and returns them: their back ends
+// live. It forgets who left long ago.
 func (s *Set) Readmit(now time.Duration) (readmitted []Entry) {
 	if now < s.distrustedUntil {
 		return nil
--- a/internal/replica/doubt.go
+++ b/internal/replica/doubt.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// doubt is about an entry that has vanished without proof that the back end leaves: a store in trouble may lose entries of back ends that are well.
+// doubt is about an entry that has vanished without proof that the back end leaves: a store in trouble may lose entries
+// of back ends that are well.
 type doubt struct {
 	doubtful bool
 	// until is how long the replica is used on, as a second choice.
 	until time.Duration
 }
 
-// Remove takes in that an entry has vanished. It is used on until a moment, as a second choice; not at all where that is not later than now. It reports whether
-// that changed anything.
+// Remove takes in that an entry has vanished. It is used on until a moment, as a second choice; not at all where that
+// is not later than now. It reports whether that changed anything.
 func (s *Set) Remove(now time.Duration, id string, until time.Duration) bool {
 	known := s.byID[id]
 	if known == nil {
--- a/internal/replica/faults.go
+++ b/internal/replica/faults.go
@@ -14,8 +14,8 @@
 	mostFaults = 0.9
 )
 
-// faultRate is the share of the attempts of late at a replica that failed: that were lost, answered wrongly, or refused though the replica told of free
-// slots. Being full is no fault.
+// faultRate is the share of the attempts of late at a replica that failed: that were lost, answered wrongly, or refused
+// though the replica told of free slots. Being full is no fault.
 type faultRate struct {
 	rate float64
 	// at is when the rate was so.
--- a/internal/replica/pick.go
+++ b/internal/replica/pick.go
@@ -35,7 +35,8 @@
 	coldFactor = 1.6
 	// unstatedTarget stands for the target latency of a route that states none.
 	unstatedTarget = 250 * time.Millisecond
-	// otherZonePart of the price of another region is that of another zone of the own one, which takes less time, and whose traffic costs less.
+	// otherZonePart of the price of another region is that of another zone of the own one, which takes less time, and
+	// whose traffic costs less.
 	otherZonePart = 0.08
 )
 
@@ -61,7 +62,8 @@
 	return !slices.Contains(c.Excluded, r) && (len(c.Only) == 0 || slices.Contains(c.Only, r))
 }
 
-// Pick returns the best replica of a service that the choice allows, or nil. Busy is set where there are replicas but none has room for another attempt.
+// Pick returns the best replica of a service that the choice allows, or nil. Busy is set where there are replicas but
+// none has room for another attempt.
 func (s *Set) Pick(now time.Duration, service string, choice Choice) (best *Replica, busy bool) {
 	target := choice.Target
 	if target == 0 {
@@ -116,7 +118,8 @@
 	return rankGood
 }
 
-// score is the latency expected of one more attempt with the prices of distance and of faults, in nanoseconds. It draws one random number.
+// score is the latency expected of one more attempt with the prices of distance and of faults, in nanoseconds. It draws
+// one random number.
 func (s *Set) score(now time.Duration, r *Replica, target time.Duration) float64 {
 	expected := float64(r.Expected(now)) * float64(1+len(r.inFlight))
 	if s.settings.UseSlowdown {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -59,14 +59,15 @@
 // Floor is the least that an answer of the replica takes: the way there and back.
 func (r *Replica) Floor() time.Duration { return r.latency.floor }
 
-// Least is the least that an answer takes by what is known now. Answers that came while this node stood still say that it takes seconds, and who goes by
-// that for good makes no attempt that would show otherwise; so what was learned decays.
+// Least is the least that an answer takes by what is known now. Answers that came while this node stood still say that
+// it takes seconds, and who goes by that for good makes no attempt that would show otherwise; so what was learned
+// decays.
 func (r *Replica) Least(now time.Duration) time.Duration {
 	return r.latency.decay(now, r.latency.floor)
 }
 
-// Expected is the latency expected of an attempt: the average, decayed while the replica is unused, and no less than the age of the oldest attempt without an
-// answer.
+// Expected is the latency expected of an attempt: the average, decayed while the replica is unused, and no less than
+// the age of the oldest attempt without an answer.
 func (r *Replica) Expected(now time.Duration) time.Duration {
 	expected := r.latency.expected(now)
 	if len(r.inFlight) > 0 {
--- a/internal/replica/report.go
+++ b/internal/replica/report.go
@@ -8,7 +8,8 @@
 // Key is by what nodes tell each other of the replica.
 func (r *Replica) Key() uint64 { return r.key }
 
-// Health is what nodes tell each other of the replica: how long work takes there as a multiple of the usual, and the share of its attempts of late that failed.
+// Health is what nodes tell each other of the replica: how long work takes there as a multiple of the usual, and the
+// share of its attempts of late that failed.
 func (r *Replica) Health(now time.Duration) (slowdown, faults float64) {
 	return r.slowdown.now(now, r.affinity), r.faults.now(now)
 }
--- a/internal/replica/set.go
+++ b/internal/replica/set.go
@@ -1,10 +1,13 @@
-// Package replica keeps what a node believes of the back ends of each service, and picks one for an attempt: see pick.go for the rule.
+// Package replica keeps what a node believes of the back ends of each service, and picks one for an attempt: see
+// pick.go for the rule.
 //
-// It owns the back ends that the store names, those that left it of late, and what attempts at each have shown: latency, slowdown, faults, ejection. It goes by
-// the entries, loads, verdicts on attempts, reports of other nodes and shares that its caller hands in.
+// It owns the back ends that the store names, those that left it of late, and what attempts at each have shown:
+// latency, slowdown, faults, ejection. It goes by the entries, loads, verdicts on attempts, reports of other nodes and
+// shares that its caller hands in.
 //
-// It does no I/O, has no goroutines and reads no clock: times are of the caller's monotonic clock, as durations from an arbitrary start. Random numbers are
-// drawn from the caller's source, one for each replica that Pick scores. It is not safe for concurrent use.
+// It does no I/O, has no goroutines and reads no clock: times are of the caller's monotonic clock, as durations from an
+// arbitrary start. Random numbers are drawn from the caller's source, one for each replica that Pick scores. It is not
+// safe for concurrent use.
 package replica
 
 import (
@@ -70,8 +73,9 @@
 // Draw returns a random number from 0 to 1, of the set's own source.
 func (s *Set) Draw() float64 { return s.random.Float64() }
 
-// Put takes in an entry as it is now. It reports whether anything changed that a choice goes by. A back end that leaves does not change its mind: an entry that
-// says otherwise is older, from a copy of the store or a write that was held up.
+// Put takes in an entry as it is now. It reports whether anything changed that a choice goes by. A back end that leaves
+// does not change its mind: an entry that says otherwise is older, from a copy of the store or a write that was held
+// up.
 func (s *Set) Put(now time.Duration, entry Entry) bool {
 	known := s.byID[entry.ID]
 	if known == nil && s.putAside(now, entry) {
--- a/internal/replica/slowdown.go
+++ b/internal/replica/slowdown.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// slowdownFor is how long a slowdown counts that nobody tells again. Each node has a time of its own up to twice that, so that one tries a slow back end
-// first and tells the others.
+// slowdownFor is how long a slowdown counts that nobody tells again. Each node has a time of its own up to twice that,
+// so that one tries a slow back end first and tells the others.
 const slowdownFor = 2 * time.Second
 
 // slowdown is how long work takes at a replica as a multiple of the usual, as the replica told it, or another node that asked it.
--- a/internal/replica/subset.go
+++ b/internal/replica/subset.go
@@ -11,12 +11,13 @@
 // outsidePenalty is by how much a near replica outside the subset must be better.
 const outsidePenalty = 40 * time.Millisecond
 
-// affinity orders the replicas of a service for one node by rendezvous hashing: nodes spread over replicas without an exchange, and
-// one that comes or goes changes little.
+// affinity orders the replicas of a service for one node by rendezvous hashing: nodes spread over replicas without an
+// exchange, and one that comes or goes changes little.
 func affinity(node, id string) uint64 { return xxhash.Sum64String(node + "/" + id) }
 
-// preferSubset chooses the near replicas of a service that this node prefers. With many replicas and few requests a node would else
-// use each so rarely that connections are idle until they are closed, and nearly every request opens one.
+// preferSubset chooses the near replicas of a service that this node prefers. With many replicas and few requests a
+// node would else use each so rarely that connections are idle until they are closed, and nearly every request opens
+// one.
 func (s *Set) preferSubset(service string) {
 	members := s.byService[service]
 	var near []*Replica
--- a/internal/replica/warmup.go
+++ b/internal/replica/warmup.go
@@ -15,8 +15,9 @@
 	Rate float64
 }
 
-// coldWindow is the time in which a node counts its attempts at a cold back end. The bound is on arrivals within a second; attempts of a little more
-// than that may arrive within one, since the ways of the nodes differ by up to 100 ms where connections are opened to another region.
+// coldWindow is the time in which a node counts its attempts at a cold back end. The bound is on arrivals within a
+// second; attempts of a little more than that may arrive within one, since the ways of the nodes differ by up to 100 ms
+// where connections are opened to another region.
 const coldWindow = 1100 * time.Millisecond
 
 // coldPhase is the time after its start, or after its zone was taken back, in which a replica is cold.
@@ -59,8 +60,9 @@
 	s.nodes.version++
 }
 
-// SetNodes sets which nodes, this one among them, divide what cold back ends bear. Nodes that may be back are to be among them: with one left out
-// that still sends, the shares add up to more than the back ends bear. With none known, cold back ends with a bound get nothing from this node.
+// SetNodes sets which nodes, this one among them, divide what cold back ends bear. Nodes that may be back are to be
+// among them: with one left out that still sends, the shares add up to more than the back ends bear. With none known,
+// cold back ends with a bound get nothing from this node.
 func (s *Set) SetNodes(self string, nodes []string) {
 	if s.nodes.self == self && slices.Equal(s.nodes.names, nodes) {
 		return
@@ -68,9 +70,10 @@
 	s.nodes = nodeList{self: self, names: slices.Clone(nodes), version: s.nodes.version + 1}
 }
 
-// withinWarmup reports whether an attempt at a replica may begin now as far as its being cold goes. The nodes divide what a cold back end bears without
-// an exchange: each has the whole part, and the rest of the division goes to those whose hash with the back end is greatest, so that 20 requests a second
-// are 20 nodes' with one each and not 65 nodes' with a third. Nodes whose lists differ by a few give a few more or less.
+// withinWarmup reports whether an attempt at a replica may begin now as far as its being cold goes. The nodes divide
+// what a cold back end bears without an exchange: each has the whole part, and the rest of the division goes to those
+// whose hash with the back end is greatest, so that 20 requests a second are 20 nodes' with one each and not 65 nodes'
+// with a third. Nodes whose lists differ by a few give a few more or less.
 func (s *Set) withinWarmup(now time.Duration, r *Replica) bool {
 	warmup := s.warmups[r.Service]
 	if !r.Cold(now) || warmup.Rate == 0 {
--- a/internal/replica/zones.go
+++ b/internal/replica/zones.go
@@ -8,8 +8,8 @@
 	r.evacuated = s.evacuated[r.Zone]
 }
 
-// EvacuateZone has the back ends of a zone picked no more, from now on and also those that appear there later. What they work on is not cut: the zone
-// is to be left alone, not lost. It reports whether that is news.
+// EvacuateZone has the back ends of a zone picked no more, from now on and also those that appear there later. What
+// they work on is not cut: the zone is to be left alone, not lost. It reports whether that is news.
 func (s *Set) EvacuateZone(zone string) bool {
 	if s.evacuated[zone] {
 		return false
@@ -19,7 +19,8 @@
 	return true
 }
 
-// TakeZoneBack ends the evacuation of a zone. Its back ends got nothing for as long as it was evacuated, and come back cold. It reports whether that is news.
+// TakeZoneBack ends the evacuation of a zone. Its back ends got nothing for as long as it was evacuated, and come back
+// cold. It reports whether that is news.
 func (s *Set) TakeZoneBack(now time.Duration, zone string) bool {
 	if !s.evacuated[zone] {
 		return false
--- a/internal/serving/callers.go
+++ b/internal/serving/callers.go
@@ -73,8 +73,8 @@
 	_ = previous.Close()
 }
 
-// Pauses after the machine had nothing left for another connection, each twice as long as the one before. A node that is ready must take connections
-// again as soon as it can.
+// Pauses after the machine had nothing left for another connection, each twice as long as the one before. A node that
+// is ready must take connections again as soon as it can.
 const (
 	firstAcceptPause   = 5 * time.Millisecond
 	longestAcceptPause = 500 * time.Millisecond
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -1,7 +1,7 @@
 // Package serving listens for callers, says whether the node is ready, serves its metrics, and stops it as planned.
 //
-// It owns the listeners and callers' connections; what is served is a Node and the handlers handed to Start. Its times are the standard library's: a planned
-// stop takes no longer than the caller of Stop allows.
+// It owns the listeners and callers' connections; what is served is a Node and the handlers handed to Start. Its times
+// are the standard library's: a planned stop takes no longer than the caller of Stop allows.
 package serving
 
 import (
@@ -39,7 +39,8 @@
 const (
 	// noticeTime is how long after a stop began requests still come, sent by those that have not noticed.
 	noticeTime = 2500 * time.Millisecond
-	// lastPart of a stop's time, one in so many, is kept for the last answers and the end of the process: what still runs then is given up.
+	// lastPart of a stop's time, one in so many, is kept for the last answers and the end of the process: what still
+	// runs then is given up.
 	lastPart = 6
 	// shutdownTime bounds the writing of the last answers.
 	shutdownTime = 300 * time.Millisecond
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Gateway settings: of a node that asks back ends itself and learns everything else from the store. The names of the fields stand in the log line of a start.
+// Gateway settings: of a node that asks back ends itself and learns everything else from the store. The names of the
+// fields stand in the log line of a start.
 type Gateway struct {
 	Node string
 	// CallerAddress serves callers, ReadyAddress tells whether the node should get any, MetricsAddress serves metrics.
@@ -23,8 +24,9 @@
 	StopWithin time.Duration
 	// EntryInterval is how often back ends renew their entries.
 	EntryInterval time.Duration
-	// LeavingTime is how long a back end that leaves may get requests, ApplyWithin how long a configuration may take to be in force, EvacuateWithin
-	// how long a zone may get requests that is evacuated. All that a node waits for before it learns of them is derived from the shortest one.
+	// LeavingTime is how long a back end that leaves may get requests, ApplyWithin how long a configuration may take to
+	// be in force, EvacuateWithin how long a zone may get requests that is evacuated. All that a node waits for before
+	// it learns of them is derived from the shortest one.
 	LeavingTime    time.Duration
 	ApplyWithin    time.Duration
 	EvacuateWithin time.Duration
@@ -73,19 +75,22 @@
 	PeerCopies bool
 	// ProveConnections has new connections prove themselves before they are used, where the back end may be at its limit of them.
 	ProveConnections bool
-	// StartingHold is how long a request that comes while the node starts waits for its first listing, and for back ends that the listing lacks. Requests
-	// that have waited together are let go together, onto the first back end of each shard.
+	// StartingHold is how long a request that comes while the node starts waits for its first listing, and for back
+	// ends that the listing lacks. Requests that have waited together are let go together, onto the first back end of
+	// each shard.
 	StartingHold time.Duration
 	// TurnAway refuses a part of the requests at once, as not run, while back ends cannot answer all of them by the target.
 	TurnAway bool
-	// QuarantineRounds of runs of a request, one after the other, that end their back ends put it under quarantine for QuarantineFor; 0 never does. With
-	// fewer than three, back ends that end by themselves one after the other may put it there.
+	// QuarantineRounds of runs of a request, one after the other, that end their back ends put it under quarantine for
+	// QuarantineFor; 0 never does. With fewer than three, back ends that end by themselves one after the other may put
+	// it there.
 	QuarantineRounds int
 	QuarantineFor    time.Duration
-	// WithdrawnFactor times its age is taken for the latency of an attempt that was withdrawn without an answer; 1 takes it for as quick as it was old.
+	// WithdrawnFactor times its age is taken for the latency of an attempt that was withdrawn without an answer; 1
+	// takes it for as quick as it was old.
 	WithdrawnFactor float64
-	// FarPrice and FaultPrice are what a replica of another region, and a failed attempt, are expected to cost, as shares of the route's target; 0 prices
-	// neither.
+	// FarPrice and FaultPrice are what a replica of another region, and a failed attempt, are expected to cost, as
+	// shares of the route's target; 0 prices neither.
 	FarPrice   float64
 	FaultPrice float64
 	// GoByPace has choices go by the slowdown that back ends tell.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads and checks the settings file of a node (node.go) or a gateway (gateway.go). All problems are found at once, each with file, line,
-// field, what was found and what is allowed; unknown and doubled fields are problems too.
+// Package settings reads and checks the settings file of a node (node.go) or a gateway (gateway.go). All problems are
+// found at once, each with file, line, field, what was found and what is allowed; unknown and doubled fields are
+// problems too.
 //
 // It owns the names of the settings, what each may be, and what holds where one is not set. It reads the file and keeps nothing.
 package settings
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,7 +1,7 @@
 // Package telemetry counts what the gateway decides, and measures how long requests and attempts take.
 //
-// It owns the metrics and their names. Metrics stands between the gateway and its log: each call is counted and passed on. Gauges are read from a Source when
-// the metrics are asked for.
+// It owns the metrics and their names. Metrics stands between the gateway and its log: each call is counted and passed
+// on. Gauges are read from a Source when the metrics are asked for.
 package telemetry
 
 import (
--- a/internal/transport/sending.go
+++ b/internal/transport/sending.go
@@ -10,8 +10,8 @@
 	"stiletrail/internal/message"
 )
 
-// sending is what a line has written to one connection. No write tells of silence: frames go into the machine's own buffer. So the peer acknowledges each one,
-// and a connection on which that takes too long is given up for a new one.
+// sending is what a line has written to one connection. No write tells of silence: frames go into the machine's own
+// buffer. So the peer acknowledges each one, and a connection on which that takes too long is given up for a new one.
 type sending struct {
 	line       *line
 	connection net.Conn
@@ -97,8 +97,8 @@
 	return querySilence + transfer
 }
 
-// silent gives up a connection on which nothing is acknowledged. What the machine still holds for it is dropped: news that arrives much later
-// would pass for recent.
+// silent gives up a connection on which nothing is acknowledged. What the machine still holds for it is dropped: news
+// that arrives much later would pass for recent.
 func (l *line) silent(connection net.Conn) {
 	if socket, ok := connection.(*net.TCPConn); ok {
 		_ = socket.SetLinger(0)
@@ -131,8 +131,8 @@
 	return acknowledged
 }
 
-// writeBatch writes an item and all that is queued behind it, then flushes, and returns the frames and bytes that it wrote. After an error the
-// peer may have got any of the batch.
+// writeBatch writes an item and all that is queued behind it, then flushes, and returns the frames and bytes that it
+// wrote. After an error the peer may have got any of the batch.
 func (l *line) writeBatch(connection net.Conn, writer *bufio.Writer, item queued) (frames, size int, sound bool) {
 	_ = connection.SetWriteDeadline(time.Now().Add(writeTimeout))
 	var batch []message.Message
@@ -157,8 +157,8 @@
 	return len(batch), size, true
 }
 
-// encode writes one frame into the buffer and returns its size, 0 for one that is not sent. A sub-query whose time ran out while it was queued, as
-// in a process that was frozen, is not written any more.
+// encode writes one frame into the buffer and returns its size, 0 for one that is not sent. A sub-query whose time ran
+// out while it was queued, as in a process that was frozen, is not written any more.
 func (l *line) encode(writer *bufio.Writer, item queued) int {
 	elapsed := l.transport.clock.Elapsed() - item.at
 	if sub, ok := item.message.(*message.SubQuery); ok {
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -4,8 +4,9 @@
 // delay a probe. A connection carries messages one way; the other way goes a byte for each frame that was read. Frames are never
 // sent a second time by the transport; what was not delivered is reported with whether the peer may have got it.
 //
-// It owns the listener, a queue and a goroutine for each line to a peer (line.go, sending.go), and a goroutine for each connection that a peer opened
-// (incoming.go). What bounds each wait stands in the constants below. Handlers are called without its lock, from many goroutines.
+// It owns the listener, a queue and a goroutine for each line to a peer (line.go, sending.go), and a goroutine for each
+// connection that a peer opened (incoming.go). What bounds each wait stands in the constants below. Handlers are called
+// without its lock, from many goroutines.
 package transport
 
 import (
@@ -29,16 +30,17 @@
 	idleTimeout    = 30 * time.Second
 	// redialWait is the pause after a failure to dial a peer or to take a connection.
 	redialWait = 250 * time.Millisecond
-	// controlSilence and querySilence are how long a frame may stay unacknowledged before its connection counts as silent. Control goes on every
-	// second, and a way there and back takes some tens of milliseconds; a peer that stands still for a while must not lose its queries for it.
+	// controlSilence and querySilence are how long a frame may stay unacknowledged before its connection counts as
+	// silent. Control goes on every second, and a way there and back takes some tens of milliseconds; a peer that
+	// stands still for a while must not lose its queries for it.
 	controlSilence = time.Second
 	querySilence   = 5 * time.Second
 	// maximumIncoming connections of peers are open at a time.
 	maximumIncoming = 16384
 )
 
-// slowestLink is what a connection carries at least, in bytes a second, a tenth of what the smallest machines have. largeFrame is one of that many
-// bytes, which has longer until it is acknowledged for that.
+// slowestLink is what a connection carries at least, in bytes a second, a tenth of what the smallest machines have.
+// largeFrame is one of that many bytes, which has longer until it is acknowledged for that.
 const (
 	slowestLink = 256 << 10
 	largeFrame  = 64 << 10
