--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -1,16 +1,13 @@
 package gateway
 
 import (
-	"context"
 	"maps"
-	"math/rand/v2"
 	"slices"
 	"time"
 
 	"stiletrail/internal/clock"
 	"stiletrail/internal/membership"
 	"stiletrail/internal/message"
-	"stiletrail/internal/spread"
 )
 
 // PeerTransport carries messages to other nodes; sending never blocks.
@@ -19,8 +16,6 @@
 }
 
 const (
-	// peerTick is the pause between looks at what is due among peers.
-	peerTick = 200 * time.Millisecond
 	// farPickEvery single peers one is picked anywhere.
 	farPickEvery = 4
 	// startingFor is how long after a start back ends may count connections that died with an earlier life.
@@ -108,112 +103,3 @@
 	}
 	return starting*manyStartingPart >= len(members)
 }
-
-// Join makes the gateway a member among the nodes that the seeds know. It is called before Run.
-func (g *Gateway) Join(self membership.Member, seeds []string, peers PeerTransport) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	random := rand.New(rand.NewPCG(g.settings.Load().Seed, self.Generation))
-	g.fleet = fleet{
-		members:   membership.New(g.now(), self, seeds, membership.DefaultSettings(), random),
-		transport: peers, wereStarting: true,
-	}
-}
-
-// peersForSpread picks random members for the spreading of the store's state.
-func (g *Gateway) peersForSpread(count int) []string {
-	if g.fleet.members == nil || !g.settings.Load().Fleet.PeerCopies {
-		return nil
-	}
-	if count > 1 && g.toldByWatchers(g.now()) {
-		// Those that watch have told the region.
-		return nil
-	}
-	return g.fleet.pick(count)
-}
-
-func (g *Gateway) sendSpread(sends []spread.Send) {
-	for _, send := range sends {
-		g.fleet.transport.Send(send.To, send.Message)
-	}
-}
-
-func (g *Gateway) sendMembership(sends []membership.Send) {
-	for _, send := range sends {
-		g.fleet.transport.Send(send.To, send.Message)
-	}
-}
-
-// tickPeers drives what is due among peers until the context ends.
-func (g *Gateway) tickPeers(ctx context.Context) {
-	for ctx.Err() == nil {
-		pause(ctx, peerTick)
-		g.tickPeersOnce()
-	}
-}
-
-func (g *Gateway) tickPeersOnce() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	now := g.now()
-	g.sendMembership(g.fleet.members.Tick(now))
-	g.sendSpread(g.storeCopy.records.Tick(now, g.served(now), g.toldByWatchers(now)))
-	g.storeCopy.logStaleness(now)
-	g.compareEvidence(now)
-	g.reports.core.Forget(clock.Of(now))
-	g.noteStarted(now)
-	g.noteMembers(now)
-}
-
-// noteStarted shares out anew once not many nodes are starting any more.
-func (g *Gateway) noteStarted(now time.Duration) {
-	if starting := g.fleet.manyStarting(now); starting != g.fleet.wereStarting {
-		g.fleet.wereStarting = starting
-		g.shareAmongNodes()
-	}
-}
-
-// noteMembers shares out anew where the members have changed, or this node has joined them.
-func (g *Gateway) noteMembers(now time.Duration) {
-	f := &g.fleet
-	if f.members.Version() == f.version && f.members.Joined(now) == f.joined {
-		return
-	}
-	f.version, f.joined = f.members.Version(), f.members.Joined(now)
-	f.nodes = 0
-	if f.joined {
-		f.nodes = len(f.members.Members())
-	}
-	g.shareAmongNodes()
-	g.log.Members(f.members.AliveCount())
-}
-
-// Message implements transport.Handler.
-func (g *Gateway) Message(from string, m message.Message) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	now := g.now()
-	switch m := m.(type) {
-	case *message.Probe, *message.ProbeAck, *message.ProbeRequest, *message.MemberSync:
-		sends, _ := g.fleet.members.Receive(now, from, m)
-		g.sendMembership(sends)
-	case *message.StoreDigest, *message.StoreRequest, *message.StoreRecords:
-		g.receiveSpread(now, from, m)
-	case *message.Evidence:
-		g.receiveEvidence(now, m)
-	case *message.BackEndReports:
-		g.receiveReports(now, m)
-	}
-}
-
-// Undelivered implements transport.Handler. What is due is said again by itself.
-func (g *Gateway) Undelivered(string, message.Message, bool) {}
-
-// Silent implements transport.Handler.
-func (g *Gateway) Silent(peer string) { g.log.PeerSilent(peer) }
-
-// Disconnected implements transport.Handler.
-func (g *Gateway) Disconnected(string) {}
-
-// Malformed implements transport.Handler.
-func (g *Gateway) Malformed(remote string, err error) { g.log.PeerMalformed(remote, err) }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -6,19 +6,19 @@
 // that are guarded by it don't lock; methods of the gateway that use them lock, or are called by one that does.
 //
 // Requests:
-//   - call.go, serve.go, starting.go, trial.go, run.go, run_node.go, attempt.go: a call from its arrival to its answer.
+//   - call.go, serve.go, starting.go, trial.go, run.go, run_node.go, attempt.go: a call from its arrival to its answer;
 //   - refusals.go, outcome.go: how it is refused, and what its end is called.
 //
 // What a node knows, each matter a type in a file of its own:
 //   - store_copy.go: storeCopy, what is known of the store and how old that is. store_reading.go carries out the calls to the
-//     store, store_changes.go takes in what they and peers bring, store_waits.go derives the waits, store_item.go and store.go are
-//     the store as the adapter offers it, first_listing.go is a node that starts.
-//   - fleet.go: fleet, the other nodes. watch_assignment.go says who watches the store for whom, fleet_share.go divides what nodes
-//     share: connections, cold back ends, the retry slack.
+//     store, store_changes.go takes in what they and peers bring, store_waits.go derives the waits, store_item.go and store.go
+//     are the store as the adapter offers it, first_listing.go is a node that starts.
+//   - fleet.go: fleet, the other nodes; peers.go exchanges messages with them. watch_assignment.go says who watches the store for
+//     whom, fleet_share.go divides what nodes share: connections, cold back ends, the retry slack.
 //   - quarantine_writes.go: quarantineWrites, what is to be written to the store of quarantines, and claims of retrials.
 //     quarantine_evidence.go: evidenceSchedule, when other nodes are told.
 //   - health_reports.go: healthReports, what other nodes are told of slow and faulty back ends.
-//   - maintain.go ends doubts that are over; wakes.go notices that the machine was suspended.
+//   - maintain.go ends doubts that are over; suspensions.go says when the machine was suspended.
 //   - status.go and decision_log.go: what is shown of all that.
 package gateway
 
@@ -52,8 +52,8 @@
 	// givenUp is closed when all requests under way are to be answered at once.
 	givenUp    chan struct{}
 	giveUpOnce sync.Once
-	// wakes tells those that wait of a suspension of the machine that has just been noticed.
-	wakes wakes
+	// suspensions of the machine, for those that wait on timers.
+	suspensions suspensions
 	// storeWanted is signalled when a request lacks known back ends: the next reading of the store is due soon.
 	storeWanted chan struct{}
 
--- a/internal/gateway/maintain.go
+++ b/internal/gateway/maintain.go
@@ -17,7 +17,7 @@
 func (g *Gateway) maintain(ctx context.Context) {
 	for round := 1; ctx.Err() == nil; round++ {
 		pause(ctx, expireInterval)
-		if length := g.wakes.look(g.clock.Suspended()); length > 0 {
+		if length := g.suspensions.notice(g.clock.Suspended()); length > 0 {
 			g.log.Suspended(length)
 		}
 		g.expire()
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -54,12 +54,12 @@
 	// The timer is set anew before each wait.
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	woke := r.gateway.wakes.next()
+	suspended := r.gateway.suspensions.next()
 	for r.answer == nil && !r.callerGone {
 		timer.Reset(max(0, r.nextWake()))
 		select {
-		case <-woke:
-			woke = r.gateway.wakes.next()
+		case <-suspended:
+			suspended = r.gateway.suspensions.next()
 			r.step(r.request.Tick)
 		case end := <-r.outcomes:
 			r.step(func(now time.Duration) []forward.Action { return r.request.Receive(now, end.attempt, end.outcome) })
--- a/internal/gateway/store_reading.go
+++ b/internal/gateway/store_reading.go
@@ -107,7 +107,7 @@
 	clear(c.listedKeys)
 	g.noteListed()
 	g.sendSpread(sends)
-	g.confirmed(now, revision, nil)
+	g.storeConfirmed(now, revision, nil)
 }
 
 // watch waits for changes and takes them in.
@@ -136,7 +136,7 @@
 	c.logOlder(records)
 	g.takeChanges(now, records, c.doubtUntil(now, c.age(now), countGone(records), g.replicas.Len()))
 	g.sendSpread(c.records.Advance(now, c.reader.Revision()))
-	g.confirmed(now, call.Revision, records)
+	g.storeConfirmed(now, call.Revision, records)
 }
 
 // endWhenStale ends a watch at the moment at which the copy turns stale: its connection may carry nothing any more, and the
@@ -147,15 +147,15 @@
 		return func() bool { return false }
 	}
 	over, result := make(chan struct{}), make(chan bool, 1)
-	woke := g.wakes.next()
+	suspended := g.suspensions.next()
 	go func() {
 		for left := g.staleIn(); left > 0; left = g.staleIn() {
 			select {
 			case <-over:
 				result <- false
 				return
-			case <-woke:
-				woke = g.wakes.next()
+			case <-suspended:
+				suspended = g.suspensions.next()
 			case <-time.After(left.Duration()):
 			}
 		}
--- a/internal/gateway/watch_assignment.go
+++ b/internal/gateway/watch_assignment.go
@@ -84,9 +84,9 @@
 	return g.storeCopy.reader.Served(now) || g.toldByWatchers(now)
 }
 
-// confirmed takes in that the store has told all changes after a revision, and tells the group: also the watchers of it, whose
-// own watches may have fallen silent.
-func (g *Gateway) confirmed(now time.Duration, since history.Revision, records []message.StoreRecord) {
+// storeConfirmed takes in that the store has told all changes after a revision, and tells the group: also the watchers of it,
+// whose own watches may have fallen silent.
+func (g *Gateway) storeConfirmed(now time.Duration, since history.Revision, records []message.StoreRecord) {
 	c, watch := g.storeCopy, &g.fleet.watch
 	c.records.Confirm(now)
 	c.logStaleness(now)
--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -90,8 +90,8 @@
 		"./internal/gateway", "TestCopyOfASuspendedNode",
 	},
 	{
-		"nobody is woken after a suspension", "internal/gateway/wakes.go",
-		"		close(w.woke)\n", "",
+		"nobody is woken after a suspension", "internal/gateway/suspensions.go",
+		"		close(s.noticed)\n", "",
 		"./internal/gateway", "TestRequestOfASuspendedNode",
 	},
 	{
