--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -87,6 +87,17 @@
 	return append(picked, f.members.Pick(count-len(picked), membership.Member.Usable)...)
 }
 
+// successors are up to count addresses that follow one's own in the order of all, the first after the last.
+func successors(addresses []string, own string, count int) []string {
+	slices.Sort(addresses)
+	at, _ := slices.BinarySearch(addresses, own)
+	var next []string
+	for step := 1; step < len(addresses) && len(next) < count; step++ {
+		next = append(next, addresses[(at+step)%len(addresses)])
+	}
+	return next
+}
+
 // manyStarting reports whether back ends may still count many connections of earlier lives: this node has just started, and so
 // have many others, as after a loss of power. What a node that was started alone has left behind is little.
 func (f *fleet) manyStarting(now time.Duration) bool {
--- a/internal/gateway/health_reports.go
+++ b/internal/gateway/health_reports.go
@@ -61,7 +61,7 @@
 	self := f.members.Self().Address
 	near, far := f.usable()
 	near = slices.DeleteFunc(near, func(address string) bool { return address == self })
-	chosen := nextOf(slices.Concat(near, []string{self}), self, reportNext)
+	chosen := successors(slices.Concat(near, []string{self}), self, reportNext)
 	rank := func(address string) uint64 { return xxhash.Sum64String(self + "/" + address) }
 	for _, candidates := range [][]string{near, far} {
 		slices.SortFunc(candidates, func(a, b string) int { return cmp.Compare(rank(a), rank(b)) })
--- a/internal/gateway/quarantine_evidence.go
+++ b/internal/gateway/quarantine_evidence.go
@@ -2,7 +2,6 @@
 
 import (
 	"math/rand/v2"
-	"slices"
 	"time"
 
 	"stiletrail/internal/clock"
@@ -36,9 +35,9 @@
 // evidenceSchedule is when other nodes are told of requests that end back ends. Guarded by Gateway.mu.
 type evidenceSchedule struct {
 	random *rand.Rand
-	// sent messages were begun in the second that began at second.
-	second clock.Ms
-	sent   int
+	// sent messages were begun since a moment, no more than a second before the last one.
+	sent      int
+	sentSince clock.Ms
 	// accountedAt is when the last full account was given, changedAt when there was news last.
 	accountedAt clock.Ms
 	changedAt   clock.Ms
@@ -46,8 +45,8 @@
 
 // mayTell reports whether another message may begin in this second, and counts it.
 func (s *evidenceSchedule) mayTell(now clock.Ms) bool {
-	if now-s.second >= clock.Second {
-		s.second, s.sent = now, 0
+	if now-s.sentSince >= clock.Second {
+		s.sent, s.sentSince = 0, now
 	}
 	s.sent++
 	return s.sent <= evidenceRate
@@ -74,7 +73,7 @@
 	}
 	self := f.members.Self()
 	near, _ := f.usable()
-	picked := nextOf(near, self.Address, evidenceNext)
+	picked := successors(near, self.Address, evidenceNext)
 	picked = append(picked, f.pickIn(self.Region)...)
 	regions := f.otherRegions()
 	if len(regions) == 0 {
@@ -83,17 +82,6 @@
 	return append(picked, f.pickIn(regions[s.random.IntN(len(regions))])...)
 }
 
-// nextOf are up to count addresses that follow one's own in the order of all, the first after the last.
-func nextOf(addresses []string, own string, count int) []string {
-	slices.Sort(addresses)
-	at, _ := slices.BinarySearch(addresses, own)
-	var next []string
-	for step := 1; step < len(addresses) && len(next) < count; step++ {
-		next = append(next, addresses[(at+step)%len(addresses)])
-	}
-	return next
-}
-
 // verdictsChanged takes note of what has become of requests, has the store told of a quarantine by this node, and tells other
 // nodes.
 func (g *Gateway) verdictsChanged(now clock.Ms, change quarantine.Change, by string) {
