--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,7 @@
-// Package clock has the one type in which new code counts time: whole milliseconds on a clock that stands still for nobody.
+// Package clock has the one type in which time is counted, whole milliseconds, and a clock that also goes on while the
+// machine is suspended.
+//
+// It reads the machine's clocks and owns how far the monotonic one is behind, for the whole process.
 package clock
 
 import (
@@ -20,8 +23,9 @@
 // Duration returns m as the standard library counts time.
 func (m Ms) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// Clock tells the time since it was started. It does not follow jumps of the time of day, and goes on while the machine is suspended, unlike the clock on
-// which the standard library counts: what passes for a second old after a machine was suspended for ten may be eleven.
+// Clock tells the time since it was started. It does not follow jumps of the time of day, and goes on while the machine
+// is suspended, unlike the clock on which the standard library counts: what passes for a second old after a machine was
+// suspended for ten may be eleven.
 type Clock struct {
 	started time.Time
 	// behindThen is by how much the monotonic clock was behind at the start.
@@ -40,26 +44,28 @@
 // Suspended is for how long the machine has been suspended since the start.
 func (c Clock) Suspended() time.Duration { return (*behind.Load())() - c.behindThen }
 
-// Time gives a moment on the clock as the standard library's timers and deadlines understand it, unless the machine is suspended before it comes.
+// Time gives a moment on the clock as the standard library's timers and deadlines understand it, unless the machine is
+// suspended before it comes.
 func (c Clock) Time(moment time.Duration) time.Time { return c.started.Add(moment - c.Suspended()) }
 
 // Moment gives a time of the standard library as a moment on the clock.
 func (c Clock) Moment(t time.Time) time.Duration { return t.Sub(c.started) + c.Suspended() }
 
-// behind is by how much the monotonic clock, on which the standard library counts, is behind the machine's clock that also counts while the machine is
-// suspended.
+// behind is by how much the monotonic clock, on which the standard library counts, is behind the machine's clock that
+// also counts while the machine is suspended.
 var behind atomic.Pointer[func() time.Duration]
 
 func init() { Replace((&gauge{began: time.Now()}).read) }
 
-// Replace has another function tell by how much the monotonic clock is behind, for tests on a virtual clock. The function returned undoes that.
+// Replace has another function tell by how much the monotonic clock is behind, for tests on a virtual clock. The
+// function returned undoes that.
 func Replace(with func() time.Duration) (undo func()) {
 	before := behind.Swap(&with)
 	return func() { behind.Store(before) }
 }
 
-// readEvery bounds how often the machine's clocks are read: it costs three system calls, and what happens this soon after a suspension can be taken for what
-// happened before it.
+// readEvery bounds how often the machine's clocks are read: it costs three system calls, and what happens this soon
+// after a suspension can be taken for what happened before it.
 const readEvery = 10 * time.Millisecond
 
 // smallest difference that is a suspension: the two clocks are read one after the other.
@@ -86,7 +92,8 @@
 	return time.Duration(g.last.Load())
 }
 
-// Reading two clocks takes less than a microsecond, unless the thread has to wait in between; then they are read again, a few times.
+// Reading two clocks takes less than a microsecond, unless the thread has to wait in between; then they are read again,
+// a few times.
 const (
 	readWithin = time.Millisecond
 	readTries  = 5
--- a/internal/clock/played.go
+++ b/internal/clock/played.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// playedIn names the variable with the file that says for how many milliseconds the machine is to pass for suspended. A process cannot be suspended without
-// its machine, so the soak pauses it and has this clock say so.
+// playedIn names the variable with the file that says for how many milliseconds the machine is to pass for suspended. A
+// process cannot be suspended without its machine, so the soak pauses it and has this clock say so.
 const playedIn = "STILETRAIL_SUSPENDED"
 
 func init() {
--- a/internal/replica/pick.go
+++ b/internal/replica/pick.go
@@ -9,10 +9,11 @@
 
 // The rule by which Pick chooses the back end of an attempt:
 //
-//  1. Of the back ends of the service those are candidates that are not draining, whose address does not answer for another, whose zone is not evacuated
-//     (candidate), and that the request allows: by region, software version, and what it has tried (Choice).
-//  2. A candidate that has as many attempts of this node under way as its share of the connections allows, or that is cold and has got this node's part of what
-//     it bears, is passed over (hasRoom: connections.go, warmup.go).
+//  1. Candidates are the back ends of the service that are not draining, whose address does not answer for another, and
+//     whose zone is not evacuated (candidate). The request may bar some by region, software version, or what it has
+//     tried (Choice).
+//  2. A candidate is passed over that has as many attempts of this node under way as its share of the connections
+//     allows, or that is cold and has got this node's part of what it bears (hasRoom: connections.go, warmup.go).
 //  3. The best rank goes first: good, then doubtful (doubt.go), then ejected (ejection.go).
 //  4. Of the same rank the lowest score wins. It is a latency, in nanoseconds:
 //
