--- a/cmd/stiletrail-gateway/reload.go
+++ b/cmd/stiletrail-gateway/reload.go
@@ -31,7 +31,8 @@
 }
 
 // look reads the file and puts it in force if it has changed, or in any case if it was asked for. A file that cannot be read or
-// is not valid changes nothing. Addresses that are listened at, and the node's name and zone, hold until a restart.
+// is not valid changes nothing. Some of what it says holds until a restart: addresses, seeds, the node's name and zone, the level of the log, the window of
+// retry budgets that there are, and the waits for news of the store that were derived at the start.
 func (r *reloader) look(asked bool) {
 	text, err := os.ReadFile(r.file)
 	if err != nil || (!asked && bytes.Equal(text, r.text)) {
--- a/cmd/stiletraild/main.go
+++ b/cmd/stiletraild/main.go
@@ -30,7 +30,7 @@
 
 func main() {
 	app := kingpin.New("stiletraild", "A node of the stiletrail query tier. SIGTERM is a planned stop: nothing under way is cut off.")
-	file := app.Flag("settings", "Settings file (YAML); see docs/OPERATIONS.md.").String()
+	file := app.Flag("settings", "Settings file (YAML); see docs/OPERATIONS-stiletraild.md.").String()
 	flags := map[string]*string{}
 	for _, name := range settings.Names() {
 		flags[name] = app.Flag(flagName(name), "Goes before "+name+" of the settings file.").String()
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -24,8 +24,8 @@
 	fieldCopyAge  = "copy_age_ms"
 	fieldNode     = "node"
 	fieldPeer     = "peer"
-	// fieldMark is the same for requests that ask the same for the same caller, fieldRan how long an attempt was at a
-	// back end, in milliseconds.
+	// fieldMark is the same for requests that ask the same, whoever asks; in lines of a quarantine that holds for one caller only it is a mark of
+	// its own. fieldRan is how long an attempt was at a back end, in milliseconds.
 	fieldMark   = "mark"
 	fieldCaller = "caller"
 	fieldRan    = "ran_ms"
--- a/internal/forward/retry.go
+++ b/internal/forward/retry.go
@@ -9,10 +9,10 @@
 //     none;
 //   - else after a pause (pause.go), if there are pauses and one may help;
 //   - else it has failed.
-const (
-	// unsentTries bounds how often a shard looks for another replica without a pause after attempts of which no byte was written.
-	unsentTries = 3
-)
+
+// mostWithoutPause: a shard that has been tried at more replicas than that since its last pause is asked again only after
+// another pause.
+const mostWithoutPause = 3
 
 // retryOrGiveUp decides what becomes of a shard whose attempt failed. Another attempt under way may still answer it.
 func (r *Request) retryOrGiveUp(now time.Duration, number int) {
@@ -45,7 +45,7 @@
 		s.denied = DeniedQuarantined
 		return false
 	}
-	if len(s.tried) > unsentTries || (r.settings.RetryPause == 0 && s.sent >= r.route.MaximumAttempts) {
+	if len(s.tried) > mostWithoutPause || (r.settings.RetryPause == 0 && s.sent >= r.route.MaximumAttempts) {
 		return false
 	}
 	chosen, busy := r.node.Pick(s.service, r.choice(s))
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -96,10 +96,8 @@
 	oldIntervals = 3
 	// doubtIntervals are waited for an entry to come back that vanished while the store was unsettled.
 	doubtIntervals = 1.6
-	// watchPart of the time after which a copy is stale is the longest wait of a watch whose end nobody else makes up for,
-	// longestWatch the longest of all.
-	watchPart    = 0.9
-	longestWatch = 2500 * clock.Ms(1)
+	// watchPart of the time after which a copy is stale is the longest wait of a watch whose end nobody else makes up for.
+	watchPart = 0.9
 	// coalesceFor is the pause after changes, the time between two watchers' turns.
 	coalesceFor = 900 * time.Millisecond
 	// firstBackoff and longestBackoff bound the pause after trouble, which doubles.
@@ -163,7 +161,7 @@
 
 func followSettings(waits Waits) follow.Settings {
 	return follow.Settings{
-		WatchFor:    min(longestWatch, clock.Ms(watchPart*float64(waits.StaleAfter))).Duration(),
+		WatchFor:    clock.Ms(watchPart * float64(waits.StaleAfter)).Duration(),
 		CoalesceFor: coalesceFor, FirstBackoff: firstBackoff, LongestBackoff: longestBackoff,
 		FirstTimeout: firstTimeout, LongestTimeout: longestTimeout, PollTimeout: waits.PollTimeout.Duration(),
 	}
--- a/internal/gateway/simulation_test.go
+++ b/internal/gateway/simulation_test.go
@@ -42,7 +42,7 @@
 	mostSeedsCalm = 40
 	// callerWaits is how long callers wait in courses with bursts.
 	callerWaits = 4 * time.Second
-	// burstSlack is the slack of courses with bursts, as of the smallest deployment on the platform. Half of it is left for what nodes cannot count,
+	// burstSlack is the slack of courses with bursts, as of the smallest deployment on the platform. A part of it is left for what nodes cannot count,
 	// such as bursts that meet one node before another.
 	burstSlack = 58
 )
