--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -178,8 +178,8 @@
 	})
 }
 
-// StoreLost implements gateway.DecisionLog. Only the first failure in a row is written.
-func (l *Log) StoreLost(trouble follow.Trouble, cause *failure.Failure, contactAge time.Duration) {
+// StoreCallFailed implements gateway.DecisionLog. Only the first failure in a row is written.
+func (l *Log) StoreCallFailed(trouble follow.Trouble, cause *failure.Failure, contactAge time.Duration) {
 	if !l.lost.lose() {
 		return
 	}
--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -151,7 +151,7 @@
 func TestStoreLostOnce(t *testing.T) {
 	lines := logged(func(log *decisionlog.Log) {
 		for range 5 {
-			log.StoreLost(follow.Unavailable, failure.New(failure.StoreUnavailable, "down"), time.Second)
+			log.StoreCallFailed(follow.Unavailable, failure.New(failure.StoreUnavailable, "down"), time.Second)
 		}
 		for range 5 {
 			log.StoreAnswered(time.Second)
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -61,7 +61,7 @@
 		log.WentBack(later, at)
 		log.Returned(3)
 		log.Older("key", at, later, 4)
-		log.StoreLost(follow.Unavailable, down, 1500*time.Millisecond)
+		log.StoreCallFailed(follow.Unavailable, down, 1500*time.Millisecond)
 		log.StoreAnswered(20 * time.Millisecond)
 		log.CopyStale(2100)
 		log.CopyFresh()
--- a/internal/gateway/store_reading.go
+++ b/internal/gateway/store_reading.go
@@ -178,7 +178,7 @@
 func (g *Gateway) watchWasSilent(err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.log.StoreLost(follow.Silent, failure.From(err), g.storeCopy.reader.ContactAge(g.now()))
+	g.log.StoreCallFailed(follow.Silent, failure.From(err), g.storeCopy.reader.ContactAge(g.now()))
 }
 
 // callFailed takes in that a call to the store failed, unless this node ends.
@@ -190,6 +190,6 @@
 	defer g.mu.Unlock()
 	now := g.now()
 	trouble := g.store.Trouble(err)
-	g.log.StoreLost(trouble, failure.From(err), g.storeCopy.reader.ContactAge(now))
+	g.log.StoreCallFailed(trouble, failure.From(err), g.storeCopy.reader.ContactAge(now))
 	g.storeCopy.reader.Failed(now, trouble)
 }
