--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -161,8 +161,8 @@
 	l.info(EventListed, logrus.Fields{fieldItems: items, fieldRevision: revision.Number, fieldEra: revision.Era})
 }
 
-// WentBack implements gateway.DecisionLog.
-func (l *Log) WentBack(known, told history.Revision) {
+// StoreRegressed implements gateway.DecisionLog.
+func (l *Log) StoreRegressed(known, told history.Revision) {
 	l.warn(EventWentBack, logrus.Fields{fieldRevision: told.Number, fieldEra: told.Era, fieldKnown: known.Number, fieldKnownEra: known.Era})
 }
 
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -58,7 +58,7 @@
 		log.Evacuated("zone-a", at)
 		log.TakenBack("zone-a")
 		log.Listed(12, at)
-		log.WentBack(later, at)
+		log.StoreRegressed(later, at)
 		log.Returned(3)
 		log.Older("key", at, later, 4)
 		log.StoreCallFailed(follow.Unavailable, down, 1500*time.Millisecond)
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -33,8 +33,8 @@
 	Evacuated(zone string, revision history.Revision)
 	TakenBack(zone string)
 	Listed(items int, revision history.Revision)
-	// WentBack: the store tells another era than was known, or in the same one an earlier revision.
-	WentBack(known, told history.Revision)
+	// StoreRegressed: the store tells another era than was known, or in the same one an earlier revision.
+	StoreRegressed(known, told history.Revision)
 	// Returned: the store was restored from a backup; what it lacks or names again is in doubt for a while.
 	Returned(era uint64)
 	// Older: the store tells changes of which later ones were known, so many; key, revision and what was known are those of one of
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -255,7 +255,7 @@
 func (silentLog) Evacuated(string, history.Revision)                              {}
 func (silentLog) TakenBack(string)                                                {}
 func (silentLog) Listed(int, history.Revision)                                    {}
-func (silentLog) WentBack(history.Revision, history.Revision)                     {}
+func (silentLog) StoreRegressed(history.Revision, history.Revision)               {}
 func (silentLog) Returned(uint64)                                                 {}
 func (silentLog) Older(string, history.Revision, history.Revision, int)           {}
 func (silentLog) StoreCallFailed(follow.Trouble, *failure.Failure, time.Duration) {}
--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -129,7 +129,7 @@
 // logRevision logs that the store tells a revision of another era than was known, or in the same era an earlier one.
 func (c *storeCopy) logRevision(known, told history.Revision) {
 	if !known.Unknown() && (told.Era != known.Era || told.Before(known)) {
-		c.log.WentBack(known, told)
+		c.log.StoreRegressed(known, told)
 	}
 }
 
