--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -166,8 +166,8 @@
 	l.warn(EventWentBack, logrus.Fields{fieldRevision: told.Number, fieldEra: told.Era, fieldKnown: known.Number, fieldKnownEra: known.Era})
 }
 
-// Returned implements gateway.DecisionLog.
-func (l *Log) Returned(era uint64) {
+// StoreRestored implements gateway.DecisionLog.
+func (l *Log) StoreRestored(era uint64) {
 	l.warn(EventReturned, logrus.Fields{fieldEra: era})
 }
 
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -59,7 +59,7 @@
 		log.TakenBack("zone-a")
 		log.Listed(12, at)
 		log.StoreRegressed(later, at)
-		log.Returned(3)
+		log.StoreRestored(3)
 		log.Older("key", at, later, 4)
 		log.StoreCallFailed(follow.Unavailable, down, 1500*time.Millisecond)
 		log.StoreAnswered(20 * time.Millisecond)
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -35,8 +35,8 @@
 	Listed(items int, revision history.Revision)
 	// StoreRegressed: the store tells another era than was known, or in the same one an earlier revision.
 	StoreRegressed(known, told history.Revision)
-	// Returned: the store was restored from a backup; what it lacks or names again is in doubt for a while.
-	Returned(era uint64)
+	// StoreRestored: the store was restored from a backup; what it lacks or names again is in doubt for a while.
+	StoreRestored(era uint64)
 	// Older: the store tells changes of which later ones were known, so many; key, revision and what was known are those of one of
 	// them.
 	Older(key string, revision, known history.Revision, count int)
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -256,7 +256,7 @@
 func (silentLog) TakenBack(string)                                                {}
 func (silentLog) Listed(int, history.Revision)                                    {}
 func (silentLog) StoreRegressed(history.Revision, history.Revision)               {}
-func (silentLog) Returned(uint64)                                                 {}
+func (silentLog) StoreRestored(uint64)                                            {}
 func (silentLog) Older(string, history.Revision, history.Revision, int)           {}
 func (silentLog) StoreCallFailed(follow.Trouble, *failure.Failure, time.Duration) {}
 func (silentLog) StoreAnswered(time.Duration)                                     {}
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -21,7 +21,7 @@
 	}
 	g.replicas.DistrustDeparted(now + g.settings.Load().Copy.DistrustDepartedFor)
 	g.quarantineWrites.rewriteClaims()
-	g.log.Returned(era)
+	g.log.StoreRestored(era)
 }
 
 // takeChanges takes in what a watch has told. Back ends whose entries are gone are used on until a moment.
--- a/internal/telemetry/kept_test.go
+++ b/internal/telemetry/kept_test.go
@@ -30,7 +30,7 @@
 func (silent) Judged(quarantine.Mark, quarantine.Verdict, string, clock.Ms) {}
 func (silent) QuarantineLost(quarantine.Mark, *failure.Failure)             {}
 func (silent) Rejected(*gateway.Item)                                       {}
-func (silent) Returned(uint64)                                              {}
+func (silent) StoreRestored(uint64)                                         {}
 func (silent) Learned(from string, records int, revision history.Revision)  {}
 
 // value is what stands behind the name of a metric.
@@ -62,7 +62,7 @@
 	measured.Judged(quarantine.Mark{}, quarantine.Quarantined, "own", 0)
 	measured.QuarantineLost(quarantine.Mark{}, nil)
 	measured.Rejected(&gateway.Item{})
-	measured.Returned(3)
+	measured.StoreRestored(3)
 	measured.Learned("", 1, history.Revision{})
 	recorder := httptest.NewRecorder()
 	measured.ServeHTTP(recorder, nil)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -126,10 +126,10 @@
 	m.DecisionLog.Rejected(item)
 }
 
-// Returned implements gateway.DecisionLog.
-func (m *Metrics) Returned(era uint64) {
+// StoreRestored implements gateway.DecisionLog.
+func (m *Metrics) StoreRestored(era uint64) {
 	m.set.GetOrCreateCounter("stiletrail_store_returns_total").Inc()
-	m.DecisionLog.Returned(era)
+	m.DecisionLog.StoreRestored(era)
 }
 
 // Learned implements gateway.DecisionLog.
