--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -171,8 +171,8 @@
 	l.warn(EventReturned, logrus.Fields{fieldEra: era})
 }
 
-// Older implements gateway.DecisionLog.
-func (l *Log) Older(key string, revision, known history.Revision, count int) {
+// OutdatedRecordsRead implements gateway.DecisionLog.
+func (l *Log) OutdatedRecordsRead(key string, revision, known history.Revision, count int) {
 	l.info(EventOlder, logrus.Fields{
 		fieldKey: key, fieldRevision: revision.Number, fieldEra: revision.Era, fieldKnown: known.Number, fieldKnownEra: known.Era, fieldItems: count,
 	})
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -60,7 +60,7 @@
 		log.Listed(12, at)
 		log.StoreRegressed(later, at)
 		log.StoreRestored(3)
-		log.Older("key", at, later, 4)
+		log.OutdatedRecordsRead("key", at, later, 4)
 		log.StoreCallFailed(follow.Unavailable, down, 1500*time.Millisecond)
 		log.StoreAnswered(20 * time.Millisecond)
 		log.CopyStale(2100)
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -37,9 +37,9 @@
 	StoreRegressed(known, told history.Revision)
 	// StoreRestored: the store was restored from a backup; what it lacks or names again is in doubt for a while.
 	StoreRestored(era uint64)
-	// Older: the store tells changes of which later ones were known, so many; key, revision and what was known are those of one of
+	// OutdatedRecordsRead: the store tells changes of which later ones were known, so many; key, revision and what was known are those of one of
 	// them.
-	Older(key string, revision, known history.Revision, count int)
+	OutdatedRecordsRead(key string, revision, known history.Revision, count int)
 	StoreCallFailed(trouble follow.Trouble, cause *failure.Failure, contactAge time.Duration)
 	StoreAnswered(contactAge time.Duration)
 	// CopyStale: nothing has confirmed the copy of the store for that long; CopyFresh: it is complete again.
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -246,28 +246,28 @@
 func (silentLog) BackEndEnded(*gateway.Call, *forward.Attempt, clock.Ms) {}
 func (silentLog) Judged(quarantine.Mark, quarantine.Verdict, string, clock.Ms) {
 }
-func (silentLog) Retrial(quarantine.Mark, string)                                 {}
-func (silentLog) QuarantineLost(quarantine.Mark, *failure.Failure)                {}
-func (silentLog) Configuration(*routing.Table, history.Revision)                  {}
-func (silentLog) Rejected(*gateway.Item)                                          {}
-func (silentLog) BackEnd(replica.Entry, history.Revision)                         {}
-func (silentLog) Vanished(string, bool)                                           {}
-func (silentLog) Evacuated(string, history.Revision)                              {}
-func (silentLog) TakenBack(string)                                                {}
-func (silentLog) Listed(int, history.Revision)                                    {}
-func (silentLog) StoreRegressed(history.Revision, history.Revision)               {}
-func (silentLog) StoreRestored(uint64)                                            {}
-func (silentLog) Older(string, history.Revision, history.Revision, int)           {}
-func (silentLog) StoreCallFailed(follow.Trouble, *failure.Failure, time.Duration) {}
-func (silentLog) StoreAnswered(time.Duration)                                     {}
-func (silentLog) CopyStale(clock.Ms)                                              {}
-func (silentLog) Suspended(clock.Ms)                                              {}
-func (silentLog) CopyFresh()                                                      {}
-func (silentLog) Members(int)                                                     {}
-func (silentLog) Learned(string, int, history.Revision)                           {}
-func (silentLog) Fault(string)                                                    {}
-func (silentLog) PeerSilent(string)                                               {}
-func (silentLog) PeerMalformed(string, error)                                     {}
+func (silentLog) Retrial(quarantine.Mark, string)                                     {}
+func (silentLog) QuarantineLost(quarantine.Mark, *failure.Failure)                    {}
+func (silentLog) Configuration(*routing.Table, history.Revision)                      {}
+func (silentLog) Rejected(*gateway.Item)                                              {}
+func (silentLog) BackEnd(replica.Entry, history.Revision)                             {}
+func (silentLog) Vanished(string, bool)                                               {}
+func (silentLog) Evacuated(string, history.Revision)                                  {}
+func (silentLog) TakenBack(string)                                                    {}
+func (silentLog) Listed(int, history.Revision)                                        {}
+func (silentLog) StoreRegressed(history.Revision, history.Revision)                   {}
+func (silentLog) StoreRestored(uint64)                                                {}
+func (silentLog) OutdatedRecordsRead(string, history.Revision, history.Revision, int) {}
+func (silentLog) StoreCallFailed(follow.Trouble, *failure.Failure, time.Duration)     {}
+func (silentLog) StoreAnswered(time.Duration)                                         {}
+func (silentLog) CopyStale(clock.Ms)                                                  {}
+func (silentLog) Suspended(clock.Ms)                                                  {}
+func (silentLog) CopyFresh()                                                          {}
+func (silentLog) Members(int)                                                         {}
+func (silentLog) Learned(string, int, history.Revision)                               {}
+func (silentLog) Fault(string)                                                        {}
+func (silentLog) PeerSilent(string)                                                   {}
+func (silentLog) PeerMalformed(string, error)                                         {}
 
 const shards = 4
 
--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -143,7 +143,7 @@
 	}
 	if count > 0 {
 		known, _ := c.records.Record(last.Key)
-		c.log.Older(last.Key, last.Revision, known.Revision, count)
+		c.log.OutdatedRecordsRead(last.Key, last.Revision, known.Revision, count)
 	}
 }
 
