--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -156,8 +156,8 @@
 	l.info(EventTakenBack, logrus.Fields{fieldZone: zone})
 }
 
-// Listed implements gateway.DecisionLog.
-func (l *Log) Listed(items int, revision history.Revision) {
+// StoreListed implements gateway.DecisionLog.
+func (l *Log) StoreListed(items int, revision history.Revision) {
 	l.info(EventListed, logrus.Fields{fieldItems: items, fieldRevision: revision.Number, fieldEra: revision.Era})
 }
 
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -57,7 +57,7 @@
 		log.Vanished("back-end-1", false)
 		log.Evacuated("zone-a", at)
 		log.TakenBack("zone-a")
-		log.Listed(12, at)
+		log.StoreListed(12, at)
 		log.StoreRegressed(later, at)
 		log.StoreRestored(3)
 		log.OutdatedRecordsRead("key", at, later, 4)
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -32,7 +32,7 @@
 	// Evacuated: a zone is to get nothing from now on; TakenBack: it gets requests again.
 	Evacuated(zone string, revision history.Revision)
 	TakenBack(zone string)
-	Listed(items int, revision history.Revision)
+	StoreListed(items int, revision history.Revision)
 	// StoreRegressed: the store tells another era than was known, or in the same one an earlier revision.
 	StoreRegressed(known, told history.Revision)
 	// StoreRestored: the store was restored from a backup; what it lacks or names again is in doubt for a while.
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -254,7 +254,7 @@
 func (silentLog) Vanished(string, bool)                                               {}
 func (silentLog) Evacuated(string, history.Revision)                                  {}
 func (silentLog) TakenBack(string)                                                    {}
-func (silentLog) Listed(int, history.Revision)                                        {}
+func (silentLog) StoreListed(int, history.Revision)                                   {}
 func (silentLog) StoreRegressed(history.Revision, history.Revision)                   {}
 func (silentLog) StoreRestored(uint64)                                                {}
 func (silentLog) OutdatedRecordsRead(string, history.Revision, history.Revision, int) {}
