--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -90,8 +90,8 @@
 	})
 }
 
-// Judged implements gateway.DecisionLog.
-func (l *Log) Judged(mark quarantine.Mark, verdict quarantine.Verdict, by string, left clock.Ms) {
+// VerdictChanged implements gateway.DecisionLog.
+func (l *Log) VerdictChanged(mark quarantine.Mark, verdict quarantine.Verdict, by string, left clock.Ms) {
 	l.warn(EventJudged, logrus.Fields{
 		fieldMark: mark.String(), fieldOutcome: verdict.String(), fieldReason: by, fieldLeft: left,
 	})
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -19,8 +19,8 @@
 	Ejected(attempt *forward.Attempt, outcome forward.Outcome)
 	// BackEndEnded: a back end ended while it had an attempt of a call, so long after that was sent.
 	BackEndEnded(call *Call, attempt *forward.Attempt, ran clock.Ms)
-	// Judged: the verdict on requests of a mark has changed; by is "own", "peer" or "store", left how much longer a quarantine is.
-	Judged(mark quarantine.Mark, verdict quarantine.Verdict, by string, left clock.Ms)
+	// VerdictChanged: the verdict on requests of a mark has changed; by is "own", "peer" or "store", left how much longer a quarantine is.
+	VerdictChanged(mark quarantine.Mark, verdict quarantine.Verdict, by string, left clock.Ms)
 	// Retrial: a request under quarantine is sent to a new version of the back ends' software.
 	Retrial(mark quarantine.Mark, version string)
 	// QuarantineLost: a quarantine could not be written to the store; it is tried again.
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -244,7 +244,7 @@
 func (silentLog) Request(*gateway.Call, *gateway.Result)                 {}
 func (silentLog) Ejected(*forward.Attempt, forward.Outcome)              {}
 func (silentLog) BackEndEnded(*gateway.Call, *forward.Attempt, clock.Ms) {}
-func (silentLog) Judged(quarantine.Mark, quarantine.Verdict, string, clock.Ms) {
+func (silentLog) VerdictChanged(quarantine.Mark, quarantine.Verdict, string, clock.Ms) {
 }
 func (silentLog) Retrial(quarantine.Mark, string)                                     {}
 func (silentLog) QuarantineLost(quarantine.Mark, *failure.Failure)                    {}
--- a/internal/gateway/quarantine_evidence.go
+++ b/internal/gateway/quarantine_evidence.go
@@ -91,7 +91,7 @@
 		if held {
 			verdict = quarantine.Quarantined
 		}
-		g.log.Judged(mark, verdict, by, left)
+		g.log.VerdictChanged(mark, verdict, by, left)
 		if held && by == byOwn {
 			g.quarantineWrites.schedule(mark, now)
 		}
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -108,10 +108,10 @@
 	m.DecisionLog.BackEndEnded(call, attempt, ran)
 }
 
-// Judged implements gateway.DecisionLog.
-func (m *Metrics) Judged(mark quarantine.Mark, verdict quarantine.Verdict, by string, left clock.Ms) {
+// VerdictChanged implements gateway.DecisionLog.
+func (m *Metrics) VerdictChanged(mark quarantine.Mark, verdict quarantine.Verdict, by string, left clock.Ms) {
 	m.count("stiletrail_verdicts_total", "verdict", verdict.String())
-	m.DecisionLog.Judged(mark, verdict, by, left)
+	m.DecisionLog.VerdictChanged(mark, verdict, by, left)
 }
 
 // QuarantineLost implements gateway.DecisionLog.
