--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -97,8 +97,8 @@
 	})
 }
 
-// Retrial implements gateway.DecisionLog.
-func (l *Log) Retrial(mark quarantine.Mark, version string) {
+// RetrialClaimed implements gateway.DecisionLog.
+func (l *Log) RetrialClaimed(mark quarantine.Mark, version string) {
 	l.info(EventRetrial, logrus.Fields{fieldMark: mark.String(), fieldSoftware: version})
 }
 
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -47,7 +47,7 @@
 		log.Ejected(lost, lost.Outcome)
 		log.BackEndEnded(call, lost, 12)
 		log.VerdictChanged(mark, quarantine.Quarantined, "own", 600_000)
-		log.Retrial(mark, "v2")
+		log.RetrialClaimed(mark, "v2")
 		log.QuarantineLost(mark, down)
 		log.Configuration(table, at)
 		log.Rejected(&gateway.Item{Key: "key", Revision: at, Err: errors.New("unreadable")})
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -21,8 +21,8 @@
 	BackEndEnded(call *Call, attempt *forward.Attempt, ran clock.Ms)
 	// VerdictChanged: the verdict on requests of a mark has changed; by is "own", "peer" or "store", left how much longer a quarantine is.
 	VerdictChanged(mark quarantine.Mark, verdict quarantine.Verdict, by string, left clock.Ms)
-	// Retrial: a request under quarantine is sent to a new version of the back ends' software.
-	Retrial(mark quarantine.Mark, version string)
+	// RetrialClaimed: a request under quarantine is sent to a new version of the back ends' software.
+	RetrialClaimed(mark quarantine.Mark, version string)
 	// QuarantineLost: a quarantine could not be written to the store; it is tried again.
 	QuarantineLost(mark quarantine.Mark, cause *failure.Failure)
 	Configuration(table *routing.Table, revision history.Revision)
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -246,7 +246,7 @@
 func (silentLog) BackEndEnded(*gateway.Call, *forward.Attempt, clock.Ms) {}
 func (silentLog) VerdictChanged(quarantine.Mark, quarantine.Verdict, string, clock.Ms) {
 }
-func (silentLog) Retrial(quarantine.Mark, string)                                     {}
+func (silentLog) RetrialClaimed(quarantine.Mark, string)                              {}
 func (silentLog) QuarantineLost(quarantine.Mark, *failure.Failure)                    {}
 func (silentLog) Configuration(*routing.Table, history.Revision)                      {}
 func (silentLog) Rejected(*gateway.Item)                                              {}
--- a/internal/gateway/quarantine_writes.go
+++ b/internal/gateway/quarantine_writes.go
@@ -268,7 +268,7 @@
 	}
 	if claimed {
 		g.quarantineWrites.claimed(key, clock.Of(g.now()), length)
-		g.log.Retrial(mark, version)
+		g.log.RetrialClaimed(mark, version)
 	}
 	return claimed
 }
