--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -102,8 +102,8 @@
 	l.info(EventRetrial, logrus.Fields{fieldMark: mark.String(), fieldSoftware: version})
 }
 
-// QuarantineLost implements gateway.DecisionLog.
-func (l *Log) QuarantineLost(mark quarantine.Mark, cause *failure.Failure) {
+// QuarantineNotWritten implements gateway.DecisionLog.
+func (l *Log) QuarantineNotWritten(mark quarantine.Mark, cause *failure.Failure) {
 	l.warn(EventQuarantineLost, logrus.Fields{fieldMark: mark.String(), fieldReason: cause.Error()})
 }
 
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -48,7 +48,7 @@
 		log.BackEndEnded(call, lost, 12)
 		log.VerdictChanged(mark, quarantine.Quarantined, "own", 600_000)
 		log.RetrialClaimed(mark, "v2")
-		log.QuarantineLost(mark, down)
+		log.QuarantineNotWritten(mark, down)
 		log.Configuration(table, at)
 		log.Rejected(&gateway.Item{Key: "key", Revision: at, Err: errors.New("unreadable")})
 		log.BackEnd(replica.Entry{ID: "back-end-1", Service: "service", Zone: "zone-a"}, at)
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -23,8 +23,8 @@
 	VerdictChanged(mark quarantine.Mark, verdict quarantine.Verdict, by string, left clock.Ms)
 	// RetrialClaimed: a request under quarantine is sent to a new version of the back ends' software.
 	RetrialClaimed(mark quarantine.Mark, version string)
-	// QuarantineLost: a quarantine could not be written to the store; it is tried again.
-	QuarantineLost(mark quarantine.Mark, cause *failure.Failure)
+	// QuarantineNotWritten: a quarantine could not be written to the store; it is tried again.
+	QuarantineNotWritten(mark quarantine.Mark, cause *failure.Failure)
 	Configuration(table *routing.Table, revision history.Revision)
 	Rejected(item *Item)
 	BackEnd(entry replica.Entry, revision history.Revision)
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -247,7 +247,7 @@
 func (silentLog) VerdictChanged(quarantine.Mark, quarantine.Verdict, string, clock.Ms) {
 }
 func (silentLog) RetrialClaimed(quarantine.Mark, string)                              {}
-func (silentLog) QuarantineLost(quarantine.Mark, *failure.Failure)                    {}
+func (silentLog) QuarantineNotWritten(quarantine.Mark, *failure.Failure)              {}
 func (silentLog) Configuration(*routing.Table, history.Revision)                      {}
 func (silentLog) Rejected(*gateway.Item)                                              {}
 func (silentLog) BackEnd(replica.Entry, history.Revision)                             {}
--- a/internal/gateway/quarantine_writes.go
+++ b/internal/gateway/quarantine_writes.go
@@ -216,7 +216,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.log.QuarantineLost(w.mark, failure.From(err))
+	g.log.QuarantineNotWritten(w.mark, failure.From(err))
 	if !w.IfAbsent {
 		g.quarantineWrites.settle(w.mark, true)
 	}
@@ -231,7 +231,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.log.QuarantineLost(mark, failure.From(err))
+	g.log.QuarantineNotWritten(mark, failure.From(err))
 	g.quarantineWrites.settle(mark, false)
 }
 
@@ -262,7 +262,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err != nil {
-		g.log.QuarantineLost(mark, failure.From(err))
+		g.log.QuarantineNotWritten(mark, failure.From(err))
 		// The call may have been done: only a refusal that says that nothing was done lets this node ask again.
 		return false
 	}
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -114,10 +114,10 @@
 	m.DecisionLog.VerdictChanged(mark, verdict, by, left)
 }
 
-// QuarantineLost implements gateway.DecisionLog.
-func (m *Metrics) QuarantineLost(mark quarantine.Mark, cause *failure.Failure) {
+// QuarantineNotWritten implements gateway.DecisionLog.
+func (m *Metrics) QuarantineNotWritten(mark quarantine.Mark, cause *failure.Failure) {
 	m.set.GetOrCreateCounter("stiletrail_quarantines_not_written_total").Inc()
-	m.DecisionLog.QuarantineLost(mark, cause)
+	m.DecisionLog.QuarantineNotWritten(mark, cause)
 }
 
 // Rejected implements gateway.DecisionLog.
