--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -107,8 +107,8 @@
 	l.warn(EventQuarantineLost, logrus.Fields{fieldMark: mark.String(), fieldReason: cause.Error()})
 }
 
-// Configuration implements gateway.DecisionLog.
-func (l *Log) Configuration(table *routing.Table, revision history.Revision) {
+// ConfigurationApplied implements gateway.DecisionLog.
+func (l *Log) ConfigurationApplied(table *routing.Table, revision history.Revision) {
 	l.info(EventConfiguration, logrus.Fields{
 		fieldVersion: table.Version(), fieldRevision: revision.Number, fieldEra: revision.Era, fieldRoutes: table.RouteCount(),
 	})
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -49,7 +49,7 @@
 		log.VerdictChanged(mark, quarantine.Quarantined, "own", 600_000)
 		log.RetrialClaimed(mark, "v2")
 		log.QuarantineNotWritten(mark, down)
-		log.Configuration(table, at)
+		log.ConfigurationApplied(table, at)
 		log.Rejected(&gateway.Item{Key: "key", Revision: at, Err: errors.New("unreadable")})
 		log.BackEnd(replica.Entry{ID: "back-end-1", Service: "service", Zone: "zone-a"}, at)
 		log.BackEnd(replica.Entry{ID: "back-end-1", Service: "service", Zone: "zone-a", Draining: true}, at)
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -25,7 +25,7 @@
 	RetrialClaimed(mark quarantine.Mark, version string)
 	// QuarantineNotWritten: a quarantine could not be written to the store; it is tried again.
 	QuarantineNotWritten(mark quarantine.Mark, cause *failure.Failure)
-	Configuration(table *routing.Table, revision history.Revision)
+	ConfigurationApplied(table *routing.Table, revision history.Revision)
 	Rejected(item *Item)
 	BackEnd(entry replica.Entry, revision history.Revision)
 	Vanished(id string, certain bool)
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -248,7 +248,7 @@
 }
 func (silentLog) RetrialClaimed(quarantine.Mark, string)                              {}
 func (silentLog) QuarantineNotWritten(quarantine.Mark, *failure.Failure)              {}
-func (silentLog) Configuration(*routing.Table, history.Revision)                      {}
+func (silentLog) ConfigurationApplied(*routing.Table, history.Revision)               {}
 func (silentLog) Rejected(*gateway.Item)                                              {}
 func (silentLog) BackEnd(replica.Entry, history.Revision)                             {}
 func (silentLog) Vanished(string, bool)                                               {}
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -158,7 +158,7 @@
 	if g.firstListing.read.Load() {
 		g.noteListed()
 	}
-	g.log.Configuration(table, item.Revision)
+	g.log.ConfigurationApplied(table, item.Revision)
 }
 
 // compile makes the table of a configuration, whose regions this node must know.
