--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -114,8 +114,8 @@
 	})
 }
 
-// Rejected implements gateway.DecisionLog.
-func (l *Log) Rejected(item *gateway.Item) {
+// ItemRejected implements gateway.DecisionLog.
+func (l *Log) ItemRejected(item *gateway.Item) {
 	l.warn(EventRejected, logrus.Fields{
 		fieldKey: item.Key, fieldRevision: item.Revision.Number, fieldEra: item.Revision.Era, fieldReason: item.Err.Error(),
 	})
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -50,7 +50,7 @@
 		log.RetrialClaimed(mark, "v2")
 		log.QuarantineNotWritten(mark, down)
 		log.ConfigurationApplied(table, at)
-		log.Rejected(&gateway.Item{Key: "key", Revision: at, Err: errors.New("unreadable")})
+		log.ItemRejected(&gateway.Item{Key: "key", Revision: at, Err: errors.New("unreadable")})
 		log.BackEnd(replica.Entry{ID: "back-end-1", Service: "service", Zone: "zone-a"}, at)
 		log.BackEnd(replica.Entry{ID: "back-end-1", Service: "service", Zone: "zone-a", Draining: true}, at)
 		log.Vanished("back-end-1", true)
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -26,7 +26,7 @@
 	// QuarantineNotWritten: a quarantine could not be written to the store; it is tried again.
 	QuarantineNotWritten(mark quarantine.Mark, cause *failure.Failure)
 	ConfigurationApplied(table *routing.Table, revision history.Revision)
-	Rejected(item *Item)
+	ItemRejected(item *Item)
 	BackEnd(entry replica.Entry, revision history.Revision)
 	Vanished(id string, certain bool)
 	// Evacuated: a zone is to get nothing from now on; TakenBack: it gets requests again.
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -249,7 +249,7 @@
 func (silentLog) RetrialClaimed(quarantine.Mark, string)                              {}
 func (silentLog) QuarantineNotWritten(quarantine.Mark, *failure.Failure)              {}
 func (silentLog) ConfigurationApplied(*routing.Table, history.Revision)               {}
-func (silentLog) Rejected(*gateway.Item)                                              {}
+func (silentLog) ItemRejected(*gateway.Item)                                          {}
 func (silentLog) BackEnd(replica.Entry, history.Revision)                             {}
 func (silentLog) Vanished(string, bool)                                               {}
 func (silentLog) Evacuated(string, history.Revision)                                  {}
--- a/internal/gateway/quarantine_evidence.go
+++ b/internal/gateway/quarantine_evidence.go
@@ -146,7 +146,7 @@
 	}
 	convicted, err := g.quarantine.Store(now, mark, record.Value)
 	if err != nil {
-		g.log.Rejected(&Item{Key: record.Key, Revision: record.Revision, Err: err})
+		g.log.ItemRejected(&Item{Key: record.Key, Revision: record.Revision, Err: err})
 		return
 	}
 	if convicted {
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -61,7 +61,7 @@
 	}
 	item := g.store.Decode(record)
 	if item.Err != nil {
-		g.log.Rejected(&item)
+		g.log.ItemRejected(&item)
 	}
 	switch content := item.Content.(type) {
 	case nil:
@@ -145,7 +145,7 @@
 	table, err := g.compile(configuration)
 	if err != nil {
 		item.Err = err
-		g.log.Rejected(item)
+		g.log.ItemRejected(item)
 		return
 	}
 	g.splitter.Retain(table)
--- a/internal/telemetry/kept_test.go
+++ b/internal/telemetry/kept_test.go
@@ -29,7 +29,7 @@
 func (silent) BackEndEnded(*gateway.Call, *forward.Attempt, clock.Ms)               {}
 func (silent) VerdictChanged(quarantine.Mark, quarantine.Verdict, string, clock.Ms) {}
 func (silent) QuarantineNotWritten(quarantine.Mark, *failure.Failure)               {}
-func (silent) Rejected(*gateway.Item)                                               {}
+func (silent) ItemRejected(*gateway.Item)                                           {}
 func (silent) StoreRestored(uint64)                                                 {}
 func (silent) Learned(from string, records int, revision history.Revision)          {}
 
@@ -61,7 +61,7 @@
 	measured.BackEndEnded(&gateway.Call{}, lost, 12)
 	measured.VerdictChanged(quarantine.Mark{}, quarantine.Quarantined, "own", 0)
 	measured.QuarantineNotWritten(quarantine.Mark{}, nil)
-	measured.Rejected(&gateway.Item{})
+	measured.ItemRejected(&gateway.Item{})
 	measured.StoreRestored(3)
 	measured.Learned("", 1, history.Revision{})
 	recorder := httptest.NewRecorder()
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -120,10 +120,10 @@
 	m.DecisionLog.QuarantineNotWritten(mark, cause)
 }
 
-// Rejected implements gateway.DecisionLog.
-func (m *Metrics) Rejected(item *gateway.Item) {
+// ItemRejected implements gateway.DecisionLog.
+func (m *Metrics) ItemRejected(item *gateway.Item) {
 	m.set.GetOrCreateCounter("stiletrail_items_rejected_total").Inc()
-	m.DecisionLog.Rejected(item)
+	m.DecisionLog.ItemRejected(item)
 }
 
 // StoreRestored implements gateway.DecisionLog.
