--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -121,8 +121,8 @@
 	})
 }
 
-// BackEnd implements gateway.DecisionLog.
-func (l *Log) BackEnd(entry replica.Entry, revision history.Revision) {
+// BackEndUpdated implements gateway.DecisionLog.
+func (l *Log) BackEndUpdated(entry replica.Entry, revision history.Revision) {
 	state := "ready"
 	if entry.Draining {
 		state = "draining"
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -27,7 +27,7 @@
 	QuarantineNotWritten(mark quarantine.Mark, cause *failure.Failure)
 	ConfigurationApplied(table *routing.Table, revision history.Revision)
 	ItemRejected(item *Item)
-	BackEnd(entry replica.Entry, revision history.Revision)
+	BackEndUpdated(entry replica.Entry, revision history.Revision)
 	Vanished(id string, certain bool)
 	// Evacuated: a zone is to get nothing from now on; TakenBack: it gets requests again.
 	Evacuated(zone string, revision history.Revision)
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -250,7 +250,7 @@
 func (silentLog) QuarantineNotWritten(quarantine.Mark, *failure.Failure)              {}
 func (silentLog) ConfigurationApplied(*routing.Table, history.Revision)               {}
 func (silentLog) ItemRejected(*gateway.Item)                                          {}
-func (silentLog) BackEnd(replica.Entry, history.Revision)                             {}
+func (silentLog) BackEndUpdated(replica.Entry, history.Revision)                      {}
 func (silentLog) Vanished(string, bool)                                               {}
 func (silentLog) Evacuated(string, history.Revision)                                  {}
 func (silentLog) TakenBack(string)                                                    {}
--- a/internal/gateway/maintain.go
+++ b/internal/gateway/maintain.go
@@ -37,7 +37,7 @@
 		g.log.Vanished(id, true)
 	}
 	for _, entry := range g.replicas.Readmit(g.now()) {
-		g.log.BackEnd(entry, g.storeCopy.records.Revision())
+		g.log.BackEndUpdated(entry, g.storeCopy.records.Revision())
 	}
 	g.returnZonesDue(g.now())
 }
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -88,7 +88,7 @@
 // putBackEnd takes in the entry of a back end. Of those of the first listing, one line of the log tells how many they are.
 func (g *Gateway) putBackEnd(now time.Duration, entry replica.Entry, revision history.Revision) {
 	if g.replicas.Put(now, entry) && (g.firstListing.read.Load() || entry.Draining) {
-		g.log.BackEnd(entry, revision)
+		g.log.BackEndUpdated(entry, revision)
 	}
 }
 
