--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -137,8 +137,8 @@
 	l.info(EventBackEnd, fields)
 }
 
-// Vanished implements gateway.DecisionLog.
-func (l *Log) Vanished(id string, certain bool) {
+// BackEndVanished implements gateway.DecisionLog.
+func (l *Log) BackEndVanished(id string, certain bool) {
 	outcome := "doubtful"
 	if certain {
 		outcome = "forgotten"
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -28,7 +28,7 @@
 	ConfigurationApplied(table *routing.Table, revision history.Revision)
 	ItemRejected(item *Item)
 	BackEndUpdated(entry replica.Entry, revision history.Revision)
-	Vanished(id string, certain bool)
+	BackEndVanished(id string, certain bool)
 	// Evacuated: a zone is to get nothing from now on; TakenBack: it gets requests again.
 	Evacuated(zone string, revision history.Revision)
 	TakenBack(zone string)
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -251,7 +251,7 @@
 func (silentLog) ConfigurationApplied(*routing.Table, history.Revision)               {}
 func (silentLog) ItemRejected(*gateway.Item)                                          {}
 func (silentLog) BackEndUpdated(replica.Entry, history.Revision)                      {}
-func (silentLog) Vanished(string, bool)                                               {}
+func (silentLog) BackEndVanished(string, bool)                                        {}
 func (silentLog) Evacuated(string, history.Revision)                                  {}
 func (silentLog) TakenBack(string)                                                    {}
 func (silentLog) StoreListed(int, history.Revision)                                   {}
--- a/internal/gateway/maintain.go
+++ b/internal/gateway/maintain.go
@@ -34,7 +34,7 @@
 	defer g.mu.Unlock()
 	g.storeCopy.logStaleness(g.now())
 	for _, id := range g.replicas.Expire(g.now()) {
-		g.log.Vanished(id, true)
+		g.log.BackEndVanished(id, true)
 	}
 	for _, entry := range g.replicas.Readmit(g.now()) {
 		g.log.BackEndUpdated(entry, g.storeCopy.records.Revision())
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -69,7 +69,7 @@
 		if content.Entry == nil {
 			// Whether the back end lives that the key named before, and where, nobody knows now.
 			if g.replicas.Remove(now, content.ID, now) {
-				g.log.Vanished(content.ID, true)
+				g.log.BackEndVanished(content.ID, true)
 			}
 			return
 		}
@@ -105,7 +105,7 @@
 	case nil, Configuration:
 	case BackEnd:
 		if content.ID != "" && g.replicas.Remove(now, content.ID, doubt) {
-			g.log.Vanished(content.ID, doubt <= now)
+			g.log.BackEndVanished(content.ID, doubt <= now)
 		}
 	case Evacuation:
 		if content.Zone != "" {
