--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -146,8 +146,8 @@
 	l.info(EventVanished, logrus.Fields{fieldBackEnd: id, fieldOutcome: outcome})
 }
 
-// Evacuated implements gateway.DecisionLog.
-func (l *Log) Evacuated(zone string, revision history.Revision) {
+// ZoneEvacuated implements gateway.DecisionLog.
+func (l *Log) ZoneEvacuated(zone string, revision history.Revision) {
 	l.warn(EventEvacuated, logrus.Fields{fieldZone: zone, fieldRevision: revision.Number, fieldEra: revision.Era})
 }
 
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -55,7 +55,7 @@
 		log.BackEndUpdated(replica.Entry{ID: "back-end-1", Service: "service", Zone: "zone-a", Draining: true}, at)
 		log.BackEndVanished("back-end-1", true)
 		log.BackEndVanished("back-end-1", false)
-		log.Evacuated("zone-a", at)
+		log.ZoneEvacuated("zone-a", at)
 		log.TakenBack("zone-a")
 		log.StoreListed(12, at)
 		log.StoreRegressed(later, at)
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -252,7 +252,7 @@
 func (silentLog) ItemRejected(*gateway.Item)                                          {}
 func (silentLog) BackEndUpdated(replica.Entry, history.Revision)                      {}
 func (silentLog) BackEndVanished(string, bool)                                        {}
-func (silentLog) Evacuated(string, history.Revision)                                  {}
+func (silentLog) ZoneEvacuated(string, history.Revision)                              {}
 func (silentLog) TakenBack(string)                                                    {}
 func (silentLog) StoreListed(int, history.Revision)                                   {}
 func (silentLog) StoreRegressed(history.Revision, history.Revision)                   {}
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -76,7 +76,7 @@
 		g.putBackEnd(now, *content.Entry, item.Revision)
 	case Evacuation:
 		if content.Zone != "" && g.replicas.EvacuateZone(content.Zone) {
-			g.log.Evacuated(content.Zone, item.Revision)
+			g.log.ZoneEvacuated(content.Zone, item.Revision)
 		}
 	case Configuration:
 		g.adopt(&item, content, record)
