--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -151,8 +151,8 @@
 	l.warn(EventEvacuated, logrus.Fields{fieldZone: zone, fieldRevision: revision.Number, fieldEra: revision.Era})
 }
 
-// TakenBack implements gateway.DecisionLog.
-func (l *Log) TakenBack(zone string) {
+// ZoneEvacuationEnded implements gateway.DecisionLog.
+func (l *Log) ZoneEvacuationEnded(zone string) {
 	l.info(EventTakenBack, logrus.Fields{fieldZone: zone})
 }
 
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -56,7 +56,7 @@
 		log.BackEndVanished("back-end-1", true)
 		log.BackEndVanished("back-end-1", false)
 		log.ZoneEvacuated("zone-a", at)
-		log.TakenBack("zone-a")
+		log.ZoneEvacuationEnded("zone-a")
 		log.StoreListed(12, at)
 		log.StoreRegressed(later, at)
 		log.StoreRestored(3)
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -29,9 +29,9 @@
 	ItemRejected(item *Item)
 	BackEndUpdated(entry replica.Entry, revision history.Revision)
 	BackEndVanished(id string, certain bool)
-	// ZoneEvacuated: a zone is to get nothing from now on; TakenBack: it gets requests again.
+	// ZoneEvacuated: a zone is to get nothing from now on; ZoneEvacuationEnded: it gets requests again.
 	ZoneEvacuated(zone string, revision history.Revision)
-	TakenBack(zone string)
+	ZoneEvacuationEnded(zone string)
 	StoreListed(items int, revision history.Revision)
 	// StoreRegressed: the store tells another era than was known, or in the same one an earlier revision.
 	StoreRegressed(known, told history.Revision)
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -253,7 +253,7 @@
 func (silentLog) BackEndUpdated(replica.Entry, history.Revision)                      {}
 func (silentLog) BackEndVanished(string, bool)                                        {}
 func (silentLog) ZoneEvacuated(string, history.Revision)                              {}
-func (silentLog) TakenBack(string)                                                    {}
+func (silentLog) ZoneEvacuationEnded(string)                                          {}
 func (silentLog) StoreListed(int, history.Revision)                                   {}
 func (silentLog) StoreRegressed(history.Revision, history.Revision)                   {}
 func (silentLog) StoreRestored(uint64)                                                {}
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -123,7 +123,7 @@
 		return
 	}
 	if g.replicas.TakeZoneBack(now, zone) {
-		g.log.TakenBack(zone)
+		g.log.ZoneEvacuationEnded(zone)
 	}
 }
 
