--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -71,8 +71,8 @@
 	l.log.WithFields(fields).WithField(fieldEvent, event).Warn(event)
 }
 
-// Ejected implements gateway.DecisionLog.
-func (l *Log) Ejected(attempt *forward.Attempt, outcome forward.Outcome) {
+// BackEndEjected implements gateway.DecisionLog.
+func (l *Log) BackEndEjected(attempt *forward.Attempt, outcome forward.Outcome) {
 	l.info(EventEjected, logrus.Fields{
 		fieldBackEnd: attempt.Replica.ID, fieldService: attempt.Service,
 		fieldOutcome: outcome.Kind.String(), fieldReason: outcome.Detail,
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -44,7 +44,7 @@
 			Answer:   forward.Answer{Failure: failure.Refused(failure.Overloaded, "", time.Second), Reason: forward.TurnedAway},
 			Overload: admit.Level{Lacking: 1.9, Shed: 0.126, TurnedAway: 0.5},
 		})
-		log.Ejected(lost, lost.Outcome)
+		log.BackEndEjected(lost, lost.Outcome)
 		log.BackEndEnded(call, lost, 12)
 		log.VerdictChanged(mark, quarantine.Quarantined, "own", 600_000)
 		log.RetrialClaimed(mark, "v2")
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -57,7 +57,7 @@
 		g.log.BackEndEnded(call, attempt, clock.Of(now-attempt.StartedAt))
 	}
 	if ejected {
-		g.log.Ejected(attempt, outcome)
+		g.log.BackEndEjected(attempt, outcome)
 	}
 }
 
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -16,7 +16,7 @@
 // DecisionLog takes note of decisions. Its methods never block; some are called with the gateway's lock held.
 type DecisionLog interface {
 	Request(call *Call, result *Result)
-	Ejected(attempt *forward.Attempt, outcome forward.Outcome)
+	BackEndEjected(attempt *forward.Attempt, outcome forward.Outcome)
 	// BackEndEnded: a back end ended while it had an attempt of a call, so long after that was sent.
 	BackEndEnded(call *Call, attempt *forward.Attempt, ran clock.Ms)
 	// VerdictChanged: the verdict on requests of a mark has changed; by is "own", "peer" or "store", left how much longer a quarantine is.
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -242,7 +242,7 @@
 type silentLog struct{}
 
 func (silentLog) Request(*gateway.Call, *gateway.Result)                 {}
-func (silentLog) Ejected(*forward.Attempt, forward.Outcome)              {}
+func (silentLog) BackEndEjected(*forward.Attempt, forward.Outcome)       {}
 func (silentLog) BackEndEnded(*gateway.Call, *forward.Attempt, clock.Ms) {}
 func (silentLog) VerdictChanged(quarantine.Mark, quarantine.Verdict, string, clock.Ms) {
 }
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -94,7 +94,7 @@
 			continue
 		}
 		if attempt.Replica.Contradicted(n.now) {
-			n.gateway.log.Ejected(attempt, attempt.Outcome)
+			n.gateway.log.BackEndEjected(attempt, attempt.Outcome)
 		}
 		n.gateway.reportHealth(n.now, attempt.Replica)
 	}
--- a/internal/telemetry/kept_test.go
+++ b/internal/telemetry/kept_test.go
@@ -25,7 +25,7 @@
 type silent struct{ gateway.DecisionLog }
 
 func (silent) Request(*gateway.Call, *gateway.Result)                               {}
-func (silent) Ejected(*forward.Attempt, forward.Outcome)                            {}
+func (silent) BackEndEjected(*forward.Attempt, forward.Outcome)                     {}
 func (silent) BackEndEnded(*gateway.Call, *forward.Attempt, clock.Ms)               {}
 func (silent) VerdictChanged(quarantine.Mark, quarantine.Verdict, string, clock.Ms) {}
 func (silent) QuarantineNotWritten(quarantine.Mark, *failure.Failure)               {}
@@ -57,7 +57,7 @@
 		Denied: func(*forward.Attempt) forward.Denied { return forward.DeniedBudget },
 	})
 	measured.Connected(7 * time.Millisecond)
-	measured.Ejected(lost, lost.Outcome)
+	measured.BackEndEjected(lost, lost.Outcome)
 	measured.BackEndEnded(&gateway.Call{}, lost, 12)
 	measured.VerdictChanged(quarantine.Mark{}, quarantine.Quarantined, "own", 0)
 	measured.QuarantineNotWritten(quarantine.Mark{}, nil)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -96,10 +96,10 @@
 // Connected takes in how long it took to open a connection to a back end.
 func (m *Metrics) Connected(elapsed time.Duration) { m.connect.Update(elapsed.Seconds()) }
 
-// Ejected implements gateway.DecisionLog.
-func (m *Metrics) Ejected(attempt *forward.Attempt, outcome forward.Outcome) {
+// BackEndEjected implements gateway.DecisionLog.
+func (m *Metrics) BackEndEjected(attempt *forward.Attempt, outcome forward.Outcome) {
 	m.count("stiletrail_ejections_total", "outcome", outcome.Kind.String())
-	m.DecisionLog.Ejected(attempt, outcome)
+	m.DecisionLog.BackEndEjected(attempt, outcome)
 }
 
 // BackEndEnded implements gateway.DecisionLog.
