--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -79,8 +79,8 @@
 	})
 }
 
-// BackEndEnded implements gateway.DecisionLog. Lines of one mark are those of one request that came several times.
-func (l *Log) BackEndEnded(call *gateway.Call, attempt *forward.Attempt, ran clock.Ms) {
+// BackEndCrashed implements gateway.DecisionLog. Lines of one mark are those of one request that came several times.
+func (l *Log) BackEndCrashed(call *gateway.Call, attempt *forward.Attempt, ran clock.Ms) {
 	if !l.rate.allow(time.Now()) {
 		return
 	}
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -45,7 +45,7 @@
 			Overload: admit.Level{Lacking: 1.9, Shed: 0.126, TurnedAway: 0.5},
 		})
 		log.BackEndEjected(lost, lost.Outcome)
-		log.BackEndEnded(call, lost, 12)
+		log.BackEndCrashed(call, lost, 12)
 		log.VerdictChanged(mark, quarantine.Quarantined, "own", 600_000)
 		log.RetrialClaimed(mark, "v2")
 		log.QuarantineNotWritten(mark, down)
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -17,8 +17,8 @@
 type DecisionLog interface {
 	Request(call *Call, result *Result)
 	BackEndEjected(attempt *forward.Attempt, outcome forward.Outcome)
-	// BackEndEnded: a back end ended while it had an attempt of a call, so long after that was sent.
-	BackEndEnded(call *Call, attempt *forward.Attempt, ran clock.Ms)
+	// BackEndCrashed: a back end ended while it had an attempt of a call, so long after that was sent.
+	BackEndCrashed(call *Call, attempt *forward.Attempt, ran clock.Ms)
 	// VerdictChanged: the verdict on requests of a mark has changed; by is "own", "peer" or "store", left how much longer a quarantine is.
 	VerdictChanged(mark quarantine.Mark, verdict quarantine.Verdict, by string, left clock.Ms)
 	// RetrialClaimed: a request under quarantine is sent to a new version of the back ends' software.
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -241,9 +241,9 @@
 // silentLog takes no note.
 type silentLog struct{}
 
-func (silentLog) Request(*gateway.Call, *gateway.Result)                 {}
-func (silentLog) BackEndEjected(*forward.Attempt, forward.Outcome)       {}
-func (silentLog) BackEndEnded(*gateway.Call, *forward.Attempt, clock.Ms) {}
+func (silentLog) Request(*gateway.Call, *gateway.Result)                   {}
+func (silentLog) BackEndEjected(*forward.Attempt, forward.Outcome)         {}
+func (silentLog) BackEndCrashed(*gateway.Call, *forward.Attempt, clock.Ms) {}
 func (silentLog) VerdictChanged(quarantine.Mark, quarantine.Verdict, string, clock.Ms) {
 }
 func (silentLog) RetrialClaimed(quarantine.Mark, string)                              {}
--- a/internal/telemetry/kept_test.go
+++ b/internal/telemetry/kept_test.go
@@ -26,7 +26,7 @@
 
 func (silent) Request(*gateway.Call, *gateway.Result)                               {}
 func (silent) BackEndEjected(*forward.Attempt, forward.Outcome)                     {}
-func (silent) BackEndEnded(*gateway.Call, *forward.Attempt, clock.Ms)               {}
+func (silent) BackEndCrashed(*gateway.Call, *forward.Attempt, clock.Ms)             {}
 func (silent) VerdictChanged(quarantine.Mark, quarantine.Verdict, string, clock.Ms) {}
 func (silent) QuarantineNotWritten(quarantine.Mark, *failure.Failure)               {}
 func (silent) ItemRejected(*gateway.Item)                                           {}
@@ -58,7 +58,7 @@
 	})
 	measured.Connected(7 * time.Millisecond)
 	measured.BackEndEjected(lost, lost.Outcome)
-	measured.BackEndEnded(&gateway.Call{}, lost, 12)
+	measured.BackEndCrashed(&gateway.Call{}, lost, 12)
 	measured.VerdictChanged(quarantine.Mark{}, quarantine.Quarantined, "own", 0)
 	measured.QuarantineNotWritten(quarantine.Mark{}, nil)
 	measured.ItemRejected(&gateway.Item{})
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -102,10 +102,10 @@
 	m.DecisionLog.BackEndEjected(attempt, outcome)
 }
 
-// BackEndEnded implements gateway.DecisionLog.
-func (m *Metrics) BackEndEnded(call *gateway.Call, attempt *forward.Attempt, ran clock.Ms) {
+// BackEndCrashed implements gateway.DecisionLog.
+func (m *Metrics) BackEndCrashed(call *gateway.Call, attempt *forward.Attempt, ran clock.Ms) {
 	m.set.GetOrCreateCounter("stiletrail_attempts_whose_back_end_ended_total").Inc()
-	m.DecisionLog.BackEndEnded(call, attempt, ran)
+	m.DecisionLog.BackEndCrashed(call, attempt, ran)
 }
 
 // VerdictChanged implements gateway.DecisionLog.
