--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -204,8 +204,8 @@
 // CopyFresh implements gateway.DecisionLog.
 func (l *Log) CopyFresh() { l.info(EventCopyFresh, nil) }
 
-// Suspended implements gateway.DecisionLog.
-func (l *Log) Suspended(length clock.Ms) {
+// MachineSuspended implements gateway.DecisionLog.
+func (l *Log) MachineSuspended(length clock.Ms) {
 	l.warn(EventSuspended, logrus.Fields{fieldAge: length})
 }
 
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -65,7 +65,7 @@
 		log.StoreAnswered(20 * time.Millisecond)
 		log.CopyStale(2100)
 		log.CopyFresh()
-		log.Suspended(3000)
+		log.MachineSuspended(3000)
 		log.Members(6)
 		log.Learned("10.0.0.2:1", 5, at)
 		log.PeerSilent("10.0.0.2:1")
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -45,8 +45,8 @@
 	// CopyStale: nothing has confirmed the copy of the store for that long; CopyFresh: it is complete again.
 	CopyStale(age clock.Ms)
 	CopyFresh()
-	// Suspended: the machine was suspended for that long.
-	Suspended(length clock.Ms)
+	// MachineSuspended: the machine was suspended for that long.
+	MachineSuspended(length clock.Ms)
 	Members(alive int)
 	// Learned: a peer told what the store had not.
 	Learned(from string, records int, revision history.Revision)
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -261,7 +261,7 @@
 func (silentLog) StoreCallFailed(follow.Trouble, *failure.Failure, time.Duration)     {}
 func (silentLog) StoreAnswered(time.Duration)                                         {}
 func (silentLog) CopyStale(clock.Ms)                                                  {}
-func (silentLog) Suspended(clock.Ms)                                                  {}
+func (silentLog) MachineSuspended(clock.Ms)                                           {}
 func (silentLog) CopyFresh()                                                          {}
 func (silentLog) Members(int)                                                         {}
 func (silentLog) Learned(string, int, history.Revision)                               {}
--- a/internal/gateway/maintain.go
+++ b/internal/gateway/maintain.go
@@ -18,7 +18,7 @@
 	for round := 1; ctx.Err() == nil; round++ {
 		pause(ctx, expireInterval)
 		if length := g.suspensions.notice(g.clock.Suspended()); length > 0 {
-			g.log.Suspended(length)
+			g.log.MachineSuspended(length)
 		}
 		g.expire()
 		if round%pruneEvery == 0 {
