--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -209,8 +209,8 @@
 	l.warn(EventSuspended, logrus.Fields{fieldAge: length})
 }
 
-// Members implements gateway.DecisionLog.
-func (l *Log) Members(alive int) {
+// MembersChanged implements gateway.DecisionLog.
+func (l *Log) MembersChanged(alive int) {
 	l.info(EventMembers, logrus.Fields{fieldAlive: alive})
 }
 
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -66,7 +66,7 @@
 		log.CopyStale(2100)
 		log.CopyFresh()
 		log.MachineSuspended(3000)
-		log.Members(6)
+		log.MembersChanged(6)
 		log.Learned("10.0.0.2:1", 5, at)
 		log.PeerSilent("10.0.0.2:1")
 		log.PeerMalformed("10.0.0.2:1", errors.New("a short frame"))
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -47,7 +47,7 @@
 	CopyFresh()
 	// MachineSuspended: the machine was suspended for that long.
 	MachineSuspended(length clock.Ms)
-	Members(alive int)
+	MembersChanged(alive int)
 	// Learned: a peer told what the store had not.
 	Learned(from string, records int, revision history.Revision)
 	// PeerSilent: a connection to a peer was given up, since nothing came back on it.
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -263,7 +263,7 @@
 func (silentLog) CopyStale(clock.Ms)                                                  {}
 func (silentLog) MachineSuspended(clock.Ms)                                           {}
 func (silentLog) CopyFresh()                                                          {}
-func (silentLog) Members(int)                                                         {}
+func (silentLog) MembersChanged(int)                                                  {}
 func (silentLog) Learned(string, int, history.Revision)                               {}
 func (silentLog) Fault(string)                                                        {}
 func (silentLog) PeerSilent(string)                                                   {}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -90,7 +90,7 @@
 		f.nodes = len(f.members.Members())
 	}
 	g.shareAmongNodes()
-	g.log.Members(f.members.AliveCount())
+	g.log.MembersChanged(f.members.AliveCount())
 }
 
 // Message implements transport.Handler.
