--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -214,8 +214,8 @@
 	l.info(EventMembers, logrus.Fields{fieldAlive: alive})
 }
 
-// Learned implements gateway.DecisionLog.
-func (l *Log) Learned(from string, records int, revision history.Revision) {
+// LearnedFromPeer implements gateway.DecisionLog.
+func (l *Log) LearnedFromPeer(from string, records int, revision history.Revision) {
 	l.info(EventLearned, logrus.Fields{
 		fieldPeer: from, fieldItems: records, fieldRevision: revision.Number, fieldEra: revision.Era,
 	})
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -67,7 +67,7 @@
 		log.CopyFresh()
 		log.MachineSuspended(3000)
 		log.MembersChanged(6)
-		log.Learned("10.0.0.2:1", 5, at)
+		log.LearnedFromPeer("10.0.0.2:1", 5, at)
 		log.PeerSilent("10.0.0.2:1")
 		log.PeerMalformed("10.0.0.2:1", errors.New("a short frame"))
 		log.Fault("a fault")
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -48,8 +48,8 @@
 	// MachineSuspended: the machine was suspended for that long.
 	MachineSuspended(length clock.Ms)
 	MembersChanged(alive int)
-	// Learned: a peer told what the store had not.
-	Learned(from string, records int, revision history.Revision)
+	// LearnedFromPeer: a peer told what the store had not.
+	LearnedFromPeer(from string, records int, revision history.Revision)
 	// PeerSilent: a connection to a peer was given up, since nothing came back on it.
 	PeerSilent(peer string)
 	PeerMalformed(remote string, err error)
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -264,7 +264,7 @@
 func (silentLog) MachineSuspended(clock.Ms)                                           {}
 func (silentLog) CopyFresh()                                                          {}
 func (silentLog) MembersChanged(int)                                                  {}
-func (silentLog) Learned(string, int, history.Revision)                               {}
+func (silentLog) LearnedFromPeer(string, int, history.Revision)                       {}
 func (silentLog) Fault(string)                                                        {}
 func (silentLog) PeerSilent(string)                                                   {}
 func (silentLog) PeerMalformed(string, error)                                         {}
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -206,7 +206,7 @@
 	if received.Advanced {
 		c.reader.Advance(c.records.Revision())
 		g.noteListed()
-		g.log.Learned(from, len(received.Records)+len(received.Gone), c.records.Revision())
+		g.log.LearnedFromPeer(from, len(received.Records)+len(received.Gone), c.records.Revision())
 		if told, ok := m.(*message.StoreRecords); ok {
 			g.passOn(from, told)
 		}
--- a/internal/telemetry/kept_test.go
+++ b/internal/telemetry/kept_test.go
@@ -31,7 +31,7 @@
 func (silent) QuarantineNotWritten(quarantine.Mark, *failure.Failure)               {}
 func (silent) ItemRejected(*gateway.Item)                                           {}
 func (silent) StoreRestored(uint64)                                                 {}
-func (silent) Learned(from string, records int, revision history.Revision)          {}
+func (silent) LearnedFromPeer(from string, records int, revision history.Revision)  {}
 
 // value is what stands behind the name of a metric.
 var value = regexp.MustCompile(` [^ ]*$`)
@@ -63,7 +63,7 @@
 	measured.QuarantineNotWritten(quarantine.Mark{}, nil)
 	measured.ItemRejected(&gateway.Item{})
 	measured.StoreRestored(3)
-	measured.Learned("", 1, history.Revision{})
+	measured.LearnedFromPeer("", 1, history.Revision{})
 	recorder := httptest.NewRecorder()
 	measured.ServeHTTP(recorder, nil)
 	var got []string
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -132,10 +132,10 @@
 	m.DecisionLog.StoreRestored(era)
 }
 
-// Learned implements gateway.DecisionLog.
-func (m *Metrics) Learned(from string, records int, revision history.Revision) {
+// LearnedFromPeer implements gateway.DecisionLog.
+func (m *Metrics) LearnedFromPeer(from string, records int, revision history.Revision) {
 	m.set.GetOrCreateCounter("stiletrail_learned_from_peers_total").Inc()
-	m.DecisionLog.Learned(from, records, revision)
+	m.DecisionLog.LearnedFromPeer(from, records, revision)
 }
 
 // Observe registers gauges that are read when metrics are asked for.
