--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -231,13 +231,13 @@
 	l.warn(EventPeerMalformed, logrus.Fields{fieldPeer: remote, fieldReason: err.Error()})
 }
 
-// Fault implements gateway.DecisionLog.
-func (l *Log) Fault(text string) {
+// InternalError implements gateway.DecisionLog.
+func (l *Log) InternalError(text string) {
 	l.log.WithFields(logrus.Fields{fieldEvent: EventFault, fieldReason: text}).Error(EventFault)
 }
 
 // Write implements io.Writer for what libraries log, such as net/http of a handler that failed.
 func (l *Log) Write(text []byte) (int, error) {
-	l.Fault(strings.TrimSpace(string(text)))
+	l.InternalError(strings.TrimSpace(string(text)))
 	return len(text), nil
 }
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -70,7 +70,7 @@
 		log.LearnedFromPeer("10.0.0.2:1", 5, at)
 		log.PeerSilent("10.0.0.2:1")
 		log.PeerMalformed("10.0.0.2:1", errors.New("a short frame"))
-		log.Fault("a fault")
+		log.InternalError("a fault")
 		_, _ = log.Write([]byte("of a library\n"))
 	})
 	compareKept(t, "testdata/lines.txt", timestamp.ReplaceAllString(strings.Join(lines, "\n"), `"time":""`)+"\n")
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -36,7 +36,7 @@
 func (g *Gateway) exchange(ctx context.Context, send Send) (outcome forward.Outcome) {
 	defer func() {
 		if fault := recover(); fault != nil {
-			g.log.Fault(fmt.Sprint(fault))
+			g.log.InternalError(fmt.Sprint(fault))
 			outcome = forward.Outcome{Kind: forward.Lost, Detail: "a fault of this node"}
 		}
 	}()
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -53,6 +53,6 @@
 	// PeerSilent: a connection to a peer was given up, since nothing came back on it.
 	PeerSilent(peer string)
 	PeerMalformed(remote string, err error)
-	// Fault: something went wrong in this process that should not.
-	Fault(text string)
+	// InternalError: something went wrong in this process that should not.
+	InternalError(text string)
 }
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -265,7 +265,7 @@
 func (silentLog) CopyFresh()                                                          {}
 func (silentLog) MembersChanged(int)                                                  {}
 func (silentLog) LearnedFromPeer(string, int, history.Revision)                       {}
-func (silentLog) Fault(string)                                                        {}
+func (silentLog) InternalError(string)                                                {}
 func (silentLog) PeerSilent(string)                                                   {}
 func (silentLog) PeerMalformed(string, error)                                         {}
 
