--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -15,7 +15,7 @@
 	attempt.Replica.Start(now)
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancels[attempt] = cancel
-	send := Send{
+	send := BackEndRequest{
 		Call: r.call, Attempt: attempt, Entry: attempt.Replica.Entry, Deadline: r.deadlineTime, Left: r.left, CallerGone: r.callerLeft,
 		Once: !r.route.Repeatable, Idle: r.gateway.replicas.IdleLimit(attempt.Replica),
 		Prove: r.gateway.replicas.MustProve(now, attempt.Replica),
@@ -33,7 +33,7 @@
 }
 
 // exchange carries an attempt out. A fault of ours ends the attempt, which may have run, and not the process.
-func (g *Gateway) exchange(ctx context.Context, send Send) (outcome forward.Outcome) {
+func (g *Gateway) exchange(ctx context.Context, send BackEndRequest) (outcome forward.Outcome) {
 	defer func() {
 		if fault := recover(); fault != nil {
 			g.log.InternalError(fmt.Sprint(fault))
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -36,8 +36,8 @@
 // left reports whether the caller has left.
 func (c *Call) left(ctx context.Context) bool { return ctx.Err() != nil || c.Gone != nil && c.Gone() }
 
-// Send is an attempt to be carried out.
-type Send struct {
+// BackEndRequest is an attempt to be carried out.
+type BackEndRequest struct {
 	Call    *Call
 	Attempt *forward.Attempt
 	// Entry of the back end, as it was when the attempt was decided.
@@ -58,7 +58,7 @@
 
 // BackEnds carries out attempts. One attempt reaches a back end at most once.
 type BackEnds interface {
-	Exchange(ctx context.Context, send Send) forward.Outcome
+	Exchange(ctx context.Context, send BackEndRequest) forward.Outcome
 	// Prune closes idle connections to endpoints that no back end has any more.
 	Prune(inUse func(replica.Endpoint) bool)
 }
--- a/internal/gateway/crashing_copies_test.go
+++ b/internal/gateway/crashing_copies_test.go
@@ -66,7 +66,7 @@
 		f.convict(path)
 		kept := f.store.copy()
 		f.mu.Lock()
-		f.crashes = func(gateway.Send) bool { return false }
+		f.crashes = func(gateway.BackEndRequest) bool { return false }
 		f.mu.Unlock()
 		if result := f.askAs(1, "somebody else", path, ""); result.Failure != nil {
 			t.Errorf("somebody else is refused: %v", result.Reason)
--- a/internal/gateway/crashing_fleet_test.go
+++ b/internal/gateway/crashing_fleet_test.go
@@ -58,7 +58,7 @@
 	lives    int
 	version  string
 	// crashes reports whether a request ends what runs it.
-	crashes func(send gateway.Send) bool
+	crashes func(send gateway.BackEndRequest) bool
 	// stubborn back ends run a request on whose connection was closed.
 	stubborn bool
 	// endings are the moments at which back ends ended by a request; reached those at which such requests reached back ends.
@@ -91,7 +91,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := &frailFleet{
 			t: t, random: rand.New(rand.NewPCG(seed, 1)), backEnds: map[string]*frailBackEnd{}, version: "v1",
-			crashes: func(send gateway.Send) bool { return crashing(send.Call.Path) },
+			crashes: func(send gateway.BackEndRequest) bool { return crashing(send.Call.Path) },
 		}
 		f.cluster = &cluster{
 			store: newStore(), network: newNetwork(), backEnds: &fakeBackEnds{answer: f.exchange}, gateways: make([]*gateway.Gateway, frailNodes),
@@ -160,7 +160,7 @@
 }
 
 // exchange is what a back end does with an attempt: it works for 5 to 35 ms, unless it ends before.
-func (f *frailFleet) exchange(ctx context.Context, send gateway.Send) forward.Outcome {
+func (f *frailFleet) exchange(ctx context.Context, send gateway.BackEndRequest) forward.Outcome {
 	f.mu.Lock()
 	b, crashes := f.backEnds[send.Entry.ID], f.crashes(send)
 	over, stubborn := b.over, f.stubborn
--- a/internal/gateway/crashing_test.go
+++ b/internal/gateway/crashing_test.go
@@ -123,7 +123,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			playFrail(t, 2, func(f *frailFleet) {
-				f.crashes = func(send gateway.Send) bool { return crashing(send.Call.Path) || send.Call.Caller == "bad" }
+				f.crashes = func(send gateway.BackEndRequest) bool { return crashing(send.Call.Path) || send.Call.Caller == "bad" }
 				var callers sync.WaitGroup
 				until := time.Now().Add(crashingFor)
 				f.sendCrashing(&callers, func(node, number int) { c.send(f, node, number) }, until)
@@ -162,7 +162,9 @@
 				time.Sleep(5 * time.Second)
 				f.mu.Lock()
 				f.version, f.reached = "v2", nil
-				f.crashes = func(send gateway.Send) bool { return crashing(send.Call.Path) && !(runs && send.Entry.Version == "v2") }
+				f.crashes = func(send gateway.BackEndRequest) bool {
+					return crashing(send.Call.Path) && !(runs && send.Entry.Version == "v2")
+				}
 				f.mu.Unlock()
 				for shard := range frailShards {
 					f.begin(frailShard(shard), frailZone(shard))
--- a/internal/gateway/disturbed_test.go
+++ b/internal/gateway/disturbed_test.go
@@ -93,7 +93,7 @@
 			t.Errorf("a late answer: %+v", result.Answer)
 		}
 		// The hedge fails by itself before the first attempt answers.
-		s.backEnds.set(func(ctx context.Context, send gateway.Send) forward.Outcome {
+		s.backEnds.set(func(ctx context.Context, send gateway.BackEndRequest) forward.Outcome {
 			if send.Attempt.Purpose == forward.First {
 				return after(900*time.Millisecond)(ctx, send)
 			}
@@ -103,7 +103,7 @@
 			t.Errorf("beside a hedge that failed: %+v", result.Answer)
 		}
 		// Three of four parts are there when the node gives up: enough for this route.
-		s.backEnds.set(except(func(ctx context.Context, _ gateway.Send) forward.Outcome {
+		s.backEnds.set(except(func(ctx context.Context, _ gateway.BackEndRequest) forward.Outcome {
 			return silence(ctx, time.Minute, forward.Lost)
 		}, "s3-near", "s3-far"))
 		time.AfterFunc(200*time.Millisecond, s.gateway.GiveUp)
@@ -118,7 +118,7 @@
 func TestRefusedAfterHalfWasAsked(t *testing.T) {
 	play(t, func(t *testing.T, s *scene) {
 		for lost := range shards {
-			s.backEnds.set(func(_ context.Context, send gateway.Send) forward.Outcome {
+			s.backEnds.set(func(_ context.Context, send gateway.BackEndRequest) forward.Outcome {
 				if send.Entry.Service == fmt.Sprint("s", lost) {
 					return forward.Outcome{Kind: forward.Lost}
 				}
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -19,7 +19,7 @@
 }
 
 // toZone counts the attempts at a zone's back ends.
-func toZone(sends []gateway.Send, zone string) (count int) {
+func toZone(sends []gateway.BackEndRequest, zone string) (count int) {
 	for _, send := range sends {
 		if send.Entry.Zone == zone {
 			count++
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -208,19 +208,19 @@
 // fakeBackEnds answers attempts by a function.
 type fakeBackEnds struct {
 	mutex  sync.Mutex
-	sends  []gateway.Send
-	answer func(ctx context.Context, send gateway.Send) forward.Outcome
+	sends  []gateway.BackEndRequest
+	answer func(ctx context.Context, send gateway.BackEndRequest) forward.Outcome
 }
 
 // set has a function answer attempts from now on.
-func (b *fakeBackEnds) set(answer func(ctx context.Context, send gateway.Send) forward.Outcome) {
+func (b *fakeBackEnds) set(answer func(ctx context.Context, send gateway.BackEndRequest) forward.Outcome) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.answer = answer
 }
 
 // sent gives the attempts so far.
-func (b *fakeBackEnds) sent() []gateway.Send {
+func (b *fakeBackEnds) sent() []gateway.BackEndRequest {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return slices.Clone(b.sends)
@@ -230,7 +230,7 @@
 func (b *fakeBackEnds) Prune(func(replica.Endpoint) bool) {}
 
 // Exchange implements gateway.BackEnds.
-func (b *fakeBackEnds) Exchange(ctx context.Context, send gateway.Send) forward.Outcome {
+func (b *fakeBackEnds) Exchange(ctx context.Context, send gateway.BackEndRequest) forward.Outcome {
 	b.mutex.Lock()
 	b.sends = append(b.sends, send)
 	answer := b.answer
@@ -340,13 +340,13 @@
 	return result
 }
 
-func part(send gateway.Send) forward.Outcome {
+func part(send gateway.BackEndRequest) forward.Outcome {
 	return forward.Outcome{Kind: forward.Answered, Response: &forward.Response{Status: 200, Signature: send.Entry.ID}}
 }
 
 // after answers each attempt after some time.
-func after(length time.Duration) func(context.Context, gateway.Send) forward.Outcome {
-	return func(ctx context.Context, send gateway.Send) forward.Outcome {
+func after(length time.Duration) func(context.Context, gateway.BackEndRequest) forward.Outcome {
+	return func(ctx context.Context, send gateway.BackEndRequest) forward.Outcome {
 		select {
 		case <-time.After(length):
 			return part(send)
@@ -357,9 +357,9 @@
 }
 
 // except answers attempts at some back ends by another function.
-func except(answer func(context.Context, gateway.Send) forward.Outcome, ids ...string) func(context.Context, gateway.Send) forward.Outcome {
+func except(answer func(context.Context, gateway.BackEndRequest) forward.Outcome, ids ...string) func(context.Context, gateway.BackEndRequest) forward.Outcome {
 	others := after(20 * time.Millisecond)
-	return func(ctx context.Context, send gateway.Send) forward.Outcome {
+	return func(ctx context.Context, send gateway.BackEndRequest) forward.Outcome {
 		for _, id := range ids {
 			if send.Entry.ID == id {
 				return answer(ctx, send)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -188,7 +188,7 @@
 		var ended atomic.Int64
 		var began atomic.Value
 		began.Store(time.Now())
-		s.backEnds.set(except(func(ctx context.Context, _ gateway.Send) forward.Outcome {
+		s.backEnds.set(except(func(ctx context.Context, _ gateway.BackEndRequest) forward.Outcome {
 			<-ctx.Done()
 			ended.Store(int64(time.Since(began.Load().(time.Time))))
 			return forward.Outcome{Kind: forward.Lost}
@@ -285,7 +285,7 @@
 // TestFaultOfOurs: a panic within an attempt ends that attempt and not the process.
 func TestFaultOfOurs(t *testing.T) {
 	play(t, func(t *testing.T, s *scene) {
-		s.backEnds.set(except(func(context.Context, gateway.Send) forward.Outcome { panic("a fault") }, "s1-near", "s1-far"))
+		s.backEnds.set(except(func(context.Context, gateway.BackEndRequest) forward.Outcome { panic("a fault") }, "s1-near", "s1-far"))
 		if result := s.search(); result.Failure != nil || result.Missing != 1 {
 			t.Errorf("answered %+v", result.Answer)
 		}
--- a/internal/gateway/gone_test.go
+++ b/internal/gateway/gone_test.go
@@ -61,7 +61,7 @@
 			return s.gateway.Serve(context.Background(), &gateway.Call{ID: "id", Host: "h", Path: "/all/x", Deadline: time.Now().Add(patience)})
 		}
 		// The answers are there when the node goes on, as is the end of the request's time.
-		s.backEnds.set(func(_ context.Context, send gateway.Send) forward.Outcome {
+		s.backEnds.set(func(_ context.Context, send gateway.BackEndRequest) forward.Outcome {
 			time.Sleep(patience + 100*time.Millisecond)
 			return part(send)
 		})
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -18,7 +18,7 @@
 		var mu sync.Mutex
 		overloaded := true
 		number := 0
-		s.backEnds.set(func(ctx context.Context, send gateway.Send) forward.Outcome {
+		s.backEnds.set(func(ctx context.Context, send gateway.BackEndRequest) forward.Outcome {
 			mu.Lock()
 			number++
 			full, shed := overloaded, number%3 == 0
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -344,7 +344,9 @@
 func TestYoungSlack(t *testing.T) {
 	playCluster(t, 4, func(t *testing.T, c *cluster) {
 		c.store.put(backEnd("s0", "-far", "other"))
-		c.backEnds.set(func(context.Context, gateway.Send) forward.Outcome { return forward.Outcome{Kind: forward.Refused} })
+		c.backEnds.set(func(context.Context, gateway.BackEndRequest) forward.Outcome {
+			return forward.Outcome{Kind: forward.Refused}
+		})
 		const lives, requests = 3, 6
 		before := len(c.backEnds.sent())
 		for range lives {
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -23,7 +23,7 @@
 }
 
 // strays counts the attempts at back ends in zones that do not count as allowed.
-func strays(sends []gateway.Send, allowed string) (count int) {
+func strays(sends []gateway.BackEndRequest, allowed string) (count int) {
 	for _, send := range sends {
 		if send.Entry.Zone != allowed {
 			count++
@@ -33,13 +33,13 @@
 }
 
 // refuses has an attempt refused.
-func refuses(context.Context, gateway.Send) forward.Outcome {
+func refuses(context.Context, gateway.BackEndRequest) forward.Outcome {
 	return forward.Outcome{Kind: forward.Refused}
 }
 
 // afterWith ends each attempt with an outcome after some time.
-func afterWith(answer func(gateway.Send) forward.Outcome, length time.Duration) func(context.Context, gateway.Send) forward.Outcome {
-	return func(ctx context.Context, send gateway.Send) forward.Outcome {
+func afterWith(answer func(gateway.BackEndRequest) forward.Outcome, length time.Duration) func(context.Context, gateway.BackEndRequest) forward.Outcome {
+	return func(ctx context.Context, send gateway.BackEndRequest) forward.Outcome {
 		select {
 		case <-time.After(length):
 			return answer(send)
@@ -57,11 +57,13 @@
 // TestRequestsStayInTheirRegions: first attempts, hedges and retries of a route that is bound to the other region go there only, though the near
 // back ends are sound, and though those allowed are slow, refuse, lose answers or end.
 func TestRequestsStayInTheirRegions(t *testing.T) {
-	troubles := map[string]func(gateway.Send) forward.Outcome{
+	troubles := map[string]func(gateway.BackEndRequest) forward.Outcome{
 		"sound":  part,
-		"refuse": func(gateway.Send) forward.Outcome { return forward.Outcome{Kind: forward.Refused} },
-		"lose":   func(gateway.Send) forward.Outcome { return forward.Outcome{Kind: forward.Lost} },
-		"end":    func(gateway.Send) forward.Outcome { return forward.Outcome{Kind: forward.Lost, BackEndEnded: true} },
+		"refuse": func(gateway.BackEndRequest) forward.Outcome { return forward.Outcome{Kind: forward.Refused} },
+		"lose":   func(gateway.BackEndRequest) forward.Outcome { return forward.Outcome{Kind: forward.Lost} },
+		"end": func(gateway.BackEndRequest) forward.Outcome {
+			return forward.Outcome{Kind: forward.Lost, BackEndEnded: true}
+		},
 	}
 	for name, answer := range troubles {
 		t.Run(name, func(t *testing.T) {
@@ -134,7 +136,7 @@
 	play(t, func(t *testing.T, s *scene) {
 		s.store.put(bound(2, "a"))
 		time.Sleep(2 * time.Second)
-		s.backEnds.set(afterWith(func(gateway.Send) forward.Outcome { return forward.Outcome{Kind: forward.Refused} }, 20*time.Millisecond))
+		s.backEnds.set(afterWith(func(gateway.BackEndRequest) forward.Outcome { return forward.Outcome{Kind: forward.Refused} }, 20*time.Millisecond))
 		results := make(chan gateway.Result, 1)
 		go func() { results <- s.one() }()
 		time.Sleep(30 * time.Millisecond)
--- a/internal/gateway/reports_test.go
+++ b/internal/gateway/reports_test.go
@@ -12,8 +12,8 @@
 )
 
 // atPace answers each attempt after 12 ms at the usual pace, and so many times later at one back end, as it tells.
-func atPace(slow string, pace float64) func(context.Context, gateway.Send) forward.Outcome {
-	return func(ctx context.Context, send gateway.Send) forward.Outcome {
+func atPace(slow string, pace float64) func(context.Context, gateway.BackEndRequest) forward.Outcome {
+	return func(ctx context.Context, send gateway.BackEndRequest) forward.Outcome {
 		own := 1.0
 		if send.Entry.ID == slow {
 			own = pace
@@ -66,7 +66,7 @@
 	})
 }
 
-func firstAt(sends []gateway.Send, id string) (count int) {
+func firstAt(sends []gateway.BackEndRequest, id string) (count int) {
 	for _, send := range sends {
 		if send.Entry.ID == id && send.Attempt.Purpose == forward.First {
 			count++
@@ -79,7 +79,7 @@
 // a few requests.
 func TestRefusedThoughSlotsAreFree(t *testing.T) {
 	play(t, func(t *testing.T, s *scene) {
-		refusing := func(context.Context, gateway.Send) forward.Outcome {
+		refusing := func(context.Context, gateway.BackEndRequest) forward.Outcome {
 			return forward.Outcome{Kind: forward.Refused, Load: replica.Load{Told: true, Slots: 4, Slowdown: 1}}
 		}
 		s.search()
--- a/internal/gateway/simulation_backend_test.go
+++ b/internal/gateway/simulation_backend_test.go
@@ -51,7 +51,7 @@
 }
 
 // exchange is what a back end does with an attempt.
-func (s *simulation) exchange(ctx context.Context, send gateway.Send) forward.Outcome {
+func (s *simulation) exchange(ctx context.Context, send gateway.BackEndRequest) forward.Outcome {
 	s.mutex.Lock()
 	b := s.backEnds[send.Entry.ID]
 	// Drawn from what the attempt is, so that a seed gives one course whatever the order in which attempts run.
@@ -127,7 +127,7 @@
 
 // turnedAway is what becomes of a new connection to a back end at its limit. One that must prove itself is known not to have carried the
 // request; of another the node cannot tell.
-func turnedAway(ctx context.Context, send gateway.Send) forward.Outcome {
+func turnedAway(ctx context.Context, send gateway.BackEndRequest) forward.Outcome {
 	outcome := silence(ctx, 4*time.Millisecond, forward.Lost)
 	if send.Prove {
 		outcome.Kind = forward.NotSent
--- a/internal/gateway/traffic_test.go
+++ b/internal/gateway/traffic_test.go
@@ -132,7 +132,7 @@
 		most   = 8 << 10
 	)
 	synctest.Test(t, func(t *testing.T) {
-		ends := func(context.Context, gateway.Send) forward.Outcome {
+		ends := func(context.Context, gateway.BackEndRequest) forward.Outcome {
 			time.Sleep(10 * time.Millisecond)
 			return forward.Outcome{Kind: forward.Lost, BackEndEnded: true}
 		}
--- a/internal/gateway/unread_test.go
+++ b/internal/gateway/unread_test.go
@@ -76,7 +76,7 @@
 			return true
 		}
 		written := 0
-		s.backEnds.set(func(_ context.Context, send gateway.Send) forward.Outcome {
+		s.backEnds.set(func(_ context.Context, send gateway.BackEndRequest) forward.Outcome {
 			// The connection takes as long to open.
 			time.Sleep(400 * time.Millisecond)
 			if send.CallerGone() {
