--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -44,8 +44,8 @@
 	Entry replica.Entry
 	// Deadline is when the work is of no more use, unless the machine is suspended before; Left is what is left of it at the
 	// moment of a call.
-	Deadline time.Time
-	Left     func() time.Duration
+	Deadline  time.Time
+	Remaining func() time.Duration
 	// CallerGone reports whether nobody waits for the request any more.
 	CallerGone func() bool
 	// Prove has a new connection prove first that the back end takes it.
