--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -50,8 +50,8 @@
 	CallerGone func() bool
 	// Prove has a new connection prove first that the back end takes it.
 	Prove bool
-	// Once: the request cannot be sent again if its connection carries no answer.
-	Once bool
+	// NotRepeatable: the request cannot be sent again if its connection carries no answer.
+	NotRepeatable bool
 	// Idle says which connections to the back end may be kept idle for later requests.
 	Idle replica.IdleLimit
 }
