--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -52,8 +52,8 @@
 	Prove bool
 	// NotRepeatable: the request cannot be sent again if its connection carries no answer.
 	NotRepeatable bool
-	// Idle says which connections to the back end may be kept idle for later requests.
-	Idle replica.IdleLimit
+	// IdleLimit says which connections to the back end may be kept idle for later requests.
+	IdleLimit replica.IdleLimit
 }
 
 // BackEnds carries out attempts. One attempt reaches a back end at most once.
