--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -56,8 +56,8 @@
 	IdleLimit replica.IdleLimit
 }
 
-// BackEnds carries out attempts. One attempt reaches a back end at most once.
-type BackEnds interface {
+// BackEndClient carries out attempts. One attempt reaches a back end at most once.
+type BackEndClient interface {
 	Exchange(ctx context.Context, send BackEndRequest) forward.Outcome
 	// Prune closes idle connections to endpoints that no back end has any more.
 	Prune(inUse func(replica.Endpoint) bool)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -40,7 +40,7 @@
 // Gateway is one node's. Its methods are safe for concurrent use.
 type Gateway struct {
 	settings atomic.Pointer[Settings]
-	backEnds BackEnds
+	backEnds BackEndClient
 	store    Store
 	log      DecisionLog
 	clock    clock.Clock
@@ -76,7 +76,7 @@
 }
 
 // New returns a gateway that knows nothing yet. Run makes it follow the store.
-func New(settings Settings, backEnds BackEnds, store Store, log DecisionLog) *Gateway {
+func New(settings Settings, backEnds BackEndClient, store Store, log DecisionLog) *Gateway {
 	random := rand.New(rand.NewPCG(settings.Seed, settings.Seed))
 	g := &Gateway{
 		backEnds:         backEnds,
