--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -22,9 +22,9 @@
 	Arrived time.Time
 	// Deadline is when the caller stops waiting; zero if it did not say.
 	Deadline time.Time
-	// Gone reports whether the caller has left, as the machine knows it now, and ends the context of the call if so. The context
+	// CallerGone reports whether the caller has left, as the machine knows it now, and ends the context of the call if so. The context
 	// alone may end late. Nil where only the context tells.
-	Gone func() bool
+	CallerGone func() bool
 	// Identity is what the request is known by when it comes again with another id; Caller is the address it came from,
 	// without the port.
 	Identity quarantine.Identity
@@ -34,7 +34,9 @@
 }
 
 // left reports whether the caller has left.
-func (c *Call) left(ctx context.Context) bool { return ctx.Err() != nil || c.Gone != nil && c.Gone() }
+func (c *Call) left(ctx context.Context) bool {
+	return ctx.Err() != nil || c.CallerGone != nil && c.CallerGone()
+}
 
 // BackEndRequest is an attempt to be carried out.
 type BackEndRequest struct {
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -167,8 +167,8 @@
 // that may be long after the attempt was decided.
 func (r *run) callerLeft() bool {
 	now, last := r.gateway.now(), r.callerLookedAt.Load()
-	due := r.call.Gone != nil && now-time.Duration(last) >= callerLookEvery
-	if due && r.callerLookedAt.CompareAndSwap(last, int64(now)) && r.call.Gone() {
+	due := r.call.CallerGone != nil && now-time.Duration(last) >= callerLookEvery
+	if due && r.callerLookedAt.CompareAndSwap(last, int64(now)) && r.call.CallerGone() {
 		r.callerFoundGone.Store(true)
 	}
 	return r.callerFoundGone.Load()
--- a/internal/gateway/unread_test.go
+++ b/internal/gateway/unread_test.go
@@ -55,7 +55,7 @@
 // TestCallerThatLeftBeforeItWasRead: no back end is asked for a caller that has left before its request was read, though nothing has ended the call's context.
 func TestCallerThatLeftBeforeItWasRead(t *testing.T) {
 	play(t, func(t *testing.T, s *scene) {
-		result := s.gateway.Serve(context.Background(), &gateway.Call{ID: "id", Host: "h", Path: "/all/x", Gone: func() bool { return true }})
+		result := s.gateway.Serve(context.Background(), &gateway.Call{ID: "id", Host: "h", Path: "/all/x", CallerGone: func() bool { return true }})
 		if sent := s.backEnds.sent(); !result.CallerGone || len(sent) > 0 {
 			t.Errorf("gone %v, %d attempts", result.CallerGone, len(sent))
 		}
@@ -85,7 +85,7 @@
 			written++
 			return part(send)
 		})
-		result := s.gateway.Serve(ctx, &gateway.Call{ID: "id", Host: "h", Path: "/all/x", Gone: gone})
+		result := s.gateway.Serve(ctx, &gateway.Call{ID: "id", Host: "h", Path: "/all/x", CallerGone: gone})
 		if !result.CallerGone || written > 0 {
 			t.Errorf("gone %v, %d attempts written", result.CallerGone, written)
 		}
