--- a/internal/decisionlog/request.go
+++ b/internal/decisionlog/request.go
@@ -47,8 +47,8 @@
 	if !ordinary {
 		fields[fieldAttempts] = describe(result)
 	}
-	if result.Within > 0 {
-		fields[fieldWithin] = result.Within.Milliseconds()
+	if result.TimeLimit > 0 {
+		fields[fieldWithin] = result.TimeLimit.Milliseconds()
 	}
 	if !ordinary && result.Unasked != nil {
 		if unasked := describeUnasked(result.Unasked()); len(unasked) > 0 {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -83,9 +83,9 @@
 	Denied func(*forward.Attempt) forward.Denied
 	// Unasked gives the shards at which no attempt was begun; nil where the call was refused before any was looked at.
 	Unasked func() []forward.Unasked
-	// Within is how long the call could be served from its arrival: what its caller and its route leave; 0 where it was refused
+	// TimeLimit is how long the call could be served from its arrival: what its caller and its route leave; 0 where it was refused
 	// before that was looked at.
-	Within time.Duration
+	TimeLimit time.Duration
 	// CallerGone: the caller left; there is nobody to answer.
 	CallerGone bool
 	// Overload is by what a request was turned away.
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -112,6 +112,6 @@
 	}
 	return Result{
 		Answer: answer, Attempts: r.request.Attempts(), Denied: r.request.Denied, Unasked: r.request.Unasked,
-		Within: r.deadline - r.arrived, CallerGone: r.callerGone,
+		TimeLimit: r.deadline - r.arrived, CallerGone: r.callerGone,
 	}
 }
