--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -4,16 +4,16 @@
 
 // Outcomes of requests, beside the codes of failures and the statuses of single back ends.
 const (
-	OutcomeGone     = "caller_gone"
-	OutcomePartial  = "partial"
-	OutcomeComplete = "complete"
+	OutcomeCallerGone = "caller_gone"
+	OutcomePartial    = "partial"
+	OutcomeComplete   = "complete"
 )
 
 // Outcome names how a request ended.
 func (r *Result) Outcome() string {
 	switch {
 	case r.CallerGone:
-		return OutcomeGone
+		return OutcomeCallerGone
 	case r.Failure != nil:
 		return string(r.Failure.Code)
 	case r.Missing > 0:
