--- a/internal/gateway/store.go
+++ b/internal/gateway/store.go
@@ -13,8 +13,8 @@
 // Page is a part of a listing.
 type Page struct {
 	Records []message.StoreRecord
-	// Last key of the page, from which the next one goes on.
-	Last string
+	// LastKey key of the page, from which the next one goes on.
+	LastKey string
 	// At is the revision of the store when the page was read; More says that other pages follow.
 	At   history.Revision
 	More bool
