--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -156,7 +156,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.calls++
-	page := gateway.Page{At: history.At(s.era, s.revision)}
+	page := gateway.Page{Revision: history.At(s.era, s.revision)}
 	for _, record := range s.items {
 		page.Records = append(page.Records, record)
 	}
--- a/internal/gateway/store.go
+++ b/internal/gateway/store.go
@@ -15,9 +15,9 @@
 	Records []message.StoreRecord
 	// LastKey key of the page, from which the next one goes on.
 	LastKey string
-	// At is the revision of the store when the page was read; More says that other pages follow.
-	At   history.Revision
-	More bool
+	// Revision is the revision of the store when the page was read; More says that other pages follow.
+	Revision history.Revision
+	More     bool
 }
 
 // Write is something that a node keeps in the store: a quarantine or a claim.
--- a/internal/gateway/store_reading.go
+++ b/internal/gateway/store_reading.go
@@ -77,7 +77,7 @@
 	now, c := g.now(), g.storeCopy
 	g.log.StoreAnswered(c.reader.ContactAge(now))
 	if call.After == "" {
-		c.logRevision(call.Revision, page.At)
+		c.logRevision(call.Revision, page.Revision)
 		clear(c.listedKeys)
 	}
 	c.logOlder(page.Records)
@@ -85,7 +85,7 @@
 		c.listedKeys[record.Key] = true
 		g.take(now, record)
 	}
-	if c.reader.Page(now, page.LastKey, page.At, page.More) {
+	if c.reader.Page(now, page.LastKey, page.Revision, page.More) {
 		g.listedAll(now)
 	}
 }
