--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -104,7 +104,7 @@
 }
 
 // Write implements gateway.Store. What was written goes by itself when its time is over.
-func (s *fakeStore) Write(_ context.Context, w gateway.Write) (bool, error) {
+func (s *fakeStore) Write(_ context.Context, w gateway.StoreWrite) (bool, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.calls++
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -128,7 +128,7 @@
 }
 
 // Write implements gateway.Store.
-func (s *cutStore) Write(ctx context.Context, w gateway.Write) (bool, error) {
+func (s *cutStore) Write(ctx context.Context, w gateway.StoreWrite) (bool, error) {
 	if s.cut.Load() {
 		return false, errDown
 	}
--- a/internal/gateway/quarantine_writes.go
+++ b/internal/gateway/quarantine_writes.go
@@ -136,7 +136,7 @@
 }
 
 // takeClaimRewrites gives the writes of the claims that are written again now.
-func (q *quarantineWrites) takeClaimRewrites(now clock.Ms) (writes []Write) {
+func (q *quarantineWrites) takeClaimRewrites(now clock.Ms) (writes []StoreWrite) {
 	for key := range q.claimRewrites {
 		if left := q.claims[key] - now; left >= shortestWritten {
 			writes = append(writes, claimWrite(key, left))
@@ -147,8 +147,8 @@
 }
 
 // claimWrite is the write by which a node is let do something that is for one node alone.
-func claimWrite(key string, length clock.Ms) Write {
-	return Write{Key: key, Value: []byte("{}"), Lease: length, IfAbsent: true}
+func claimWrite(key string, length clock.Ms) StoreWrite {
+	return StoreWrite{Key: key, Value: []byte("{}"), Lease: length, IfAbsent: true}
 }
 
 // writeQuarantines writes quarantines to the store until the context ends, so that nodes that start know them.
@@ -170,7 +170,7 @@
 // markedWrite is a write about a request.
 type markedWrite struct {
 	mark quarantine.Mark
-	Write
+	StoreWrite
 }
 
 func (g *Gateway) quarantineWritesDue() (writes []markedWrite) {
@@ -183,7 +183,7 @@
 		if !held {
 			return
 		}
-		w := Write{Key: quarantine.KeyOf(mark), Value: g.quarantine.Encode(mark), Lease: length, IfAbsent: ifAbsent}
+		w := StoreWrite{Key: quarantine.KeyOf(mark), Value: g.quarantine.Encode(mark), Lease: length, IfAbsent: ifAbsent}
 		writes = append(writes, markedWrite{mark, w})
 	}
 	for _, mark := range g.quarantineWrites.takeDue(now, unstored, g.fleet.nodes) {
@@ -195,7 +195,7 @@
 	return writes
 }
 
-func (g *Gateway) claimRewritesDue() []Write {
+func (g *Gateway) claimRewritesDue() []StoreWrite {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.quarantineWrites.takeClaimRewrites(clock.Of(g.now()))
@@ -210,7 +210,7 @@
 func (g *Gateway) writeQuarantine(ctx context.Context, w markedWrite) {
 	bounded, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	_, err := g.store.Write(bounded, w.Write)
+	_, err := g.store.Write(bounded, w.StoreWrite)
 	if err == nil || ctx.Err() != nil {
 		return
 	}
@@ -236,7 +236,7 @@
 }
 
 // rewriteClaim writes a claim again, until the store has taken it.
-func (g *Gateway) rewriteClaim(ctx context.Context, w Write) {
+func (g *Gateway) rewriteClaim(ctx context.Context, w StoreWrite) {
 	bounded, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	if _, err := g.store.Write(bounded, w); err == nil || ctx.Err() != nil {
--- a/internal/gateway/store.go
+++ b/internal/gateway/store.go
@@ -20,8 +20,8 @@
 	More     bool
 }
 
-// Write is something that a node keeps in the store: a quarantine or a claim.
-type Write struct {
+// StoreWrite is something that a node keeps in the store: a quarantine or a claim.
+type StoreWrite struct {
 	Key   string
 	Value []byte
 	// Lease is how long it stays at most.
@@ -42,7 +42,7 @@
 	Decode(record message.StoreRecord) Item
 	// Write writes something that nodes keep in the store themselves, and reports whether it did: not where it is there already
 	// and the write is to be the first.
-	Write(ctx context.Context, w Write) (written bool, err error)
+	Write(ctx context.Context, w StoreWrite) (written bool, err error)
 	// Remove takes something away that nodes keep there.
 	Remove(ctx context.Context, key string) error
 	// Trouble is the kind of a failure of this store.
