--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -42,8 +42,8 @@
 	return min(read, g.clock.Moment(call.Arrived))
 }
 
-// Refuse notes a call that is wrong by itself and was answered with a failure.
-func (g *Gateway) Refuse(call *Call, refusal *failure.Failure) {
+// LogRefusal notes a call that is wrong by itself and was answered with a failure.
+func (g *Gateway) LogRefusal(call *Call, refusal *failure.Failure) {
 	g.log.Request(call, &Result{Answer: forward.Answer{Failure: refusal}, Version: g.Version(), Arrived: g.now()})
 }
 
