--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -21,7 +21,7 @@
 	Follow     follow.Settings
 	Spread     spread.Settings
 	Quarantine quarantine.Settings
-	Copy       CopySettings
+	Copy       StoreCopySettings
 	Fleet      FleetSettings
 	Retries    RetrySettings
 	// StartingHold is how long a request waits at most for the first listing of the store and, for as long after that, for back
@@ -35,8 +35,8 @@
 	Seed uint64
 }
 
-// CopySettings are those of the node's copy of the store.
-type CopySettings struct {
+// StoreCopySettings are those of the node's copy of the store.
+type StoreCopySettings struct {
 	// Waits for news of the store.
 	Waits Waits
 	// DoubtFor is how long an entry that vanished without proof that its back end leaves is used on at most.
@@ -127,7 +127,7 @@
 		Follow:     followSettings(waits),
 		Spread:     spreadSettings(s, waits),
 		Quarantine: quarantine.Settings{Rounds: s.QuarantineRounds, For: clock.Of(s.QuarantineFor)},
-		Copy: CopySettings{
+		Copy: StoreCopySettings{
 			Waits: waits, DoubtFor: doubtFor(s), DistrustDepartedFor: rewriteWithin.Duration() + oldIntervals*s.EntryInterval,
 		},
 		Fleet: FleetSettings{
