--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -21,7 +21,7 @@
 	Follow     follow.Settings
 	Spread     spread.Settings
 	Quarantine quarantine.Settings
-	Copy       StoreCopySettings
+	StoreCopy  StoreCopySettings
 	Fleet      FleetSettings
 	Retries    RetrySettings
 	// StartingHold is how long a request waits at most for the first listing of the store and, for as long after that, for back
@@ -127,7 +127,7 @@
 		Follow:     followSettings(waits),
 		Spread:     spreadSettings(s, waits),
 		Quarantine: quarantine.Settings{Rounds: s.QuarantineRounds, For: clock.Of(s.QuarantineFor)},
-		Copy: StoreCopySettings{
+		StoreCopy: StoreCopySettings{
 			Waits: waits, DoubtFor: doubtFor(s), DistrustDepartedFor: rewriteWithin.Duration() + oldIntervals*s.EntryInterval,
 		},
 		Fleet: FleetSettings{
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -19,7 +19,7 @@
 	if !entered {
 		return
 	}
-	g.replicas.DistrustDeparted(now + g.settings.Load().Copy.DistrustDepartedFor)
+	g.replicas.DistrustDeparted(now + g.settings.Load().StoreCopy.DistrustDepartedFor)
 	g.quarantineWrites.rewriteClaims()
 	g.log.StoreRestored(era)
 }
--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -45,7 +45,7 @@
 }
 
 func (c *storeCopy) configure(settings *Settings) {
-	c.waits, c.doubtFor = settings.Copy.Waits, settings.Copy.DoubtFor
+	c.waits, c.doubtFor = settings.StoreCopy.Waits, settings.StoreCopy.DoubtFor
 }
 
 // neverConfirmed stands for the age of a copy of the store that was never known to be complete.
