--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -39,8 +39,8 @@
 type StoreCopySettings struct {
 	// Waits for news of the store.
 	Waits Waits
-	// DoubtFor is how long an entry that vanished without proof that its back end leaves is used on at most.
-	DoubtFor time.Duration
+	// KeepDoubtfulFor is how long an entry that vanished without proof that its back end leaves is used on at most.
+	KeepDoubtfulFor time.Duration
 	// DistrustDepartedFor is how long after the store was restored from a backup it may name back ends that have left.
 	DistrustDepartedFor time.Duration
 }
@@ -128,7 +128,7 @@
 		Spread:     spreadSettings(s, waits),
 		Quarantine: quarantine.Settings{Rounds: s.QuarantineRounds, For: clock.Of(s.QuarantineFor)},
 		StoreCopy: StoreCopySettings{
-			Waits: waits, DoubtFor: doubtFor(s), DistrustDepartedFor: rewriteWithin.Duration() + oldIntervals*s.EntryInterval,
+			Waits: waits, KeepDoubtfulFor: doubtFor(s), DistrustDepartedFor: rewriteWithin.Duration() + oldIntervals*s.EntryInterval,
 		},
 		Fleet: FleetSettings{
 			Watchers: s.Watchers, StoreTurns: s.StoreTurns, PeerCopies: s.PeerCopies, Reports: s.Reports,
