--- a/internal/gateway/fleet_share.go
+++ b/internal/gateway/fleet_share.go
@@ -70,7 +70,7 @@
 	g.replicas.SetManyStarting(manyStarting)
 	part := 1
 	if manyStarting {
-		part = settings.Fleet.YoungPart
+		part = settings.Fleet.StartupConnectionDivisor
 	}
 	if !settings.Fleet.ShareConnections {
 		return
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -56,8 +56,8 @@
 	Reports bool
 	// ShareConnections divides the connections of a back end among the nodes; one in YoungPart of them while many nodes have just
 	// started.
-	ShareConnections bool
-	YoungPart        int
+	ShareConnections         bool
+	StartupConnectionDivisor int
 	// MaximumConnections bounds what of a back end's connections one node may use, however few nodes are known.
 	MaximumConnections int
 }
@@ -132,7 +132,7 @@
 		},
 		Fleet: FleetSettings{
 			Watchers: s.Watchers, StoreTurns: s.StoreTurns, PeerCopies: s.PeerCopies, Reports: s.Reports,
-			ShareConnections: s.ShareConnections, YoungPart: s.YoungPart, MaximumConnections: maximumConnections,
+			ShareConnections: s.ShareConnections, StartupConnectionDivisor: s.YoungPart, MaximumConnections: maximumConnections,
 		},
 		Retries: RetrySettings{
 			Share: s.RetryShare * (1 - retryMargin), Window: s.RetryWindow, Slack: s.RetrySlack, HedgeReserve: hedgeReserve,
