--- a/internal/gateway/fleet_share.go
+++ b/internal/gateway/fleet_share.go
@@ -31,7 +31,7 @@
 	}
 	settings := g.settings.Load().Fleet
 	g.fleet.watch = assignWatch(&g.fleet, settings.Watchers)
-	if !settings.StoreTurns || !settings.PeerCopies {
+	if !settings.WatchersTakeTurns || !settings.PeerCopies {
 		g.storeCopy.reader.TakeTurns(0, 0)
 		return
 	}
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -49,9 +49,9 @@
 type FleetSettings struct {
 	// Watchers of the store in each region tell the other nodes of it; with 0 every node watches.
 	Watchers int
-	// StoreTurns has the watchers ask the store one after the other, PeerCopies has nodes tell each other what they learn.
-	StoreTurns bool
-	PeerCopies bool
+	// WatchersTakeTurns has the watchers ask the store one after the other, PeerCopies has nodes tell each other what they learn.
+	WatchersTakeTurns bool
+	PeerCopies        bool
 	// Reports has nodes tell each other of slow and faulty back ends.
 	Reports bool
 	// ShareConnections divides the connections of a back end among the nodes; one in YoungPart of them while many nodes have just
@@ -131,7 +131,7 @@
 			Waits: waits, KeepDoubtfulFor: doubtFor(s), DistrustDepartedFor: rewriteWithin.Duration() + oldIntervals*s.EntryInterval,
 		},
 		Fleet: FleetSettings{
-			Watchers: s.Watchers, StoreTurns: s.StoreTurns, PeerCopies: s.PeerCopies, Reports: s.Reports,
+			Watchers: s.Watchers, WatchersTakeTurns: s.StoreTurns, PeerCopies: s.PeerCopies, Reports: s.Reports,
 			ShareConnections: s.ShareConnections, StartupConnectionDivisor: s.YoungPart, MaximumConnections: maximumConnections,
 		},
 		Retries: RetrySettings{
