--- a/internal/gateway/health_reports.go
+++ b/internal/gateway/health_reports.go
@@ -77,7 +77,7 @@
 // reportHealth has others told of a back end that turned slow or faulty, or well again. An attempt that was withdrawn tells
 // nothing of that: its back end may stand still for a moment.
 func (g *Gateway) reportHealth(now time.Duration, r *replica.Replica) {
-	if g.fleet.members == nil || !g.settings.Load().Fleet.Reports {
+	if g.fleet.members == nil || !g.settings.Load().Fleet.HealthReports {
 		return
 	}
 	slowdown, faults := r.Health(now)
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -52,8 +52,8 @@
 	// WatchersTakeTurns has the watchers ask the store one after the other, PeerCopies has nodes tell each other what they learn.
 	WatchersTakeTurns bool
 	PeerCopies        bool
-	// Reports has nodes tell each other of slow and faulty back ends.
-	Reports bool
+	// HealthReports has nodes tell each other of slow and faulty back ends.
+	HealthReports bool
 	// ShareConnections divides the connections of a back end among the nodes; one in YoungPart of them while many nodes have just
 	// started.
 	ShareConnections         bool
@@ -131,7 +131,7 @@
 			Waits: waits, KeepDoubtfulFor: doubtFor(s), DistrustDepartedFor: rewriteWithin.Duration() + oldIntervals*s.EntryInterval,
 		},
 		Fleet: FleetSettings{
-			Watchers: s.Watchers, WatchersTakeTurns: s.StoreTurns, PeerCopies: s.PeerCopies, Reports: s.Reports,
+			Watchers: s.Watchers, WatchersTakeTurns: s.StoreTurns, PeerCopies: s.PeerCopies, HealthReports: s.Reports,
 			ShareConnections: s.ShareConnections, StartupConnectionDivisor: s.YoungPart, MaximumConnections: maximumConnections,
 		},
 		Retries: RetrySettings{
