--- a/internal/gateway/fleet_share.go
+++ b/internal/gateway/fleet_share.go
@@ -91,5 +91,5 @@
 	if g.fleet.nodes == 0 || g.now() < settings.Window {
 		return 0
 	}
-	return slackPart * settings.Slack / float64(g.fleet.nodes)
+	return slackPart * settings.FleetSlack / float64(g.fleet.nodes)
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -67,8 +67,8 @@
 	// Share of the requests of a service may be extra attempts in any Window, over all nodes.
 	Share  float64
 	Window time.Duration
-	// Slack is what all nodes together may send extra in a window beyond the share.
-	Slack float64
+	// FleetSlack is what all nodes together may send extra in a window beyond the share.
+	FleetSlack float64
 	// HedgeReserve is the part of the budget that hedges leave for retries.
 	HedgeReserve float64
 }
@@ -135,7 +135,7 @@
 			ShareConnections: s.ShareConnections, StartupConnectionDivisor: s.YoungPart, MaximumConnections: maximumConnections,
 		},
 		Retries: RetrySettings{
-			Share: s.RetryShare * (1 - retryMargin), Window: s.RetryWindow, Slack: s.RetrySlack, HedgeReserve: hedgeReserve,
+			Share: s.RetryShare * (1 - retryMargin), Window: s.RetryWindow, FleetSlack: s.RetrySlack, HedgeReserve: hedgeReserve,
 		},
 		StartingHold:    s.StartingHold,
 		TurnAway:        s.TurnAway,
