--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -119,7 +119,7 @@
 
 // FromSettings gives the gateway's settings for those of the operator.
 func FromSettings(s settings.Gateway) Settings {
-	waits := WaitsWithin(clock.Of(min(s.LeavingTime, s.ApplyWithin, s.EvacuateWithin)))
+	waits := PropagationTimesWithin(clock.Of(min(s.LeavingTime, s.ApplyWithin, s.EvacuateWithin)))
 	return Settings{
 		Forward:    forwardSettings(s),
 		Replica:    replicaSettings(s),
--- a/internal/gateway/store_waits.go
+++ b/internal/gateway/store_waits.go
@@ -43,8 +43,8 @@
 	longestPoll     = 700 * clock.Ms(1)
 )
 
-// WaitsWithin derives the waits from their bound.
-func WaitsWithin(bound clock.Ms) Waits {
+// PropagationTimesWithin derives the waits from their bound.
+func PropagationTimesWithin(bound clock.Ms) Waits {
 	part := func(of float64, longest clock.Ms) clock.Ms { return min(clock.Ms(of*float64(bound)), longest) }
 	return Waits{
 		Within:       bound,
--- a/internal/gateway/store_waits_test.go
+++ b/internal/gateway/store_waits_test.go
@@ -23,7 +23,7 @@
 // itself.
 func TestWaitsStayWithinTheBound(t *testing.T) {
 	for bound := 2 * clock.Second; bound <= 20*clock.Second; bound += 100 {
-		w := gateway.WaitsWithin(bound)
+		w := gateway.PropagationTimesWithin(bound)
 		for way, takes := range map[string]clock.Ms{
 			"told by a peer":             w.TellEvery + noticed + w.Patience + answered + inFlight,
 			"by itself":                  w.StaleAfter + noticed + answered + inFlight,
