--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -38,7 +38,7 @@
 // StoreCopySettings are those of the node's copy of the store.
 type StoreCopySettings struct {
 	// Waits for news of the store.
-	Waits Waits
+	Waits PropagationTimes
 	// KeepDoubtfulFor is how long an entry that vanished without proof that its back end leaves is used on at most.
 	KeepDoubtfulFor time.Duration
 	// DistrustDepartedFor is how long after the store was restored from a backup it may name back ends that have left.
@@ -159,7 +159,7 @@
 	}
 }
 
-func followSettings(waits Waits) follow.Settings {
+func followSettings(waits PropagationTimes) follow.Settings {
 	return follow.Settings{
 		WatchFor:    clock.Ms(watchPart * float64(waits.StaleAfter)).Duration(),
 		CoalesceFor: coalesceFor, FirstBackoff: firstBackoff, LongestBackoff: longestBackoff,
@@ -167,7 +167,7 @@
 	}
 }
 
-func spreadSettings(s settings.Gateway, waits Waits) spread.Settings {
+func spreadSettings(s settings.Gateway, waits PropagationTimes) spread.Settings {
 	return spread.Settings{
 		Interval: digestInterval, Fanout: digestFanout, KeepGone: keepGone,
 		Patience: waits.Patience.Duration(), AnswerWithin: waits.AnswerWithin.Duration(),
--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -14,7 +14,7 @@
 // by though a store that was restored from a backup says otherwise. Guarded by Gateway.mu.
 type storeCopy struct {
 	log   DecisionLog
-	waits Waits
+	waits PropagationTimes
 	// doubtFor is how long an entry that vanished without proof that its back end leaves is used on at most.
 	doubtFor time.Duration
 	// records are the node's copy, and what other nodes say of theirs.
--- a/internal/gateway/store_waits.go
+++ b/internal/gateway/store_waits.go
@@ -2,14 +2,14 @@
 
 import "stiletrail/internal/clock"
 
-// Waits are those of a node for news of the store. They are derived from one bound, so that together they stay within it
+// PropagationTimes are those of a node for news of the store. They are derived from one bound, so that together they stay within it
 // whichever way the news takes: a node whose own watch or whose peers have fallen silent has no sign of that but the time.
 //
 // Where peers tell it: a watcher coalesces changes for no longer than it tells others, the next one tells (TellEvery), the node
 // notices at its next look among peers, waits for its own watch (Patience), asks, and asks another if the answer is lost
 // (AnswerWithin). Where nobody does: its copy turns stale (StaleAfter), it asks the store over a new connection (PollTimeout),
 // and once more if that is lost. TestWaitsStayWithinTheBound adds them up.
-type Waits struct {
+type PropagationTimes struct {
 	// Within is the bound: the time in which what the store has acknowledged must be in force.
 	Within clock.Ms
 	// StaleAfter is how long a node goes by a copy of the store that nobody has confirmed to be complete, before it asks the
@@ -44,9 +44,9 @@
 )
 
 // PropagationTimesWithin derives the waits from their bound.
-func PropagationTimesWithin(bound clock.Ms) Waits {
+func PropagationTimesWithin(bound clock.Ms) PropagationTimes {
 	part := func(of float64, longest clock.Ms) clock.Ms { return min(clock.Ms(of*float64(bound)), longest) }
-	return Waits{
+	return PropagationTimes{
 		Within:       bound,
 		StaleAfter:   part(stalePart, longestStale),
 		TellEvery:    part(tellPart, longestTell),
