--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -111,7 +111,7 @@
 	case !c.records.Settled(now):
 		return longest
 	case massVanishing(gone, known):
-		return min(longest, now+(c.waits.Within-age-doubtMargin).Duration())
+		return min(longest, now+(c.waits.Bound-age-doubtMargin).Duration())
 	}
 	return now
 }
--- a/internal/gateway/store_waits.go
+++ b/internal/gateway/store_waits.go
@@ -10,8 +10,8 @@
 // (AnswerWithin). Where nobody does: its copy turns stale (StaleAfter), it asks the store over a new connection (PollTimeout),
 // and once more if that is lost. TestWaitsStayWithinTheBound adds them up.
 type PropagationTimes struct {
-	// Within is the bound: the time in which what the store has acknowledged must be in force.
-	Within clock.Ms
+	// Bound is the bound: the time in which what the store has acknowledged must be in force.
+	Bound clock.Ms
 	// StaleAfter is how long a node goes by a copy of the store that nobody has confirmed to be complete, before it asks the
 	// store itself.
 	StaleAfter clock.Ms
@@ -47,7 +47,7 @@
 func PropagationTimesWithin(bound clock.Ms) PropagationTimes {
 	part := func(of float64, longest clock.Ms) clock.Ms { return min(clock.Ms(of*float64(bound)), longest) }
 	return PropagationTimes{
-		Within:       bound,
+		Bound:        bound,
 		StaleAfter:   part(stalePart, longestStale),
 		TellEvery:    part(tellPart, longestTell),
 		Patience:     part(patiencePart, longestPatience),
--- a/internal/gateway/store_waits_test.go
+++ b/internal/gateway/store_waits_test.go
@@ -29,8 +29,8 @@
 			"by itself":                  w.StaleAfter + noticed + answered + inFlight,
 			"by itself, one answer lost": w.StaleAfter + noticed + w.PollTimeout + backedOff + answered + inFlight,
 		} {
-			if takes > w.Within {
-				t.Errorf("%s: news within %d ms takes %d", way, w.Within, takes)
+			if takes > w.Bound {
+				t.Errorf("%s: news within %d ms takes %d", way, w.Bound, takes)
 			}
 		}
 		if w.TellEvery+answered > w.StaleAfter {
