--- a/internal/gateway/fleet_share.go
+++ b/internal/gateway/fleet_share.go
@@ -35,7 +35,7 @@
 		g.storeCopy.reader.TakeTurns(0, 0)
 		return
 	}
-	g.storeCopy.reader.TakeTurns(g.fleet.watch.phase(g.storeCopy.waits.TellEvery))
+	g.storeCopy.reader.TakeTurns(g.fleet.watch.phase(g.storeCopy.waits.NotifyInterval))
 }
 
 // shareColdBackEnds has the nodes known divide what cold back ends bear. While this node has not joined the others it has no
