--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -37,8 +37,8 @@
 
 // StoreCopySettings are those of the node's copy of the store.
 type StoreCopySettings struct {
-	// Waits for news of the store.
-	Waits PropagationTimes
+	// Propagation for news of the store.
+	Propagation PropagationTimes
 	// KeepDoubtfulFor is how long an entry that vanished without proof that its back end leaves is used on at most.
 	KeepDoubtfulFor time.Duration
 	// DistrustDepartedFor is how long after the store was restored from a backup it may name back ends that have left.
@@ -128,7 +128,7 @@
 		Spread:     spreadSettings(s, waits),
 		Quarantine: quarantine.Settings{Rounds: s.QuarantineRounds, For: clock.Of(s.QuarantineFor)},
 		StoreCopy: StoreCopySettings{
-			Waits: waits, KeepDoubtfulFor: doubtFor(s), DistrustDepartedFor: rewriteWithin.Duration() + oldIntervals*s.EntryInterval,
+			Propagation: waits, KeepDoubtfulFor: doubtFor(s), DistrustDepartedFor: rewriteWithin.Duration() + oldIntervals*s.EntryInterval,
 		},
 		Fleet: FleetSettings{
 			Watchers: s.Watchers, WatchersTakeTurns: s.StoreTurns, PeerCopies: s.PeerCopies, HealthReports: s.Reports,
--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -45,7 +45,7 @@
 }
 
 func (c *storeCopy) configure(settings *Settings) {
-	c.waits, c.doubtFor = settings.StoreCopy.Waits, settings.StoreCopy.KeepDoubtfulFor
+	c.waits, c.doubtFor = settings.StoreCopy.Propagation, settings.StoreCopy.KeepDoubtfulFor
 }
 
 // neverConfirmed stands for the age of a copy of the store that was never known to be complete.
