--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -144,8 +144,8 @@
 // Leaving reports whether Leave was called.
 func (g *Gateway) Leaving() bool { return g.leaving.Load() }
 
-// UnderWay is the number of requests under way.
-func (g *Gateway) UnderWay() int64 { return g.underWay.Load() }
+// InFlight is the number of requests under way.
+func (g *Gateway) InFlight() int64 { return g.underWay.Load() }
 
 // Limits of what callers may send, by the configuration in force; false before there is one.
 func (g *Gateway) Limits() (routing.Limits, bool) {
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -24,7 +24,7 @@
 	Leave()
 	// GiveUp answers all requests under way at once.
 	GiveUp()
-	UnderWay() int64
+	InFlight() int64
 	// Limits of what callers may send, false while unknown.
 	Limits() (routing.Limits, bool)
 }
@@ -144,12 +144,12 @@
 	started := time.Now()
 	s.node.Leave()
 	for elapsed := time.Duration(0); elapsed < within-within/lastPart; elapsed = time.Since(started) {
-		if elapsed > noticeTime && s.node.UnderWay() == 0 && s.Connections() == 0 {
+		if elapsed > noticeTime && s.node.InFlight() == 0 && s.Connections() == 0 {
 			break
 		}
 		time.Sleep(checkInterval)
 	}
-	whole := s.node.UnderWay() == 0
+	whole := s.node.InFlight() == 0
 	s.node.GiveUp()
 	bounded, cancel := context.WithTimeout(context.Background(), shutdownTime)
 	defer cancel()
--- a/internal/serving/serving_test.go
+++ b/internal/serving/serving_test.go
@@ -23,7 +23,7 @@
 func (n *fakeNode) Ready() bool                    { return !n.leaving.Load() }
 func (n *fakeNode) Leave()                         { n.leaving.Store(true) }
 func (n *fakeNode) GiveUp()                        { n.gaveUp.Store(true) }
-func (n *fakeNode) UnderWay() int64                { return n.underWay.Load() }
+func (n *fakeNode) InFlight() int64                { return n.underWay.Load() }
 func (n *fakeNode) Limits() (routing.Limits, bool) { return routing.Limits{}, false }
 
 func start(t *testing.T, node *fakeNode) (*serving.Server, serving.Addresses) {
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -142,7 +142,7 @@
 func (m *Metrics) Observe(source Source) {
 	gauge := func(name string, read func() float64) { m.set.NewGauge(name, read) }
 	gauge("stiletrail_ready", func() float64 { return asNumber(source.Gateway.Ready()) })
-	gauge("stiletrail_requests_under_way", func() float64 { return float64(source.Gateway.UnderWay()) })
+	gauge("stiletrail_requests_under_way", func() float64 { return float64(source.Gateway.InFlight()) })
 	gauge("stiletrail_configuration_version", func() float64 { return float64(source.Gateway.Version()) })
 	gauge("stiletrail_store_contact_age_seconds", func() float64 { return source.Gateway.Status().StoreContactAge.Seconds() })
 	gauge("stiletrail_copy_age_seconds", func() float64 { return source.Gateway.Status().CopyAge.Duration().Seconds() })
