--- a/internal/gateway/disturbed_test.go
+++ b/internal/gateway/disturbed_test.go
@@ -106,7 +106,7 @@
 		s.backEnds.set(except(func(ctx context.Context, _ gateway.BackEndRequest) forward.Outcome {
 			return silence(ctx, time.Minute, forward.Lost)
 		}, "s3-near", "s3-far"))
-		time.AfterFunc(200*time.Millisecond, s.gateway.GiveUp)
+		time.AfterFunc(200*time.Millisecond, s.gateway.FinishInFlight)
 		if result := s.search(); result.Failure != nil || result.Missing != 1 {
 			t.Errorf("given up with enough parts: %+v", result.Answer)
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -135,8 +135,8 @@
 	return g.table.Load() != nil && g.firstListing.read.Load() && !g.leaving.Load()
 }
 
-// GiveUp answers all requests under way at once, with what is there.
-func (g *Gateway) GiveUp() { g.giveUpOnce.Do(func() { close(g.givenUp) }) }
+// FinishInFlight answers all requests under way at once, with what is there.
+func (g *Gateway) FinishInFlight() { g.giveUpOnce.Do(func() { close(g.givenUp) }) }
 
 // Leave makes the node say that it is not ready any more. It serves on.
 func (g *Gateway) Leave() { g.leaving.Store(true) }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -172,7 +172,7 @@
 		go func() { results <- s.search() }()
 		time.Sleep(time.Second)
 		s.gateway.Leave()
-		s.gateway.GiveUp()
+		s.gateway.FinishInFlight()
 		if result := <-results; result.Failure == nil || result.Failure.NotRun || result.Reason != forward.GivenUp {
 			t.Errorf("answered %+v", result.Answer)
 		}
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -22,8 +22,8 @@
 	Ready() bool
 	// Leave makes Ready false; the node serves on.
 	Leave()
-	// GiveUp answers all requests under way at once.
-	GiveUp()
+	// FinishInFlight answers all requests under way at once.
+	FinishInFlight()
 	InFlight() int64
 	// Limits of what callers may send, false while unknown.
 	Limits() (routing.Limits, bool)
@@ -150,7 +150,7 @@
 		time.Sleep(checkInterval)
 	}
 	whole := s.node.InFlight() == 0
-	s.node.GiveUp()
+	s.node.FinishInFlight()
 	bounded, cancel := context.WithTimeout(context.Background(), shutdownTime)
 	defer cancel()
 	s.stopping.Store(true)
