--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -18,7 +18,7 @@
 	send := BackEndRequest{
 		Call: r.call, Attempt: attempt, Entry: attempt.Replica.Entry, Deadline: r.deadlineTime, Remaining: r.left, CallerGone: r.callerLeft,
 		NotRepeatable: !r.route.Repeatable, IdleLimit: r.gateway.replicas.IdleLimit(attempt.Replica),
-		Prove: r.gateway.replicas.MustProve(now, attempt.Replica),
+		VerifyConnection: r.gateway.replicas.MustProve(now, attempt.Replica),
 	}
 	go func() {
 		outcome := r.gateway.exchange(ctx, send)
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -50,8 +50,8 @@
 	Remaining func() time.Duration
 	// CallerGone reports whether nobody waits for the request any more.
 	CallerGone func() bool
-	// Prove has a new connection prove first that the back end takes it.
-	Prove bool
+	// VerifyConnection has a new connection prove first that the back end takes it.
+	VerifyConnection bool
 	// NotRepeatable: the request cannot be sent again if its connection carries no answer.
 	NotRepeatable bool
 	// IdleLimit says which connections to the back end may be kept idle for later requests.
--- a/internal/gateway/simulation_backend_test.go
+++ b/internal/gateway/simulation_backend_test.go
@@ -129,7 +129,7 @@
 // request; of another the node cannot tell.
 func turnedAway(ctx context.Context, send gateway.BackEndRequest) forward.Outcome {
 	outcome := silence(ctx, 4*time.Millisecond, forward.Lost)
-	if send.Prove {
+	if send.VerifyConnection {
 		outcome.Kind = forward.NotSent
 	}
 	outcome.ConnectionTurnedAway = true
