--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -71,16 +71,16 @@
 	l.log.WithFields(fields).WithField(fieldEvent, event).Warn(event)
 }
 
-// Ejected implements gateway.DecisionLog.
-func (l *Log) Ejected(attempt *forward.Attempt, outcome forward.Outcome) {
+// BackEndEjected implements gateway.DecisionLog.
+func (l *Log) BackEndEjected(attempt *forward.Attempt, outcome forward.Outcome) {
 	l.info(EventEjected, logrus.Fields{
 		fieldBackEnd: attempt.Replica.ID, fieldService: attempt.Service,
 		fieldOutcome: outcome.Kind.String(), fieldReason: outcome.Detail,
 	})
 }
 
-// BackEndEnded implements gateway.DecisionLog. Lines of one mark are those of one request that came several times.
-func (l *Log) BackEndEnded(call *gateway.Call, attempt *forward.Attempt, ran clock.Ms) {
+// BackEndCrashed implements gateway.DecisionLog. Lines of one mark are those of one request that came several times.
+func (l *Log) BackEndCrashed(call *gateway.Call, attempt *forward.Attempt, ran clock.Ms) {
 	if !l.rate.allow(time.Now()) {
 		return
 	}
@@ -90,39 +90,39 @@
 	})
 }
 
-// Judged implements gateway.DecisionLog.
-func (l *Log) Judged(mark quarantine.Mark, verdict quarantine.Verdict, by string, left clock.Ms) {
+// VerdictChanged implements gateway.DecisionLog.
+func (l *Log) VerdictChanged(mark quarantine.Mark, verdict quarantine.Verdict, by string, left clock.Ms) {
 	l.warn(EventJudged, logrus.Fields{
 		fieldMark: mark.String(), fieldOutcome: verdict.String(), fieldReason: by, fieldLeft: left,
 	})
 }
 
-// Retrial implements gateway.DecisionLog.
-func (l *Log) Retrial(mark quarantine.Mark, version string) {
+// RetrialClaimed implements gateway.DecisionLog.
+func (l *Log) RetrialClaimed(mark quarantine.Mark, version string) {
 	l.info(EventRetrial, logrus.Fields{fieldMark: mark.String(), fieldSoftware: version})
 }
 
-// QuarantineLost implements gateway.DecisionLog.
-func (l *Log) QuarantineLost(mark quarantine.Mark, cause *failure.Failure) {
+// QuarantineNotWritten implements gateway.DecisionLog.
+func (l *Log) QuarantineNotWritten(mark quarantine.Mark, cause *failure.Failure) {
 	l.warn(EventQuarantineLost, logrus.Fields{fieldMark: mark.String(), fieldReason: cause.Error()})
 }
 
-// Configuration implements gateway.DecisionLog.
-func (l *Log) Configuration(table *routing.Table, revision history.Revision) {
+// ConfigurationApplied implements gateway.DecisionLog.
+func (l *Log) ConfigurationApplied(table *routing.Table, revision history.Revision) {
 	l.info(EventConfiguration, logrus.Fields{
 		fieldVersion: table.Version(), fieldRevision: revision.Number, fieldEra: revision.Era, fieldRoutes: table.RouteCount(),
 	})
 }
 
-// Rejected implements gateway.DecisionLog.
-func (l *Log) Rejected(item *gateway.Item) {
+// ItemRejected implements gateway.DecisionLog.
+func (l *Log) ItemRejected(item *gateway.Item) {
 	l.warn(EventRejected, logrus.Fields{
 		fieldKey: item.Key, fieldRevision: item.Revision.Number, fieldEra: item.Revision.Era, fieldReason: item.Err.Error(),
 	})
 }
 
-// BackEnd implements gateway.DecisionLog.
-func (l *Log) BackEnd(entry replica.Entry, revision history.Revision) {
+// BackEndUpdated implements gateway.DecisionLog.
+func (l *Log) BackEndUpdated(entry replica.Entry, revision history.Revision) {
 	state := "ready"
 	if entry.Draining {
 		state = "draining"
@@ -137,8 +137,8 @@
 	l.info(EventBackEnd, fields)
 }
 
-// Vanished implements gateway.DecisionLog.
-func (l *Log) Vanished(id string, certain bool) {
+// BackEndVanished implements gateway.DecisionLog.
+func (l *Log) BackEndVanished(id string, certain bool) {
 	outcome := "doubtful"
 	if certain {
 		outcome = "forgotten"
@@ -146,40 +146,40 @@
 	l.info(EventVanished, logrus.Fields{fieldBackEnd: id, fieldOutcome: outcome})
 }
 
-// Evacuated implements gateway.DecisionLog.
-func (l *Log) Evacuated(zone string, revision history.Revision) {
+// ZoneEvacuated implements gateway.DecisionLog.
+func (l *Log) ZoneEvacuated(zone string, revision history.Revision) {
 	l.warn(EventEvacuated, logrus.Fields{fieldZone: zone, fieldRevision: revision.Number, fieldEra: revision.Era})
 }
 
-// TakenBack implements gateway.DecisionLog.
-func (l *Log) TakenBack(zone string) {
+// ZoneEvacuationEnded implements gateway.DecisionLog.
+func (l *Log) ZoneEvacuationEnded(zone string) {
 	l.info(EventTakenBack, logrus.Fields{fieldZone: zone})
 }
 
-// Listed implements gateway.DecisionLog.
-func (l *Log) Listed(items int, revision history.Revision) {
+// StoreListed implements gateway.DecisionLog.
+func (l *Log) StoreListed(items int, revision history.Revision) {
 	l.info(EventListed, logrus.Fields{fieldItems: items, fieldRevision: revision.Number, fieldEra: revision.Era})
 }
 
-// WentBack implements gateway.DecisionLog.
-func (l *Log) WentBack(known, told history.Revision) {
+// StoreRegressed implements gateway.DecisionLog.
+func (l *Log) StoreRegressed(known, told history.Revision) {
 	l.warn(EventWentBack, logrus.Fields{fieldRevision: told.Number, fieldEra: told.Era, fieldKnown: known.Number, fieldKnownEra: known.Era})
 }
 
-// Returned implements gateway.DecisionLog.
-func (l *Log) Returned(era uint64) {
+// StoreRestored implements gateway.DecisionLog.
+func (l *Log) StoreRestored(era uint64) {
 	l.warn(EventReturned, logrus.Fields{fieldEra: era})
 }
 
-// Older implements gateway.DecisionLog.
-func (l *Log) Older(key string, revision, known history.Revision, count int) {
+// OutdatedRecordsRead implements gateway.DecisionLog.
+func (l *Log) OutdatedRecordsRead(key string, revision, known history.Revision, count int) {
 	l.info(EventOlder, logrus.Fields{
 		fieldKey: key, fieldRevision: revision.Number, fieldEra: revision.Era, fieldKnown: known.Number, fieldKnownEra: known.Era, fieldItems: count,
 	})
 }
 
-// StoreLost implements gateway.DecisionLog. Only the first failure in a row is written.
-func (l *Log) StoreLost(trouble follow.Trouble, cause *failure.Failure, contactAge time.Duration) {
+// StoreCallFailed implements gateway.DecisionLog. Only the first failure in a row is written.
+func (l *Log) StoreCallFailed(trouble follow.Trouble, cause *failure.Failure, contactAge time.Duration) {
 	if !l.lost.lose() {
 		return
 	}
@@ -204,18 +204,18 @@
 // CopyFresh implements gateway.DecisionLog.
 func (l *Log) CopyFresh() { l.info(EventCopyFresh, nil) }
 
-// Suspended implements gateway.DecisionLog.
-func (l *Log) Suspended(length clock.Ms) {
+// MachineSuspended implements gateway.DecisionLog.
+func (l *Log) MachineSuspended(length clock.Ms) {
 	l.warn(EventSuspended, logrus.Fields{fieldAge: length})
 }
 
-// Members implements gateway.DecisionLog.
-func (l *Log) Members(alive int) {
+// MembersChanged implements gateway.DecisionLog.
+func (l *Log) MembersChanged(alive int) {
 	l.info(EventMembers, logrus.Fields{fieldAlive: alive})
 }
 
-// Learned implements gateway.DecisionLog.
-func (l *Log) Learned(from string, records int, revision history.Revision) {
+// LearnedFromPeer implements gateway.DecisionLog.
+func (l *Log) LearnedFromPeer(from string, records int, revision history.Revision) {
 	l.info(EventLearned, logrus.Fields{
 		fieldPeer: from, fieldItems: records, fieldRevision: revision.Number, fieldEra: revision.Era,
 	})
@@ -231,13 +231,13 @@
 	l.warn(EventPeerMalformed, logrus.Fields{fieldPeer: remote, fieldReason: err.Error()})
 }
 
-// Fault implements gateway.DecisionLog.
-func (l *Log) Fault(text string) {
+// InternalError implements gateway.DecisionLog.
+func (l *Log) InternalError(text string) {
 	l.log.WithFields(logrus.Fields{fieldEvent: EventFault, fieldReason: text}).Error(EventFault)
 }
 
 // Write implements io.Writer for what libraries log, such as net/http of a handler that failed.
 func (l *Log) Write(text []byte) (int, error) {
-	l.Fault(strings.TrimSpace(string(text)))
+	l.InternalError(strings.TrimSpace(string(text)))
 	return len(text), nil
 }
--- a/internal/decisionlog/request.go
+++ b/internal/decisionlog/request.go
@@ -32,7 +32,7 @@
 	if result.Route != nil {
 		fields[fieldRoute] = result.Route.Name
 	}
-	if unread := result.Unread.Milliseconds(); unread > 0 {
+	if unread := result.ReadDelay.Milliseconds(); unread > 0 {
 		fields[fieldUnread] = unread
 	}
 	if result.Total > 0 {
@@ -47,8 +47,8 @@
 	if !ordinary {
 		fields[fieldAttempts] = describe(result)
 	}
-	if result.Within > 0 {
-		fields[fieldWithin] = result.Within.Milliseconds()
+	if result.TimeLimit > 0 {
+		fields[fieldWithin] = result.TimeLimit.Milliseconds()
 	}
 	if !ordinary && result.Unasked != nil {
 		if unasked := describeUnasked(result.Unasked()); len(unasked) > 0 {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -15,10 +15,10 @@
 	attempt.Replica.Start(now)
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancels[attempt] = cancel
-	send := Send{
-		Call: r.call, Attempt: attempt, Entry: attempt.Replica.Entry, Deadline: r.deadlineTime, Left: r.left, CallerGone: r.callerLeft,
-		Once: !r.route.Repeatable, Idle: r.gateway.replicas.IdleLimit(attempt.Replica),
-		Prove: r.gateway.replicas.MustProve(now, attempt.Replica),
+	send := BackEndRequest{
+		Call: r.call, Attempt: attempt, Entry: attempt.Replica.Entry, Deadline: r.deadlineTime, Remaining: r.left, CallerGone: r.callerLeft,
+		NotRepeatable: !r.route.Repeatable, IdleLimit: r.gateway.replicas.IdleLimit(attempt.Replica),
+		VerifyConnection: r.gateway.replicas.MustProve(now, attempt.Replica),
 	}
 	go func() {
 		outcome := r.gateway.exchange(ctx, send)
@@ -33,10 +33,10 @@
 }
 
 // exchange carries an attempt out. A fault of ours ends the attempt, which may have run, and not the process.
-func (g *Gateway) exchange(ctx context.Context, send Send) (outcome forward.Outcome) {
+func (g *Gateway) exchange(ctx context.Context, send BackEndRequest) (outcome forward.Outcome) {
 	defer func() {
 		if fault := recover(); fault != nil {
-			g.log.Fault(fmt.Sprint(fault))
+			g.log.InternalError(fmt.Sprint(fault))
 			outcome = forward.Outcome{Kind: forward.Lost, Detail: "a fault of this node"}
 		}
 	}()
@@ -54,10 +54,10 @@
 	}
 	g.mu.Unlock()
 	if outcome.BackEndEnded {
-		g.log.BackEndEnded(call, attempt, clock.Of(now-attempt.StartedAt))
+		g.log.BackEndCrashed(call, attempt, clock.Of(now-attempt.StartedAt))
 	}
 	if ejected {
-		g.log.Ejected(attempt, outcome)
+		g.log.BackEndEjected(attempt, outcome)
 	}
 }
 
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -22,9 +22,9 @@
 	Arrived time.Time
 	// Deadline is when the caller stops waiting; zero if it did not say.
 	Deadline time.Time
-	// Gone reports whether the caller has left, as the machine knows it now, and ends the context of the call if so. The context
+	// CallerGone reports whether the caller has left, as the machine knows it now, and ends the context of the call if so. The context
 	// alone may end late. Nil where only the context tells.
-	Gone func() bool
+	CallerGone func() bool
 	// Identity is what the request is known by when it comes again with another id; Caller is the address it came from,
 	// without the port.
 	Identity quarantine.Identity
@@ -34,31 +34,33 @@
 }
 
 // left reports whether the caller has left.
-func (c *Call) left(ctx context.Context) bool { return ctx.Err() != nil || c.Gone != nil && c.Gone() }
+func (c *Call) left(ctx context.Context) bool {
+	return ctx.Err() != nil || c.CallerGone != nil && c.CallerGone()
+}
 
-// Send is an attempt to be carried out.
-type Send struct {
+// BackEndRequest is an attempt to be carried out.
+type BackEndRequest struct {
 	Call    *Call
 	Attempt *forward.Attempt
 	// Entry of the back end, as it was when the attempt was decided.
 	Entry replica.Entry
 	// Deadline is when the work is of no more use, unless the machine is suspended before; Left is what is left of it at the
 	// moment of a call.
-	Deadline time.Time
-	Left     func() time.Duration
+	Deadline  time.Time
+	Remaining func() time.Duration
 	// CallerGone reports whether nobody waits for the request any more.
 	CallerGone func() bool
-	// Prove has a new connection prove first that the back end takes it.
-	Prove bool
-	// Once: the request cannot be sent again if its connection carries no answer.
-	Once bool
-	// Idle says which connections to the back end may be kept idle for later requests.
-	Idle replica.IdleLimit
+	// VerifyConnection has a new connection prove first that the back end takes it.
+	VerifyConnection bool
+	// NotRepeatable: the request cannot be sent again if its connection carries no answer.
+	NotRepeatable bool
+	// IdleLimit says which connections to the back end may be kept idle for later requests.
+	IdleLimit replica.IdleLimit
 }
 
-// BackEnds carries out attempts. One attempt reaches a back end at most once.
-type BackEnds interface {
-	Exchange(ctx context.Context, send Send) forward.Outcome
+// BackEndClient carries out attempts. One attempt reaches a back end at most once.
+type BackEndClient interface {
+	Exchange(ctx context.Context, send BackEndRequest) forward.Outcome
 	// Prune closes idle connections to endpoints that no back end has any more.
 	Prune(inUse func(replica.Endpoint) bool)
 }
@@ -75,15 +77,15 @@
 	Attempts []*forward.Attempt
 	Arrived  time.Duration
 	Elapsed  time.Duration
-	// Unread is how long the call lay in the machine before this node read it, a part of Elapsed.
-	Unread time.Duration
+	// ReadDelay is how long the call lay in the machine before this node read it, a part of Elapsed.
+	ReadDelay time.Duration
 	// Denied says, for the shard of an attempt, why an extra attempt that was due was not sent.
 	Denied func(*forward.Attempt) forward.Denied
 	// Unasked gives the shards at which no attempt was begun; nil where the call was refused before any was looked at.
 	Unasked func() []forward.Unasked
-	// Within is how long the call could be served from its arrival: what its caller and its route leave; 0 where it was refused
+	// TimeLimit is how long the call could be served from its arrival: what its caller and its route leave; 0 where it was refused
 	// before that was looked at.
-	Within time.Duration
+	TimeLimit time.Duration
 	// CallerGone: the caller left; there is nobody to answer.
 	CallerGone bool
 	// Overload is by what a request was turned away.
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -104,7 +104,7 @@
 }
 
 // Write implements gateway.Store. What was written goes by itself when its time is over.
-func (s *fakeStore) Write(_ context.Context, w gateway.Write) (bool, error) {
+func (s *fakeStore) Write(_ context.Context, w gateway.StoreWrite) (bool, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.calls++
@@ -156,7 +156,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.calls++
-	page := gateway.Page{At: history.At(s.era, s.revision)}
+	page := gateway.Page{Revision: history.At(s.era, s.revision)}
 	for _, record := range s.items {
 		page.Records = append(page.Records, record)
 	}
@@ -208,19 +208,19 @@
 // fakeBackEnds answers attempts by a function.
 type fakeBackEnds struct {
 	mutex  sync.Mutex
-	sends  []gateway.Send
-	answer func(ctx context.Context, send gateway.Send) forward.Outcome
+	sends  []gateway.BackEndRequest
+	answer func(ctx context.Context, send gateway.BackEndRequest) forward.Outcome
 }
 
 // set has a function answer attempts from now on.
-func (b *fakeBackEnds) set(answer func(ctx context.Context, send gateway.Send) forward.Outcome) {
+func (b *fakeBackEnds) set(answer func(ctx context.Context, send gateway.BackEndRequest) forward.Outcome) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.answer = answer
 }
 
 // sent gives the attempts so far.
-func (b *fakeBackEnds) sent() []gateway.Send {
+func (b *fakeBackEnds) sent() []gateway.BackEndRequest {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return slices.Clone(b.sends)
@@ -230,7 +230,7 @@
 func (b *fakeBackEnds) Prune(func(replica.Endpoint) bool) {}
 
 // Exchange implements gateway.BackEnds.
-func (b *fakeBackEnds) Exchange(ctx context.Context, send gateway.Send) forward.Outcome {
+func (b *fakeBackEnds) Exchange(ctx context.Context, send gateway.BackEndRequest) forward.Outcome {
 	b.mutex.Lock()
 	b.sends = append(b.sends, send)
 	answer := b.answer
@@ -241,33 +241,33 @@
 // silentLog takes no note.
 type silentLog struct{}
 
-func (silentLog) Request(*gateway.Call, *gateway.Result)                 {}
-func (silentLog) Ejected(*forward.Attempt, forward.Outcome)              {}
-func (silentLog) BackEndEnded(*gateway.Call, *forward.Attempt, clock.Ms) {}
-func (silentLog) Judged(quarantine.Mark, quarantine.Verdict, string, clock.Ms) {
+func (silentLog) Request(*gateway.Call, *gateway.Result)                   {}
+func (silentLog) BackEndEjected(*forward.Attempt, forward.Outcome)         {}
+func (silentLog) BackEndCrashed(*gateway.Call, *forward.Attempt, clock.Ms) {}
+func (silentLog) VerdictChanged(quarantine.Mark, quarantine.Verdict, string, clock.Ms) {
 }
-func (silentLog) Retrial(quarantine.Mark, string)                           {}
-func (silentLog) QuarantineLost(quarantine.Mark, *failure.Failure)          {}
-func (silentLog) Configuration(*routing.Table, history.Revision)            {}
-func (silentLog) Rejected(*gateway.Item)                                    {}
-func (silentLog) BackEnd(replica.Entry, history.Revision)                   {}
-func (silentLog) Vanished(string, bool)                                     {}
-func (silentLog) Evacuated(string, history.Revision)                        {}
-func (silentLog) TakenBack(string)                                          {}
-func (silentLog) Listed(int, history.Revision)                              {}
-func (silentLog) WentBack(history.Revision, history.Revision)               {}
-func (silentLog) Returned(uint64)                                           {}
-func (silentLog) Older(string, history.Revision, history.Revision, int)     {}
-func (silentLog) StoreLost(follow.Trouble, *failure.Failure, time.Duration) {}
-func (silentLog) StoreAnswered(time.Duration)                               {}
-func (silentLog) CopyStale(clock.Ms)                                        {}
-func (silentLog) Suspended(clock.Ms)                                        {}
-func (silentLog) CopyFresh()                                                {}
-func (silentLog) Members(int)                                               {}
-func (silentLog) Learned(string, int, history.Revision)                     {}
-func (silentLog) Fault(string)                                              {}
-func (silentLog) PeerSilent(string)                                         {}
-func (silentLog) PeerMalformed(string, error)                               {}
+func (silentLog) RetrialClaimed(quarantine.Mark, string)                              {}
+func (silentLog) QuarantineNotWritten(quarantine.Mark, *failure.Failure)              {}
+func (silentLog) ConfigurationApplied(*routing.Table, history.Revision)               {}
+func (silentLog) ItemRejected(*gateway.Item)                                          {}
+func (silentLog) BackEndUpdated(replica.Entry, history.Revision)                      {}
+func (silentLog) BackEndVanished(string, bool)                                        {}
+func (silentLog) ZoneEvacuated(string, history.Revision)                              {}
+func (silentLog) ZoneEvacuationEnded(string)                                          {}
+func (silentLog) StoreListed(int, history.Revision)                                   {}
+func (silentLog) StoreRegressed(history.Revision, history.Revision)                   {}
+func (silentLog) StoreRestored(uint64)                                                {}
+func (silentLog) OutdatedRecordsRead(string, history.Revision, history.Revision, int) {}
+func (silentLog) StoreCallFailed(follow.Trouble, *failure.Failure, time.Duration)     {}
+func (silentLog) StoreAnswered(time.Duration)                                         {}
+func (silentLog) CopyStale(clock.Ms)                                                  {}
+func (silentLog) MachineSuspended(clock.Ms)                                           {}
+func (silentLog) CopyFresh()                                                          {}
+func (silentLog) MembersChanged(int)                                                  {}
+func (silentLog) LearnedFromPeer(string, int, history.Revision)                       {}
+func (silentLog) InternalError(string)                                                {}
+func (silentLog) PeerSilent(string)                                                   {}
+func (silentLog) PeerMalformed(string, error)                                         {}
 
 const shards = 4
 
@@ -340,13 +340,13 @@
 	return result
 }
 
-func part(send gateway.Send) forward.Outcome {
+func part(send gateway.BackEndRequest) forward.Outcome {
 	return forward.Outcome{Kind: forward.Answered, Response: &forward.Response{Status: 200, Signature: send.Entry.ID}}
 }
 
 // after answers each attempt after some time.
-func after(length time.Duration) func(context.Context, gateway.Send) forward.Outcome {
-	return func(ctx context.Context, send gateway.Send) forward.Outcome {
+func after(length time.Duration) func(context.Context, gateway.BackEndRequest) forward.Outcome {
+	return func(ctx context.Context, send gateway.BackEndRequest) forward.Outcome {
 		select {
 		case <-time.After(length):
 			return part(send)
@@ -357,9 +357,9 @@
 }
 
 // except answers attempts at some back ends by another function.
-func except(answer func(context.Context, gateway.Send) forward.Outcome, ids ...string) func(context.Context, gateway.Send) forward.Outcome {
+func except(answer func(context.Context, gateway.BackEndRequest) forward.Outcome, ids ...string) func(context.Context, gateway.BackEndRequest) forward.Outcome {
 	others := after(20 * time.Millisecond)
-	return func(ctx context.Context, send gateway.Send) forward.Outcome {
+	return func(ctx context.Context, send gateway.BackEndRequest) forward.Outcome {
 		for _, id := range ids {
 			if send.Entry.ID == id {
 				return answer(ctx, send)
--- a/internal/gateway/fleet_share.go
+++ b/internal/gateway/fleet_share.go
@@ -31,11 +31,11 @@
 	}
 	settings := g.settings.Load().Fleet
 	g.fleet.watch = assignWatch(&g.fleet, settings.Watchers)
-	if !settings.StoreTurns || !settings.PeerCopies {
+	if !settings.WatchersTakeTurns || !settings.PeerCopies {
 		g.storeCopy.reader.TakeTurns(0, 0)
 		return
 	}
-	g.storeCopy.reader.TakeTurns(g.fleet.watch.phase(g.storeCopy.waits.TellEvery))
+	g.storeCopy.reader.TakeTurns(g.fleet.watch.phase(g.storeCopy.waits.NotifyInterval))
 }
 
 // shareColdBackEnds has the nodes known divide what cold back ends bear. While this node has not joined the others it has no
@@ -70,7 +70,7 @@
 	g.replicas.SetManyStarting(manyStarting)
 	part := 1
 	if manyStarting {
-		part = settings.Fleet.YoungPart
+		part = settings.Fleet.StartupConnectionDivisor
 	}
 	if !settings.Fleet.ShareConnections {
 		return
@@ -91,5 +91,5 @@
 	if g.fleet.nodes == 0 || g.now() < settings.Window {
 		return 0
 	}
-	return slackPart * settings.Slack / float64(g.fleet.nodes)
+	return slackPart * settings.FleetSlack / float64(g.fleet.nodes)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -40,7 +40,7 @@
 // Gateway is one node's. Its methods are safe for concurrent use.
 type Gateway struct {
 	settings atomic.Pointer[Settings]
-	backEnds BackEnds
+	backEnds BackEndClient
 	store    Store
 	log      DecisionLog
 	clock    clock.Clock
@@ -76,7 +76,7 @@
 }
 
 // New returns a gateway that knows nothing yet. Run makes it follow the store.
-func New(settings Settings, backEnds BackEnds, store Store, log DecisionLog) *Gateway {
+func New(settings Settings, backEnds BackEndClient, store Store, log DecisionLog) *Gateway {
 	random := rand.New(rand.NewPCG(settings.Seed, settings.Seed))
 	g := &Gateway{
 		backEnds:         backEnds,
@@ -135,8 +135,8 @@
 	return g.table.Load() != nil && g.firstListing.read.Load() && !g.leaving.Load()
 }
 
-// GiveUp answers all requests under way at once, with what is there.
-func (g *Gateway) GiveUp() { g.giveUpOnce.Do(func() { close(g.givenUp) }) }
+// FinishInFlight answers all requests under way at once, with what is there.
+func (g *Gateway) FinishInFlight() { g.giveUpOnce.Do(func() { close(g.givenUp) }) }
 
 // Leave makes the node say that it is not ready any more. It serves on.
 func (g *Gateway) Leave() { g.leaving.Store(true) }
@@ -144,8 +144,8 @@
 // Leaving reports whether Leave was called.
 func (g *Gateway) Leaving() bool { return g.leaving.Load() }
 
-// UnderWay is the number of requests under way.
-func (g *Gateway) UnderWay() int64 { return g.underWay.Load() }
+// InFlight is the number of requests under way.
+func (g *Gateway) InFlight() int64 { return g.underWay.Load() }
 
 // Limits of what callers may send, by the configuration in force; false before there is one.
 func (g *Gateway) Limits() (routing.Limits, bool) {
--- a/internal/gateway/maintain.go
+++ b/internal/gateway/maintain.go
@@ -18,7 +18,7 @@
 	for round := 1; ctx.Err() == nil; round++ {
 		pause(ctx, expireInterval)
 		if length := g.suspensions.notice(g.clock.Suspended()); length > 0 {
-			g.log.Suspended(length)
+			g.log.MachineSuspended(length)
 		}
 		g.expire()
 		if round%pruneEvery == 0 {
@@ -34,10 +34,10 @@
 	defer g.mu.Unlock()
 	g.storeCopy.logStaleness(g.now())
 	for _, id := range g.replicas.Expire(g.now()) {
-		g.log.Vanished(id, true)
+		g.log.BackEndVanished(id, true)
 	}
 	for _, entry := range g.replicas.Readmit(g.now()) {
-		g.log.BackEnd(entry, g.storeCopy.records.Revision())
+		g.log.BackEndUpdated(entry, g.storeCopy.records.Revision())
 	}
 	g.returnZonesDue(g.now())
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -27,7 +27,7 @@
 	g.mu.Unlock()
 	arrived := g.arrival(call, read)
 	result := g.answer(ctx, call, arrived)
-	result.Arrived, result.CopyAge, result.Unread = arrived, age, read-arrived
+	result.Arrived, result.CopyAge, result.ReadDelay = arrived, age, read-arrived
 	result.Elapsed = g.now() - arrived
 	g.log.Request(call, &result)
 	return result
@@ -42,8 +42,8 @@
 	return min(read, g.clock.Moment(call.Arrived))
 }
 
-// Refuse notes a call that is wrong by itself and was answered with a failure.
-func (g *Gateway) Refuse(call *Call, refusal *failure.Failure) {
+// LogRefusal notes a call that is wrong by itself and was answered with a failure.
+func (g *Gateway) LogRefusal(call *Call, refusal *failure.Failure) {
 	g.log.Request(call, &Result{Answer: forward.Answer{Failure: refusal}, Version: g.Version(), Arrived: g.now()})
 }
 
@@ -112,6 +112,6 @@
 	}
 	return Result{
 		Answer: answer, Attempts: r.request.Attempts(), Denied: r.request.Denied, Unasked: r.request.Unasked,
-		Within: r.deadline - r.arrived, CallerGone: r.callerGone,
+		TimeLimit: r.deadline - r.arrived, CallerGone: r.callerGone,
 	}
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -21,7 +21,7 @@
 	Follow     follow.Settings
 	Spread     spread.Settings
 	Quarantine quarantine.Settings
-	Copy       CopySettings
+	StoreCopy  StoreCopySettings
 	Fleet      FleetSettings
 	Retries    RetrySettings
 	// StartingHold is how long a request waits at most for the first listing of the store and, for as long after that, for back
@@ -35,12 +35,12 @@
 	Seed uint64
 }
 
-// CopySettings are those of the node's copy of the store.
-type CopySettings struct {
-	// Waits for news of the store.
-	Waits Waits
-	// DoubtFor is how long an entry that vanished without proof that its back end leaves is used on at most.
-	DoubtFor time.Duration
+// StoreCopySettings are those of the node's copy of the store.
+type StoreCopySettings struct {
+	// Propagation for news of the store.
+	Propagation PropagationTimes
+	// KeepDoubtfulFor is how long an entry that vanished without proof that its back end leaves is used on at most.
+	KeepDoubtfulFor time.Duration
 	// DistrustDepartedFor is how long after the store was restored from a backup it may name back ends that have left.
 	DistrustDepartedFor time.Duration
 }
@@ -49,15 +49,15 @@
 type FleetSettings struct {
 	// Watchers of the store in each region tell the other nodes of it; with 0 every node watches.
 	Watchers int
-	// StoreTurns has the watchers ask the store one after the other, PeerCopies has nodes tell each other what they learn.
-	StoreTurns bool
-	PeerCopies bool
-	// Reports has nodes tell each other of slow and faulty back ends.
-	Reports bool
+	// WatchersTakeTurns has the watchers ask the store one after the other, PeerCopies has nodes tell each other what they learn.
+	WatchersTakeTurns bool
+	PeerCopies        bool
+	// HealthReports has nodes tell each other of slow and faulty back ends.
+	HealthReports bool
 	// ShareConnections divides the connections of a back end among the nodes; one in YoungPart of them while many nodes have just
 	// started.
-	ShareConnections bool
-	YoungPart        int
+	ShareConnections         bool
+	StartupConnectionDivisor int
 	// MaximumConnections bounds what of a back end's connections one node may use, however few nodes are known.
 	MaximumConnections int
 }
@@ -67,8 +67,8 @@
 	// Share of the requests of a service may be extra attempts in any Window, over all nodes.
 	Share  float64
 	Window time.Duration
-	// Slack is what all nodes together may send extra in a window beyond the share.
-	Slack float64
+	// FleetSlack is what all nodes together may send extra in a window beyond the share.
+	FleetSlack float64
 	// HedgeReserve is the part of the budget that hedges leave for retries.
 	HedgeReserve float64
 }
@@ -119,7 +119,7 @@
 
 // FromSettings gives the gateway's settings for those of the operator.
 func FromSettings(s settings.Gateway) Settings {
-	waits := WaitsWithin(clock.Of(min(s.LeavingTime, s.ApplyWithin, s.EvacuateWithin)))
+	waits := PropagationTimesWithin(clock.Of(min(s.LeavingTime, s.ApplyWithin, s.EvacuateWithin)))
 	return Settings{
 		Forward:    forwardSettings(s),
 		Replica:    replicaSettings(s),
@@ -127,15 +127,15 @@
 		Follow:     followSettings(waits),
 		Spread:     spreadSettings(s, waits),
 		Quarantine: quarantine.Settings{Rounds: s.QuarantineRounds, For: clock.Of(s.QuarantineFor)},
-		Copy: CopySettings{
-			Waits: waits, DoubtFor: doubtFor(s), DistrustDepartedFor: rewriteWithin.Duration() + oldIntervals*s.EntryInterval,
+		StoreCopy: StoreCopySettings{
+			Propagation: waits, KeepDoubtfulFor: doubtFor(s), DistrustDepartedFor: rewriteWithin.Duration() + oldIntervals*s.EntryInterval,
 		},
 		Fleet: FleetSettings{
-			Watchers: s.Watchers, StoreTurns: s.StoreTurns, PeerCopies: s.PeerCopies, Reports: s.Reports,
-			ShareConnections: s.ShareConnections, YoungPart: s.YoungPart, MaximumConnections: maximumConnections,
+			Watchers: s.Watchers, WatchersTakeTurns: s.StoreTurns, PeerCopies: s.PeerCopies, HealthReports: s.Reports,
+			ShareConnections: s.ShareConnections, StartupConnectionDivisor: s.YoungPart, MaximumConnections: maximumConnections,
 		},
 		Retries: RetrySettings{
-			Share: s.RetryShare * (1 - retryMargin), Window: s.RetryWindow, Slack: s.RetrySlack, HedgeReserve: hedgeReserve,
+			Share: s.RetryShare * (1 - retryMargin), Window: s.RetryWindow, FleetSlack: s.RetrySlack, HedgeReserve: hedgeReserve,
 		},
 		StartingHold:    s.StartingHold,
 		TurnAway:        s.TurnAway,
@@ -159,7 +159,7 @@
 	}
 }
 
-func followSettings(waits Waits) follow.Settings {
+func followSettings(waits PropagationTimes) follow.Settings {
 	return follow.Settings{
 		WatchFor:    clock.Ms(watchPart * float64(waits.StaleAfter)).Duration(),
 		CoalesceFor: coalesceFor, FirstBackoff: firstBackoff, LongestBackoff: longestBackoff,
@@ -167,7 +167,7 @@
 	}
 }
 
-func spreadSettings(s settings.Gateway, waits Waits) spread.Settings {
+func spreadSettings(s settings.Gateway, waits PropagationTimes) spread.Settings {
 	return spread.Settings{
 		Interval: digestInterval, Fanout: digestFanout, KeepGone: keepGone,
 		Patience: waits.Patience.Duration(), AnswerWithin: waits.AnswerWithin.Duration(),
--- a/internal/gateway/store.go
+++ b/internal/gateway/store.go
@@ -13,15 +13,15 @@
 // Page is a part of a listing.
 type Page struct {
 	Records []message.StoreRecord
-	// Last key of the page, from which the next one goes on.
-	Last string
-	// At is the revision of the store when the page was read; More says that other pages follow.
-	At   history.Revision
-	More bool
+	// LastKey key of the page, from which the next one goes on.
+	LastKey string
+	// Revision is the revision of the store when the page was read; More says that other pages follow.
+	Revision history.Revision
+	More     bool
 }
 
-// Write is something that a node keeps in the store: a quarantine or a claim.
-type Write struct {
+// StoreWrite is something that a node keeps in the store: a quarantine or a claim.
+type StoreWrite struct {
 	Key   string
 	Value []byte
 	// Lease is how long it stays at most.
@@ -42,7 +42,7 @@
 	Decode(record message.StoreRecord) Item
 	// Write writes something that nodes keep in the store themselves, and reports whether it did: not where it is there already
 	// and the write is to be the first.
-	Write(ctx context.Context, w Write) (written bool, err error)
+	Write(ctx context.Context, w StoreWrite) (written bool, err error)
 	// Remove takes something away that nodes keep there.
 	Remove(ctx context.Context, key string) error
 	// Trouble is the kind of a failure of this store.
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -19,9 +19,9 @@
 	if !entered {
 		return
 	}
-	g.replicas.DistrustDeparted(now + g.settings.Load().Copy.DistrustDepartedFor)
+	g.replicas.DistrustDeparted(now + g.settings.Load().StoreCopy.DistrustDepartedFor)
 	g.quarantineWrites.rewriteClaims()
-	g.log.Returned(era)
+	g.log.StoreRestored(era)
 }
 
 // takeChanges takes in what a watch has told. Back ends whose entries are gone are used on until a moment.
@@ -61,7 +61,7 @@
 	}
 	item := g.store.Decode(record)
 	if item.Err != nil {
-		g.log.Rejected(&item)
+		g.log.ItemRejected(&item)
 	}
 	switch content := item.Content.(type) {
 	case nil:
@@ -69,14 +69,14 @@
 		if content.Entry == nil {
 			// Whether the back end lives that the key named before, and where, nobody knows now.
 			if g.replicas.Remove(now, content.ID, now) {
-				g.log.Vanished(content.ID, true)
+				g.log.BackEndVanished(content.ID, true)
 			}
 			return
 		}
 		g.putBackEnd(now, *content.Entry, item.Revision)
 	case Evacuation:
 		if content.Zone != "" && g.replicas.EvacuateZone(content.Zone) {
-			g.log.Evacuated(content.Zone, item.Revision)
+			g.log.ZoneEvacuated(content.Zone, item.Revision)
 		}
 	case Configuration:
 		g.adopt(&item, content, record)
@@ -88,7 +88,7 @@
 // putBackEnd takes in the entry of a back end. Of those of the first listing, one line of the log tells how many they are.
 func (g *Gateway) putBackEnd(now time.Duration, entry replica.Entry, revision history.Revision) {
 	if g.replicas.Put(now, entry) && (g.firstListing.read.Load() || entry.Draining) {
-		g.log.BackEnd(entry, revision)
+		g.log.BackEndUpdated(entry, revision)
 	}
 }
 
@@ -105,7 +105,7 @@
 	case nil, Configuration:
 	case BackEnd:
 		if content.ID != "" && g.replicas.Remove(now, content.ID, doubt) {
-			g.log.Vanished(content.ID, doubt <= now)
+			g.log.BackEndVanished(content.ID, doubt <= now)
 		}
 	case Evacuation:
 		if content.Zone != "" {
@@ -123,7 +123,7 @@
 		return
 	}
 	if g.replicas.TakeZoneBack(now, zone) {
-		g.log.TakenBack(zone)
+		g.log.ZoneEvacuationEnded(zone)
 	}
 }
 
@@ -145,7 +145,7 @@
 	table, err := g.compile(configuration)
 	if err != nil {
 		item.Err = err
-		g.log.Rejected(item)
+		g.log.ItemRejected(item)
 		return
 	}
 	g.splitter.Retain(table)
@@ -158,7 +158,7 @@
 	if g.firstListing.read.Load() {
 		g.noteListed()
 	}
-	g.log.Configuration(table, item.Revision)
+	g.log.ConfigurationApplied(table, item.Revision)
 }
 
 // compile makes the table of a configuration, whose regions this node must know.
@@ -206,7 +206,7 @@
 	if received.Advanced {
 		c.reader.Advance(c.records.Revision())
 		g.noteListed()
-		g.log.Learned(from, len(received.Records)+len(received.Gone), c.records.Revision())
+		g.log.LearnedFromPeer(from, len(received.Records)+len(received.Gone), c.records.Revision())
 		if told, ok := m.(*message.StoreRecords); ok {
 			g.passOn(from, told)
 		}
--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -14,7 +14,7 @@
 // by though a store that was restored from a backup says otherwise. Guarded by Gateway.mu.
 type storeCopy struct {
 	log   DecisionLog
-	waits Waits
+	waits PropagationTimes
 	// doubtFor is how long an entry that vanished without proof that its back end leaves is used on at most.
 	doubtFor time.Duration
 	// records are the node's copy, and what other nodes say of theirs.
@@ -45,7 +45,7 @@
 }
 
 func (c *storeCopy) configure(settings *Settings) {
-	c.waits, c.doubtFor = settings.Copy.Waits, settings.Copy.DoubtFor
+	c.waits, c.doubtFor = settings.StoreCopy.Propagation, settings.StoreCopy.KeepDoubtfulFor
 }
 
 // neverConfirmed stands for the age of a copy of the store that was never known to be complete.
@@ -111,7 +111,7 @@
 	case !c.records.Settled(now):
 		return longest
 	case massVanishing(gone, known):
-		return min(longest, now+(c.waits.Within-age-doubtMargin).Duration())
+		return min(longest, now+(c.waits.Bound-age-doubtMargin).Duration())
 	}
 	return now
 }
@@ -129,7 +129,7 @@
 // logRevision logs that the store tells a revision of another era than was known, or in the same era an earlier one.
 func (c *storeCopy) logRevision(known, told history.Revision) {
 	if !known.Unknown() && (told.Era != known.Era || told.Before(known)) {
-		c.log.WentBack(known, told)
+		c.log.StoreRegressed(known, told)
 	}
 }
 
@@ -143,7 +143,7 @@
 	}
 	if count > 0 {
 		known, _ := c.records.Record(last.Key)
-		c.log.Older(last.Key, last.Revision, known.Revision, count)
+		c.log.OutdatedRecordsRead(last.Key, last.Revision, known.Revision, count)
 	}
 }
 
--- a/internal/gateway/store_reading.go
+++ b/internal/gateway/store_reading.go
@@ -77,7 +77,7 @@
 	now, c := g.now(), g.storeCopy
 	g.log.StoreAnswered(c.reader.ContactAge(now))
 	if call.After == "" {
-		c.logRevision(call.Revision, page.At)
+		c.logRevision(call.Revision, page.Revision)
 		clear(c.listedKeys)
 	}
 	c.logOlder(page.Records)
@@ -85,7 +85,7 @@
 		c.listedKeys[record.Key] = true
 		g.take(now, record)
 	}
-	if c.reader.Page(now, page.Last, page.At, page.More) {
+	if c.reader.Page(now, page.LastKey, page.Revision, page.More) {
 		g.listedAll(now)
 	}
 }
@@ -94,7 +94,7 @@
 func (g *Gateway) listedAll(now time.Duration) {
 	c := g.storeCopy
 	revision := c.reader.Revision()
-	g.log.Listed(len(c.listedKeys), revision)
+	g.log.StoreListed(len(c.listedKeys), revision)
 	gone := c.records.Listed(now, c.listedKeys, revision)
 	age := c.age(now)
 	// Whether the store was restored, which decides what it means that something is gone, is known from here on.
@@ -178,7 +178,7 @@
 func (g *Gateway) watchWasSilent(err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.log.StoreLost(follow.Silent, failure.From(err), g.storeCopy.reader.ContactAge(g.now()))
+	g.log.StoreCallFailed(follow.Silent, failure.From(err), g.storeCopy.reader.ContactAge(g.now()))
 }
 
 // callFailed takes in that a call to the store failed, unless this node ends.
@@ -190,6 +190,6 @@
 	defer g.mu.Unlock()
 	now := g.now()
 	trouble := g.store.Trouble(err)
-	g.log.StoreLost(trouble, failure.From(err), g.storeCopy.reader.ContactAge(now))
+	g.log.StoreCallFailed(trouble, failure.From(err), g.storeCopy.reader.ContactAge(now))
 	g.storeCopy.reader.Failed(now, trouble)
 }
--- a/internal/gateway/store_waits.go
+++ b/internal/gateway/store_waits.go
@@ -2,21 +2,21 @@
 
 import "stiletrail/internal/clock"
 
-// Waits are those of a node for news of the store. They are derived from one bound, so that together they stay within it
+// PropagationTimes are those of a node for news of the store. They are derived from one bound, so that together they stay within it
 // whichever way the news takes: a node whose own watch or whose peers have fallen silent has no sign of that but the time.
 //
 // Where peers tell it: a watcher coalesces changes for no longer than it tells others, the next one tells (TellEvery), the node
 // notices at its next look among peers, waits for its own watch (Patience), asks, and asks another if the answer is lost
 // (AnswerWithin). Where nobody does: its copy turns stale (StaleAfter), it asks the store over a new connection (PollTimeout),
 // and once more if that is lost. TestWaitsStayWithinTheBound adds them up.
-type Waits struct {
-	// Within is the bound: the time in which what the store has acknowledged must be in force.
-	Within clock.Ms
+type PropagationTimes struct {
+	// Bound is the bound: the time in which what the store has acknowledged must be in force.
+	Bound clock.Ms
 	// StaleAfter is how long a node goes by a copy of the store that nobody has confirmed to be complete, before it asks the
 	// store itself.
 	StaleAfter clock.Ms
-	// TellEvery is how often one of the watchers of a group hears from the store at the latest, and tells the others.
-	TellEvery clock.Ms
+	// NotifyInterval is how often one of the watchers of a group hears from the store at the latest, and tells the others.
+	NotifyInterval clock.Ms
 	// Patience is how long a node that the store serves waits for its own watch when a peer knows more.
 	Patience clock.Ms
 	// AnswerWithin is how long a node waits for a peer's answer before it asks another.
@@ -43,15 +43,15 @@
 	longestPoll     = 700 * clock.Ms(1)
 )
 
-// WaitsWithin derives the waits from their bound.
-func WaitsWithin(bound clock.Ms) Waits {
+// PropagationTimesWithin derives the waits from their bound.
+func PropagationTimesWithin(bound clock.Ms) PropagationTimes {
 	part := func(of float64, longest clock.Ms) clock.Ms { return min(clock.Ms(of*float64(bound)), longest) }
-	return Waits{
-		Within:       bound,
-		StaleAfter:   part(stalePart, longestStale),
-		TellEvery:    part(tellPart, longestTell),
-		Patience:     part(patiencePart, longestPatience),
-		AnswerWithin: part(answerPart, longestAnswer),
-		PollTimeout:  part(pollPart, longestPoll),
+	return PropagationTimes{
+		Bound:          bound,
+		StaleAfter:     part(stalePart, longestStale),
+		NotifyInterval: part(tellPart, longestTell),
+		Patience:       part(patiencePart, longestPatience),
+		AnswerWithin:   part(answerPart, longestAnswer),
+		PollTimeout:    part(pollPart, longestPoll),
 	}
 }
--- a/internal/gateway/unread_test.go
+++ b/internal/gateway/unread_test.go
@@ -17,8 +17,8 @@
 		arrived := time.Now()
 		time.Sleep(unread)
 		result := s.gateway.Serve(context.Background(), &gateway.Call{ID: "id", Host: "h", Path: "/all/x", Arrived: arrived, Deadline: arrived.Add(patience)})
-		if result.Failure != nil || result.Unread != unread || result.Elapsed < unread {
-			t.Errorf("unread %v of %v: %v", result.Unread, result.Elapsed, result.Failure)
+		if result.Failure != nil || result.ReadDelay != unread || result.Elapsed < unread {
+			t.Errorf("unread %v of %v: %v", result.ReadDelay, result.Elapsed, result.Failure)
 		}
 		for _, send := range s.backEnds.sent() {
 			if left := send.Deadline.Sub(arrived); left > patience {
@@ -55,7 +55,7 @@
 // TestCallerThatLeftBeforeItWasRead: no back end is asked for a caller that has left before its request was read, though nothing has ended the call's context.
 func TestCallerThatLeftBeforeItWasRead(t *testing.T) {
 	play(t, func(t *testing.T, s *scene) {
-		result := s.gateway.Serve(context.Background(), &gateway.Call{ID: "id", Host: "h", Path: "/all/x", Gone: func() bool { return true }})
+		result := s.gateway.Serve(context.Background(), &gateway.Call{ID: "id", Host: "h", Path: "/all/x", CallerGone: func() bool { return true }})
 		if sent := s.backEnds.sent(); !result.CallerGone || len(sent) > 0 {
 			t.Errorf("gone %v, %d attempts", result.CallerGone, len(sent))
 		}
@@ -76,7 +76,7 @@
 			return true
 		}
 		written := 0
-		s.backEnds.set(func(_ context.Context, send gateway.Send) forward.Outcome {
+		s.backEnds.set(func(_ context.Context, send gateway.BackEndRequest) forward.Outcome {
 			// The connection takes as long to open.
 			time.Sleep(400 * time.Millisecond)
 			if send.CallerGone() {
@@ -85,7 +85,7 @@
 			written++
 			return part(send)
 		})
-		result := s.gateway.Serve(ctx, &gateway.Call{ID: "id", Host: "h", Path: "/all/x", Gone: gone})
+		result := s.gateway.Serve(ctx, &gateway.Call{ID: "id", Host: "h", Path: "/all/x", CallerGone: gone})
 		if !result.CallerGone || written > 0 {
 			t.Errorf("gone %v, %d attempts written", result.CallerGone, written)
 		}
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -22,9 +22,9 @@
 	Ready() bool
 	// Leave makes Ready false; the node serves on.
 	Leave()
-	// GiveUp answers all requests under way at once.
-	GiveUp()
-	UnderWay() int64
+	// FinishInFlight answers all requests under way at once.
+	FinishInFlight()
+	InFlight() int64
 	// Limits of what callers may send, false while unknown.
 	Limits() (routing.Limits, bool)
 }
@@ -144,13 +144,13 @@
 	started := time.Now()
 	s.node.Leave()
 	for elapsed := time.Duration(0); elapsed < within-within/lastPart; elapsed = time.Since(started) {
-		if elapsed > noticeTime && s.node.UnderWay() == 0 && s.Connections() == 0 {
+		if elapsed > noticeTime && s.node.InFlight() == 0 && s.Connections() == 0 {
 			break
 		}
 		time.Sleep(checkInterval)
 	}
-	whole := s.node.UnderWay() == 0
-	s.node.GiveUp()
+	whole := s.node.InFlight() == 0
+	s.node.FinishInFlight()
 	bounded, cancel := context.WithTimeout(context.Background(), shutdownTime)
 	defer cancel()
 	s.stopping.Store(true)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -96,53 +96,53 @@
 // Connected takes in how long it took to open a connection to a back end.
 func (m *Metrics) Connected(elapsed time.Duration) { m.connect.Update(elapsed.Seconds()) }
 
-// Ejected implements gateway.DecisionLog.
-func (m *Metrics) Ejected(attempt *forward.Attempt, outcome forward.Outcome) {
+// BackEndEjected implements gateway.DecisionLog.
+func (m *Metrics) BackEndEjected(attempt *forward.Attempt, outcome forward.Outcome) {
 	m.count("stiletrail_ejections_total", "outcome", outcome.Kind.String())
-	m.DecisionLog.Ejected(attempt, outcome)
+	m.DecisionLog.BackEndEjected(attempt, outcome)
 }
 
-// BackEndEnded implements gateway.DecisionLog.
-func (m *Metrics) BackEndEnded(call *gateway.Call, attempt *forward.Attempt, ran clock.Ms) {
+// BackEndCrashed implements gateway.DecisionLog.
+func (m *Metrics) BackEndCrashed(call *gateway.Call, attempt *forward.Attempt, ran clock.Ms) {
 	m.set.GetOrCreateCounter("stiletrail_attempts_whose_back_end_ended_total").Inc()
-	m.DecisionLog.BackEndEnded(call, attempt, ran)
+	m.DecisionLog.BackEndCrashed(call, attempt, ran)
 }
 
-// Judged implements gateway.DecisionLog.
-func (m *Metrics) Judged(mark quarantine.Mark, verdict quarantine.Verdict, by string, left clock.Ms) {
+// VerdictChanged implements gateway.DecisionLog.
+func (m *Metrics) VerdictChanged(mark quarantine.Mark, verdict quarantine.Verdict, by string, left clock.Ms) {
 	m.count("stiletrail_verdicts_total", "verdict", verdict.String())
-	m.DecisionLog.Judged(mark, verdict, by, left)
+	m.DecisionLog.VerdictChanged(mark, verdict, by, left)
 }
 
-// QuarantineLost implements gateway.DecisionLog.
-func (m *Metrics) QuarantineLost(mark quarantine.Mark, cause *failure.Failure) {
+// QuarantineNotWritten implements gateway.DecisionLog.
+func (m *Metrics) QuarantineNotWritten(mark quarantine.Mark, cause *failure.Failure) {
 	m.set.GetOrCreateCounter("stiletrail_quarantines_not_written_total").Inc()
-	m.DecisionLog.QuarantineLost(mark, cause)
+	m.DecisionLog.QuarantineNotWritten(mark, cause)
 }
 
-// Rejected implements gateway.DecisionLog.
-func (m *Metrics) Rejected(item *gateway.Item) {
+// ItemRejected implements gateway.DecisionLog.
+func (m *Metrics) ItemRejected(item *gateway.Item) {
 	m.set.GetOrCreateCounter("stiletrail_items_rejected_total").Inc()
-	m.DecisionLog.Rejected(item)
+	m.DecisionLog.ItemRejected(item)
 }
 
-// Returned implements gateway.DecisionLog.
-func (m *Metrics) Returned(era uint64) {
+// StoreRestored implements gateway.DecisionLog.
+func (m *Metrics) StoreRestored(era uint64) {
 	m.set.GetOrCreateCounter("stiletrail_store_returns_total").Inc()
-	m.DecisionLog.Returned(era)
+	m.DecisionLog.StoreRestored(era)
 }
 
-// Learned implements gateway.DecisionLog.
-func (m *Metrics) Learned(from string, records int, revision history.Revision) {
+// LearnedFromPeer implements gateway.DecisionLog.
+func (m *Metrics) LearnedFromPeer(from string, records int, revision history.Revision) {
 	m.set.GetOrCreateCounter("stiletrail_learned_from_peers_total").Inc()
-	m.DecisionLog.Learned(from, records, revision)
+	m.DecisionLog.LearnedFromPeer(from, records, revision)
 }
 
 // Observe registers gauges that are read when metrics are asked for.
 func (m *Metrics) Observe(source Source) {
 	gauge := func(name string, read func() float64) { m.set.NewGauge(name, read) }
 	gauge("stiletrail_ready", func() float64 { return asNumber(source.Gateway.Ready()) })
-	gauge("stiletrail_requests_under_way", func() float64 { return float64(source.Gateway.UnderWay()) })
+	gauge("stiletrail_requests_under_way", func() float64 { return float64(source.Gateway.InFlight()) })
 	gauge("stiletrail_configuration_version", func() float64 { return float64(source.Gateway.Version()) })
 	gauge("stiletrail_store_contact_age_seconds", func() float64 { return source.Gateway.Status().StoreContactAge.Seconds() })
 	gauge("stiletrail_copy_age_seconds", func() float64 { return source.Gateway.Status().CopyAge.Duration().Seconds() })
