--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -18,7 +18,7 @@
 }
 
 func newSet(entries ...replica.Entry) *replica.Set {
-	places := replica.Places{Zone: "a1", Regions: map[string]string{"a1": "a", "a2": "a", "b1": "b"}}
+	places := replica.Topology{Zone: "a1", Regions: map[string]string{"a1": "a", "a2": "a", "b1": "b"}}
 	set := replica.NewSet(settings, places, rand.New(rand.NewPCG(1, 2)))
 	for _, entry := range entries {
 		set.Put(0, entry)
@@ -248,7 +248,7 @@
 func TestSubset(t *testing.T) {
 	used := map[string]int{}
 	for node := range 60 {
-		places := replica.Places{Node: fmt.Sprint("node-", node), Zone: "a1", Regions: map[string]string{"a1": "a", "b1": "b"}}
+		places := replica.Topology{Node: fmt.Sprint("node-", node), Zone: "a1", Regions: map[string]string{"a1": "a", "b1": "b"}}
 		set := replica.NewSet(settings, places, rand.New(rand.NewPCG(1, uint64(node))))
 		set.SetConnectionShares(map[string]replica.ConnectionShare{"s": {Near: 1, Far: 1}})
 		for i := range 10 {
--- a/internal/replica/set.go
+++ b/internal/replica/set.go
@@ -20,7 +20,7 @@
 // Set is all back ends known to a node.
 type Set struct {
 	settings  Settings
-	places    Places
+	places    Topology
 	random    *rand.Rand
 	byID      map[string]*Replica
 	byKey     map[uint64]*Replica
@@ -40,7 +40,7 @@
 }
 
 // NewSet returns an empty set.
-func NewSet(settings Settings, places Places, random *rand.Rand) *Set {
+func NewSet(settings Settings, places Topology, random *rand.Rand) *Set {
 	return &Set{
 		settings: settings, places: places, random: random, byID: map[string]*Replica{}, byKey: map[uint64]*Replica{},
 		byService: map[string][]*Replica{}, evacuated: map[string]bool{}, departed: map[string]departed{},
@@ -48,7 +48,7 @@
 }
 
 // Reconfigure changes how replicas are chosen from now on.
-func (s *Set) Reconfigure(settings Settings, places Places) {
+func (s *Set) Reconfigure(settings Settings, places Topology) {
 	s.settings, s.places = settings, places
 	for _, known := range s.byID {
 		known.withdrawnFactor, known.useSlowdown = settings.WithdrawnFactor, settings.UseSlowdown
--- a/internal/replica/settings.go
+++ b/internal/replica/settings.go
@@ -24,8 +24,8 @@
 	Prove bool
 }
 
-// Places tells how far a back end is.
-type Places struct {
+// Topology tells how far a back end is.
+type Topology struct {
 	// Node is the name of this node.
 	Node string
 	Zone string
@@ -34,7 +34,7 @@
 }
 
 // KnowsRegion reports whether a zone of a region is known.
-func (p Places) KnowsRegion(name string) bool {
+func (p Topology) KnowsRegion(name string) bool {
 	for _, region := range p.Regions {
 		if region == name {
 			return true
--- a/internal/replica/slowdown_test.go
+++ b/internal/replica/slowdown_test.go
@@ -12,7 +12,7 @@
 	set := newSet(entry("own", "a1"), entry("far", "b1"))
 	paced := settings
 	paced.UseSlowdown = true
-	set.Reconfigure(paced, replica.Places{Zone: "a1", Regions: map[string]string{"a1": "a", "b1": "b"}})
+	set.Reconfigure(paced, replica.Topology{Zone: "a1", Regions: map[string]string{"a1": "a", "b1": "b"}})
 	now := run(set, 0, "own", 12*millisecond, replica.Answered)
 	return set, run(set, now, "far", 36*millisecond, replica.Answered)
 }
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -101,7 +101,7 @@
 	when time.Duration
 }
 
-var tracePlaces = replica.Places{
+var tracePlaces = replica.Topology{
 	Node: "node-0", Zone: "a1", Regions: map[string]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c"},
 }
 
--- a/internal/replica/warmup_test.go
+++ b/internal/replica/warmup_test.go
@@ -19,7 +19,7 @@
 		names = append(names, fmt.Sprint("node-", i))
 	}
 	for i := range nodes {
-		places := replica.Places{Node: names[i], Zone: "a1", Regions: map[string]string{"a1": "a", "b1": "b"}}
+		places := replica.Topology{Node: names[i], Zone: "a1", Regions: map[string]string{"a1": "a", "b1": "b"}}
 		set := replica.NewSet(settings, places, rand.New(rand.NewPCG(uint64(i), 2)))
 		set.SetWarmups(map[string]replica.Warmup{"s": {For: clock.Of(cold), Rate: rate}})
 		set.SetNodes(names[i], names)
