--- a/internal/forward/scene_test.go
+++ b/internal/forward/scene_test.go
@@ -42,7 +42,7 @@
 }
 
 // Pick implements forward.Node.
-func (w *fakeNode) Pick(service string, choice replica.Choice) (*replica.Replica, bool) {
+func (w *fakeNode) Pick(service string, choice replica.PickOptions) (*replica.Replica, bool) {
 	if w.full[service] {
 		return nil, true
 	}
@@ -55,7 +55,7 @@
 }
 
 // Recovers implements forward.Node.
-func (w *fakeNode) Recovers(service string, _ replica.Choice) (time.Duration, bool) {
+func (w *fakeNode) Recovers(service string, _ replica.PickOptions) (time.Duration, bool) {
 	return w.recovers[service], len(w.replicas[service]) > 0
 }
 
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -18,12 +18,12 @@
 }
 
 // Pick implements forward.Node.
-func (n runNode) Pick(service string, choice replica.Choice) (*replica.Replica, bool) {
+func (n runNode) Pick(service string, choice replica.PickOptions) (*replica.Replica, bool) {
 	return n.gateway.replicas.Pick(n.now, service, choice)
 }
 
 // Recovers implements forward.Node.
-func (n runNode) Recovers(service string, choice replica.Choice) (time.Duration, bool) {
+func (n runNode) Recovers(service string, choice replica.PickOptions) (time.Duration, bool) {
 	return n.gateway.replicas.Recovers(service, choice)
 }
 
--- a/internal/replica/departed_test.go
+++ b/internal/replica/departed_test.go
@@ -15,7 +15,7 @@
 	leaves.Draining = true
 	set.Put(0, leaves)
 	set.Put(0, entry("leaves", "a1"))
-	if chosen, _ := set.Pick(0, "s", replica.Choice{}); chosen != nil {
+	if chosen, _ := set.Pick(0, "s", replica.PickOptions{}); chosen != nil {
 		t.Errorf("%s is picked", chosen.ID)
 	}
 }
--- a/internal/replica/pick.go
+++ b/internal/replica/pick.go
@@ -41,8 +41,8 @@
 	otherZonePart = 0.08
 )
 
-// Choice says which replicas of a service may be picked: of those in Only, if there are any, all but those excluded.
-type Choice struct {
+// PickOptions says which replicas of a service may be picked: of those in Only, if there are any, all but those excluded.
+type PickOptions struct {
 	Excluded []*Replica
 	Only     []*Replica
 	// Versions of software that may be picked, if any are named.
@@ -53,7 +53,7 @@
 	Target time.Duration
 }
 
-func (c Choice) allows(r *Replica) bool {
+func (c PickOptions) allows(r *Replica) bool {
 	if !c.Regions.Allows(r.region) {
 		return false
 	}
@@ -65,7 +65,7 @@
 
 // Pick returns the best replica of a service that the choice allows, or nil. Busy is set where there are replicas but
 // none has room for another attempt.
-func (s *Set) Pick(now time.Duration, service string, choice Choice) (best *Replica, busy bool) {
+func (s *Set) Pick(now time.Duration, service string, choice PickOptions) (best *Replica, busy bool) {
 	target := choice.Target
 	if target == 0 {
 		target = unstatedTarget
@@ -156,13 +156,13 @@
 
 // HasCandidate reports whether a service has a back end in some regions that may be picked.
 func (s *Set) HasCandidate(service string, regions region.Set) bool {
-	choice := Choice{Regions: regions}
+	choice := PickOptions{Regions: regions}
 	return slices.ContainsFunc(s.byService[service], func(r *Replica) bool { return r.candidate() && choice.allows(r) })
 }
 
 // Versions are those of the software of a service's back ends in some regions that may be picked.
 func (s *Set) Versions(service string, regions region.Set) (versions []string) {
-	choice := Choice{Regions: regions}
+	choice := PickOptions{Regions: regions}
 	for _, member := range s.byService[service] {
 		if member.candidate() && choice.allows(member) && !slices.Contains(versions, member.Version) {
 			versions = append(versions, member.Version)
@@ -172,7 +172,7 @@
 }
 
 // Recovers returns the first moment at which one of the replicas that may be picked is not ejected; false if there is none.
-func (s *Set) Recovers(service string, choice Choice) (at time.Duration, known bool) {
+func (s *Set) Recovers(service string, choice PickOptions) (at time.Duration, known bool) {
 	for _, member := range s.byService[service] {
 		if !member.candidate() || !choice.allows(member) {
 			continue
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -31,7 +31,7 @@
 }
 
 func picked(set *replica.Set, now time.Duration, excluded ...*replica.Replica) string {
-	chosen, _ := set.Pick(now, "s", replica.Choice{Excluded: excluded, Target: 200 * millisecond})
+	chosen, _ := set.Pick(now, "s", replica.PickOptions{Excluded: excluded, Target: 200 * millisecond})
 	if chosen == nil {
 		return ""
 	}
@@ -170,18 +170,18 @@
 	run(set, 0, "a", 0, replica.Unreachable)
 	run(set, 10*time.Millisecond, "b", 0, replica.Unreachable)
 	for name, c := range map[string]struct {
-		choice replica.Choice
+		choice replica.PickOptions
 		at     time.Duration
 	}{
-		"one is sound":  {replica.Choice{}, 0},
-		"all but it":    {replica.Choice{Only: []*replica.Replica{a, b}}, 250 * time.Millisecond},
-		"the later one": {replica.Choice{Only: []*replica.Replica{a, b}, Excluded: []*replica.Replica{a}}, 260 * time.Millisecond},
+		"one is sound":  {replica.PickOptions{}, 0},
+		"all but it":    {replica.PickOptions{Only: []*replica.Replica{a, b}}, 250 * time.Millisecond},
+		"the later one": {replica.PickOptions{Only: []*replica.Replica{a, b}, Excluded: []*replica.Replica{a}}, 260 * time.Millisecond},
 	} {
 		if at, known := set.Recovers("s", c.choice); at != c.at || !known {
 			t.Errorf("%s: %v, %v", name, at, known)
 		}
 	}
-	if _, known := set.Recovers("unknown", replica.Choice{}); known {
+	if _, known := set.Recovers("unknown", replica.PickOptions{}); known {
 		t.Error("known")
 	}
 }
@@ -192,10 +192,10 @@
 	for range settings.Connections {
 		set.Get("own").Start(0)
 	}
-	if chosen, busy := set.Pick(0, "s", replica.Choice{}); chosen != nil || !busy {
+	if chosen, busy := set.Pick(0, "s", replica.PickOptions{}); chosen != nil || !busy {
 		t.Errorf("picked %v, busy %v", chosen, busy)
 	}
-	if chosen, busy := set.Pick(0, "unknown", replica.Choice{}); chosen != nil || busy {
+	if chosen, busy := set.Pick(0, "unknown", replica.PickOptions{}); chosen != nil || busy {
 		t.Errorf("picked %v, busy %v for an unknown service", chosen, busy)
 	}
 }
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -88,7 +88,7 @@
 			slowdown, faults := r.Health(now)
 			note(r.Latency(), r.Floor(), r.Least(now), r.Expected(now), r.InFlight(), r.Ejected(now), r.Doubtful(), r.Cold(now), r.Evacuated(), slowdown, faults)
 			note(set.MustProve(now, r), set.IdleLimit(r))
-			at, known := set.Recovers("s", replica.Choice{})
+			at, known := set.Recovers("s", replica.PickOptions{})
 			note(at, known, set.HasCandidate("s", region.Of("b")), set.Versions("s", region.Set{}), set.Len(), set.Draw())
 		}
 	}
@@ -127,8 +127,8 @@
 	return entry
 }
 
-func traceChoice(random *rand.Rand, set *replica.Set, id string) replica.Choice {
-	choice := replica.Choice{Target: time.Duration(random.IntN(4)) * 100 * millisecond}
+func traceChoice(random *rand.Rand, set *replica.Set, id string) replica.PickOptions {
+	choice := replica.PickOptions{Target: time.Duration(random.IntN(4)) * 100 * millisecond}
 	switch known := set.Get(id); {
 	case random.IntN(3) > 0:
 	case known != nil && random.IntN(2) == 0:
--- a/internal/replica/warmup_test.go
+++ b/internal/replica/warmup_test.go
@@ -34,7 +34,7 @@
 func drive(sets []*replica.Set, every, until time.Duration) (arrivals []time.Duration) {
 	for now := 2 * time.Second; now < until; now += every {
 		for _, set := range sets {
-			chosen, _ := set.Pick(now, "s", replica.Choice{})
+			chosen, _ := set.Pick(now, "s", replica.PickOptions{})
 			if chosen == nil {
 				continue
 			}
