--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -96,7 +96,7 @@
 // choice of replicas for the next attempt at a shard: none that was tried since the last pause, and none that was not asked yet
 // where as many were asked as the route allows.
 func (r *Request) choice(s *shard) replica.PickOptions {
-	choice := replica.PickOptions{Excluded: s.tried, Versions: r.versions, Regions: r.route.Regions, Target: r.route.TargetLatency}
+	choice := replica.PickOptions{Excluded: s.tried, Versions: r.versions, Regions: r.route.Regions, TargetLatency: r.route.TargetLatency}
 	if distinct(s.asked) >= r.route.MaximumAttempts {
 		choice.Only = s.asked
 	}
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -31,7 +31,7 @@
 	got := map[string]int{}
 	failed, now := 0, time.Second
 	send := func(faulty bool) {
-		chosen, _ := set.Pick(now, "s", replica.PickOptions{Target: target})
+		chosen, _ := set.Pick(now, "s", replica.PickOptions{TargetLatency: target})
 		got[chosen.ID]++
 		if faulty && chosen.ID != "sound" && random.Float64() < 0.45 {
 			failed++
@@ -78,7 +78,7 @@
 	run(set, 0, "near", 95*millisecond, replica.Answered)
 	now := run(set, 0, "far", 35*millisecond, replica.Answered)
 	for aim, want := range map[time.Duration]string{100 * millisecond: "far", 400 * millisecond: "near"} {
-		if chosen, _ := set.Pick(now, "s", replica.PickOptions{Target: aim}); chosen.ID != want {
+		if chosen, _ := set.Pick(now, "s", replica.PickOptions{TargetLatency: aim}); chosen.ID != want {
 			t.Errorf("picked %q with a target of %v", chosen.ID, aim)
 		}
 	}
--- a/internal/replica/pick.go
+++ b/internal/replica/pick.go
@@ -49,8 +49,8 @@
 	Versions []string
 	// Regions whose back ends may be picked.
 	Regions region.Set
-	// Target latency of the request, of which prices are shares; 0 where it has none.
-	Target time.Duration
+	// TargetLatency latency of the request, of which prices are shares; 0 where it has none.
+	TargetLatency time.Duration
 }
 
 func (c PickOptions) allows(r *Replica) bool {
@@ -66,7 +66,7 @@
 // Pick returns the best replica of a service that the choice allows, or nil. Busy is set where there are replicas but
 // none has room for another attempt.
 func (s *Set) Pick(now time.Duration, service string, choice PickOptions) (best *Replica, busy bool) {
-	target := choice.Target
+	target := choice.TargetLatency
 	if target == 0 {
 		target = unstatedTarget
 	}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -31,7 +31,7 @@
 }
 
 func picked(set *replica.Set, now time.Duration, excluded ...*replica.Replica) string {
-	chosen, _ := set.Pick(now, "s", replica.PickOptions{Excluded: excluded, Target: 200 * millisecond})
+	chosen, _ := set.Pick(now, "s", replica.PickOptions{Excluded: excluded, TargetLatency: 200 * millisecond})
 	if chosen == nil {
 		return ""
 	}
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -128,7 +128,7 @@
 }
 
 func traceChoice(random *rand.Rand, set *replica.Set, id string) replica.PickOptions {
-	choice := replica.PickOptions{Target: time.Duration(random.IntN(4)) * 100 * millisecond}
+	choice := replica.PickOptions{TargetLatency: time.Duration(random.IntN(4)) * 100 * millisecond}
 	switch known := set.Get(id); {
 	case random.IntN(3) > 0:
 	case known != nil && random.IntN(2) == 0:
