--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -343,7 +343,7 @@
 	},
 	{
 		"near back ends get no larger share", "internal/replica/connections.go",
-		"Near: min(max(near, each), most)", "Near: min(max(near, each), each)",
+		"SameRegion: min(max(near, each), most)", "SameRegion: min(max(near, each), each)",
 		"./internal/replica", "TestConnectionShare",
 	},
 	{
--- a/internal/replica/connections.go
+++ b/internal/replica/connections.go
@@ -20,9 +20,9 @@
 
 // ConnectionShare is what one node may have of the connections of each back end of a service.
 type ConnectionShare struct {
-	// Near and Far bound the attempts under way at a back end in the own region and at one elsewhere.
-	Near int
-	Far  int
+	// SameRegion and Far bound the attempts under way at a back end in the own region and at one elsewhere.
+	SameRegion int
+	Far        int
 }
 
 // NewConnectionShare divides the connections that a back end accepts among nodes, so many of them in its own region; no
@@ -31,10 +31,10 @@
 func NewConnectionShare(connections, nodes, nearNodes, most int) ConnectionShare {
 	each := min(max(connections/nodes, 1), most)
 	if each >= ampleShare {
-		return ConnectionShare{Near: each, Far: each}
+		return ConnectionShare{SameRegion: each, Far: each}
 	}
 	near := (connections - connections/farPart) / max(nearNodes, 1)
-	return ConnectionShare{Near: min(max(near, each), most), Far: each}
+	return ConnectionShare{SameRegion: min(max(near, each), most), Far: each}
 }
 
 // SetConnectionShares sets what this node may have of the connections, by service.
@@ -48,13 +48,13 @@
 	if share, known := s.shares[service]; known {
 		return share
 	}
-	return ConnectionShare{Near: s.settings.Connections, Far: s.settings.Connections}
+	return ConnectionShare{SameRegion: s.settings.Connections, Far: s.settings.Connections}
 }
 
 // connectionsTo bounds the attempts under way at a replica.
 func (s *Set) connectionsTo(r *Replica) int {
 	if s.near(r) {
-		return s.connectionShare(r.Service).Near
+		return s.connectionShare(r.Service).SameRegion
 	}
 	return s.connectionShare(r.Service).Far
 }
@@ -75,7 +75,7 @@
 	share := s.connectionShare(r.Service)
 	switch {
 	case share.Far >= ampleShare || !s.settings.FewIdle:
-		return IdleLimit{Most: share.Near}
+		return IdleLimit{Most: share.SameRegion}
 	case s.near(r):
 		return IdleLimit{Most: 1}
 	}
