--- a/internal/replica/connections.go
+++ b/internal/replica/connections.go
@@ -21,8 +21,8 @@
 // ConnectionShare is what one node may have of the connections of each back end of a service.
 type ConnectionShare struct {
 	// SameRegion and Far bound the attempts under way at a back end in the own region and at one elsewhere.
-	SameRegion int
-	Far        int
+	SameRegion   int
+	OtherRegions int
 }
 
 // NewConnectionShare divides the connections that a back end accepts among nodes, so many of them in its own region; no
@@ -31,10 +31,10 @@
 func NewConnectionShare(connections, nodes, nearNodes, most int) ConnectionShare {
 	each := min(max(connections/nodes, 1), most)
 	if each >= ampleShare {
-		return ConnectionShare{SameRegion: each, Far: each}
+		return ConnectionShare{SameRegion: each, OtherRegions: each}
 	}
 	near := (connections - connections/farPart) / max(nearNodes, 1)
-	return ConnectionShare{SameRegion: min(max(near, each), most), Far: each}
+	return ConnectionShare{SameRegion: min(max(near, each), most), OtherRegions: each}
 }
 
 // SetConnectionShares sets what this node may have of the connections, by service.
@@ -48,7 +48,7 @@
 	if share, known := s.shares[service]; known {
 		return share
 	}
-	return ConnectionShare{SameRegion: s.settings.Connections, Far: s.settings.Connections}
+	return ConnectionShare{SameRegion: s.settings.Connections, OtherRegions: s.settings.Connections}
 }
 
 // connectionsTo bounds the attempts under way at a replica.
@@ -56,7 +56,7 @@
 	if s.near(r) {
 		return s.connectionShare(r.Service).SameRegion
 	}
-	return s.connectionShare(r.Service).Far
+	return s.connectionShare(r.Service).OtherRegions
 }
 
 // IdleLimit says which connections to a replica are worth keeping for later requests.
@@ -74,7 +74,7 @@
 func (s *Set) IdleLimit(r *Replica) IdleLimit {
 	share := s.connectionShare(r.Service)
 	switch {
-	case share.Far >= ampleShare || !s.settings.FewIdle:
+	case share.OtherRegions >= ampleShare || !s.settings.FewIdle:
 		return IdleLimit{Most: share.SameRegion}
 	case s.near(r):
 		return IdleLimit{Most: 1}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -206,12 +206,12 @@
 		connections, nodes, near, most int
 		want                           replica.ConnectionShare
 	}{
-		{41, 9, 3, 8, replica.ConnectionShare{SameRegion: 4, Far: 4}},
-		{400, 6, 2, 8, replica.ConnectionShare{SameRegion: 8, Far: 8}},
-		{76, 88, 29, 8, replica.ConnectionShare{SameRegion: 2, Far: 1}},
-		{67, 70, 22, 8, replica.ConnectionShare{SameRegion: 2, Far: 1}},
-		{10, 88, 29, 8, replica.ConnectionShare{SameRegion: 1, Far: 1}},
-		{76, 88, 1, 8, replica.ConnectionShare{SameRegion: 8, Far: 1}},
+		{41, 9, 3, 8, replica.ConnectionShare{SameRegion: 4, OtherRegions: 4}},
+		{400, 6, 2, 8, replica.ConnectionShare{SameRegion: 8, OtherRegions: 8}},
+		{76, 88, 29, 8, replica.ConnectionShare{SameRegion: 2, OtherRegions: 1}},
+		{67, 70, 22, 8, replica.ConnectionShare{SameRegion: 2, OtherRegions: 1}},
+		{10, 88, 29, 8, replica.ConnectionShare{SameRegion: 1, OtherRegions: 1}},
+		{76, 88, 1, 8, replica.ConnectionShare{SameRegion: 8, OtherRegions: 1}},
 	} {
 		if got := replica.NewConnectionShare(test.connections, test.nodes, test.near, test.most); got != test.want {
 			t.Errorf("%+v: got %+v", test, got)
@@ -224,8 +224,8 @@
 func TestIdleLimit(t *testing.T) {
 	set := newSet(entry("own", "a1"), entry("near", "a2"), entry("far", "b1"))
 	for share, resting := range map[replica.ConnectionShare]map[string]replica.IdleLimit{
-		{SameRegion: 2, Far: 1}: {"own": {Most: 1}, "near": {Most: 1}, "far": {Most: 1, For: clock.Second}},
-		{SameRegion: 3, Far: 3}: {"own": {Most: 3}, "near": {Most: 3}, "far": {Most: 3}},
+		{SameRegion: 2, OtherRegions: 1}: {"own": {Most: 1}, "near": {Most: 1}, "far": {Most: 1, For: clock.Second}},
+		{SameRegion: 3, OtherRegions: 3}: {"own": {Most: 3}, "near": {Most: 3}, "far": {Most: 3}},
 	} {
 		set.SetConnectionShares(map[string]replica.ConnectionShare{"s": share})
 		for id, want := range resting {
@@ -234,7 +234,7 @@
 			}
 		}
 	}
-	set.SetConnectionShares(map[string]replica.ConnectionShare{"s": {SameRegion: 2, Far: 1}})
+	set.SetConnectionShares(map[string]replica.ConnectionShare{"s": {SameRegion: 2, OtherRegions: 1}})
 	for _, id := range []string{"own", "far"} {
 		set.Get(id).Start(0)
 	}
@@ -250,7 +250,7 @@
 	for node := range 60 {
 		places := replica.Topology{Node: fmt.Sprint("node-", node), Zone: "a1", Regions: map[string]string{"a1": "a", "b1": "b"}}
 		set := replica.NewSet(settings, places, rand.New(rand.NewPCG(1, uint64(node))))
-		set.SetConnectionShares(map[string]replica.ConnectionShare{"s": {SameRegion: 1, Far: 1}})
+		set.SetConnectionShares(map[string]replica.ConnectionShare{"s": {SameRegion: 1, OtherRegions: 1}})
 		for i := range 10 {
 			set.Put(0, entry(fmt.Sprint("near-", i), "a1"))
 		}
--- a/internal/replica/start_test.go
+++ b/internal/replica/start_test.go
@@ -189,7 +189,7 @@
 func TestPreferenceOutlivesAStart(t *testing.T) {
 	preferred := func(starts ...int64) string {
 		set := newSet()
-		set.SetConnectionShares(map[string]replica.ConnectionShare{"s": {SameRegion: 1, Far: 1}})
+		set.SetConnectionShares(map[string]replica.ConnectionShare{"s": {SameRegion: 1, OtherRegions: 1}})
 		for i, start := range starts {
 			set.Put(0, startedAt(string(rune('a'+i)), start))
 		}
--- a/internal/replica/subset.go
+++ b/internal/replica/subset.go
@@ -28,7 +28,7 @@
 		}
 	}
 	size := s.settings.SubsetSize
-	if size == 0 || s.connectionShare(service).Far >= ampleShare || len(near) <= size {
+	if size == 0 || s.connectionShare(service).OtherRegions >= ampleShare || len(near) <= size {
 		return
 	}
 	slices.SortFunc(near, func(a, b *Replica) int {
