--- a/internal/replica/connections.go
+++ b/internal/replica/connections.go
@@ -61,8 +61,8 @@
 
 // IdleLimit says which connections to a replica are worth keeping for later requests.
 type IdleLimit struct {
-	// Most connections are idle at a time.
-	Most int
+	// MaximumIdle connections are idle at a time.
+	MaximumIdle int
 	// For is how long one is idle at most; 0 leaves that to the back end.
 	For clock.Ms
 }
@@ -75,11 +75,11 @@
 	share := s.connectionShare(r.Service)
 	switch {
 	case share.OtherRegions >= ampleShare || !s.settings.FewIdle:
-		return IdleLimit{Most: share.SameRegion}
+		return IdleLimit{MaximumIdle: share.SameRegion}
 	case s.near(r):
-		return IdleLimit{Most: 1}
+		return IdleLimit{MaximumIdle: 1}
 	}
-	return IdleLimit{Most: 1, For: farIdleFor}
+	return IdleLimit{MaximumIdle: 1, For: farIdleFor}
 }
 
 // MustProve reports whether a new connection to the replica must prove itself before it is used, since the replica may
