--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -348,7 +348,7 @@
 	},
 	{
 		"connections to far back ends rest like others", "internal/replica/connections.go",
-		"return IdleLimit{MaximumIdle: 1, For: farIdleFor}", "return IdleLimit{MaximumIdle: 1}",
+		"return IdleLimit{MaximumIdle: 1, IdleTimeout: farIdleFor}", "return IdleLimit{MaximumIdle: 1}",
 		"./internal/replica", "TestIdleLimit",
 	},
 	{
--- a/internal/replica/connections.go
+++ b/internal/replica/connections.go
@@ -63,8 +63,8 @@
 type IdleLimit struct {
 	// MaximumIdle connections are idle at a time.
 	MaximumIdle int
-	// For is how long one is idle at most; 0 leaves that to the back end.
-	For clock.Ms
+	// IdleTimeout is how long one is idle at most; 0 leaves that to the back end.
+	IdleTimeout clock.Ms
 }
 
 // IdleLimit of connections to a replica. Where the share is not ample, one is kept, and at a far replica only for a
@@ -79,7 +79,7 @@
 	case s.near(r):
 		return IdleLimit{MaximumIdle: 1}
 	}
-	return IdleLimit{MaximumIdle: 1, For: farIdleFor}
+	return IdleLimit{MaximumIdle: 1, IdleTimeout: farIdleFor}
 }
 
 // MustProve reports whether a new connection to the replica must prove itself before it is used, since the replica may
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -224,7 +224,7 @@
 func TestIdleLimit(t *testing.T) {
 	set := newSet(entry("own", "a1"), entry("near", "a2"), entry("far", "b1"))
 	for share, resting := range map[replica.ConnectionShare]map[string]replica.IdleLimit{
-		{SameRegion: 2, OtherRegions: 1}: {"own": {MaximumIdle: 1}, "near": {MaximumIdle: 1}, "far": {MaximumIdle: 1, For: clock.Second}},
+		{SameRegion: 2, OtherRegions: 1}: {"own": {MaximumIdle: 1}, "near": {MaximumIdle: 1}, "far": {MaximumIdle: 1, IdleTimeout: clock.Second}},
 		{SameRegion: 3, OtherRegions: 3}: {"own": {MaximumIdle: 3}, "near": {MaximumIdle: 3}, "far": {MaximumIdle: 3}},
 	} {
 		set.SetConnectionShares(map[string]replica.ConnectionShare{"s": share})
