--- a/internal/replica/pick.go
+++ b/internal/replica/pick.go
@@ -142,7 +142,7 @@
 	if r.Zone == s.places.Zone {
 		return 0
 	}
-	price := s.settings.FarPrice * float64(target)
+	price := s.settings.OtherRegionPenalty * float64(target)
 	if s.near(r) {
 		price *= otherZonePart
 	}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -13,7 +13,7 @@
 const millisecond = time.Millisecond
 
 var settings = replica.Settings{
-	Connections: 4, FarPrice: 0.4,
+	Connections: 4, OtherRegionPenalty: 0.4,
 	SubsetSize: 2, FewIdle: true, Ejection: true, Prove: true, WithdrawnFactor: 2,
 }
 
--- a/internal/replica/settings.go
+++ b/internal/replica/settings.go
@@ -4,9 +4,9 @@
 type Settings struct {
 	// Connections is the largest number of attempts this node has under way at one back end.
 	Connections int
-	// FarPrice is what a replica of another region is expected to cost beyond its latency, so that requests stay near
+	// OtherRegionPenalty is what a replica of another region is expected to cost beyond its latency, so that requests stay near
 	// unless the near replicas are worse by that much.
-	FarPrice float64
+	OtherRegionPenalty float64
 	// FaultPrice is what an attempt that fails costs.
 	FaultPrice float64
 	// UseSlowdown multiplies the latency that is expected by the slowdown that the replica, or another node, tells.
