--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -153,7 +153,7 @@
 
 func replicaSettings(s settings.Gateway) replica.Settings {
 	return replica.Settings{
-		Connections: s.Connections, OtherRegionPenalty: s.FarPrice, FaultPrice: s.FaultPrice, UseSlowdown: s.GoByPace,
+		Connections: s.Connections, OtherRegionPenalty: s.FarPrice, FaultPenalty: s.FaultPrice, UseSlowdown: s.GoByPace,
 		SubsetSize: s.SubsetSize, FewIdle: s.FewRest, Ejection: s.Ejection, Prove: s.ProveConnections,
 		WithdrawnFactor: s.WithdrawnFactor,
 	}
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -14,7 +14,7 @@
 func pricedSet(entries ...replica.Entry) *replica.Set {
 	set := newSet(entries...)
 	priced := settings
-	priced.OtherRegionPenalty, priced.FaultPrice = 0.3, 2
+	priced.OtherRegionPenalty, priced.FaultPenalty = 0.3, 2
 	set.Reconfigure(priced, replica.Topology{Zone: "a1", Regions: map[string]string{"a1": "a", "a2": "a", "b1": "b", "c1": "c"}})
 	return set
 }
--- a/internal/replica/pick.go
+++ b/internal/replica/pick.go
@@ -133,7 +133,7 @@
 	if r.outsideSubset {
 		expected += float64(outsidePenalty)
 	}
-	faults := r.faults.odds(now) * s.settings.FaultPrice * float64(target)
+	faults := r.faults.odds(now) * s.settings.FaultPenalty * float64(target)
 	return expected + faults + float64(s.distance(r, target))
 }
 
--- a/internal/replica/settings.go
+++ b/internal/replica/settings.go
@@ -7,8 +7,8 @@
 	// OtherRegionPenalty is what a replica of another region is expected to cost beyond its latency, so that requests stay near
 	// unless the near replicas are worse by that much.
 	OtherRegionPenalty float64
-	// FaultPrice is what an attempt that fails costs.
-	FaultPrice float64
+	// FaultPenalty is what an attempt that fails costs.
+	FaultPenalty float64
 	// UseSlowdown multiplies the latency that is expected by the slowdown that the replica, or another node, tells.
 	UseSlowdown bool
 	// SubsetSize is how many near replicas of a service are preferred where its share of their connections is not
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -108,7 +108,7 @@
 func traceSettings(random *rand.Rand) replica.Settings {
 	often := func() bool { return random.IntN(4) > 0 }
 	return replica.Settings{
-		Connections: 1 + random.IntN(4), OtherRegionPenalty: random.Float64(), FaultPrice: 3 * random.Float64(), UseSlowdown: often(),
+		Connections: 1 + random.IntN(4), OtherRegionPenalty: random.Float64(), FaultPenalty: 3 * random.Float64(), UseSlowdown: often(),
 		SubsetSize: random.IntN(3), FewIdle: often(), Ejection: often(), WithdrawnFactor: 1 + random.Float64(), Prove: often(),
 	}
 }
