--- a/internal/replica/connections.go
+++ b/internal/replica/connections.go
@@ -74,7 +74,7 @@
 func (s *Set) IdleLimit(r *Replica) IdleLimit {
 	share := s.connectionShare(r.Service)
 	switch {
-	case share.OtherRegions >= ampleShare || !s.settings.FewIdle:
+	case share.OtherRegions >= ampleShare || !s.settings.LimitIdle:
 		return IdleLimit{MaximumIdle: share.SameRegion}
 	case s.near(r):
 		return IdleLimit{MaximumIdle: 1}
--- a/internal/replica/settings.go
+++ b/internal/replica/settings.go
@@ -14,8 +14,8 @@
 	// SubsetSize is how many near replicas of a service are preferred where its share of their connections is not
 	// ample; 0 prefers none.
 	SubsetSize int
-	// FewIdle lets only one connection be idle there.
-	FewIdle bool
+	// LimitIdle lets only one connection be idle there.
+	LimitIdle bool
 	// Ejection makes failing replicas a last choice for a while.
 	Ejection bool
 	// WithdrawnFactor times its age is taken for the latency of an attempt that was withdrawn without an answer.
