--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -154,7 +154,7 @@
 func replicaSettings(s settings.Gateway) replica.Settings {
 	return replica.Settings{
 		Connections: s.Connections, OtherRegionPenalty: s.FarPrice, FaultPenalty: s.FaultPrice, UseSlowdown: s.GoByPace,
-		SubsetSize: s.SubsetSize, LimitIdle: s.FewRest, Ejection: s.Ejection, Prove: s.ProveConnections,
+		SubsetSize: s.SubsetSize, LimitIdle: s.FewRest, Ejection: s.Ejection, VerifyConnections: s.ProveConnections,
 		WithdrawnFactor: s.WithdrawnFactor,
 	}
 }
--- a/internal/replica/connections.go
+++ b/internal/replica/connections.go
@@ -85,7 +85,7 @@
 // MustProve reports whether a new connection to the replica must prove itself before it is used, since the replica may
 // be at the limit of the connections that it takes.
 func (s *Set) MustProve(now time.Duration, r *Replica) bool {
-	return s.settings.Prove && (s.manyStarting || now < r.connectionsDoubtedUntil)
+	return s.settings.VerifyConnections && (s.manyStarting || now < r.connectionsDoubtedUntil)
 }
 
 // SetManyStarting says whether back ends may still count connections of earlier lives of many nodes.
--- a/internal/replica/settings.go
+++ b/internal/replica/settings.go
@@ -20,8 +20,8 @@
 	Ejection bool
 	// WithdrawnFactor times its age is taken for the latency of an attempt that was withdrawn without an answer.
 	WithdrawnFactor float64
-	// Prove has new connections prove themselves to a replica that may be at its limit of connections.
-	Prove bool
+	// VerifyConnections has new connections prove themselves to a replica that may be at its limit of connections.
+	VerifyConnections bool
 }
 
 // Topology tells how far a back end is.
