--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -18,7 +18,7 @@
 	send := Send{
 		Call: r.call, Attempt: attempt, Entry: attempt.Replica.Entry, Deadline: r.deadlineTime, Left: r.left, CallerGone: r.callerLeft,
 		Once: !r.route.Repeatable, Idle: r.gateway.replicas.IdleLimit(attempt.Replica),
-		Prove: r.gateway.replicas.MustProve(now, attempt.Replica),
+		Prove: r.gateway.replicas.MustVerify(now, attempt.Replica),
 	}
 	go func() {
 		outcome := r.gateway.exchange(ctx, send)
--- a/internal/replica/connections.go
+++ b/internal/replica/connections.go
@@ -82,9 +82,9 @@
 	return IdleLimit{MaximumIdle: 1, IdleTimeout: farIdleFor}
 }
 
-// MustProve reports whether a new connection to the replica must prove itself before it is used, since the replica may
+// MustVerify reports whether a new connection to the replica must prove itself before it is used, since the replica may
 // be at the limit of the connections that it takes.
-func (s *Set) MustProve(now time.Duration, r *Replica) bool {
+func (s *Set) MustVerify(now time.Duration, r *Replica) bool {
 	return s.settings.VerifyConnections && (s.manyStarting || now < r.connectionsDoubtedUntil)
 }
 
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -142,7 +142,7 @@
 func TestTurnedAway(t *testing.T) {
 	set := newSet(entry("own", "a1"), entry("near", "a2"))
 	own := set.Get("own")
-	if set.MustProve(0, own) {
+	if set.MustVerify(0, own) {
 		t.Error("crowded without a sign")
 	}
 	now := time.Duration(0)
@@ -155,10 +155,10 @@
 	if got := picked(set, now+100*time.Millisecond); got != "own" {
 		t.Errorf("picked %s after a moment", got)
 	}
-	if !set.MustProve(now+3*time.Second, own) || set.MustProve(now+5*time.Second, own) || set.MustProve(now, set.Get("near")) {
+	if !set.MustVerify(now+3*time.Second, own) || set.MustVerify(now+5*time.Second, own) || set.MustVerify(now, set.Get("near")) {
 		t.Error("crowded for another time, or another back end")
 	}
-	if set.SetManyStarting(true); !set.MustProve(now+5*time.Second, own) {
+	if set.SetManyStarting(true); !set.MustVerify(now+5*time.Second, own) {
 		t.Error("not crowded among young nodes")
 	}
 }
