--- a/internal/gateway/simulation_backend_test.go
+++ b/internal/gateway/simulation_backend_test.go
@@ -41,7 +41,7 @@
 		Zone: fmt.Sprint("zone-", number%simulatedReplicas), Slots: 5,
 	}}
 	if s.bound {
-		b.entry.ColdFor, b.coldUntil = coldFor.Duration(), time.Now().Add(coldFor.Duration())
+		b.entry.WarmupLeft, b.coldUntil = coldFor.Duration(), time.Now().Add(coldFor.Duration())
 	}
 	s.mutex.Lock()
 	s.backEnds[b.entry.ID] = b
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -21,8 +21,8 @@
 	// Slots is the number of requests the back end works on at a time.
 	Slots    int
 	Draining bool
-	// ColdFor is how much longer the back end is slow after its start.
-	ColdFor time.Duration
+	// WarmupLeft is how much longer the back end is slow after its start.
+	WarmupLeft time.Duration
 }
 
 // Incarnation names one start of a back end: what counts by who a back end is counts by it.
--- a/internal/replica/set.go
+++ b/internal/replica/set.go
@@ -111,7 +111,7 @@
 	known.Entry = entry
 	known.doubt.doubtful = false
 	known.misdirected = known.misdirected && !moved
-	known.cold.until = now + entry.ColdFor
+	known.cold.until = now + entry.WarmupLeft
 	s.locate(known)
 	if changed {
 		s.preferSubset(entry.Service)
@@ -122,7 +122,7 @@
 func (s *Set) add(now time.Duration, entry Entry) {
 	added := &Replica{
 		Entry: entry, key: xxhash.Sum64String(entry.Incarnation()), affinity: affinity(s.places.Node, entry.ID),
-		latency: latency{sampledAt: now}, cold: coldPhase{until: now + entry.ColdFor},
+		latency: latency{sampledAt: now}, cold: coldPhase{until: now + entry.WarmupLeft},
 		withdrawnFactor: s.settings.WithdrawnFactor, useSlowdown: s.settings.UseSlowdown,
 	}
 	s.locate(added)
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -119,7 +119,7 @@
 	entry.Version = fmt.Sprint("v", random.IntN(3))
 	entry.Draining = random.IntN(20) == 0
 	if random.IntN(3) == 0 {
-		entry.ColdFor = time.Duration(random.IntN(int(3 * time.Second)))
+		entry.WarmupLeft = time.Duration(random.IntN(int(3 * time.Second)))
 	}
 	if random.IntN(20) == 0 {
 		entry.Service = "other"
