--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -175,7 +175,7 @@
 	warmups := map[string]replica.Warmup{}
 	for _, service := range table.Services() {
 		if service.ColdFor > 0 || service.ColdRate > 0 {
-			warmups[service.Name] = replica.Warmup{For: service.ColdFor, Rate: service.ColdRate}
+			warmups[service.Name] = replica.Warmup{Duration: service.ColdFor, Rate: service.ColdRate}
 		}
 	}
 	return warmups
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -398,7 +398,7 @@
 	},
 	{
 		"back ends of a zone that was taken back count as warm", "internal/replica/zones.go",
-		"known.cold.until = max(known.cold.until, now+s.warmups[known.Service].For.Duration())", "_ = now",
+		"known.cold.until = max(known.cold.until, now+s.warmups[known.Service].Duration.Duration())", "_ = now",
 		"./internal/replica", "TestZoneTakenBackIsCold",
 	},
 	{
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -26,7 +26,7 @@
 func trace(seed uint64) uint64 {
 	random := rand.New(rand.NewPCG(seed, 9))
 	set := replica.NewSet(traceSettings(random), tracePlaces, rand.New(rand.NewPCG(seed, 10)))
-	set.SetWarmups(map[string]replica.Warmup{"s": {For: 3 * clock.Second, Rate: 12.5}})
+	set.SetWarmups(map[string]replica.Warmup{"s": {Duration: 3 * clock.Second, Rate: 12.5}})
 	sum := fnv.New64a()
 	note := func(values ...any) { _, _ = fmt.Fprintln(sum, values...) }
 	var running []started
--- a/internal/replica/warmup.go
+++ b/internal/replica/warmup.go
@@ -9,8 +9,8 @@
 
 // Warmup says how the back ends of a service come into service.
 type Warmup struct {
-	// For is how long a back end is cold.
-	For clock.Ms
+	// Duration is how long a back end is cold.
+	Duration clock.Ms
 	// Rate is the number of requests a second that a cold one bears from all nodes together; 0 where that is not bounded.
 	Rate float64
 }
--- a/internal/replica/warmup_test.go
+++ b/internal/replica/warmup_test.go
@@ -21,7 +21,7 @@
 	for i := range nodes {
 		places := replica.Topology{Node: names[i], Zone: "a1", Regions: map[string]string{"a1": "a", "b1": "b"}}
 		set := replica.NewSet(settings, places, rand.New(rand.NewPCG(uint64(i), 2)))
-		set.SetWarmups(map[string]replica.Warmup{"s": {For: clock.Of(cold), Rate: rate}})
+		set.SetWarmups(map[string]replica.Warmup{"s": {Duration: clock.Of(cold), Rate: rate}})
 		set.SetNodes(names[i], names)
 		set.Put(0, replica.Entry{ID: "cold", Service: "s", Address: "127.0.0.1:1", Zone: "a1", WarmupLeft: cold})
 		set.Put(0, entry("warm", "b1"))
@@ -131,7 +131,7 @@
 // TestZoneTakenBackIsCold: back ends of a zone that was evacuated come back as cold ones, which bear little, unless their entries say later that they are warm.
 func TestZoneTakenBackIsCold(t *testing.T) {
 	set := newSet(entry("own", "a1"), entry("far", "b1"))
-	set.SetWarmups(map[string]replica.Warmup{"s": {For: 3 * clock.Second, Rate: 1}})
+	set.SetWarmups(map[string]replica.Warmup{"s": {Duration: 3 * clock.Second, Rate: 1}})
 	set.SetNodes("self", []string{"self"})
 	now := 10 * time.Second
 	if !set.EvacuateZone("a1") || set.EvacuateZone("a1") || set.EvacuatedZones() != 1 {
--- a/internal/replica/zones.go
+++ b/internal/replica/zones.go
@@ -29,7 +29,7 @@
 	s.locateZone(zone)
 	for _, known := range s.byID {
 		if known.Zone == zone {
-			known.cold.until = max(known.cold.until, now+s.warmups[known.Service].For.Duration())
+			known.cold.until = max(known.cold.until, now+s.warmups[known.Service].Duration.Duration())
 		}
 	}
 	return true
