--- a/internal/forward/hedge.go
+++ b/internal/forward/hedge.go
@@ -37,11 +37,11 @@
 		return
 	}
 	if r.siblingLatency == 0 {
-		r.siblingLatency = max(now-attempt.StartedAt-attempt.Replica.Floor(), 0)
+		r.siblingLatency = max(now-attempt.StartedAt-attempt.Replica.MinimumLatency(), 0)
 	}
 	for _, open := range r.attempts {
 		if s := &r.shards[open.Shard]; open.live && s.live() == 1 {
-			s.hedgeBy(max(now, open.StartedAt+open.Replica.Floor()+r.lateAfter(s)))
+			s.hedgeBy(max(now, open.StartedAt+open.Replica.MinimumLatency()+r.lateAfter(s)))
 		}
 	}
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -88,8 +88,8 @@
 // Latency is the average the choice goes by.
 func (r *Replica) Latency() time.Duration { return r.latency.average }
 
-// Floor is the least that an answer of the replica takes: the way there and back.
-func (r *Replica) Floor() time.Duration { return r.latency.floor }
+// MinimumLatency is the least that an answer of the replica takes: the way there and back.
+func (r *Replica) MinimumLatency() time.Duration { return r.latency.floor }
 
 // Least is the least that an answer takes by what is known now. Answers that came while this node stood still say that
 // it takes seconds, and who goes by that for good makes no attempt that would show otherwise; so what was learned
