--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -106,7 +106,7 @@
 // tooLate reports whether an answer of a replica cannot come by the deadline, by the least that any of its answers takes.
 // Such an attempt would only take a slot.
 func (r *Request) tooLate(now time.Duration, chosen *replica.Replica) bool {
-	return now+chosen.Least(now) > r.deadline
+	return now+chosen.ExpectedMinimum(now) > r.deadline
 }
 
 // cancelAttempts withdraws all that is under way at a shard. What the shard's state is then is for the caller to say.
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -211,7 +211,7 @@
 	},
 	{
 		"an attempt goes out that cannot be answered in time", "internal/forward/attempt.go",
-		"return now+chosen.Least(now) > r.deadline", "return false",
+		"return now+chosen.ExpectedMinimum(now) > r.deadline", "return false",
 		"./internal/forward", "TestNoSendThatCannotBeAnswered",
 	},
 	{
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -91,10 +91,10 @@
 // MinimumLatency is the least that an answer of the replica takes: the way there and back.
 func (r *Replica) MinimumLatency() time.Duration { return r.latency.floor }
 
-// Least is the least that an answer takes by what is known now. Answers that came while this node stood still say that
+// ExpectedMinimum is the least that an answer takes by what is known now. Answers that came while this node stood still say that
 // it takes seconds, and who goes by that for good makes no attempt that would show otherwise; so what was learned
 // decays.
-func (r *Replica) Least(now time.Duration) time.Duration {
+func (r *Replica) ExpectedMinimum(now time.Duration) time.Duration {
 	return r.latency.decay(now, r.latency.floor)
 }
 
