--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -37,7 +37,7 @@
 			failed++
 			run(set, now, chosen.ID, 3*millisecond, replica.RefusedWithRoom)
 		} else {
-			run(set, now, chosen.ID, max(chosen.Latency(), 12*millisecond), replica.Answered)
+			run(set, now, chosen.ID, max(chosen.AverageLatency(), 12*millisecond), replica.Answered)
 		}
 		now += 500 * millisecond
 	}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -85,8 +85,8 @@
 // InFlight is the number of attempts under way.
 func (r *Replica) InFlight() int { return len(r.inFlight) }
 
-// Latency is the average the choice goes by.
-func (r *Replica) Latency() time.Duration { return r.latency.average }
+// AverageLatency is the average the choice goes by.
+func (r *Replica) AverageLatency() time.Duration { return r.latency.average }
 
 // MinimumLatency is the least that an answer of the replica takes: the way there and back.
 func (r *Replica) MinimumLatency() time.Duration { return r.latency.floor }
--- a/internal/replica/slowdown_test.go
+++ b/internal/replica/slowdown_test.go
@@ -69,7 +69,7 @@
 		t.Errorf("picked %q, the near one is slow", got)
 	}
 	slow.TakeLoad(now, load(1))
-	if got := picked(set, now); got != "own" || slow.Latency() > 20*millisecond {
-		t.Errorf("picked %q, expected of the near one: %v", got, slow.Latency())
+	if got := picked(set, now); got != "own" || slow.AverageLatency() > 20*millisecond {
+		t.Errorf("picked %q, expected of the near one: %v", got, slow.AverageLatency())
 	}
 }
--- a/internal/replica/start_test.go
+++ b/internal/replica/start_test.go
@@ -47,8 +47,8 @@
 	if after == before {
 		t.Fatal("the second start is the same replica")
 	}
-	if after.InFlight() != 0 || after.Latency() != 0 || after.MinimumLatency() != 0 || after.Ejected(now) || after.Doubtful() || after.Cold(now) {
-		t.Errorf("of the earlier start: %d under way, latency %v, floor %v, ejected %v", after.InFlight(), after.Latency(), after.MinimumLatency(), after.Ejected(now))
+	if after.InFlight() != 0 || after.AverageLatency() != 0 || after.MinimumLatency() != 0 || after.Ejected(now) || after.Doubtful() || after.Cold(now) {
+		t.Errorf("of the earlier start: %d under way, latency %v, floor %v, ejected %v", after.InFlight(), after.AverageLatency(), after.MinimumLatency(), after.Ejected(now))
 	}
 	if slowdown, faults := after.Health(now); slowdown != 1 || faults != 0 {
 		t.Errorf("slowdown %v and faults %v of the earlier start", slowdown, faults)
