--- a/internal/replica/pick.go
+++ b/internal/replica/pick.go
@@ -122,7 +122,7 @@
 // score is the latency expected of one more attempt with the prices of distance and of faults, in nanoseconds. It draws
 // one random number.
 func (s *Set) score(now time.Duration, r *Replica, target time.Duration) float64 {
-	expected := float64(r.Expected(now)) * float64(1+len(r.inFlight))
+	expected := float64(r.ExpectedLatency(now)) * float64(1+len(r.inFlight))
 	if s.settings.UseSlowdown {
 		expected *= r.slowdown.now(now, r.affinity)
 	}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -98,9 +98,9 @@
 	return r.latency.decay(now, r.latency.floor)
 }
 
-// Expected is the latency expected of an attempt: the average, decayed while the replica is unused, and no less than
+// ExpectedLatency is the latency expected of an attempt: the average, decayed while the replica is unused, and no less than
 // the age of the oldest attempt without an answer.
-func (r *Replica) Expected(now time.Duration) time.Duration {
+func (r *Replica) ExpectedLatency(now time.Duration) time.Duration {
 	expected := r.latency.expected(now)
 	if len(r.inFlight) > 0 {
 		expected = max(expected, now-r.inFlight[0])
