--- a/internal/forward/retry_test.go
+++ b/internal/forward/retry_test.go
@@ -163,7 +163,7 @@
 		w := newNode(9, services...)
 		for _, replicas := range w.replicas {
 			for _, r := range replicas {
-				r.Start(0)
+				r.StartAttempt(0)
 				r.Finish(floor, 0, replica.Answered)
 			}
 		}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -12,7 +12,7 @@
 
 // send carries an attempt out beside the request; the lock is held.
 func (r *run) send(now time.Duration, attempt *forward.Attempt) {
-	attempt.Replica.Start(now)
+	attempt.Replica.StartAttempt(now)
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancels[attempt] = cancel
 	send := Send{
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -120,8 +120,8 @@
 // Cold reports whether the replica is cold: it has just started, or its zone has just been taken back.
 func (r *Replica) Cold(now time.Duration) bool { return r.cold.active(now) }
 
-// Start counts an attempt in.
-func (r *Replica) Start(now time.Duration) {
+// StartAttempt counts an attempt in.
+func (r *Replica) StartAttempt(now time.Duration) {
 	r.inFlight = append(r.inFlight, now)
 	if r.Cold(now) {
 		r.cold.note(now)
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -41,7 +41,7 @@
 // run lets an attempt at a replica end with a verdict after some time, and returns the time.
 func run(set *replica.Set, now time.Duration, id string, length time.Duration, verdict replica.Verdict) time.Duration {
 	chosen := set.Get(id)
-	chosen.Start(now)
+	chosen.StartAttempt(now)
 	chosen.Finish(now+length, now, verdict)
 	return now + length
 }
@@ -75,7 +75,7 @@
 	set := newSet(entry("own", "a1"), entry("far", "b1"))
 	now := run(set, 0, "own", 20*millisecond, replica.Answered)
 	now = run(set, now, "far", 45*millisecond, replica.Answered)
-	set.Get("own").Start(now)
+	set.Get("own").StartAttempt(now)
 	if got := picked(set, now+20*millisecond); got != "own" {
 		t.Errorf("picked %q", got)
 	}
@@ -190,7 +190,7 @@
 func TestConnections(t *testing.T) {
 	set := newSet(entry("own", "a1"))
 	for range settings.Connections {
-		set.Get("own").Start(0)
+		set.Get("own").StartAttempt(0)
 	}
 	if chosen, busy := set.Pick(0, "s", replica.PickOptions{}); chosen != nil || !busy {
 		t.Errorf("picked %v, busy %v", chosen, busy)
@@ -236,7 +236,7 @@
 	}
 	set.SetConnectionShares(map[string]replica.ConnectionShare{"s": {SameRegion: 2, OtherRegions: 1}})
 	for _, id := range []string{"own", "far"} {
-		set.Get(id).Start(0)
+		set.Get(id).StartAttempt(0)
 	}
 	if got := picked(set, 0, set.Get("near")); got != "own" {
 		t.Errorf("with one attempt at each: picked %q", got)
--- a/internal/replica/slowdown_test.go
+++ b/internal/replica/slowdown_test.go
@@ -61,7 +61,7 @@
 func TestPaceIsNotLatency(t *testing.T) {
 	set, now := pacedSet()
 	slow := set.Get("own")
-	slow.Start(now)
+	slow.StartAttempt(now)
 	slow.TakeLoad(now+100*millisecond, load(8))
 	slow.Finish(now+100*millisecond, now, replica.Answered)
 	now += 100 * millisecond
--- a/internal/replica/start_test.go
+++ b/internal/replica/start_test.go
@@ -39,7 +39,7 @@
 	}
 	before.TakeLoad(3*time.Second, replica.Load{Told: true, Slots: 1, Slowdown: 9})
 	before.Finish(3*time.Second, 3*time.Second, replica.Misdirected)
-	before.Start(3 * time.Second)
+	before.StartAttempt(3 * time.Second)
 
 	now := 4 * time.Second
 	set.Put(now, startedAt("x", 2000))
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -39,7 +39,7 @@
 			chosen, busy := set.Pick(now, "s", traceChoice(random, set, id))
 			note("pick", name(chosen), busy)
 			if chosen != nil {
-				chosen.Start(now)
+				chosen.StartAttempt(now)
 				running = append(running, started{chosen, now})
 			}
 		case what < 75 && len(running) > 0:
--- a/internal/replica/warmup_test.go
+++ b/internal/replica/warmup_test.go
@@ -38,7 +38,7 @@
 			if chosen == nil {
 				continue
 			}
-			chosen.Start(now)
+			chosen.StartAttempt(now)
 			chosen.Finish(now+millisecond, now, replica.Answered)
 			if chosen.ID == "cold" {
 				arrivals = append(arrivals, now)
@@ -151,8 +151,8 @@
 		t.Error("back ends are cold for three seconds after the zone was taken back")
 	}
 	first := set.Get("own")
-	first.Start(now)
-	set.Get("late").Start(now)
+	first.StartAttempt(now)
+	set.Get("late").StartAttempt(now)
 	if got := picked(set, now+100*millisecond); got != "far" {
 		t.Errorf("picked %q, the cold ones have what they bear", got)
 	}
