--- a/internal/forward/retry_test.go
+++ b/internal/forward/retry_test.go
@@ -164,7 +164,7 @@
 		for _, replicas := range w.replicas {
 			for _, r := range replicas {
 				r.StartAttempt(0)
-				r.Finish(floor, 0, replica.Answered)
+				r.FinishAttempt(floor, 0, replica.Answered)
 			}
 		}
 		return w
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -48,7 +48,7 @@
 	g.mu.Lock()
 	now := g.now()
 	attempt.Replica.TakeLoad(now, outcome.Load)
-	ejected := attempt.Replica.Finish(now, attempt.StartedAt, backEndVerdict(outcome, cancelled))
+	ejected := attempt.Replica.FinishAttempt(now, attempt.StartedAt, backEndVerdict(outcome, cancelled))
 	if !cancelled || outcome.Kind == forward.Answered {
 		g.reportHealth(now, attempt.Replica)
 	}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -128,8 +128,8 @@
 	}
 }
 
-// Finish counts out an attempt that started at the given time. It reports whether the replica was ejected by it.
-func (r *Replica) Finish(now, started time.Duration, verdict Verdict) (ejected bool) {
+// FinishAttempt counts out an attempt that started at the given time. It reports whether the replica was ejected by it.
+func (r *Replica) FinishAttempt(now, started time.Duration, verdict Verdict) (ejected bool) {
 	for i, start := range r.inFlight {
 		if start == started {
 			r.inFlight = append(r.inFlight[:i], r.inFlight[i+1:]...)
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -42,7 +42,7 @@
 func run(set *replica.Set, now time.Duration, id string, length time.Duration, verdict replica.Verdict) time.Duration {
 	chosen := set.Get(id)
 	chosen.StartAttempt(now)
-	chosen.Finish(now+length, now, verdict)
+	chosen.FinishAttempt(now+length, now, verdict)
 	return now + length
 }
 
--- a/internal/replica/slowdown_test.go
+++ b/internal/replica/slowdown_test.go
@@ -63,7 +63,7 @@
 	slow := set.Get("own")
 	slow.StartAttempt(now)
 	slow.TakeLoad(now+100*millisecond, load(8))
-	slow.Finish(now+100*millisecond, now, replica.Answered)
+	slow.FinishAttempt(now+100*millisecond, now, replica.Answered)
 	now += 100 * millisecond
 	if got := picked(set, now); got != "far" {
 		t.Errorf("picked %q, the near one is slow", got)
--- a/internal/replica/start_test.go
+++ b/internal/replica/start_test.go
@@ -38,7 +38,7 @@
 		run(set, 3*time.Second, "x", 0, replica.Failed)
 	}
 	before.TakeLoad(3*time.Second, replica.Load{Told: true, Slots: 1, Slowdown: 9})
-	before.Finish(3*time.Second, 3*time.Second, replica.Misdirected)
+	before.FinishAttempt(3*time.Second, 3*time.Second, replica.Misdirected)
 	before.StartAttempt(3 * time.Second)
 
 	now := 4 * time.Second
@@ -53,7 +53,7 @@
 	if slowdown, faults := after.Health(now); slowdown != 1 || faults != 0 {
 		t.Errorf("slowdown %v and faults %v of the earlier start", slowdown, faults)
 	}
-	before.Finish(now, 3*time.Second, replica.Unreachable)
+	before.FinishAttempt(now, 3*time.Second, replica.Unreachable)
 	if after.Ejected(now) || picked(set, now) != "x" {
 		t.Error("the end of an attempt at the earlier start counts at the next one")
 	}
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -56,7 +56,7 @@
 			if verdict == replica.Misdirected && random.IntN(10) > 0 {
 				verdict = replica.Failed
 			}
-			note("finish", verdict, ending.at.Finish(now, ending.when, verdict))
+			note("finish", verdict, ending.at.FinishAttempt(now, ending.when, verdict))
 		case what < 80:
 			if now < distrustedUntil {
 				// More than one entry that is put aside would be taken back in the random order of a map.
--- a/internal/replica/warmup_test.go
+++ b/internal/replica/warmup_test.go
@@ -39,7 +39,7 @@
 				continue
 			}
 			chosen.StartAttempt(now)
-			chosen.Finish(now+millisecond, now, replica.Answered)
+			chosen.FinishAttempt(now+millisecond, now, replica.Answered)
 			if chosen.ID == "cold" {
 				arrivals = append(arrivals, now)
 			}
