--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -93,7 +93,7 @@
 		if attempt.Shard != shard || !attempt.Outcome.BlamesRequest {
 			continue
 		}
-		if attempt.Replica.Contradicted(n.now) {
+		if attempt.Replica.RecordContradiction(n.now) {
 			n.gateway.log.Ejected(attempt, attempt.Outcome)
 		}
 		n.gateway.reportHealth(n.now, attempt.Replica)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -166,9 +166,9 @@
 	return false
 }
 
-// Contradicted takes in that another replica has answered what this one said is the request's fault. It reports whether the
+// RecordContradiction takes in that another replica has answered what this one said is the request's fault. It reports whether the
 // replica was ejected by it.
-func (r *Replica) Contradicted(now time.Duration) (ejected bool) {
+func (r *Replica) RecordContradiction(now time.Duration) (ejected bool) {
 	r.faults.note(now, 1)
 	return r.ejection.failed(now)
 }
