--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -47,7 +47,7 @@
 func (g *Gateway) attemptEnded(call *Call, attempt *forward.Attempt, outcome forward.Outcome, cancelled bool) {
 	g.mu.Lock()
 	now := g.now()
-	attempt.Replica.TakeLoad(now, outcome.Load)
+	attempt.Replica.RecordLoad(now, outcome.Load)
 	ejected := attempt.Replica.FinishAttempt(now, attempt.StartedAt, backEndVerdict(outcome, cancelled))
 	if !cancelled || outcome.Kind == forward.Answered {
 		g.reportHealth(now, attempt.Replica)
--- a/internal/replica/load.go
+++ b/internal/replica/load.go
@@ -23,8 +23,8 @@
 	at time.Duration
 }
 
-// TakeLoad takes in what the replica told of itself.
-func (r *Replica) TakeLoad(now time.Duration, load Load) {
+// RecordLoad takes in what the replica told of itself.
+func (r *Replica) RecordLoad(now time.Duration, load Load) {
 	if load.Told {
 		r.load = lastLoad{load, now}
 		r.slowdown = slowdown{load.Slowdown, now}
--- a/internal/replica/slowdown_test.go
+++ b/internal/replica/slowdown_test.go
@@ -38,7 +38,7 @@
 	if got := picked(set, now); got != "own" {
 		t.Errorf("picked %q, the near one is well again", got)
 	}
-	set.Get("own").TakeLoad(now, load(1))
+	set.Get("own").RecordLoad(now, load(1))
 	set.TakeReport(now+100*millisecond, key, 12, 0, now+90*millisecond)
 	if got := picked(set, now+100*millisecond); got != "own" {
 		t.Errorf("picked %q, it was met as well 100 ms ago", got)
@@ -62,13 +62,13 @@
 	set, now := pacedSet()
 	slow := set.Get("own")
 	slow.StartAttempt(now)
-	slow.TakeLoad(now+100*millisecond, load(8))
+	slow.RecordLoad(now+100*millisecond, load(8))
 	slow.FinishAttempt(now+100*millisecond, now, replica.Answered)
 	now += 100 * millisecond
 	if got := picked(set, now); got != "far" {
 		t.Errorf("picked %q, the near one is slow", got)
 	}
-	slow.TakeLoad(now, load(1))
+	slow.RecordLoad(now, load(1))
 	if got := picked(set, now); got != "own" || slow.AverageLatency() > 20*millisecond {
 		t.Errorf("picked %q, expected of the near one: %v", got, slow.AverageLatency())
 	}
