--- a/internal/gateway/health_reports.go
+++ b/internal/gateway/health_reports.go
@@ -117,7 +117,7 @@
 func (g *Gateway) receiveReports(now time.Duration, m *message.BackEndReports) {
 	news := g.reports.core.Receive(clock.Of(now), m)
 	for _, r := range news {
-		g.replicas.TakeReport(now, r.BackEnd, r.Slowdown, r.Faults, r.SeenAt.Duration())
+		g.replicas.RecordReport(now, r.BackEnd, r.Slowdown, r.Faults, r.SeenAt.Duration())
 	}
 	if len(news) > 0 {
 		g.reports.signal()
--- a/internal/replica/report.go
+++ b/internal/replica/report.go
@@ -14,8 +14,8 @@
 	return r.slowdown.now(now, r.affinity), r.faults.now(now)
 }
 
-// TakeReport takes in what another node met at a back end at some moment. What this node has met itself of late goes before it.
-func (s *Set) TakeReport(now time.Duration, key uint64, slowed, faults float64, seenAt time.Duration) {
+// RecordReport takes in what another node met at a back end at some moment. What this node has met itself of late goes before it.
+func (s *Set) RecordReport(now time.Duration, key uint64, slowed, faults float64, seenAt time.Duration) {
 	r := s.byKey[key]
 	if r == nil {
 		return
--- a/internal/replica/slowdown_test.go
+++ b/internal/replica/slowdown_test.go
@@ -27,30 +27,30 @@
 	set, now := pacedSet()
 	now += 100 * millisecond
 	key := set.Get("own").Key()
-	set.TakeReport(now, key, 12, 0, now-50*millisecond)
+	set.RecordReport(now, key, 12, 0, now-50*millisecond)
 	if got := picked(set, now); got != "far" {
 		t.Errorf("picked %q, the near one is slow", got)
 	}
 	if got := picked(set, now+5*time.Second); got != "own" {
 		t.Errorf("picked %q five seconds later", got)
 	}
-	set.TakeReport(now, key, 1, 0, now)
+	set.RecordReport(now, key, 1, 0, now)
 	if got := picked(set, now); got != "own" {
 		t.Errorf("picked %q, the near one is well again", got)
 	}
 	set.Get("own").RecordLoad(now, load(1))
-	set.TakeReport(now+100*millisecond, key, 12, 0, now+90*millisecond)
+	set.RecordReport(now+100*millisecond, key, 12, 0, now+90*millisecond)
 	if got := picked(set, now+100*millisecond); got != "own" {
 		t.Errorf("picked %q, it was met as well 100 ms ago", got)
 	}
-	set.TakeReport(now, 4711, 12, 0, now)
+	set.RecordReport(now, 4711, 12, 0, now)
 }
 
 // TestHearsayEmptiesNoService: a node that tells of all replicas that they are slow and faulty changes which is picked, and not that one is.
 func TestHearsayEmptiesNoService(t *testing.T) {
 	set, now := pacedSet()
 	for _, id := range []string{"own", "far"} {
-		set.TakeReport(now, set.Get(id).Key(), 60, 1, now)
+		set.RecordReport(now, set.Get(id).Key(), 60, 1, now)
 	}
 	if got := picked(set, now); got == "" {
 		t.Error("no replica is picked")
--- a/internal/replica/start_test.go
+++ b/internal/replica/start_test.go
@@ -64,7 +64,7 @@
 	set := newSet(startedAt("x", 1000))
 	earlier := set.Get("x").Key()
 	set.Put(time.Second, startedAt("x", 2000))
-	set.TakeReport(2*time.Second, earlier, 9, 1, 2*time.Second)
+	set.RecordReport(2*time.Second, earlier, 9, 1, 2*time.Second)
 	if slowdown, faults := set.Get("x").Health(2 * time.Second); slowdown != 1 || faults != 0 {
 		t.Errorf("slowdown %v and faults %v by a report of the earlier start", slowdown, faults)
 	}
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -73,7 +73,7 @@
 		case what < 84:
 			note("expire", set.Expire(now))
 		case what < 88 && set.Get(id) != nil:
-			set.TakeReport(now, set.Get(id).Key(), 1+4*random.Float64(), random.Float64(), now-time.Duration(random.IntN(int(time.Second))))
+			set.RecordReport(now, set.Get(id).Key(), 1+4*random.Float64(), random.Float64(), now-time.Duration(random.IntN(int(time.Second))))
 		case what < 90:
 			tracePlace(random, now, set, note)
 		case what < 91 && step%5 == 0:
