--- a/internal/replica/set.go
+++ b/internal/replica/set.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// Draw returns a random number from 0 to 1, of the set's own source.
-func (s *Set) Draw() float64 { return s.random.Float64() }
+// RandomFloat64 returns a random number from 0 to 1, of the set's own source.
+func (s *Set) RandomFloat64() float64 { return s.random.Float64() }
 
 // Put takes in an entry as it is now. It reports whether anything changed that a choice goes by. One of an earlier start of the
 // back end is old, whenever it comes: from a copy of the store, by a peer, or by a write that was held up. One of a later start
