--- a/internal/gateway/maintain.go
+++ b/internal/gateway/maintain.go
@@ -46,7 +46,7 @@
 func (g *Gateway) prune() {
 	endpoints := map[replica.Endpoint]bool{}
 	g.mu.Lock()
-	g.replicas.All(func(known *replica.Replica) { endpoints[known.Endpoint()] = !known.Draining })
+	g.replicas.ForEach(func(known *replica.Replica) { endpoints[known.Endpoint()] = !known.Draining })
 	g.mu.Unlock()
 	g.backEnds.Prune(func(e replica.Endpoint) bool { return endpoints[e] })
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -47,7 +47,7 @@
 		CopyAge: g.storeCopy.age(now), Nodes: g.fleet.nodes, BackEnds: map[string]int{},
 		Quarantined: g.quarantine.Count(clock.Of(now)), EvacuatedZones: g.replicas.EvacuatedZones(),
 	}
-	g.replicas.All(func(known *replica.Replica) { status.BackEnds[stateOf(now, known)]++ })
+	g.replicas.ForEach(func(known *replica.Replica) { status.BackEnds[stateOf(now, known)]++ })
 	return status
 }
 
--- a/internal/replica/set.go
+++ b/internal/replica/set.go
@@ -63,8 +63,8 @@
 // Get returns the back end of an id, or nil.
 func (s *Set) Get(id string) *Replica { return s.byID[id] }
 
-// All calls visit for each back end.
-func (s *Set) All(visit func(*Replica)) {
+// ForEach calls visit for each back end.
+func (s *Set) ForEach(visit func(*Replica)) {
 	for _, known := range s.byID {
 		visit(known)
 	}
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -145,7 +145,7 @@
 
 // anyDoubtful reports whether some entry has vanished in doubt. More than one would expire in the random order of a map.
 func anyDoubtful(set *replica.Set) (found bool) {
-	set.All(func(r *replica.Replica) { found = found || r.Doubtful() })
+	set.ForEach(func(r *replica.Replica) { found = found || r.Doubtful() })
 	return found
 }
 
