--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -122,7 +122,7 @@
 	if g.storeCopy.holdZoneReturn(now, key) {
 		return
 	}
-	if g.replicas.TakeZoneBack(now, zone) {
+	if g.replicas.RestoreZone(now, zone) {
 		g.log.TakenBack(zone)
 	}
 }
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -156,7 +156,7 @@
 	case 0:
 		note("evacuate", set.EvacuateZone(zone))
 	case 1, 2, 3:
-		note("take back", set.TakeZoneBack(now, zone), set.EvacuatedZones())
+		note("take back", set.RestoreZone(now, zone), set.EvacuatedZones())
 	default:
 		readmitted := set.Readmit(now)
 		note("readmit", len(readmitted))
--- a/internal/replica/warmup_test.go
+++ b/internal/replica/warmup_test.go
@@ -144,7 +144,7 @@
 	if set.HasCandidate("s", region.Of("a")) || !set.HasCandidate("s", region.Of("b")) {
 		t.Error("the back ends of an evacuated zone count as known")
 	}
-	if !set.TakeZoneBack(now, "a1") || set.TakeZoneBack(now, "a1") {
+	if !set.RestoreZone(now, "a1") || set.RestoreZone(now, "a1") {
 		t.Error("the end of an evacuation is news once")
 	}
 	if !set.Get("own").Cold(now+2*time.Second) || set.Get("own").Cold(now+4*time.Second) {
--- a/internal/replica/zones.go
+++ b/internal/replica/zones.go
@@ -19,9 +19,9 @@
 	return true
 }
 
-// TakeZoneBack ends the evacuation of a zone. Its back ends got nothing for as long as it was evacuated, and come back
+// RestoreZone ends the evacuation of a zone. Its back ends got nothing for as long as it was evacuated, and come back
 // cold. It reports whether that is news.
-func (s *Set) TakeZoneBack(now time.Duration, zone string) bool {
+func (s *Set) RestoreZone(now time.Duration, zone string) bool {
 	if !s.evacuated[zone] {
 		return false
 	}
