--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -24,7 +24,7 @@
 
 // Recovers implements forward.Node.
 func (n runNode) Recovers(service string, choice replica.PickOptions) (time.Duration, bool) {
-	return n.gateway.replicas.Recovers(service, choice)
+	return n.gateway.replicas.EarliestRecovery(service, choice)
 }
 
 // SpendHedge implements forward.Node.
--- a/internal/replica/pick.go
+++ b/internal/replica/pick.go
@@ -171,8 +171,8 @@
 	return versions
 }
 
-// Recovers returns the first moment at which one of the replicas that may be picked is not ejected; false if there is none.
-func (s *Set) Recovers(service string, choice PickOptions) (at time.Duration, known bool) {
+// EarliestRecovery returns the first moment at which one of the replicas that may be picked is not ejected; false if there is none.
+func (s *Set) EarliestRecovery(service string, choice PickOptions) (at time.Duration, known bool) {
 	for _, member := range s.byService[service] {
 		if !member.candidate() || !choice.allows(member) {
 			continue
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -177,11 +177,11 @@
 		"all but it":    {replica.PickOptions{Only: []*replica.Replica{a, b}}, 250 * time.Millisecond},
 		"the later one": {replica.PickOptions{Only: []*replica.Replica{a, b}, Excluded: []*replica.Replica{a}}, 260 * time.Millisecond},
 	} {
-		if at, known := set.Recovers("s", c.choice); at != c.at || !known {
+		if at, known := set.EarliestRecovery("s", c.choice); at != c.at || !known {
 			t.Errorf("%s: %v, %v", name, at, known)
 		}
 	}
-	if _, known := set.Recovers("unknown", replica.PickOptions{}); known {
+	if _, known := set.EarliestRecovery("unknown", replica.PickOptions{}); known {
 		t.Error("known")
 	}
 }
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -88,7 +88,7 @@
 			slowdown, faults := r.Health(now)
 			note(r.AverageLatency(), r.MinimumLatency(), r.ExpectedMinimum(now), r.ExpectedLatency(now), r.InFlight(), r.Ejected(now), r.Doubtful(), r.Cold(now), r.Evacuated(), slowdown, faults)
 			note(set.MustVerify(now, r), set.IdleLimit(r))
-			at, known := set.Recovers("s", replica.PickOptions{})
+			at, known := set.EarliestRecovery("s", replica.PickOptions{})
 			note(at, known, set.HasCandidate("s", region.Of("b")), set.Versions("s", region.Set{}), set.Len(), set.RandomFloat64())
 		}
 	}
