--- a/internal/gateway/fleet_share.go
+++ b/internal/gateway/fleet_share.go
@@ -67,7 +67,7 @@
 		}
 	}
 	manyStarting := g.fleet.manyStarting(g.now())
-	g.replicas.SetManyStarting(manyStarting)
+	g.replicas.SetManyNodesStarting(manyStarting)
 	part := 1
 	if manyStarting {
 		part = settings.Fleet.YoungPart
--- a/internal/replica/connections.go
+++ b/internal/replica/connections.go
@@ -88,5 +88,5 @@
 	return s.settings.VerifyConnections && (s.manyStarting || now < r.connectionsDoubtedUntil)
 }
 
-// SetManyStarting says whether back ends may still count connections of earlier lives of many nodes.
-func (s *Set) SetManyStarting(many bool) { s.manyStarting = many }
+// SetManyNodesStarting says whether back ends may still count connections of earlier lives of many nodes.
+func (s *Set) SetManyNodesStarting(many bool) { s.manyStarting = many }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -158,7 +158,7 @@
 	if !set.MustVerify(now+3*time.Second, own) || set.MustVerify(now+5*time.Second, own) || set.MustVerify(now, set.Get("near")) {
 		t.Error("crowded for another time, or another back end")
 	}
-	if set.SetManyStarting(true); !set.MustVerify(now+5*time.Second, own) {
+	if set.SetManyNodesStarting(true); !set.MustVerify(now+5*time.Second, own) {
 		t.Error("not crowded among young nodes")
 	}
 }
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -170,7 +170,7 @@
 		nodes = append(nodes, fmt.Sprint("node-", i))
 	}
 	set.SetNodes("node-0", nodes)
-	set.SetManyStarting(random.IntN(3) == 0)
+	set.SetManyNodesStarting(random.IntN(3) == 0)
 	share := replica.NewConnectionShare(1+random.IntN(80), 1+random.IntN(40), 1+random.IntN(10), 8)
 	set.SetConnectionShares(map[string]replica.ConnectionShare{"s": share})
 }
