--- a/internal/gateway/maintain.go
+++ b/internal/gateway/maintain.go
@@ -36,7 +36,7 @@
 	for _, id := range g.replicas.Expire(g.now()) {
 		g.log.Vanished(id, true)
 	}
-	for _, entry := range g.replicas.Readmit(g.now()) {
+	for _, entry := range g.replicas.ReadmitDeparted(g.now()) {
 		g.log.BackEnd(entry, g.storeCopy.records.Revision())
 	}
 	g.returnZonesDue(g.now())
--- a/internal/replica/departed.go
+++ b/internal/replica/departed.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// Readmit takes those entries in that were put aside and that the store still names, and returns them: their back ends
+// ReadmitDeparted takes those entries in that were put aside and that the store still names, and returns them: their back ends
 // live. It forgets who left long ago.
-func (s *Set) Readmit(now time.Duration) (readmitted []Entry) {
+func (s *Set) ReadmitDeparted(now time.Duration) (readmitted []Entry) {
 	if now < s.distrustedUntil {
 		return nil
 	}
--- a/internal/replica/departed_test.go
+++ b/internal/replica/departed_test.go
@@ -47,7 +47,7 @@
 			if c.gone {
 				set.Remove(2*time.Second, "left", 2*time.Second)
 			}
-			readmitted := set.Readmit(c.at)
+			readmitted := set.ReadmitDeparted(c.at)
 			if known := set.Get("left") != nil; known != c.want {
 				t.Errorf("known %v, want %v", known, c.want)
 			}
@@ -82,7 +82,7 @@
 	}
 	set = newSet()
 	leave(0)
-	set.Readmit(time.Minute)
+	set.ReadmitDeparted(time.Minute)
 	set.DistrustDeparted(2 * time.Minute)
 	if count := known(time.Minute); count != many {
 		t.Errorf("%d of %d count after a minute", count, many)
--- a/internal/replica/start_test.go
+++ b/internal/replica/start_test.go
@@ -99,7 +99,7 @@
 					t.Error("the entry of the earlier start changed something")
 				}
 			}
-			set.Readmit(10 * time.Second)
+			set.ReadmitDeparted(10 * time.Second)
 			if got := picked(set, 10*time.Second); got != c.want {
 				t.Errorf("picked %q, want %q", got, c.want)
 			}
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -158,7 +158,7 @@
 	case 1, 2, 3:
 		note("take back", set.RestoreZone(now, zone), set.EvacuatedZones())
 	default:
-		readmitted := set.Readmit(now)
+		readmitted := set.ReadmitDeparted(now)
 		note("readmit", len(readmitted))
 	}
 }
