--- a/internal/gateway/maintain.go
+++ b/internal/gateway/maintain.go
@@ -33,7 +33,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.storeCopy.logStaleness(g.now())
-	for _, id := range g.replicas.Expire(g.now()) {
+	for _, id := range g.replicas.ExpireDoubtful(g.now()) {
 		g.log.Vanished(id, true)
 	}
 	for _, entry := range g.replicas.ReadmitDeparted(g.now()) {
--- a/internal/replica/doubt.go
+++ b/internal/replica/doubt.go
@@ -30,8 +30,8 @@
 	return true
 }
 
-// Expire forgets vanished entries whose time of doubt is over, and returns their ids.
-func (s *Set) Expire(now time.Duration) []string {
+// ExpireDoubtful forgets vanished entries whose time of doubt is over, and returns their ids.
+func (s *Set) ExpireDoubtful(now time.Duration) []string {
 	var expired []string
 	for id, known := range s.byID {
 		if known.doubt.doubtful && now >= known.doubt.until {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -297,11 +297,11 @@
 		t.Errorf("picked %q where there is only the doubtful one", got)
 	}
 	set.Put(time.Second, entry("own", "a1"))
-	if expired := set.Expire(3 * time.Second); len(expired) != 0 || picked(set, time.Second) != "own" {
+	if expired := set.ExpireDoubtful(3 * time.Second); len(expired) != 0 || picked(set, time.Second) != "own" {
 		t.Errorf("came back, expired %v, picked %q", expired, picked(set, time.Second))
 	}
 	set.Remove(4*time.Second, "own", 6*time.Second)
-	if expired := set.Expire(6 * time.Second); len(expired) != 1 || set.Get("own") != nil {
+	if expired := set.ExpireDoubtful(6 * time.Second); len(expired) != 1 || set.Get("own") != nil {
 		t.Errorf("expired %v", expired)
 	}
 }
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -71,7 +71,7 @@
 			}
 			note("remove", set.Remove(now, id, until))
 		case what < 84:
-			note("expire", set.Expire(now))
+			note("expire", set.ExpireDoubtful(now))
 		case what < 88 && set.Get(id) != nil:
 			set.RecordReport(now, set.Get(id).Key(), 1+4*random.Float64(), random.Float64(), now-time.Duration(random.IntN(int(time.Second))))
 		case what < 90:
