--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -85,7 +85,7 @@
 		}
 	}
 	answered = attempt("back-end-1", forward.First, forward.Outcome{
-		Kind: forward.Answered, Load: replica.Load{Told: true, Running: 3, Waiting: 1, Slots: 4, Slowdown: 1.25},
+		Kind: forward.Answered, Load: replica.Load{Reported: true, Running: 3, Waiting: 1, Slots: 4, Slowdown: 1.25},
 	})
 	lost = attempt("back-end-2", forward.Hedge, forward.Outcome{Kind: forward.Lost, Detail: "reset"})
 	open = attempt("back-end-3", forward.Retry, forward.Outcome{})
--- a/internal/decisionlog/request.go
+++ b/internal/decisionlog/request.go
@@ -82,7 +82,7 @@
 		} else {
 			fmt.Fprintf(&line, "%d %s", (attempt.EndedAt - result.Arrived).Milliseconds(), attempt.Outcome.Kind)
 		}
-		if load := attempt.Outcome.Load; load.Told {
+		if load := attempt.Outcome.Load; load.Reported {
 			fmt.Fprintf(&line, " load %d+%d/%d x%.2f", load.Running, load.Waiting, load.Slots, load.Slowdown)
 		}
 		if attempt.Outcome.Detail != "" {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -350,7 +350,7 @@
 	t.Run("refused though slots are free", func(t *testing.T) {
 		node := newNode(0, "a", "b", "c")
 		refused := ended(forward.Refused)
-		refused.Load = replica.Load{Told: true, Running: 1, Slots: 4, Slowdown: 1}
+		refused.Load = replica.Load{Reported: true, Running: 1, Slots: 4, Slowdown: 1}
 		start(t, fanOut("a", "b", "c"), node).end(0, part("sa", "")).end(1, refused).at(190 * millisecond)
 		if len(node.samples) != 1 || node.samples[0].Shed != 0 {
 			t.Errorf("told %+v: no back end was full", node.samples)
--- a/internal/gateway/reports_test.go
+++ b/internal/gateway/reports_test.go
@@ -19,7 +19,7 @@
 			own = pace
 		}
 		outcome := after(time.Duration(own*12)*time.Millisecond)(ctx, send)
-		outcome.Load = replica.Load{Told: true, Running: 1, Slots: 4, Slowdown: own}
+		outcome.Load = replica.Load{Reported: true, Running: 1, Slots: 4, Slowdown: own}
 		return outcome
 	}
 }
@@ -80,7 +80,7 @@
 func TestRefusedThoughSlotsAreFree(t *testing.T) {
 	play(t, func(t *testing.T, s *scene) {
 		refusing := func(context.Context, gateway.Send) forward.Outcome {
-			return forward.Outcome{Kind: forward.Refused, Load: replica.Load{Told: true, Slots: 4, Slowdown: 1}}
+			return forward.Outcome{Kind: forward.Refused, Load: replica.Load{Reported: true, Slots: 4, Slowdown: 1}}
 		}
 		s.search()
 		s.backEnds.set(except(refusing, "s0-near", "s1-near", "s2-near", "s3-near"))
--- a/internal/replica/load.go
+++ b/internal/replica/load.go
@@ -4,8 +4,8 @@
 
 // Load is what a back end tells of itself with an answer. The zero value is of one that tells nothing.
 type Load struct {
-	// Told: the back end told it.
-	Told bool
+	// Reported: the back end told it.
+	Reported bool
 	// Running requests are in its slots, Waiting ones in its queue.
 	Running int
 	Waiting int
@@ -15,7 +15,7 @@
 }
 
 // HasRoom reports whether a slot was free.
-func (l Load) HasRoom() bool { return l.Told && l.Waiting == 0 && l.Running < l.Slots }
+func (l Load) HasRoom() bool { return l.Reported && l.Waiting == 0 && l.Running < l.Slots }
 
 // lastLoad is the load that a replica told last; at is 0 before it told any.
 type lastLoad struct {
@@ -25,7 +25,7 @@
 
 // RecordLoad takes in what the replica told of itself.
 func (r *Replica) RecordLoad(now time.Duration, load Load) {
-	if load.Told {
+	if load.Reported {
 		r.load = lastLoad{load, now}
 		r.slowdown = slowdown{load.Slowdown, now}
 	}
--- a/internal/replica/slowdown.go
+++ b/internal/replica/slowdown.go
@@ -25,7 +25,7 @@
 // withoutSlowdown is how long an answer would have taken at the usual speed, where the load came with that answer.
 func (r *Replica) withoutSlowdown(now, elapsed time.Duration) time.Duration {
 	floor := r.latency.floor
-	if !r.useSlowdown || r.load.at != now || !r.load.Told || r.load.Slowdown <= 1 || elapsed <= floor {
+	if !r.useSlowdown || r.load.at != now || !r.load.Reported || r.load.Slowdown <= 1 || elapsed <= floor {
 		return elapsed
 	}
 	return floor + time.Duration(float64(elapsed-floor)/r.load.Slowdown)
--- a/internal/replica/slowdown_test.go
+++ b/internal/replica/slowdown_test.go
@@ -18,7 +18,7 @@
 }
 
 func load(slowed float64) replica.Load {
-	return replica.Load{Told: true, Running: 1, Slots: 4, Slowdown: slowed}
+	return replica.Load{Reported: true, Running: 1, Slots: 4, Slowdown: slowed}
 }
 
 // TestHeardToBeSlow: a replica that another node met as slow is left before this node has met it; first-hand knowledge of late goes before that; what was
--- a/internal/replica/start_test.go
+++ b/internal/replica/start_test.go
@@ -37,7 +37,7 @@
 	for range 4 {
 		run(set, 3*time.Second, "x", 0, replica.Failed)
 	}
-	before.RecordLoad(3*time.Second, replica.Load{Told: true, Slots: 1, Slowdown: 9})
+	before.RecordLoad(3*time.Second, replica.Load{Reported: true, Slots: 1, Slowdown: 9})
 	before.FinishAttempt(3*time.Second, 3*time.Second, replica.Misdirected)
 	before.StartAttempt(3 * time.Second)
 
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -47,7 +47,7 @@
 			ending := running[i]
 			running = append(running[:i], running[i+1:]...)
 			if random.IntN(2) == 0 {
-				ending.at.RecordLoad(now, replica.Load{Told: true, Running: random.IntN(5), Waiting: random.IntN(2), Slots: 4, Slowdown: 0.5 + 3*random.Float64()})
+				ending.at.RecordLoad(now, replica.Load{Reported: true, Running: random.IntN(5), Waiting: random.IntN(2), Slots: 4, Slowdown: 0.5 + 3*random.Float64()})
 			}
 			verdict := replica.Answered
 			if random.IntN(4) == 0 {
