--- a/internal/forward/finish.go
+++ b/internal/forward/finish.go
@@ -117,7 +117,7 @@
 		Lacking: len(r.shards) - r.answered, MayLack: len(r.shards) - r.required(), Attempts: len(r.attempts),
 	}
 	for _, attempt := range r.attempts {
-		if attempt.Outcome.Kind == Refused && !attempt.Outcome.Load.HasRoom() {
+		if attempt.Outcome.Kind == Refused && !attempt.Outcome.Load.HasFreeSlot() {
 			sample.Shed++
 		}
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -81,7 +81,7 @@
 		}
 		return replica.Failed
 	case forward.Refused:
-		if outcome.Load.HasRoom() {
+		if outcome.Load.HasFreeSlot() {
 			return replica.RefusedWithRoom
 		}
 		return replica.Refused
--- a/internal/replica/load.go
+++ b/internal/replica/load.go
@@ -14,8 +14,8 @@
 	Slowdown float64
 }
 
-// HasRoom reports whether a slot was free.
-func (l Load) HasRoom() bool { return l.Reported && l.Waiting == 0 && l.Running < l.Slots }
+// HasFreeSlot reports whether a slot was free.
+func (l Load) HasFreeSlot() bool { return l.Reported && l.Waiting == 0 && l.Running < l.Slots }
 
 // lastLoad is the load that a replica told last; at is 0 before it told any.
 type lastLoad struct {
