--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -63,7 +63,7 @@
 
 // backEndVerdict is what a back end is taken for by the outcome of an attempt. What was cancelled without an answer says
 // only how old it was.
-func backEndVerdict(outcome forward.Outcome, cancelled bool) replica.Verdict {
+func backEndVerdict(outcome forward.Outcome, cancelled bool) replica.AttemptResult {
 	switch {
 	case cancelled && outcome.Kind != forward.Answered:
 		return replica.Withdrawn
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -129,7 +129,7 @@
 }
 
 // FinishAttempt counts out an attempt that started at the given time. It reports whether the replica was ejected by it.
-func (r *Replica) FinishAttempt(now, started time.Duration, verdict Verdict) (ejected bool) {
+func (r *Replica) FinishAttempt(now, started time.Duration, verdict AttemptResult) (ejected bool) {
 	for i, start := range r.inFlight {
 		if start == started {
 			r.inFlight = append(r.inFlight[:i], r.inFlight[i+1:]...)
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -39,7 +39,7 @@
 }
 
 // run lets an attempt at a replica end with a verdict after some time, and returns the time.
-func run(set *replica.Set, now time.Duration, id string, length time.Duration, verdict replica.Verdict) time.Duration {
+func run(set *replica.Set, now time.Duration, id string, length time.Duration, verdict replica.AttemptResult) time.Duration {
 	chosen := set.Get(id)
 	chosen.StartAttempt(now)
 	chosen.FinishAttempt(now+length, now, verdict)
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -51,7 +51,7 @@
 			}
 			verdict := replica.Answered
 			if random.IntN(4) == 0 {
-				verdict = replica.Verdict(random.IntN(int(replica.Neutral) + 1))
+				verdict = replica.AttemptResult(random.IntN(int(replica.Neutral) + 1))
 			}
 			if verdict == replica.Misdirected && random.IntN(10) > 0 {
 				verdict = replica.Failed
--- a/internal/replica/verdict.go
+++ b/internal/replica/verdict.go
@@ -1,12 +1,12 @@
 package replica
 
-// Verdict is what the end of an attempt says of its replica.
-type Verdict int
+// AttemptResult is what the end of an attempt says of its replica.
+type AttemptResult int
 
 // The verdicts.
 const (
 	// Answered: it gave an answer of its own.
-	Answered Verdict = iota
+	Answered AttemptResult = iota
 	// Refused: it is too full to take the request.
 	Refused
 	// RefusedWithRoom: it refused the request though it says that slots are free.
