--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -82,7 +82,7 @@
 		return replica.Failed
 	case forward.Refused:
 		if outcome.Load.HasFreeSlot() {
-			return replica.RefusedWithRoom
+			return replica.RefusedWithFreeSlots
 		}
 		return replica.Refused
 	case forward.Misdirected:
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -403,7 +403,7 @@
 	},
 	{
 		"a refusal with free slots counts as one of a full back end", "internal/gateway/attempt.go",
-		"			return replica.RefusedWithRoom\n", "			return replica.Refused\n",
+		"			return replica.RefusedWithFreeSlots\n", "			return replica.Refused\n",
 		"./internal/gateway", "TestRefusedThoughSlotsAreFree",
 	},
 	{
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -35,7 +35,7 @@
 		got[chosen.ID]++
 		if faulty && chosen.ID != "sound" && random.Float64() < 0.45 {
 			failed++
-			run(set, now, chosen.ID, 3*millisecond, replica.RefusedWithRoom)
+			run(set, now, chosen.ID, 3*millisecond, replica.RefusedWithFreeSlots)
 		} else {
 			run(set, now, chosen.ID, max(chosen.AverageLatency(), 12*millisecond), replica.Answered)
 		}
@@ -66,7 +66,7 @@
 	if _, faults := set.Get("near").Health(0); faults != 0 {
 		t.Errorf("%v of the attempts at a full replica count as failed", faults)
 	}
-	run(set, 0, "near", 3*millisecond, replica.RefusedWithRoom)
+	run(set, 0, "near", 3*millisecond, replica.RefusedWithFreeSlots)
 	if _, faults := set.Get("near").Health(3 * millisecond); faults < 0.25 {
 		t.Errorf("%v of the attempts at a replica with room count as failed", faults)
 	}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -150,7 +150,7 @@
 		}
 	case Refused:
 		r.latency.sample(now, max(elapsed, 2*r.latency.expected(now)))
-	case RefusedWithRoom:
+	case RefusedWithFreeSlots:
 		r.faults.note(now, 1)
 	case Failed:
 		r.faults.note(now, 1)
--- a/internal/replica/verdict.go
+++ b/internal/replica/verdict.go
@@ -9,8 +9,8 @@
 	Answered AttemptResult = iota
 	// Refused: it is too full to take the request.
 	Refused
-	// RefusedWithRoom: it refused the request though it says that slots are free.
-	RefusedWithRoom
+	// RefusedWithFreeSlots: it refused the request though it says that slots are free.
+	RefusedWithFreeSlots
 	// Failed: a broken connection or answer.
 	Failed
 	// Unreachable: no connection was had.
