--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -70,7 +70,7 @@
 	case outcome.BackEndEnded:
 		return replica.Unreachable
 	case outcome.ConnectionTurnedAway:
-		return replica.TurnedAway
+		return replica.ConnectionRejected
 	}
 	switch outcome.Kind {
 	case forward.Answered:
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -157,7 +157,7 @@
 		return r.ejection.failed(now)
 	case Unreachable:
 		return r.ejection.unreachable(now)
-	case TurnedAway:
+	case ConnectionRejected:
 		r.connectionsDoubtedUntil = now + connectionsDoubtedFor
 		return r.ejection.pause(now, turnedAwayPause)
 	case Misdirected:
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -147,7 +147,7 @@
 	}
 	now := time.Duration(0)
 	for range 3 {
-		now = run(set, now, "own", time.Millisecond, replica.TurnedAway)
+		now = run(set, now, "own", time.Millisecond, replica.ConnectionRejected)
 	}
 	if got := picked(set, now); got != "near" {
 		t.Errorf("picked %s at once", got)
--- a/internal/replica/verdict.go
+++ b/internal/replica/verdict.go
@@ -15,8 +15,8 @@
 	Failed
 	// Unreachable: no connection was had.
 	Unreachable
-	// TurnedAway: it ended a connection that had carried no answer yet. It may be at its limit, and sound.
-	TurnedAway
+	// ConnectionRejected: it ended a connection that had carried no answer yet. It may be at its limit, and sound.
+	ConnectionRejected
 	// Misdirected: its address answers for another back end.
 	Misdirected
 	// Withdrawn: the attempt was given up on before an answer.
