--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -66,7 +66,7 @@
 func backEndVerdict(outcome forward.Outcome, cancelled bool) replica.AttemptResult {
 	switch {
 	case cancelled && outcome.Kind != forward.Answered:
-		return replica.Withdrawn
+		return replica.Cancelled
 	case outcome.BackEndEnded:
 		return replica.Unreachable
 	case outcome.ConnectionTurnedAway:
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -143,7 +143,7 @@
 		r.faults.note(now, 0)
 		r.latency.lowerFloor(elapsed)
 		r.latency.sample(now, r.withoutSlowdown(now, elapsed))
-	case Withdrawn:
+	case Cancelled:
 		// Its latency is more than its age, by an unknown time.
 		if elapsed > r.latency.expected(now) {
 			r.latency.sample(now, time.Duration(r.withdrawnFactor*float64(elapsed)))
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -88,11 +88,11 @@
 func TestWithdrawnAttempt(t *testing.T) {
 	set := newSet(entry("own", "a1"))
 	now := run(set, 0, "own", 20*millisecond, replica.Answered)
-	now = run(set, now, "own", 15*millisecond, replica.Withdrawn)
+	now = run(set, now, "own", 15*millisecond, replica.Cancelled)
 	if got := set.Get("own").AverageLatency(); got != 20*millisecond {
 		t.Errorf("%v after a young attempt was withdrawn", got)
 	}
-	run(set, now, "own", 120*millisecond, replica.Withdrawn)
+	run(set, now, "own", 120*millisecond, replica.Cancelled)
 	// The average moves by three tenths of the way from 20 to 240 ms.
 	if got := set.Get("own").AverageLatency(); got != 86*millisecond {
 		t.Errorf("%v after an attempt of 120 ms was withdrawn, want 86ms", got)
--- a/internal/replica/verdict.go
+++ b/internal/replica/verdict.go
@@ -19,8 +19,8 @@
 	ConnectionRejected
 	// Misdirected: its address answers for another back end.
 	Misdirected
-	// Withdrawn: the attempt was given up on before an answer.
-	Withdrawn
+	// Cancelled: the attempt was given up on before an answer.
+	Cancelled
 	// Neutral: the end says nothing of the replica.
 	Neutral
 )
