--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -155,7 +155,7 @@
 	return replica.Settings{
 		Connections: s.Connections, OtherRegionPenalty: s.FarPrice, FaultPenalty: s.FaultPrice, UseSlowdown: s.GoByPace,
 		SubsetSize: s.SubsetSize, LimitIdle: s.FewRest, Ejection: s.Ejection, VerifyConnections: s.ProveConnections,
-		WithdrawnFactor: s.WithdrawnFactor,
+		CancelledFactor: s.WithdrawnFactor,
 	}
 }
 
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -14,7 +14,7 @@
 
 var settings = replica.Settings{
 	Connections: 4, OtherRegionPenalty: 0.4,
-	SubsetSize: 2, LimitIdle: true, Ejection: true, VerifyConnections: true, WithdrawnFactor: 2,
+	SubsetSize: 2, LimitIdle: true, Ejection: true, VerifyConnections: true, CancelledFactor: 2,
 }
 
 func newSet(entries ...replica.Entry) *replica.Set {
--- a/internal/replica/set.go
+++ b/internal/replica/set.go
@@ -51,7 +51,7 @@
 func (s *Set) Reconfigure(settings Settings, places Topology) {
 	s.settings, s.places = settings, places
 	for _, known := range s.byID {
-		known.withdrawnFactor, known.useSlowdown = settings.WithdrawnFactor, settings.UseSlowdown
+		known.withdrawnFactor, known.useSlowdown = settings.CancelledFactor, settings.UseSlowdown
 		s.locate(known)
 	}
 	s.preferSubsets()
@@ -123,7 +123,7 @@
 	added := &Replica{
 		Entry: entry, key: xxhash.Sum64String(entry.Incarnation()), affinity: affinity(s.places.Node, entry.ID),
 		latency: latency{sampledAt: now}, cold: coldPhase{until: now + entry.WarmupLeft},
-		withdrawnFactor: s.settings.WithdrawnFactor, useSlowdown: s.settings.UseSlowdown,
+		withdrawnFactor: s.settings.CancelledFactor, useSlowdown: s.settings.UseSlowdown,
 	}
 	s.locate(added)
 	s.byID[entry.ID] = added
--- a/internal/replica/settings.go
+++ b/internal/replica/settings.go
@@ -18,8 +18,8 @@
 	LimitIdle bool
 	// Ejection makes failing replicas a last choice for a while.
 	Ejection bool
-	// WithdrawnFactor times its age is taken for the latency of an attempt that was withdrawn without an answer.
-	WithdrawnFactor float64
+	// CancelledFactor times its age is taken for the latency of an attempt that was withdrawn without an answer.
+	CancelledFactor float64
 	// VerifyConnections has new connections prove themselves to a replica that may be at its limit of connections.
 	VerifyConnections bool
 }
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -109,7 +109,7 @@
 	often := func() bool { return random.IntN(4) > 0 }
 	return replica.Settings{
 		Connections: 1 + random.IntN(4), OtherRegionPenalty: random.Float64(), FaultPenalty: 3 * random.Float64(), UseSlowdown: often(),
-		SubsetSize: random.IntN(3), LimitIdle: often(), Ejection: often(), WithdrawnFactor: 1 + random.Float64(), VerifyConnections: often(),
+		SubsetSize: random.IntN(3), LimitIdle: often(), Ejection: often(), CancelledFactor: 1 + random.Float64(), VerifyConnections: often(),
 	}
 }
 
