--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -91,19 +91,19 @@
 }
 
 // Judged implements gateway.DecisionLog.
-func (l *Log) Judged(mark quarantine.Mark, verdict quarantine.Verdict, by string, left clock.Ms) {
+func (l *Log) Judged(mark quarantine.Fingerprint, verdict quarantine.Verdict, by string, left clock.Ms) {
 	l.warn(EventJudged, logrus.Fields{
 		fieldMark: mark.String(), fieldOutcome: verdict.String(), fieldReason: by, fieldLeft: left,
 	})
 }
 
 // Retrial implements gateway.DecisionLog.
-func (l *Log) Retrial(mark quarantine.Mark, version string) {
+func (l *Log) Retrial(mark quarantine.Fingerprint, version string) {
 	l.info(EventRetrial, logrus.Fields{fieldMark: mark.String(), fieldSoftware: version})
 }
 
 // QuarantineLost implements gateway.DecisionLog.
-func (l *Log) QuarantineLost(mark quarantine.Mark, cause *failure.Failure) {
+func (l *Log) QuarantineLost(mark quarantine.Fingerprint, cause *failure.Failure) {
 	l.warn(EventQuarantineLost, logrus.Fields{fieldMark: mark.String(), fieldReason: cause.Error()})
 }
 
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -20,11 +20,11 @@
 	// BackEndEnded: a back end ended while it had an attempt of a call, so long after that was sent.
 	BackEndEnded(call *Call, attempt *forward.Attempt, ran clock.Ms)
 	// Judged: the verdict on requests of a mark has changed; by is "own", "peer" or "store", left how much longer a quarantine is.
-	Judged(mark quarantine.Mark, verdict quarantine.Verdict, by string, left clock.Ms)
+	Judged(mark quarantine.Fingerprint, verdict quarantine.Verdict, by string, left clock.Ms)
 	// Retrial: a request under quarantine is sent to a new version of the back ends' software.
-	Retrial(mark quarantine.Mark, version string)
+	Retrial(mark quarantine.Fingerprint, version string)
 	// QuarantineLost: a quarantine could not be written to the store; it is tried again.
-	QuarantineLost(mark quarantine.Mark, cause *failure.Failure)
+	QuarantineLost(mark quarantine.Fingerprint, cause *failure.Failure)
 	Configuration(table *routing.Table, revision history.Revision)
 	Rejected(item *Item)
 	BackEnd(entry replica.Entry, revision history.Revision)
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -244,10 +244,10 @@
 func (silentLog) Request(*gateway.Call, *gateway.Result)                 {}
 func (silentLog) Ejected(*forward.Attempt, forward.Outcome)              {}
 func (silentLog) BackEndEnded(*gateway.Call, *forward.Attempt, clock.Ms) {}
-func (silentLog) Judged(quarantine.Mark, quarantine.Verdict, string, clock.Ms) {
+func (silentLog) Judged(quarantine.Fingerprint, quarantine.Verdict, string, clock.Ms) {
 }
-func (silentLog) Retrial(quarantine.Mark, string)                           {}
-func (silentLog) QuarantineLost(quarantine.Mark, *failure.Failure)          {}
+func (silentLog) Retrial(quarantine.Fingerprint, string)                    {}
+func (silentLog) QuarantineLost(quarantine.Fingerprint, *failure.Failure)   {}
 func (silentLog) Configuration(*routing.Table, history.Revision)            {}
 func (silentLog) Rejected(*gateway.Item)                                    {}
 func (silentLog) BackEnd(replica.Entry, history.Revision)                   {}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -67,7 +67,7 @@
 	// quarantine knows the requests that have ended back ends; trials are those that are sent to one back end at a time now, by how
 	// many calls.
 	quarantine       *quarantine.Core
-	trials           map[quarantine.Mark]int
+	trials           map[quarantine.Fingerprint]int
 	quarantineWrites quarantineWrites
 	evidence         evidenceSchedule
 	storeCopy        *storeCopy
@@ -90,7 +90,7 @@
 		budgets:          map[string]*limit.SlidingBudget{},
 		splitter:         routing.NewSplitter(),
 		quarantine:       quarantine.New(settings.Quarantine),
-		trials:           map[quarantine.Mark]int{},
+		trials:           map[quarantine.Fingerprint]int{},
 		quarantineWrites: newQuarantineWrites(random),
 		evidence:         evidenceSchedule{random: random},
 		reports:          newHealthReports(),
--- a/internal/gateway/quarantine_evidence.go
+++ b/internal/gateway/quarantine_evidence.go
@@ -103,7 +103,7 @@
 }
 
 // tellEvidence tells other nodes what is known of requests.
-func (g *Gateway) tellEvidence(now clock.Ms, marks ...quarantine.Mark) {
+func (g *Gateway) tellEvidence(now clock.Ms, marks ...quarantine.Fingerprint) {
 	if g.fleet.members == nil || len(marks) == 0 || !g.evidence.mayTell(now) {
 		return
 	}
@@ -138,7 +138,7 @@
 }
 
 // takeQuarantine takes in what the store says of a request.
-func (g *Gateway) takeQuarantine(at time.Duration, mark quarantine.Mark, record message.StoreRecord) {
+func (g *Gateway) takeQuarantine(at time.Duration, mark quarantine.Fingerprint, record message.StoreRecord) {
 	now := clock.Of(at)
 	if g.storeCopy.records.RewriteLeft(at) > 0 && g.quarantine.Lifted(mark) {
 		g.quarantineWrites.settle(mark, false)
@@ -150,17 +150,17 @@
 		return
 	}
 	if convicted {
-		g.verdictsChanged(now, quarantine.Change{Judged: []quarantine.Mark{mark}}, byStore)
+		g.verdictsChanged(now, quarantine.Change{Judged: []quarantine.Fingerprint{mark}}, byStore)
 	}
 }
 
 // dropQuarantine takes in that the store says nothing of a request any more.
-func (g *Gateway) dropQuarantine(at time.Duration, mark quarantine.Mark) {
+func (g *Gateway) dropQuarantine(at time.Duration, mark quarantine.Fingerprint) {
 	if g.storeCopy.records.RewriteLeft(at) > 0 {
 		g.quarantine.Lost(mark)
 		return
 	}
 	if now := clock.Of(at); g.quarantine.Unstore(now, mark) {
-		g.verdictsChanged(now, quarantine.Change{Judged: []quarantine.Mark{mark}}, byStore)
+		g.verdictsChanged(now, quarantine.Change{Judged: []quarantine.Fingerprint{mark}}, byStore)
 	}
 }
--- a/internal/gateway/quarantine_writes.go
+++ b/internal/gateway/quarantine_writes.go
@@ -38,10 +38,10 @@
 type quarantineWrites struct {
 	random *rand.Rand
 	// dueAt is when a request's quarantine is written next, at the latest.
-	dueAt map[quarantine.Mark]clock.Ms
+	dueAt map[quarantine.Fingerprint]clock.Ms
 	// rewrites are requests whose quarantine is written again, removals those whose quarantine was lifted.
-	rewrites map[quarantine.Mark]bool
-	removals map[quarantine.Mark]bool
+	rewrites map[quarantine.Fingerprint]bool
+	removals map[quarantine.Fingerprint]bool
 	// claimsAsked are the keys of claims that this node has asked the store for, with when it may ask again.
 	claimsAsked map[string]clock.Ms
 	// claims are the keys of those that it holds, with when they end; claimRewrites those of them that are written again.
@@ -51,17 +51,17 @@
 
 func newQuarantineWrites(random *rand.Rand) quarantineWrites {
 	return quarantineWrites{
-		random: random, dueAt: map[quarantine.Mark]clock.Ms{},
-		rewrites: map[quarantine.Mark]bool{}, removals: map[quarantine.Mark]bool{},
+		random: random, dueAt: map[quarantine.Fingerprint]clock.Ms{},
+		rewrites: map[quarantine.Fingerprint]bool{}, removals: map[quarantine.Fingerprint]bool{},
 		claimsAsked: map[string]clock.Ms{}, claims: map[string]clock.Ms{}, claimRewrites: map[string]bool{},
 	}
 }
 
 // schedule has a request's quarantine written at a moment.
-func (q *quarantineWrites) schedule(mark quarantine.Mark, at clock.Ms) { q.dueAt[mark] = at }
+func (q *quarantineWrites) schedule(mark quarantine.Fingerprint, at clock.Ms) { q.dueAt[mark] = at }
 
 // settle has the store say what a request's quarantine is now: it is written anew where it is held, else removed.
-func (q *quarantineWrites) settle(mark quarantine.Mark, held bool) {
+func (q *quarantineWrites) settle(mark quarantine.Fingerprint, held bool) {
 	if held {
 		q.rewrites[mark] = true
 		return
@@ -71,7 +71,7 @@
 
 // takeDue gives the quarantines that are written first now, of those that the store does not say, with how long they last. It
 // forgets those that are not needed any more.
-func (q *quarantineWrites) takeDue(now clock.Ms, unstored map[quarantine.Mark]clock.Ms, nodes int) (marks []quarantine.Mark) {
+func (q *quarantineWrites) takeDue(now clock.Ms, unstored map[quarantine.Fingerprint]clock.Ms, nodes int) (marks []quarantine.Fingerprint) {
 	for mark := range q.dueAt {
 		if _, needed := unstored[mark]; !needed {
 			delete(q.dueAt, mark)
@@ -93,12 +93,16 @@
 }
 
 // takeRewrites gives the quarantines that are written again now.
-func (q *quarantineWrites) takeRewrites() (marks []quarantine.Mark) { return takeAll(q.rewrites) }
+func (q *quarantineWrites) takeRewrites() (marks []quarantine.Fingerprint) {
+	return takeAll(q.rewrites)
+}
 
 // takeRemovals gives the quarantines that are removed now.
-func (q *quarantineWrites) takeRemovals() (marks []quarantine.Mark) { return takeAll(q.removals) }
+func (q *quarantineWrites) takeRemovals() (marks []quarantine.Fingerprint) {
+	return takeAll(q.removals)
+}
 
-func takeAll(set map[quarantine.Mark]bool) (marks []quarantine.Mark) {
+func takeAll(set map[quarantine.Fingerprint]bool) (marks []quarantine.Fingerprint) {
 	for mark := range set {
 		marks = append(marks, mark)
 	}
@@ -169,7 +173,7 @@
 
 // markedWrite is a write about a request.
 type markedWrite struct {
-	mark quarantine.Mark
+	mark quarantine.Fingerprint
 	Write
 }
 
@@ -178,7 +182,7 @@
 	defer g.mu.Unlock()
 	now := clock.Of(g.now())
 	unstored := g.quarantine.Unstored(now)
-	add := func(mark quarantine.Mark, ifAbsent bool) {
+	add := func(mark quarantine.Fingerprint, ifAbsent bool) {
 		length, held := g.quarantine.Held(now, mark)
 		if !held {
 			return
@@ -201,7 +205,7 @@
 	return g.quarantineWrites.takeClaimRewrites(clock.Of(g.now()))
 }
 
-func (g *Gateway) quarantineRemovalsDue() []quarantine.Mark {
+func (g *Gateway) quarantineRemovalsDue() []quarantine.Fingerprint {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.quarantineWrites.takeRemovals()
@@ -222,7 +226,7 @@
 	}
 }
 
-func (g *Gateway) removeQuarantine(ctx context.Context, mark quarantine.Mark) {
+func (g *Gateway) removeQuarantine(ctx context.Context, mark quarantine.Fingerprint) {
 	bounded, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	err := g.store.Remove(bounded, quarantine.KeyOf(mark))
@@ -250,7 +254,7 @@
 // claimRetrial asks the store to let this node be the one that sends a request under quarantine to a new version of the software,
 // or with no version on behalf of another caller. Without the store nobody does: several nodes that tried would end a back end
 // each.
-func (g *Gateway) claimRetrial(ctx context.Context, mark quarantine.Mark, version string) bool {
+func (g *Gateway) claimRetrial(ctx context.Context, mark quarantine.Fingerprint, version string) bool {
 	key := quarantine.RetrialKey(mark, version)
 	length, mayAsk := g.mayAskRetrial(key, version)
 	if !mayAsk {
--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -66,7 +66,7 @@
 	// others only.
 	otherCaller bool
 	// mark that the quarantine goes by.
-	mark quarantine.Mark
+	mark quarantine.Fingerprint
 }
 
 func (g *Gateway) suspicionOf(call *Call, route *routing.Route) (s suspicion) {
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -19,7 +19,7 @@
 )
 
 // Tell gives what other nodes should know of some requests.
-func (c *Core) Tell(now clock.Ms, marks ...Mark) *message.Evidence {
+func (c *Core) Tell(now clock.Ms, marks ...Fingerprint) *message.Evidence {
 	m := &message.Evidence{}
 	for _, mark := range marks {
 		if r := c.records[mark]; r != nil && len(m.Requests) < mostRequestsSent {
@@ -92,7 +92,7 @@
 }
 
 func (c *Core) receive(now clock.Ms, sent *message.RequestEvidence, change *Change) {
-	mark := Mark(sent.Mark)
+	mark := Fingerprint(sent.Mark)
 	if c.records[mark] == nil && len(sent.Runs) == 0 && sent.QuarantinedMs == 0 {
 		return
 	}
--- a/internal/quarantine/exceptions.go
+++ b/internal/quarantine/exceptions.go
@@ -27,7 +27,7 @@
 }
 
 // Held reports whether what bears a mark is under quarantine, and for how much longer at most.
-func (c *Core) Held(now clock.Ms, mark Mark) (left clock.Ms, held bool) {
+func (c *Core) Held(now clock.Ms, mark Fingerprint) (left clock.Ms, held bool) {
 	if r := c.records[mark]; r != nil && r.quarantined(now) {
 		return c.left(now, r), true
 	}
@@ -53,7 +53,7 @@
 
 // Untried gives one of some versions that a request under quarantine has neither ended nor been answered by, and the mark that it
 // is under quarantine by; false if there is none.
-func (c *Core) Untried(now clock.Ms, id Identity, versions []string) (mark Mark, version string, found bool) {
+func (c *Core) Untried(now clock.Ms, id Identity, versions []string) (mark Fingerprint, version string, found bool) {
 	r, quarantined := c.quarantineOf(now, id)
 	if !quarantined || len(r.versions) == 0 {
 		// What it has ended is not known here, so nothing is known to be new to it.
@@ -69,7 +69,7 @@
 
 // OtherCaller reports whether a request is under quarantine by what is asked alone, and this caller is none of those by whom it
 // is; and how much longer the caller is not to ask it even so.
-func (c *Core) OtherCaller(now clock.Ms, id Identity) (mark Mark, wait clock.Ms, other bool) {
+func (c *Core) OtherCaller(now clock.Ms, id Identity) (mark Fingerprint, wait clock.Ms, other bool) {
 	r, quarantined := c.quarantineOf(now, id)
 	if !quarantined || r.mark != id.Question {
 		return mark, 0, false
--- a/internal/quarantine/mark.go
+++ b/internal/quarantine/mark.go
@@ -9,19 +9,19 @@
 	"stiletrail/internal/failure"
 )
 
-// Mark names a request, a place or a caller. It is a cryptographic hash, the same on all nodes, so that nobody can make a request
+// Fingerprint names a request, a place or a caller. It is a cryptographic hash, the same on all nodes, so that nobody can make a request
 // of his own that bears the mark of somebody else's.
-type Mark [16]byte
+type Fingerprint [16]byte
 
 // Identity is what a request is known by. A caller may come from another address the next time, and the same question may end
 // back ends for one caller and not for another, so either is looked at.
 type Identity struct {
 	// Question is what is asked, whoever asks it, and Asked that by this caller: what bears one of these can be put under
 	// quarantine.
-	Question, Asked Mark
+	Question, Asked Fingerprint
 	// Place is where it is asked, whatever the details, and Caller who asks, whatever it is. What bears one of these is sent on
 	// with care while requests that bear it end back ends, also if each is another one.
-	Place, Caller Mark
+	Place, Caller Fingerprint
 }
 
 // kind keeps marks of different kinds apart.
@@ -43,7 +43,9 @@
 }
 
 // marks are all of an identity.
-func (id Identity) marks() [4]Mark { return [...]Mark{id.Question, id.Asked, id.Place, id.Caller} }
+func (id Identity) marks() [4]Fingerprint {
+	return [...]Fingerprint{id.Question, id.Asked, id.Place, id.Caller}
+}
 
 // Number is one from 0 to below count that is the same for the same question and spreads over different ones.
 func (id Identity) Number(count int) int {
@@ -51,10 +53,12 @@
 }
 
 // mayBeQuarantined reports whether what bears one of its marks can be put under quarantine.
-func (id Identity) mayBeQuarantined(mark Mark) bool { return mark == id.Question || mark == id.Asked }
+func (id Identity) mayBeQuarantined(mark Fingerprint) bool {
+	return mark == id.Question || mark == id.Asked
+}
 
 // MarkOf gives the mark of what some parts describe, in an order that is always the same.
-func MarkOf(parts ...[]byte) Mark {
+func MarkOf(parts ...[]byte) Fingerprint {
 	hash := sha256.New()
 	var length [8]byte
 	for _, part := range parts {
@@ -63,7 +67,7 @@
 		hash.Write(length[:])
 		hash.Write(part)
 	}
-	var mark Mark
+	var mark Fingerprint
 	copy(mark[:], hash.Sum(nil))
 	return mark
 }
@@ -72,10 +76,10 @@
 const shownBytes = 8
 
 // MarshalText implements encoding.TextMarshaler.
-func (m Mark) MarshalText() ([]byte, error) { return []byte(hex.EncodeToString(m[:])), nil }
+func (m Fingerprint) MarshalText() ([]byte, error) { return []byte(hex.EncodeToString(m[:])), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler. A failure is of code MALFORMED.
-func (m *Mark) UnmarshalText(text []byte) error {
+func (m *Fingerprint) UnmarshalText(text []byte) error {
 	decoded, err := hex.DecodeString(string(text))
 	if err != nil || len(decoded) != len(m) {
 		return failure.New(failure.Malformed, "a mark is not "+strconv.Itoa(len(m))+" bytes in hexadecimal")
@@ -85,4 +89,4 @@
 }
 
 // String shows the beginning of a mark, as logs have it.
-func (m Mark) String() string { return hex.EncodeToString(m[:shownBytes]) }
+func (m Fingerprint) String() string { return hex.EncodeToString(m[:shownBytes]) }
--- a/internal/quarantine/outcome.go
+++ b/internal/quarantine/outcome.go
@@ -19,10 +19,10 @@
 // Change is what has become of what is known of requests.
 type Change struct {
 	// Tell are the marks of which other nodes should know; First, that is by one round only, which an answer may soon make good.
-	Tell  []Mark
+	Tell  []Fingerprint
 	First bool
 	// Judged are those that were put under quarantine, or are no longer.
-	Judged []Mark
+	Judged []Fingerprint
 }
 
 // Ended takes in that a back end ended under a request, and gives the verdict on it: a place or a caller whose requests go on
@@ -31,7 +31,7 @@
 	c.noteEnd(now, run)
 	var change Change
 	// Where all that may be remembered is under quarantine a record of these may go again as the next one is made.
-	known := map[Mark]*record{}
+	known := map[Fingerprint]*record{}
 	for _, mark := range id.marks() {
 		r := c.recordOf(now, mark)
 		known[mark] = r
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -25,13 +25,15 @@
 // Core is what a node knows of requests that have ended back ends. Its times are moments on the node's clock.
 type Core struct {
 	settings Settings
-	records  map[Mark]*record
+	records  map[Fingerprint]*record
 	// ends are the back ends that ended of late, whatever they ran.
 	ends []Run
 }
 
 // New returns a core that suspects nobody.
-func New(settings Settings) *Core { return &Core{settings: settings, records: map[Mark]*record{}} }
+func New(settings Settings) *Core {
+	return &Core{settings: settings, records: map[Fingerprint]*record{}}
+}
 
 // Reconfigure changes the settings from now on.
 func (c *Core) Reconfigure(settings Settings) { c.settings = settings }
@@ -72,7 +74,7 @@
 
 // recordOf returns the record of a mark, a new one if there is none. Where there are too many the one goes that was not touched
 // for longest, of those that are not under quarantine if there are any.
-func (c *Core) recordOf(now clock.Ms, mark Mark) *record {
+func (c *Core) recordOf(now clock.Ms, mark Fingerprint) *record {
 	if known := c.records[mark]; known != nil {
 		return known
 	}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -8,7 +8,7 @@
 
 // record is what is known of all that bears a mark.
 type record struct {
-	mark Mark
+	mark Fingerprint
 	// wide: the mark is of a place or a caller, of many different requests, and never put under quarantine.
 	wide bool
 	// runs that ended their back ends, of services that have not answered since; backEnds are those of all runs.
@@ -32,7 +32,7 @@
 	sound    []string
 	// askers are who has asked it round after round: their marks of the question as they ask it. Who was only there once may ask
 	// it and be answered.
-	askers []Mark
+	askers []Fingerprint
 	// touched is when something was last learned of it.
 	touched clock.Ms
 	// shared: other nodes know of it, and are told of an answer too.
@@ -47,7 +47,7 @@
 	return a.touched < b.touched
 }
 
-func (r *record) addAskers(askers ...Mark) {
+func (r *record) addAskers(askers ...Fingerprint) {
 	for _, asker := range askers {
 		if len(r.askers) < mostAskers && !slices.Contains(r.askers, asker) {
 			r.askers = append(r.askers, asker)
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -21,20 +21,20 @@
 	Versions []string `json:"versions"`
 	Sound    []string `json:"sound,omitempty"`
 	// Askers are the marks of those who asked when it ended back ends.
-	Askers []Mark `json:"askers,omitempty"`
+	Askers []Fingerprint `json:"askers,omitempty"`
 }
 
 // KeyOf is the store's key of a request.
-func KeyOf(mark Mark) string { return keyPrefix + hex.EncodeToString(mark[:]) }
+func KeyOf(mark Fingerprint) string { return keyPrefix + hex.EncodeToString(mark[:]) }
 
 // RetrialKey is the store's key by which nodes agree on who sends a request under quarantine to a new version of the software, or
 // with no version for another caller.
-func RetrialKey(mark Mark, version string) string {
+func RetrialKey(mark Fingerprint, version string) string {
 	return retrialsPrefix + hex.EncodeToString(mark[:]) + "/" + hex.EncodeToString([]byte(version))
 }
 
 // MarkOfKey gives the request that a key of the store is about; false where it is about none.
-func MarkOfKey(key string) (mark Mark, found bool) {
+func MarkOfKey(key string) (mark Fingerprint, found bool) {
 	text, found := strings.CutPrefix(key, keyPrefix)
 	if !found {
 		return mark, false
@@ -43,11 +43,11 @@
 	if err != nil || len(decoded) != len(mark) {
 		return mark, false
 	}
-	return Mark(decoded), true
+	return Fingerprint(decoded), true
 }
 
 // Encode gives the value of a request's key.
-func (c *Core) Encode(mark Mark) []byte {
+func (c *Core) Encode(mark Fingerprint) []byte {
 	item := Item{}
 	if r := c.records[mark]; r != nil {
 		item.Versions, item.Sound, item.Askers = r.versions, r.sound, r.askers
@@ -61,7 +61,7 @@
 
 // Store takes in what the store says of a request. It reports whether the request is under quarantine by it that was not before.
 // An error, of code MALFORMED, changes nothing.
-func (c *Core) Store(now clock.Ms, mark Mark, value []byte) (begun bool, err error) {
+func (c *Core) Store(now clock.Ms, mark Fingerprint, value []byte) (begun bool, err error) {
 	var item Item
 	if err := json.Unmarshal(value, &item); err != nil {
 		return false, failure.Wrap(err, failure.Malformed, "the quarantine of a request cannot be read")
@@ -80,7 +80,7 @@
 
 // Unstore takes in that the store says nothing of a request any more: its quarantine is over, unless this node has seen more
 // itself or heard of it.
-func (c *Core) Unstore(now clock.Ms, mark Mark) (released bool) {
+func (c *Core) Unstore(now clock.Ms, mark Fingerprint) (released bool) {
 	r := c.records[mark]
 	if r == nil || !r.stored {
 		return false
@@ -91,7 +91,7 @@
 
 // Lost takes in that the store, back from a copy, says nothing of a request any more. Nobody has ended its quarantine: that goes
 // on for what was left of it, and Unstored names the request, so that it is written again.
-func (c *Core) Lost(mark Mark) {
+func (c *Core) Lost(mark Fingerprint) {
 	r := c.records[mark]
 	if r == nil || !r.stored {
 		return
@@ -102,18 +102,18 @@
 
 // Lifted reports whether a request is known to have been answered since it was last under quarantine: what a store that is back
 // from a copy says of it is older than that.
-func (c *Core) Lifted(mark Mark) bool {
+func (c *Core) Lifted(mark Fingerprint) bool {
 	r := c.records[mark]
 	return r != nil && r.lifted
 }
 
 // Unstored are the requests under quarantine that the store says nothing of, with how much longer they are.
-func (c *Core) Unstored(now clock.Ms) map[Mark]clock.Ms {
-	var found map[Mark]clock.Ms
+func (c *Core) Unstored(now clock.Ms) map[Fingerprint]clock.Ms {
+	var found map[Fingerprint]clock.Ms
 	for mark, r := range c.records {
 		if !r.stored && now < r.until {
 			if found == nil {
-				found = map[Mark]clock.Ms{}
+				found = map[Fingerprint]clock.Ms{}
 			}
 			found[mark] = r.until - now
 		}
--- a/internal/quarantine/stored_test.go
+++ b/internal/quarantine/stored_test.go
@@ -24,14 +24,14 @@
 // TestStoredMarks: the marks of a request, as keys of the store and messages have them.
 func TestStoredMarks(t *testing.T) {
 	id := storedIdentity()
-	for want, mark := range map[string]quarantine.Mark{
+	for want, mark := range map[string]quarantine.Fingerprint{
 		storedQuestion: id.Question, storedAsked: id.Asked, storedPlace: id.Place, storedCaller: id.Caller,
 	} {
 		text, err := mark.MarshalText()
 		if err != nil || string(text) != want {
 			t.Errorf("mark %s, error %v, want %s", text, err, want)
 		}
-		var read quarantine.Mark
+		var read quarantine.Fingerprint
 		if err := read.UnmarshalText([]byte(want)); err != nil || read != mark {
 			t.Errorf("read back %v, error %v, want %v", read, err, mark)
 		}
--- a/internal/telemetry/kept_test.go
+++ b/internal/telemetry/kept_test.go
@@ -24,14 +24,14 @@
 // silent is a decision log that writes nothing.
 type silent struct{ gateway.DecisionLog }
 
-func (silent) Request(*gateway.Call, *gateway.Result)                       {}
-func (silent) Ejected(*forward.Attempt, forward.Outcome)                    {}
-func (silent) BackEndEnded(*gateway.Call, *forward.Attempt, clock.Ms)       {}
-func (silent) Judged(quarantine.Mark, quarantine.Verdict, string, clock.Ms) {}
-func (silent) QuarantineLost(quarantine.Mark, *failure.Failure)             {}
-func (silent) Rejected(*gateway.Item)                                       {}
-func (silent) Returned(uint64)                                              {}
-func (silent) Learned(from string, records int, revision history.Revision)  {}
+func (silent) Request(*gateway.Call, *gateway.Result)                              {}
+func (silent) Ejected(*forward.Attempt, forward.Outcome)                           {}
+func (silent) BackEndEnded(*gateway.Call, *forward.Attempt, clock.Ms)              {}
+func (silent) Judged(quarantine.Fingerprint, quarantine.Verdict, string, clock.Ms) {}
+func (silent) QuarantineLost(quarantine.Fingerprint, *failure.Failure)             {}
+func (silent) Rejected(*gateway.Item)                                              {}
+func (silent) Returned(uint64)                                                     {}
+func (silent) Learned(from string, records int, revision history.Revision)         {}
 
 // value is what stands behind the name of a metric.
 var value = regexp.MustCompile(` [^ ]*$`)
@@ -59,8 +59,8 @@
 	measured.Connected(7 * time.Millisecond)
 	measured.Ejected(lost, lost.Outcome)
 	measured.BackEndEnded(&gateway.Call{}, lost, 12)
-	measured.Judged(quarantine.Mark{}, quarantine.Quarantined, "own", 0)
-	measured.QuarantineLost(quarantine.Mark{}, nil)
+	measured.Judged(quarantine.Fingerprint{}, quarantine.Quarantined, "own", 0)
+	measured.QuarantineLost(quarantine.Fingerprint{}, nil)
 	measured.Rejected(&gateway.Item{})
 	measured.Returned(3)
 	measured.Learned("", 1, history.Revision{})
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -109,13 +109,13 @@
 }
 
 // Judged implements gateway.DecisionLog.
-func (m *Metrics) Judged(mark quarantine.Mark, verdict quarantine.Verdict, by string, left clock.Ms) {
+func (m *Metrics) Judged(mark quarantine.Fingerprint, verdict quarantine.Verdict, by string, left clock.Ms) {
 	m.count("stiletrail_verdicts_total", "verdict", verdict.String())
 	m.DecisionLog.Judged(mark, verdict, by, left)
 }
 
 // QuarantineLost implements gateway.DecisionLog.
-func (m *Metrics) QuarantineLost(mark quarantine.Mark, cause *failure.Failure) {
+func (m *Metrics) QuarantineLost(mark quarantine.Fingerprint, cause *failure.Failure) {
 	m.set.GetOrCreateCounter("stiletrail_quarantines_not_written_total").Inc()
 	m.DecisionLog.QuarantineLost(mark, cause)
 }
