--- a/internal/quarantine/mark.go
+++ b/internal/quarantine/mark.go
@@ -37,8 +37,8 @@
 // IdentityOf gives what a request is known by that somebody sends, to some place, with some details.
 func IdentityOf(who string, where, details []byte) Identity {
 	return Identity{
-		Question: MarkOf([]byte(question), where, details), Asked: MarkOf([]byte(asked), []byte(who), where, details),
-		Place: MarkOf([]byte(place), where), Caller: MarkOf([]byte(caller), []byte(who)),
+		Question: FingerprintOf([]byte(question), where, details), Asked: FingerprintOf([]byte(asked), []byte(who), where, details),
+		Place: FingerprintOf([]byte(place), where), Caller: FingerprintOf([]byte(caller), []byte(who)),
 	}
 }
 
@@ -57,8 +57,8 @@
 	return mark == id.Question || mark == id.Asked
 }
 
-// MarkOf gives the mark of what some parts describe, in an order that is always the same.
-func MarkOf(parts ...[]byte) Fingerprint {
+// FingerprintOf gives the mark of what some parts describe, in an order that is always the same.
+func FingerprintOf(parts ...[]byte) Fingerprint {
 	hash := sha256.New()
 	var length [8]byte
 	for _, part := range parts {
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -348,7 +348,7 @@
 func TestFullOfQuarantines(t *testing.T) {
 	core, now := newCore(), clock.Ms(0)
 	for i := range 4096 {
-		if _, err := core.Store(now, quarantine.MarkOf([]byte(fmt.Sprint(i))), []byte("{}")); err != nil {
+		if _, err := core.Store(now, quarantine.FingerprintOf([]byte(fmt.Sprint(i))), []byte("{}")); err != nil {
 			t.Fatal(err)
 		}
 	}
