--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -55,7 +55,7 @@
 
 // apply brings what a record means in force.
 func (g *Gateway) apply(now time.Duration, record message.StoreRecord) {
-	if mark, found := quarantine.MarkOfKey(record.Key); found {
+	if mark, found := quarantine.ParseKey(record.Key); found {
 		g.takeQuarantine(now, mark, record)
 		return
 	}
@@ -94,7 +94,7 @@
 
 // vanished takes in that a key is gone. A back end of that is used on until a moment.
 func (g *Gateway) vanished(now time.Duration, key string, doubt time.Duration) {
-	if mark, found := quarantine.MarkOfKey(key); found {
+	if mark, found := quarantine.ParseKey(key); found {
 		g.dropQuarantine(now, mark)
 		return
 	}
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -317,7 +317,7 @@
 		t.Fatalf("%d to be stored", len(unstored))
 	}
 	for mark := range unstored {
-		if decoded, found := quarantine.MarkOfKey(quarantine.KeyOf(mark)); !found || decoded != mark {
+		if decoded, found := quarantine.ParseKey(quarantine.KeyOf(mark)); !found || decoded != mark {
 			t.Errorf("the key of %v is of %v", mark, decoded)
 		}
 		if _, err := other.Store(now, mark, []byte("{nonsense")); failure.CodeOf(err) != failure.Malformed || other.Len() != 0 {
@@ -338,7 +338,7 @@
 		}
 	}
 	for _, key := range []string{"quarantine/", "quarantine/zz", "servers/x", "quarantine-retrial/00"} {
-		if _, found := quarantine.MarkOfKey(key); found {
+		if _, found := quarantine.ParseKey(key); found {
 			t.Errorf("%q is of a request", key)
 		}
 	}
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -33,8 +33,8 @@
 	return retrialsPrefix + hex.EncodeToString(mark[:]) + "/" + hex.EncodeToString([]byte(version))
 }
 
-// MarkOfKey gives the request that a key of the store is about; false where it is about none.
-func MarkOfKey(key string) (mark Fingerprint, found bool) {
+// ParseKey gives the request that a key of the store is about; false where it is about none.
+func ParseKey(key string) (mark Fingerprint, found bool) {
 	text, found := strings.CutPrefix(key, keyPrefix)
 	if !found {
 		return mark, false
--- a/internal/quarantine/stored_test.go
+++ b/internal/quarantine/stored_test.go
@@ -45,7 +45,7 @@
 	if got := quarantine.KeyOf(question); got != key {
 		t.Errorf("key %q, want %q", got, key)
 	}
-	if mark, found := quarantine.MarkOfKey(key); !found || mark != question {
+	if mark, found := quarantine.ParseKey(key); !found || mark != question {
 		t.Errorf("mark %v, found %t", mark, found)
 	}
 	for version, want := range map[string]string{
@@ -56,7 +56,7 @@
 		if got != want {
 			t.Errorf("retrial key %q, want %q", got, want)
 		}
-		if _, found := quarantine.MarkOfKey(got); found {
+		if _, found := quarantine.ParseKey(got); found {
 			t.Errorf("the retrial key %q passes for that of a quarantine", got)
 		}
 	}
