--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -14,7 +14,7 @@
 // identityOf is what a query is known by to the dispatchers of its service: what it asks. Who asks is not told to them.
 func identityOf(m *message.SubQuery) quarantine.Identity {
 	question := append([]byte(m.Service+"\n"), m.Body...)
-	return quarantine.IdentityOf(string(question), question, nil)
+	return quarantine.NewIdentity(string(question), question, nil)
 }
 
 // caution is how carefully a sub-query is sent on under which back ends have ended: one attempt at a time, until one is answered.
--- a/internal/gateway/crashing_fleet_test.go
+++ b/internal/gateway/crashing_fleet_test.go
@@ -213,7 +213,7 @@
 	f.mu.Unlock()
 	call := &gateway.Call{
 		ID: "id", Host: "h", Path: path, Deadline: time.Now().Add(4 * time.Second), Caller: caller,
-		Identity: quarantine.IdentityOf(caller, []byte(path), []byte(details)),
+		Identity: quarantine.NewIdentity(caller, []byte(path), []byte(details)),
 	}
 	return g.Serve(context.Background(), call)
 }
--- a/internal/gateway/simulation_ends_test.go
+++ b/internal/gateway/simulation_ends_test.go
@@ -92,7 +92,7 @@
 	s.requests = append(s.requests, time.Now())
 	g := s.cluster.gateways[s.ending.IntN(simulatedNodes)]
 	callers.Go(func() {
-		result := g.Serve(context.Background(), &gateway.Call{ID: id, Host: "h", Path: path, Identity: quarantine.IdentityOf("bad", []byte(path), nil)})
+		result := g.Serve(context.Background(), &gateway.Call{ID: id, Host: "h", Path: path, Identity: quarantine.NewIdentity("bad", []byte(path), nil)})
 		s.locked(func() { s.ends[id] = result })
 	})
 }
--- a/internal/gateway/simulation_test.go
+++ b/internal/gateway/simulation_test.go
@@ -286,7 +286,7 @@
 	s.requests = append(s.requests, time.Now())
 	node := s.cluster.gateways[s.random.IntN(simulatedNodes)]
 	return func() {
-		call := &gateway.Call{ID: id, Host: "h", Path: path, Identity: quarantine.IdentityOf("caller", []byte(path), []byte(id))}
+		call := &gateway.Call{ID: id, Host: "h", Path: path, Identity: quarantine.NewIdentity("caller", []byte(path), []byte(id))}
 		if s.bursts {
 			// Only callers that say how long they wait are turned away under overload.
 			call.Deadline = time.Now().Add(callerWaits)
--- a/internal/gateway/traffic_test.go
+++ b/internal/gateway/traffic_test.go
@@ -151,7 +151,7 @@
 		before := bytes()
 		time.Sleep(within)
 		usual := bytes() - before
-		call := &gateway.Call{ID: "id", Host: "h", Path: "/once/!", Identity: quarantine.IdentityOf("caller", []byte("/once/!"), nil)}
+		call := &gateway.Call{ID: "id", Host: "h", Path: "/once/!", Identity: quarantine.NewIdentity("caller", []byte("/once/!"), nil)}
 		for _, number := range []int{7, 62, 114} {
 			c.gateways[number].Serve(context.Background(), call)
 			time.Sleep(300 * time.Millisecond)
--- a/internal/quarantine/mark.go
+++ b/internal/quarantine/mark.go
@@ -34,8 +34,8 @@
 	caller   kind = "caller"
 )
 
-// IdentityOf gives what a request is known by that somebody sends, to some place, with some details.
-func IdentityOf(who string, where, details []byte) Identity {
+// NewIdentity gives what a request is known by that somebody sends, to some place, with some details.
+func NewIdentity(who string, where, details []byte) Identity {
 	return Identity{
 		Question: FingerprintOf([]byte(question), where, details), Asked: FingerprintOf([]byte(asked), []byte(who), where, details),
 		Place: FingerprintOf([]byte(place), where), Caller: FingerprintOf([]byte(caller), []byte(who)),
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -18,7 +18,7 @@
 func newCore() *quarantine.Core { return quarantine.New(quarantine.Settings{Rounds: 3, For: heldFor}) }
 
 func asks(who, what string) quarantine.Identity {
-	return quarantine.IdentityOf(who, []byte("GET host/"+what), nil)
+	return quarantine.NewIdentity(who, []byte("GET host/"+what), nil)
 }
 
 // run of a request at a back end, from one moment to another.
--- a/internal/quarantine/stored_test.go
+++ b/internal/quarantine/stored_test.go
@@ -11,7 +11,7 @@
 // storedIdentity is the request of which the literals below are the stored form. Nodes of different releases must give a request the same marks,
 // keys and items.
 func storedIdentity() quarantine.Identity {
-	return quarantine.IdentityOf("10.1.2.3", []byte("GET /x"), []byte("q=1"))
+	return quarantine.NewIdentity("10.1.2.3", []byte("GET /x"), []byte("q=1"))
 }
 
 const (
