--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -85,7 +85,7 @@
 		return
 	}
 	l.warn(EventBackEndEnded, logrus.Fields{
-		fieldRequest: call.ID, fieldMark: call.Identity.Question.String(), fieldCaller: call.Caller, fieldBackEnd: attempt.Replica.ID,
+		fieldRequest: call.ID, fieldMark: call.Identity.Request.String(), fieldCaller: call.Caller, fieldBackEnd: attempt.Replica.ID,
 		fieldService: attempt.Service, fieldRan: ran,
 	})
 }
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	mark := quarantine.Fingerprint{0x1a, 0x2b, 0x3c, 0x4d, 0x5e, 0x6f, 0x70, 0x81}
-	call := &gateway.Call{ID: "request-1", Caller: "10.0.0.9", Identity: quarantine.Identity{Question: mark}}
+	call := &gateway.Call{ID: "request-1", Caller: "10.0.0.9", Identity: quarantine.Identity{Request: mark}}
 	at, later := history.At(2, 68), history.At(3, 70)
 	answered, lost, open := attempts()
 	down := failure.New(failure.StoreUnavailable, "down")
--- a/internal/decisionlog/request.go
+++ b/internal/decisionlog/request.go
@@ -27,7 +27,7 @@
 	fields := logrus.Fields{
 		fieldRequest: call.ID, fieldVersion: result.Version, fieldElapsed: result.Elapsed.Milliseconds(),
 		fieldReason: string(result.Reason), fieldOutcome: result.Outcome(), fieldCopyAge: result.CopyAge,
-		fieldMark: call.Identity.Question.String(), fieldCaller: call.Caller,
+		fieldMark: call.Identity.Request.String(), fieldCaller: call.Caller,
 	}
 	if result.Route != nil {
 		fields[fieldRoute] = result.Route.Name
--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -76,7 +76,7 @@
 	if s.verdict = g.quarantine.Verdict(now, call.Identity); s.verdict == quarantine.Clear {
 		return s
 	}
-	s.trying = g.trials[call.Identity.Question] > 0
+	s.trying = g.trials[call.Identity.Request] > 0
 	s.left, s.sound = g.quarantine.Left(now, call.Identity), g.quarantine.Sound(now, call.Identity)
 	if s.verdict == quarantine.Quarantined {
 		g.findRetrial(now, call, route, &s)
@@ -125,7 +125,7 @@
 	g := r.gateway
 	if !r.trial && g.quarantine.Verdict(clock.Of(now), r.call.Identity) != quarantine.Clear {
 		r.trial = true
-		g.trials[r.call.Identity.Question]++
+		g.trials[r.call.Identity.Request]++
 	}
 }
 
@@ -138,12 +138,12 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if r.evidencePending {
-		g.tellEvidence(clock.Of(g.now()), r.call.Identity.Question, r.call.Identity.Asked)
+		g.tellEvidence(clock.Of(g.now()), r.call.Identity.Request, r.call.Identity.Asked)
 	}
 	if !r.trial {
 		return
 	}
-	if g.trials[r.call.Identity.Question]--; g.trials[r.call.Identity.Question] == 0 {
-		delete(g.trials, r.call.Identity.Question)
+	if g.trials[r.call.Identity.Request]--; g.trials[r.call.Identity.Request] == 0 {
+		delete(g.trials, r.call.Identity.Request)
 	}
 }
--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -46,7 +46,7 @@
 	},
 	{
 		"a question is known by its caller's address alone", "internal/quarantine/mark.go",
-		"Question: FingerprintOf([]byte(question), where, details)", "Question: FingerprintOf([]byte(question), []byte(who), where, details)",
+		"Request: FingerprintOf([]byte(question), where, details)", "Request: FingerprintOf([]byte(question), []byte(who), where, details)",
 		"./internal/gateway", "TestRequestThatComesInAnotherGuise",
 	},
 	{
--- a/internal/quarantine/exceptions.go
+++ b/internal/quarantine/exceptions.go
@@ -12,7 +12,7 @@
 
 // LeftOut reports whether a request is to be kept from one shard, whose back ends it ends while others answer it.
 func (c *Core) LeftOut(now clock.Ms, id Identity, service string) bool {
-	r := c.records[id.Question]
+	r := c.records[id.Request]
 	return r != nil && c.settings.Rounds > 0 && now < r.shardsUntil[service]
 }
 
@@ -71,10 +71,10 @@
 // is; and how much longer the caller is not to ask it even so.
 func (c *Core) OtherCaller(now clock.Ms, id Identity) (mark Fingerprint, wait clock.Ms, other bool) {
 	r, quarantined := c.quarantineOf(now, id)
-	if !quarantined || r.mark != id.Question {
+	if !quarantined || r.mark != id.Request {
 		return mark, 0, false
 	}
-	return id.Question, max(0, lastEnded(r.runs)+otherAfter-now), !slices.Contains(r.askers, id.Asked)
+	return id.Request, max(0, lastEnded(r.runs)+otherAfter-now), !slices.Contains(r.askers, id.Asked)
 }
 
 func lastEnded(runs []Run) (last clock.Ms) {
--- a/internal/quarantine/outcome.go
+++ b/internal/quarantine/outcome.go
@@ -45,9 +45,9 @@
 		}
 	}
 	if known[id.Asked].rounds() >= c.settings.Rounds {
-		known[id.Question].addAskers(id.Asked)
+		known[id.Request].addAskers(id.Asked)
 	}
-	change.First = known[id.Question].rounds() <= 1 && known[id.Asked].rounds() <= 1
+	change.First = known[id.Request].rounds() <= 1 && known[id.Asked].rounds() <= 1
 	verdict := c.Verdict(now, id)
 	if c.settings.Rounds > 0 && max(known[id.Place].rounds(), known[id.Caller].rounds()) > c.settings.Rounds {
 		verdict = Quarantined
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -114,7 +114,7 @@
 	if got, sound := core.Verdict(now, id), core.Sound(now, id); got != quarantine.Quarantined || !slices.Equal(sound, []string{"v2"}) {
 		t.Errorf("%v, sound %v after another version has answered", got, sound)
 	}
-	core.Tell(now, id.Question, id.Asked)
+	core.Tell(now, id.Request, id.Asked)
 	if change := core.Answered(now, id, "s", "v2"); len(change.Judged)+len(change.Tell) > 0 {
 		t.Errorf("the second answer of that version is news: %+v", change)
 	}
@@ -365,7 +365,7 @@
 // was lifted is known to be.
 func TestLostByTheStore(t *testing.T) {
 	core, id := newCore(), asks("a", "x")
-	mark := id.Question
+	mark := id.Request
 	if _, err := core.Store(1000, mark, []byte(`{"versions":["v1"]}`)); err != nil {
 		t.Fatal(err)
 	}
@@ -386,5 +386,5 @@
 	if _, err := core.Store(9000, mark, []byte(`{"versions":["v1"]}`)); err != nil || core.Lifted(mark) {
 		t.Errorf("lifted by a newer quarantine, %v", err)
 	}
-	core.Lost(asks("b", "y").Question)
+	core.Lost(asks("b", "y").Request)
 }
--- a/internal/quarantine/stored_test.go
+++ b/internal/quarantine/stored_test.go
@@ -25,7 +25,7 @@
 func TestStoredMarks(t *testing.T) {
 	id := storedIdentity()
 	for want, mark := range map[string]quarantine.Fingerprint{
-		storedQuestion: id.Question, storedAsked: id.Asked, storedPlace: id.Place, storedCaller: id.Caller,
+		storedQuestion: id.Request, storedAsked: id.Asked, storedPlace: id.Place, storedCaller: id.Caller,
 	} {
 		text, err := mark.MarshalText()
 		if err != nil || string(text) != want {
@@ -40,7 +40,7 @@
 
 // TestStoredKeys: the keys of a quarantine and of a retrial are written and read as before.
 func TestStoredKeys(t *testing.T) {
-	question := storedIdentity().Question
+	question := storedIdentity().Request
 	const key = "quarantine/" + storedQuestion
 	if got := quarantine.KeyOf(question); got != key {
 		t.Errorf("key %q, want %q", got, key)
@@ -73,7 +73,7 @@
 	core := newCore()
 	expect := func(want string) {
 		t.Helper()
-		if got := string(core.Encode(id.Question)); got != want {
+		if got := string(core.Encode(id.Request)); got != want {
 			t.Errorf("item %s, want %s", got, want)
 		}
 	}
@@ -89,10 +89,10 @@
 	expect(answered)
 
 	reader := newCore()
-	if convicted, err := reader.Store(now, id.Question, []byte(answered)); !convicted || err != nil {
+	if convicted, err := reader.Store(now, id.Request, []byte(answered)); !convicted || err != nil {
 		t.Fatalf("convicted %t, error %v", convicted, err)
 	}
-	if got := string(reader.Encode(id.Question)); got != answered {
+	if got := string(reader.Encode(id.Request)); got != answered {
 		t.Errorf("written again as %s, want %s", got, answered)
 	}
 	if sound := reader.Sound(now, id); len(sound) != 1 || sound[0] != "2.0" {
