--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -138,7 +138,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if r.evidencePending {
-		g.tellEvidence(clock.Of(g.now()), r.call.Identity.Request, r.call.Identity.Asked)
+		g.tellEvidence(clock.Of(g.now()), r.call.Identity.Request, r.call.Identity.CallerRequest)
 	}
 	if !r.trial {
 		return
--- a/internal/quarantine/exceptions.go
+++ b/internal/quarantine/exceptions.go
@@ -74,7 +74,7 @@
 	if !quarantined || r.mark != id.Request {
 		return mark, 0, false
 	}
-	return id.Request, max(0, lastEnded(r.runs)+otherAfter-now), !slices.Contains(r.askers, id.Asked)
+	return id.Request, max(0, lastEnded(r.runs)+otherAfter-now), !slices.Contains(r.askers, id.CallerRequest)
 }
 
 func lastEnded(runs []Run) (last clock.Ms) {
--- a/internal/quarantine/mark.go
+++ b/internal/quarantine/mark.go
@@ -16,9 +16,9 @@
 // Identity is what a request is known by. A caller may come from another address the next time, and the same question may end
 // back ends for one caller and not for another, so either is looked at.
 type Identity struct {
-	// Request is what is asked, whoever asks it, and Asked that by this caller: what bears one of these can be put under
+	// Request is what is asked, whoever asks it, and CallerRequest that by this caller: what bears one of these can be put under
 	// quarantine.
-	Request, Asked Fingerprint
+	Request, CallerRequest Fingerprint
 	// Place is where it is asked, whatever the details, and Caller who asks, whatever it is. What bears one of these is sent on
 	// with care while requests that bear it end back ends, also if each is another one.
 	Place, Caller Fingerprint
@@ -37,14 +37,14 @@
 // NewIdentity gives what a request is known by that somebody sends, to some place, with some details.
 func NewIdentity(who string, where, details []byte) Identity {
 	return Identity{
-		Request: FingerprintOf([]byte(question), where, details), Asked: FingerprintOf([]byte(asked), []byte(who), where, details),
+		Request: FingerprintOf([]byte(question), where, details), CallerRequest: FingerprintOf([]byte(asked), []byte(who), where, details),
 		Place: FingerprintOf([]byte(place), where), Caller: FingerprintOf([]byte(caller), []byte(who)),
 	}
 }
 
 // marks are all of an identity.
 func (id Identity) marks() [4]Fingerprint {
-	return [...]Fingerprint{id.Request, id.Asked, id.Place, id.Caller}
+	return [...]Fingerprint{id.Request, id.CallerRequest, id.Place, id.Caller}
 }
 
 // Number is one from 0 to below count that is the same for the same question and spreads over different ones.
@@ -54,7 +54,7 @@
 
 // mayBeQuarantined reports whether what bears one of its marks can be put under quarantine.
 func (id Identity) mayBeQuarantined(mark Fingerprint) bool {
-	return mark == id.Request || mark == id.Asked
+	return mark == id.Request || mark == id.CallerRequest
 }
 
 // FingerprintOf gives the mark of what some parts describe, in an order that is always the same.
--- a/internal/quarantine/outcome.go
+++ b/internal/quarantine/outcome.go
@@ -44,10 +44,10 @@
 			change.Judged = append(change.Judged, mark)
 		}
 	}
-	if known[id.Asked].rounds() >= c.settings.Rounds {
-		known[id.Request].addAskers(id.Asked)
+	if known[id.CallerRequest].rounds() >= c.settings.Rounds {
+		known[id.Request].addAskers(id.CallerRequest)
 	}
-	change.First = known[id.Request].rounds() <= 1 && known[id.Asked].rounds() <= 1
+	change.First = known[id.Request].rounds() <= 1 && known[id.CallerRequest].rounds() <= 1
 	verdict := c.Verdict(now, id)
 	if c.settings.Rounds > 0 && max(known[id.Place].rounds(), known[id.Caller].rounds()) > c.settings.Rounds {
 		verdict = Quarantined
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -114,7 +114,7 @@
 	if got, sound := core.Verdict(now, id), core.Sound(now, id); got != quarantine.Quarantined || !slices.Equal(sound, []string{"v2"}) {
 		t.Errorf("%v, sound %v after another version has answered", got, sound)
 	}
-	core.Tell(now, id.Request, id.Asked)
+	core.Tell(now, id.Request, id.CallerRequest)
 	if change := core.Answered(now, id, "s", "v2"); len(change.Judged)+len(change.Tell) > 0 {
 		t.Errorf("the second answer of that version is news: %+v", change)
 	}
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -70,7 +70,7 @@
 
 // quarantineOf gives the record by which a request is under quarantine.
 func (c *Core) quarantineOf(now clock.Ms, id Identity) (r *record, found bool) {
-	for _, mark := range []Fingerprint{id.Request, id.Asked} {
+	for _, mark := range []Fingerprint{id.Request, id.CallerRequest} {
 		if r := c.records[mark]; r != nil && r.quarantined(now) {
 			return r, true
 		}
