--- a/internal/quarantine/mark.go
+++ b/internal/quarantine/mark.go
@@ -19,9 +19,9 @@
 	// Request is what is asked, whoever asks it, and CallerRequest that by this caller: what bears one of these can be put under
 	// quarantine.
 	Request, CallerRequest Fingerprint
-	// Place is where it is asked, whatever the details, and Caller who asks, whatever it is. What bears one of these is sent on
+	// Resource is where it is asked, whatever the details, and Caller who asks, whatever it is. What bears one of these is sent on
 	// with care while requests that bear it end back ends, also if each is another one.
-	Place, Caller Fingerprint
+	Resource, Caller Fingerprint
 }
 
 // kind keeps marks of different kinds apart.
@@ -38,13 +38,13 @@
 func NewIdentity(who string, where, details []byte) Identity {
 	return Identity{
 		Request: FingerprintOf([]byte(question), where, details), CallerRequest: FingerprintOf([]byte(asked), []byte(who), where, details),
-		Place: FingerprintOf([]byte(place), where), Caller: FingerprintOf([]byte(caller), []byte(who)),
+		Resource: FingerprintOf([]byte(place), where), Caller: FingerprintOf([]byte(caller), []byte(who)),
 	}
 }
 
 // marks are all of an identity.
 func (id Identity) marks() [4]Fingerprint {
-	return [...]Fingerprint{id.Request, id.CallerRequest, id.Place, id.Caller}
+	return [...]Fingerprint{id.Request, id.CallerRequest, id.Resource, id.Caller}
 }
 
 // Number is one from 0 to below count that is the same for the same question and spreads over different ones.
--- a/internal/quarantine/outcome.go
+++ b/internal/quarantine/outcome.go
@@ -49,7 +49,7 @@
 	}
 	change.First = known[id.Request].rounds() <= 1 && known[id.CallerRequest].rounds() <= 1
 	verdict := c.Verdict(now, id)
-	if c.settings.Rounds > 0 && max(known[id.Place].rounds(), known[id.Caller].rounds()) > c.settings.Rounds {
+	if c.settings.Rounds > 0 && max(known[id.Resource].rounds(), known[id.Caller].rounds()) > c.settings.Rounds {
 		verdict = Quarantined
 	}
 	return verdict, change
--- a/internal/quarantine/stored_test.go
+++ b/internal/quarantine/stored_test.go
@@ -25,7 +25,7 @@
 func TestStoredMarks(t *testing.T) {
 	id := storedIdentity()
 	for want, mark := range map[string]quarantine.Fingerprint{
-		storedQuestion: id.Request, storedAsked: id.CallerRequest, storedPlace: id.Place, storedCaller: id.Caller,
+		storedQuestion: id.Request, storedAsked: id.CallerRequest, storedPlace: id.Resource, storedCaller: id.Caller,
 	} {
 		text, err := mark.MarshalText()
 		if err != nil || string(text) != want {
