--- a/internal/quarantine/mark.go
+++ b/internal/quarantine/mark.go
@@ -47,8 +47,8 @@
 	return [...]Fingerprint{id.Request, id.CallerRequest, id.Resource, id.Caller}
 }
 
-// Number is one from 0 to below count that is the same for the same question and spreads over different ones.
-func (id Identity) Number(count int) int {
+// HashModulo is one from 0 to below count that is the same for the same question and spreads over different ones.
+func (id Identity) HashModulo(count int) int {
 	return int(binary.BigEndian.Uint64(id.Request[:8]) % uint64(count))
 }
 
