--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -135,7 +135,7 @@
 // receiveRuns takes in runs that ended their back ends, and reports whether there are more rounds by them.
 func (c *Core) receiveRuns(now clock.Ms, r *record, sent *message.RequestEvidence) (news bool) {
 	for _, run := range sent.Runs[:min(len(sent.Runs), mostRunsSent)] {
-		grew := c.addRun(now, r, Run{
+		grew := c.addRun(now, r, Crash{
 			Service: run.Service, BackEnd: run.BackEnd, Version: run.Version,
 			Began: now - clock.Ms(run.BeganMs), Ended: now - clock.Ms(run.EndedMs),
 		})
--- a/internal/quarantine/exceptions.go
+++ b/internal/quarantine/exceptions.go
@@ -77,7 +77,7 @@
 	return id.Request, max(0, lastEnded(r.runs)+otherAfter-now), !slices.Contains(r.askers, id.CallerRequest)
 }
 
-func lastEnded(runs []Run) (last clock.Ms) {
+func lastEnded(runs []Crash) (last clock.Ms) {
 	for _, run := range runs {
 		last = max(last, run.Ended)
 	}
--- a/internal/quarantine/outcome.go
+++ b/internal/quarantine/outcome.go
@@ -6,8 +6,8 @@
 	"stiletrail/internal/clock"
 )
 
-// Run is that of a request at a back end that ended meanwhile.
-type Run struct {
+// Crash is that of a request at a back end that ended meanwhile.
+type Crash struct {
 	Service string
 	// BackEnd names one life of a back end, Version its software.
 	BackEnd string
@@ -27,7 +27,7 @@
 
 // Ended takes in that a back end ended under a request, and gives the verdict on it: a place or a caller whose requests go on
 // ending back ends, one after the other and none answered, gets no second back end for another one.
-func (c *Core) Ended(now clock.Ms, id Identity, run Run) (Verdict, Change) {
+func (c *Core) Ended(now clock.Ms, id Identity, run Crash) (Verdict, Change) {
 	c.noteEnd(now, run)
 	var change Change
 	// Where all that may be remembered is under quarantine a record of these may go again as the next one is made.
@@ -56,8 +56,8 @@
 }
 
 // noteEnd remembers a back end that ended, once.
-func (c *Core) noteEnd(now clock.Ms, run Run) {
-	c.ends = slices.DeleteFunc(c.ends, func(end Run) bool {
+func (c *Core) noteEnd(now clock.Ms, run Crash) {
+	c.ends = slices.DeleteFunc(c.ends, func(end Crash) bool {
 		return now-end.Ended > doubtFor || end.BackEnd == run.BackEnd
 	})
 	if len(c.ends) < mostEnds {
@@ -66,8 +66,8 @@
 }
 
 // addRun takes a run into a record and reports whether there are more rounds by it.
-func (c *Core) addRun(now clock.Ms, r *record, run Run) (grew bool) {
-	if slices.ContainsFunc(r.runs, func(known Run) bool { return known.BackEnd == run.BackEnd }) {
+func (c *Core) addRun(now clock.Ms, r *record, run Crash) (grew bool) {
+	if slices.ContainsFunc(r.runs, func(known Crash) bool { return known.BackEnd == run.BackEnd }) {
 		return false
 	}
 	r.touched = now
@@ -112,7 +112,7 @@
 		r.sound = appendNew(r.sound, version, mostVersions)
 		return
 	}
-	r.runs = slices.DeleteFunc(r.runs, func(run Run) bool { return run.Service == service && run.Ended <= now })
+	r.runs = slices.DeleteFunc(r.runs, func(run Crash) bool { return run.Service == service && run.Ended <= now })
 	delete(r.shardsUntil, service)
 	if !r.answered || now > r.answeredAt {
 		r.answered, r.answeredAt = true, now
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -27,7 +27,7 @@
 	settings Settings
 	records  map[Fingerprint]*record
 	// ends are the back ends that ended of late, whatever they ran.
-	ends []Run
+	ends []Crash
 }
 
 // New returns a core that suspects nobody.
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -22,29 +22,29 @@
 }
 
 // run of a request at a back end, from one moment to another.
-func run(service, backEnd string, began, ended clock.Ms) quarantine.Run {
-	return quarantine.Run{Service: service, BackEnd: backEnd, Version: "v1", Began: began, Ended: ended}
+func run(service, backEnd string, began, ended clock.Ms) quarantine.Crash {
+	return quarantine.Crash{Service: service, BackEnd: backEnd, Version: "v1", Began: began, Ended: ended}
 }
 
 // TestRounds: runs that follow each other count, those at the same time count once.
 func TestRounds(t *testing.T) {
 	for name, c := range map[string]struct {
-		runs []quarantine.Run
+		runs []quarantine.Crash
 		want quarantine.Verdict
 	}{
 		"none": {nil, quarantine.Clear},
-		"one":  {[]quarantine.Run{run("s", "1", 0, 10)}, quarantine.Suspect},
-		"ten at once": {many(10, func(i int) quarantine.Run {
+		"one":  {[]quarantine.Crash{run("s", "1", 0, 10)}, quarantine.Suspect},
+		"ten at once": {many(10, func(i int) quarantine.Crash {
 			return run(fmt.Sprint("s", i), fmt.Sprint(i), clock.Ms(i), 100+clock.Ms(i))
 		}), quarantine.Suspect},
-		"two after another":   {[]quarantine.Run{run("s", "1", 0, 10), run("s", "2", 10, 20)}, quarantine.Suspect},
-		"three after another": {[]quarantine.Run{run("s", "1", 0, 10), run("s", "2", 10, 20), run("s", "3", 25, 30)}, quarantine.Quarantined},
+		"two after another":   {[]quarantine.Crash{run("s", "1", 0, 10), run("s", "2", 10, 20)}, quarantine.Suspect},
+		"three after another": {[]quarantine.Crash{run("s", "1", 0, 10), run("s", "2", 10, 20), run("s", "3", 25, 30)}, quarantine.Quarantined},
 		"learned in another order": {
-			[]quarantine.Run{run("s", "3", 25, 30), run("s", "1", 0, 10), run("s", "2", 10, 20)}, quarantine.Quarantined,
+			[]quarantine.Crash{run("s", "3", 25, 30), run("s", "1", 0, 10), run("s", "2", 10, 20)}, quarantine.Quarantined,
 		},
-		"the same back end thrice": {[]quarantine.Run{run("s", "1", 0, 10), run("s", "1", 10, 20), run("s", "1", 25, 30)}, quarantine.Suspect},
+		"the same back end thrice": {[]quarantine.Crash{run("s", "1", 0, 10), run("s", "1", 10, 20), run("s", "1", 25, 30)}, quarantine.Suspect},
 		"long ones beside": {
-			[]quarantine.Run{run("s", "1", 0, 100), run("s", "2", 0, 10), run("s", "3", 20, 30), run("s", "4", 40, 50)}, quarantine.Quarantined,
+			[]quarantine.Crash{run("s", "1", 0, 100), run("s", "2", 0, 10), run("s", "3", 20, 30), run("s", "4", 40, 50)}, quarantine.Quarantined,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -59,7 +59,7 @@
 	}
 }
 
-func many(count int, of func(i int) quarantine.Run) (runs []quarantine.Run) {
+func many(count int, of func(i int) quarantine.Crash) (runs []quarantine.Crash) {
 	for i := range count {
 		runs = append(runs, of(i))
 	}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -12,7 +12,7 @@
 	// wide: the mark is of a place or a caller, of many different requests, and never put under quarantine.
 	wide bool
 	// runs that ended their back ends, of services that have not answered since; backEnds are those of all runs.
-	runs     []Run
+	runs     []Crash
 	backEnds []string
 	// answeredAt is when a back end last answered the request, where answered.
 	answered   bool
@@ -68,18 +68,18 @@
 // rounds is the greatest number of runs that followed each other since the request was last answered: each began after the one
 // before had ended. Runs at the same time count once, since whatever ended one back end may have ended the others.
 func (r *record) rounds() int {
-	return chain(r.runs, func(run Run) bool { return !r.answered || run.Ended > r.answeredAt })
+	return chain(r.runs, func(run Crash) bool { return !r.answered || run.Ended > r.answeredAt })
 }
 
 // shardRounds are the rounds at one service, which has not answered since.
 func (r *record) shardRounds(service string) int {
-	return chain(r.runs, func(run Run) bool { return run.Service == service })
+	return chain(r.runs, func(run Crash) bool { return run.Service == service })
 }
 
 // chain is the length of the longest sequence of runs that follow each other, of those that count: of the runs left, the one that
 // ended first is always part of one.
-func chain(runs []Run, counts func(Run) bool) int {
-	sorted := slices.SortedFunc(slices.Values(runs), func(a, b Run) int { return int(a.Ended - b.Ended) })
+func chain(runs []Crash, counts func(Crash) bool) int {
+	sorted := slices.SortedFunc(slices.Values(runs), func(a, b Crash) int { return int(a.Ended - b.Ended) })
 	length := 0
 	var last clock.Ms
 	for _, run := range sorted {
