--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -51,7 +51,7 @@
 	if n.run.call.Identity == (quarantine.Identity{}) {
 		return quarantine.Clear
 	}
-	verdict, change := g.quarantine.Ended(now, n.run.call.Identity, quarantine.Crash{
+	verdict, change := g.quarantine.RecordCrash(now, n.run.call.Identity, quarantine.Crash{
 		Service: attempt.Service, BackEnd: attempt.Replica.Incarnation(), Version: attempt.Replica.Version,
 		Began: clock.Of(attempt.StartedAt), Ended: clock.Of(attempt.EndedAt),
 	})
--- a/internal/quarantine/outcome.go
+++ b/internal/quarantine/outcome.go
@@ -25,9 +25,9 @@
 	Judged []Fingerprint
 }
 
-// Ended takes in that a back end ended under a request, and gives the verdict on it: a place or a caller whose requests go on
+// RecordCrash takes in that a back end ended under a request, and gives the verdict on it: a place or a caller whose requests go on
 // ending back ends, one after the other and none answered, gets no second back end for another one.
-func (c *Core) Ended(now clock.Ms, id Identity, run Crash) (Verdict, Change) {
+func (c *Core) RecordCrash(now clock.Ms, id Identity, run Crash) (Verdict, Change) {
 	c.noteEnd(now, run)
 	var change Change
 	// Where all that may be remembered is under quarantine a record of these may go again as the next one is made.
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -50,7 +50,7 @@
 		t.Run(name, func(t *testing.T) {
 			core, id := newCore(), asks("a", "x")
 			for _, r := range c.runs {
-				core.Ended(200, id, r)
+				core.RecordCrash(200, id, r)
 			}
 			if got := core.Verdict(200, id); got != c.want {
 				t.Errorf("%v, want %v", got, c.want)
@@ -69,7 +69,7 @@
 // convict has a request end three back ends, one after the other from a moment on, and returns when that is over.
 func convict(core *quarantine.Core, id quarantine.Identity, from clock.Ms) clock.Ms {
 	for i := range 3 {
-		core.Ended(from+10, id, run("s", fmt.Sprint(from, "-", i), from, from+10))
+		core.RecordCrash(from+10, id, run("s", fmt.Sprint(from, "-", i), from, from+10))
 		from += 20
 	}
 	return from
@@ -86,7 +86,7 @@
 	if got := core.Verdict(now, id); got != quarantine.Suspect {
 		t.Errorf("afterwards %v", got)
 	}
-	if got, _ := core.Ended(now+20, id, run("s", "again", now, now+10)); got != quarantine.Quarantined {
+	if got, _ := core.RecordCrash(now+20, id, run("s", "again", now, now+10)); got != quarantine.Quarantined {
 		t.Errorf("after one more end %v", got)
 	}
 }
@@ -94,8 +94,8 @@
 // TestAnswerAcquits: whoever is answered does not end what runs it, whatever was seen before; but not where other software answered than what it ended.
 func TestAnswerAcquits(t *testing.T) {
 	core, id := newCore(), asks("a", "x")
-	core.Ended(10, id, run("s", "1", 0, 10))
-	_, change := core.Ended(30, id, run("s", "2", 20, 30))
+	core.RecordCrash(10, id, run("s", "1", 0, 10))
+	_, change := core.RecordCrash(30, id, run("s", "2", 20, 30))
 	if len(core.Tell(35, change.Tell...).Requests) == 0 {
 		t.Error("nobody is told of two rounds")
 	}
@@ -105,7 +105,7 @@
 	if change := core.Answered(45, id, "s", "v1"); len(change.Tell) > 0 {
 		t.Errorf("others are told %d times of what they know", 1+len(change.Tell))
 	}
-	core.Ended(60, id, run("s", "3", 50, 60))
+	core.RecordCrash(60, id, run("s", "3", 50, 60))
 	if got := core.Verdict(60, id); got != quarantine.Suspect {
 		t.Errorf("%v by what came before the answer too", got)
 	}
@@ -127,14 +127,14 @@
 func TestOthersEndToo(t *testing.T) {
 	core, id := newCore(), asks("a", "x")
 	for i := range 30 {
-		core.Ended(5, asks("b", fmt.Sprint(i)), run("s", fmt.Sprint("other-", i), 0, 5))
+		core.RecordCrash(5, asks("b", fmt.Sprint(i)), run("s", fmt.Sprint("other-", i), 0, 5))
 	}
 	now := convict(core, id, 10)
 	if got := core.Verdict(now, id); got != quarantine.Suspect {
 		t.Errorf("%v after three rounds while others end", got)
 	}
-	core.Ended(now+10, id, run("s", "4", now, now+10))
-	core.Ended(now+30, id, run("s", "5", now+20, now+30))
+	core.RecordCrash(now+10, id, run("s", "4", now, now+10))
+	core.RecordCrash(now+30, id, run("s", "5", now+20, now+30))
 	if got := core.Verdict(now+30, id); got != quarantine.Quarantined {
 		t.Errorf("%v after five rounds", got)
 	}
@@ -144,7 +144,7 @@
 func TestOneShard(t *testing.T) {
 	core, id := newCore(), asks("a", "x")
 	for i := range clock.Ms(4) {
-		core.Ended(i*100+10, id, run("bad", fmt.Sprint(i), i*100, i*100+10))
+		core.RecordCrash(i*100+10, id, run("bad", fmt.Sprint(i), i*100, i*100+10))
 		core.Answered(i*100+20, id, "good", "v1")
 	}
 	if core.Verdict(400, id) == quarantine.Quarantined || !core.LeftOut(400, id, "bad") || core.LeftOut(400, id, "good") {
@@ -161,7 +161,7 @@
 	core := newCore()
 	var got quarantine.Verdict
 	for i := range clock.Ms(5) {
-		got, _ = core.Ended(i*100+10, asks("a", fmt.Sprint(i)), run("s", fmt.Sprint(i), i*100, i*100+10))
+		got, _ = core.RecordCrash(i*100+10, asks("a", fmt.Sprint(i)), run("s", fmt.Sprint(i), i*100, i*100+10))
 	}
 	if got != quarantine.Quarantined {
 		t.Errorf("another back end for another question: %v", got)
@@ -217,7 +217,7 @@
 		}
 		id, now := asks("a", "x"), clock.Ms(1000)
 		for i := range clock.Ms(3) {
-			cores[i].Ended(now+10, id, run("s", fmt.Sprint(i), now, now+10))
+			cores[i].RecordCrash(now+10, id, run("s", fmt.Sprint(i), now, now+10))
 			now += 20
 		}
 		exchange := func() {
@@ -262,7 +262,7 @@
 	now := convict(core, held, 0)
 	for i := range 6000 {
 		now += 10
-		core.Ended(now, asks(fmt.Sprint("caller-", i), fmt.Sprint(i)), run("s", fmt.Sprint("b-", i), now-5, now))
+		core.RecordCrash(now, asks(fmt.Sprint("caller-", i), fmt.Sprint(i)), run("s", fmt.Sprint("b-", i), now-5, now))
 	}
 	if core.Len() > 4096 {
 		t.Errorf("%d are remembered", core.Len())
@@ -355,7 +355,7 @@
 	if got := core.Count(now); got != 4096 {
 		t.Fatalf("%d are under quarantine", got)
 	}
-	verdict, _ := core.Ended(now+10, asks("a", "x"), run("s", "1", now, now+10))
+	verdict, _ := core.RecordCrash(now+10, asks("a", "x"), run("s", "1", now, now+10))
 	if verdict == quarantine.Quarantined || core.Len() > 4096 {
 		t.Errorf("%v, %d are remembered", verdict, core.Len())
 	}
