--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -79,7 +79,7 @@
 	g, now := n.gateway, clock.Of(n.now)
 	n.run.evidencePending = false
 	n.blameBackEnds(attempt.Shard)
-	change := g.quarantine.Answered(now, n.run.call.Identity, attempt.Service, attempt.Replica.Version)
+	change := g.quarantine.RecordAnswer(now, n.run.call.Identity, attempt.Service, attempt.Replica.Version)
 	for _, mark := range change.Judged {
 		_, held := g.quarantine.Held(now, mark)
 		g.quarantineWrites.settle(mark, held)
--- a/internal/quarantine/outcome.go
+++ b/internal/quarantine/outcome.go
@@ -84,8 +84,8 @@
 	return grew
 }
 
-// Answered takes in that a back end answered a request: it does not end what runs it.
-func (c *Core) Answered(now clock.Ms, id Identity, service, version string) (change Change) {
+// RecordAnswer takes in that a back end answered a request: it does not end what runs it.
+func (c *Core) RecordAnswer(now clock.Ms, id Identity, service, version string) (change Change) {
 	for _, mark := range id.marks() {
 		r := c.records[mark]
 		if r == nil {
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -99,10 +99,10 @@
 	if len(core.Tell(35, change.Tell...).Requests) == 0 {
 		t.Error("nobody is told of two rounds")
 	}
-	if change := core.Answered(40, id, "s", "v1"); len(change.Tell) == 0 || core.Verdict(40, id) != quarantine.Clear {
+	if change := core.RecordAnswer(40, id, "s", "v1"); len(change.Tell) == 0 || core.Verdict(40, id) != quarantine.Clear {
 		t.Errorf("%v after an answer, tells %d", core.Verdict(40, id), len(change.Tell))
 	}
-	if change := core.Answered(45, id, "s", "v1"); len(change.Tell) > 0 {
+	if change := core.RecordAnswer(45, id, "s", "v1"); len(change.Tell) > 0 {
 		t.Errorf("others are told %d times of what they know", 1+len(change.Tell))
 	}
 	core.RecordCrash(60, id, run("s", "3", 50, 60))
@@ -110,15 +110,15 @@
 		t.Errorf("%v by what came before the answer too", got)
 	}
 	now := convict(core, id, 100)
-	core.Answered(now, id, "s", "v2")
+	core.RecordAnswer(now, id, "s", "v2")
 	if got, sound := core.Verdict(now, id), core.Sound(now, id); got != quarantine.Quarantined || !slices.Equal(sound, []string{"v2"}) {
 		t.Errorf("%v, sound %v after another version has answered", got, sound)
 	}
 	core.Tell(now, id.Request, id.CallerRequest)
-	if change := core.Answered(now, id, "s", "v2"); len(change.Judged)+len(change.Tell) > 0 {
+	if change := core.RecordAnswer(now, id, "s", "v2"); len(change.Judged)+len(change.Tell) > 0 {
 		t.Errorf("the second answer of that version is news: %+v", change)
 	}
-	if change := core.Answered(now, id, "s", "v1"); len(change.Judged) == 0 || core.Verdict(now, id) != quarantine.Clear {
+	if change := core.RecordAnswer(now, id, "s", "v1"); len(change.Judged) == 0 || core.Verdict(now, id) != quarantine.Clear {
 		t.Errorf("%v after the same version has answered", core.Verdict(now, id))
 	}
 }
@@ -145,12 +145,12 @@
 	core, id := newCore(), asks("a", "x")
 	for i := range clock.Ms(4) {
 		core.RecordCrash(i*100+10, id, run("bad", fmt.Sprint(i), i*100, i*100+10))
-		core.Answered(i*100+20, id, "good", "v1")
+		core.RecordAnswer(i*100+20, id, "good", "v1")
 	}
 	if core.Verdict(400, id) == quarantine.Quarantined || !core.LeftOut(400, id, "bad") || core.LeftOut(400, id, "good") {
 		t.Errorf("%v, left out %v and %v", core.Verdict(400, id), core.LeftOut(400, id, "bad"), core.LeftOut(400, id, "good"))
 	}
-	core.Answered(500, id, "bad", "v1")
+	core.RecordAnswer(500, id, "bad", "v1")
 	if core.LeftOut(500, id, "bad") {
 		t.Error("left out of a shard that has answered")
 	}
@@ -191,7 +191,7 @@
 	if _, _, other := core.OtherCaller(now, asks("a", "x")); other {
 		t.Error("who asks round after round is another one")
 	}
-	core.Answered(now, asks("b", "x"), "s", "v1")
+	core.RecordAnswer(now, asks("b", "x"), "s", "v1")
 	if core.Verdict(now, asks("b", "x")) == quarantine.Quarantined || core.Verdict(now, asks("a", "x")) != quarantine.Suspect {
 		t.Errorf("after an answer %v and %v", core.Verdict(now, asks("b", "x")), core.Verdict(now, asks("a", "x")))
 	}
@@ -241,7 +241,7 @@
 			}
 		}
 		now += 2000
-		change := cores[rapid.IntRange(0, nodes-1).Draw(rt, "answered")].Answered(now, id, "s", "v1")
+		change := cores[rapid.IntRange(0, nodes-1).Draw(rt, "answered")].RecordAnswer(now, id, "s", "v1")
 		if len(change.Tell) == 0 {
 			rt.Fatal("nobody is told of an answer")
 		}
@@ -379,7 +379,7 @@
 	if core.Lifted(mark) {
 		t.Error("lifted")
 	}
-	core.Answered(3000, id, "s", "v1")
+	core.RecordAnswer(3000, id, "s", "v1")
 	if !core.Lifted(mark) || core.Verdict(3000, id) != quarantine.Clear {
 		t.Errorf("after an answer %v, lifted %v", core.Verdict(3000, id), core.Lifted(mark))
 	}
--- a/internal/quarantine/stored_test.go
+++ b/internal/quarantine/stored_test.go
@@ -85,7 +85,7 @@
 		core.RecordCrash(now, id, quarantine.Crash{Service: "s", BackEnd: fmt.Sprint(i), Version: "1.0", Began: began, Ended: now})
 	}
 	expect(ended)
-	core.Answered(now, id, "s", "2.0")
+	core.RecordAnswer(now, id, "s", "2.0")
 	expect(answered)
 
 	reader := newCore()
