--- a/internal/gateway/quarantine_evidence.go
+++ b/internal/gateway/quarantine_evidence.go
@@ -96,10 +96,10 @@
 			g.quarantineWrites.schedule(mark, now)
 		}
 	}
-	if len(change.Tell) > 0 {
+	if len(change.Share) > 0 {
 		g.evidence.changedAt = now
 	}
-	g.tellEvidence(now, change.Tell...)
+	g.tellEvidence(now, change.Share...)
 }
 
 // tellEvidence tells other nodes what is known of requests.
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -57,8 +57,8 @@
 	})
 	if change.First && n.run.route.FansOut() {
 		// Most often another shard answers soon, and nobody need hear of it.
-		n.run.evidencePending = n.run.evidencePending || len(change.Tell) > 0
-		change.Tell = nil
+		n.run.evidencePending = n.run.evidencePending || len(change.Share) > 0
+		change.Share = nil
 	}
 	g.verdictsChanged(now, change, byOwn)
 	return verdict
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -112,7 +112,7 @@
 		change.Judged = append(change.Judged, mark)
 	}
 	if news || after != before {
-		change.Tell = append(change.Tell, mark)
+		change.Share = append(change.Share, mark)
 	}
 }
 
--- a/internal/quarantine/outcome.go
+++ b/internal/quarantine/outcome.go
@@ -18,8 +18,8 @@
 
 // Change is what has become of what is known of requests.
 type Change struct {
-	// Tell are the marks of which other nodes should know; First, that is by one round only, which an answer may soon make good.
-	Tell  []Fingerprint
+	// Share are the marks of which other nodes should know; First, that is by one round only, which an answer may soon make good.
+	Share []Fingerprint
 	First bool
 	// Judged are those that were put under quarantine, or are no longer.
 	Judged []Fingerprint
@@ -38,7 +38,7 @@
 		r.wide = !id.mayBeQuarantined(mark)
 		grew := c.addRun(now, r, run)
 		if grew {
-			change.Tell = append(change.Tell, mark)
+			change.Share = append(change.Share, mark)
 		}
 		if _, already := c.quarantineOf(now, id); grew && !already && c.quarantineIfDue(now, r) {
 			change.Judged = append(change.Judged, mark)
@@ -98,7 +98,7 @@
 			change.Judged = append(change.Judged, mark)
 		}
 		if shared && (judged || rounds != r.rounds()) {
-			change.Tell = append(change.Tell, mark)
+			change.Share = append(change.Share, mark)
 		}
 	}
 	return change
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -96,14 +96,14 @@
 	core, id := newCore(), asks("a", "x")
 	core.RecordCrash(10, id, run("s", "1", 0, 10))
 	_, change := core.RecordCrash(30, id, run("s", "2", 20, 30))
-	if len(core.Tell(35, change.Tell...).Requests) == 0 {
+	if len(core.Tell(35, change.Share...).Requests) == 0 {
 		t.Error("nobody is told of two rounds")
 	}
-	if change := core.RecordAnswer(40, id, "s", "v1"); len(change.Tell) == 0 || core.Verdict(40, id) != quarantine.Clear {
-		t.Errorf("%v after an answer, tells %d", core.Verdict(40, id), len(change.Tell))
+	if change := core.RecordAnswer(40, id, "s", "v1"); len(change.Share) == 0 || core.Verdict(40, id) != quarantine.Clear {
+		t.Errorf("%v after an answer, tells %d", core.Verdict(40, id), len(change.Share))
 	}
-	if change := core.RecordAnswer(45, id, "s", "v1"); len(change.Tell) > 0 {
-		t.Errorf("others are told %d times of what they know", 1+len(change.Tell))
+	if change := core.RecordAnswer(45, id, "s", "v1"); len(change.Share) > 0 {
+		t.Errorf("others are told %d times of what they know", 1+len(change.Share))
 	}
 	core.RecordCrash(60, id, run("s", "3", 50, 60))
 	if got := core.Verdict(60, id); got != quarantine.Suspect {
@@ -115,7 +115,7 @@
 		t.Errorf("%v, sound %v after another version has answered", got, sound)
 	}
 	core.Tell(now, id.Request, id.CallerRequest)
-	if change := core.RecordAnswer(now, id, "s", "v2"); len(change.Judged)+len(change.Tell) > 0 {
+	if change := core.RecordAnswer(now, id, "s", "v2"); len(change.Judged)+len(change.Share) > 0 {
 		t.Errorf("the second answer of that version is news: %+v", change)
 	}
 	if change := core.RecordAnswer(now, id, "s", "v1"); len(change.Judged) == 0 || core.Verdict(now, id) != quarantine.Clear {
@@ -242,12 +242,12 @@
 		}
 		now += 2000
 		change := cores[rapid.IntRange(0, nodes-1).Draw(rt, "answered")].RecordAnswer(now, id, "s", "v1")
-		if len(change.Tell) == 0 {
+		if len(change.Share) == 0 {
 			rt.Fatal("nobody is told of an answer")
 		}
 		for i, core := range cores {
 			for _, other := range cores {
-				core.Receive(now, other.Tell(now, change.Tell...))
+				core.Receive(now, other.Tell(now, change.Share...))
 			}
 			if got := core.Verdict(now, id); got == quarantine.Quarantined {
 				rt.Fatalf("node %d: %v after an answer", i, got)
