--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -55,7 +55,7 @@
 		Service: attempt.Service, BackEnd: attempt.Replica.Incarnation(), Version: attempt.Replica.Version,
 		Began: clock.Of(attempt.StartedAt), Ended: clock.Of(attempt.EndedAt),
 	})
-	if change.First && n.run.route.FansOut() {
+	if change.FirstRound && n.run.route.FansOut() {
 		// Most often another shard answers soon, and nobody need hear of it.
 		n.run.evidencePending = n.run.evidencePending || len(change.Share) > 0
 		change.Share = nil
--- a/internal/quarantine/outcome.go
+++ b/internal/quarantine/outcome.go
@@ -19,8 +19,8 @@
 // Change is what has become of what is known of requests.
 type Change struct {
 	// Share are the marks of which other nodes should know; First, that is by one round only, which an answer may soon make good.
-	Share []Fingerprint
-	First bool
+	Share      []Fingerprint
+	FirstRound bool
 	// Judged are those that were put under quarantine, or are no longer.
 	Judged []Fingerprint
 }
@@ -47,7 +47,7 @@
 	if known[id.CallerRequest].rounds() >= c.settings.Rounds {
 		known[id.Request].addAskers(id.CallerRequest)
 	}
-	change.First = known[id.Request].rounds() <= 1 && known[id.CallerRequest].rounds() <= 1
+	change.FirstRound = known[id.Request].rounds() <= 1 && known[id.CallerRequest].rounds() <= 1
 	verdict := c.Verdict(now, id)
 	if c.settings.Rounds > 0 && max(known[id.Resource].rounds(), known[id.Caller].rounds()) > c.settings.Rounds {
 		verdict = Quarantined
