--- a/internal/gateway/quarantine_evidence.go
+++ b/internal/gateway/quarantine_evidence.go
@@ -85,7 +85,7 @@
 // verdictsChanged takes note of what has become of requests, has the store told of a quarantine by this node, and tells other
 // nodes.
 func (g *Gateway) verdictsChanged(now clock.Ms, change quarantine.Change, by string) {
-	for _, mark := range change.Judged {
+	for _, mark := range change.VerdictChanged {
 		left, held := g.quarantine.Held(now, mark)
 		verdict := quarantine.Clear
 		if held {
@@ -150,7 +150,7 @@
 		return
 	}
 	if convicted {
-		g.verdictsChanged(now, quarantine.Change{Judged: []quarantine.Fingerprint{mark}}, byStore)
+		g.verdictsChanged(now, quarantine.Change{VerdictChanged: []quarantine.Fingerprint{mark}}, byStore)
 	}
 }
 
@@ -161,6 +161,6 @@
 		return
 	}
 	if now := clock.Of(at); g.quarantine.Unstore(now, mark) {
-		g.verdictsChanged(now, quarantine.Change{Judged: []quarantine.Fingerprint{mark}}, byStore)
+		g.verdictsChanged(now, quarantine.Change{VerdictChanged: []quarantine.Fingerprint{mark}}, byStore)
 	}
 }
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -80,7 +80,7 @@
 	n.run.evidencePending = false
 	n.blameBackEnds(attempt.Shard)
 	change := g.quarantine.RecordAnswer(now, n.run.call.Identity, attempt.Service, attempt.Replica.Version)
-	for _, mark := range change.Judged {
+	for _, mark := range change.VerdictChanged {
 		_, held := g.quarantine.Held(now, mark)
 		g.quarantineWrites.settle(mark, held)
 	}
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -109,7 +109,7 @@
 	}
 	after := r.quarantined(now)
 	if after != before {
-		change.Judged = append(change.Judged, mark)
+		change.VerdictChanged = append(change.VerdictChanged, mark)
 	}
 	if news || after != before {
 		change.Share = append(change.Share, mark)
--- a/internal/quarantine/outcome.go
+++ b/internal/quarantine/outcome.go
@@ -21,8 +21,8 @@
 	// Share are the marks of which other nodes should know; First, that is by one round only, which an answer may soon make good.
 	Share      []Fingerprint
 	FirstRound bool
-	// Judged are those that were put under quarantine, or are no longer.
-	Judged []Fingerprint
+	// VerdictChanged are those that were put under quarantine, or are no longer.
+	VerdictChanged []Fingerprint
 }
 
 // RecordCrash takes in that a back end ended under a request, and gives the verdict on it: a place or a caller whose requests go on
@@ -41,7 +41,7 @@
 			change.Share = append(change.Share, mark)
 		}
 		if _, already := c.quarantineOf(now, id); grew && !already && c.quarantineIfDue(now, r) {
-			change.Judged = append(change.Judged, mark)
+			change.VerdictChanged = append(change.VerdictChanged, mark)
 		}
 	}
 	if known[id.CallerRequest].rounds() >= c.settings.Rounds {
@@ -95,7 +95,7 @@
 		r.answeredBy(now, service, version)
 		judged := quarantined != r.quarantined(now) || sound != len(r.sound)
 		if judged {
-			change.Judged = append(change.Judged, mark)
+			change.VerdictChanged = append(change.VerdictChanged, mark)
 		}
 		if shared && (judged || rounds != r.rounds()) {
 			change.Share = append(change.Share, mark)
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -115,10 +115,10 @@
 		t.Errorf("%v, sound %v after another version has answered", got, sound)
 	}
 	core.Tell(now, id.Request, id.CallerRequest)
-	if change := core.RecordAnswer(now, id, "s", "v2"); len(change.Judged)+len(change.Share) > 0 {
+	if change := core.RecordAnswer(now, id, "s", "v2"); len(change.VerdictChanged)+len(change.Share) > 0 {
 		t.Errorf("the second answer of that version is news: %+v", change)
 	}
-	if change := core.RecordAnswer(now, id, "s", "v1"); len(change.Judged) == 0 || core.Verdict(now, id) != quarantine.Clear {
+	if change := core.RecordAnswer(now, id, "s", "v1"); len(change.VerdictChanged) == 0 || core.Verdict(now, id) != quarantine.Clear {
 		t.Errorf("%v after the same version has answered", core.Verdict(now, id))
 	}
 }
