--- a/internal/gateway/quarantine_evidence.go
+++ b/internal/gateway/quarantine_evidence.go
@@ -107,7 +107,7 @@
 	if g.fleet.members == nil || len(marks) == 0 || !g.evidence.mayTell(now) {
 		return
 	}
-	m := g.quarantine.Tell(now, marks...)
+	m := g.quarantine.EvidenceOf(now, marks...)
 	for _, peer := range g.evidence.receivers(&g.fleet) {
 		g.fleet.transport.Send(peer, m)
 	}
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -18,8 +18,8 @@
 	sameMoment = clock.Second / 2
 )
 
-// Tell gives what other nodes should know of some requests.
-func (c *Core) Tell(now clock.Ms, marks ...Fingerprint) *message.Evidence {
+// EvidenceOf gives what other nodes should know of some requests.
+func (c *Core) EvidenceOf(now clock.Ms, marks ...Fingerprint) *message.Evidence {
 	m := &message.Evidence{}
 	for _, mark := range marks {
 		if r := c.records[mark]; r != nil && len(m.Requests) < mostRequestsSent {
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -96,7 +96,7 @@
 	core, id := newCore(), asks("a", "x")
 	core.RecordCrash(10, id, run("s", "1", 0, 10))
 	_, change := core.RecordCrash(30, id, run("s", "2", 20, 30))
-	if len(core.Tell(35, change.Share...).Requests) == 0 {
+	if len(core.EvidenceOf(35, change.Share...).Requests) == 0 {
 		t.Error("nobody is told of two rounds")
 	}
 	if change := core.RecordAnswer(40, id, "s", "v1"); len(change.Share) == 0 || core.Verdict(40, id) != quarantine.Clear {
@@ -114,7 +114,7 @@
 	if got, sound := core.Verdict(now, id), core.Sound(now, id); got != quarantine.Quarantined || !slices.Equal(sound, []string{"v2"}) {
 		t.Errorf("%v, sound %v after another version has answered", got, sound)
 	}
-	core.Tell(now, id.Request, id.CallerRequest)
+	core.EvidenceOf(now, id.Request, id.CallerRequest)
 	if change := core.RecordAnswer(now, id, "s", "v2"); len(change.VerdictChanged)+len(change.Share) > 0 {
 		t.Errorf("the second answer of that version is news: %+v", change)
 	}
@@ -247,7 +247,7 @@
 		}
 		for i, core := range cores {
 			for _, other := range cores {
-				core.Receive(now, other.Tell(now, change.Share...))
+				core.Receive(now, other.EvidenceOf(now, change.Share...))
 			}
 			if got := core.Verdict(now, id); got == quarantine.Quarantined {
 				rt.Fatalf("node %d: %v after an answer", i, got)
