--- a/internal/gateway/quarantine_evidence.go
+++ b/internal/gateway/quarantine_evidence.go
@@ -115,7 +115,7 @@
 
 // tellEvidenceTo tells a node all that is known of requests that ended back ends.
 func (g *Gateway) tellEvidenceTo(now time.Duration, peer string) {
-	if m := g.quarantine.TellAll(clock.Of(now)); m != nil {
+	if m := g.quarantine.AllEvidence(clock.Of(now)); m != nil {
 		g.fleet.transport.Send(peer, m)
 	}
 }
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -29,8 +29,8 @@
 	return m
 }
 
-// TellAll gives all that other nodes should know, of the requests that matter most first; nil where there is nothing.
-func (c *Core) TellAll(now clock.Ms) *message.Evidence {
+// AllEvidence gives all that other nodes should know, of the requests that matter most first; nil where there is nothing.
+func (c *Core) AllEvidence(now clock.Ms) *message.Evidence {
 	var all []*record
 	for _, r := range c.records {
 		if r.suspected() || r.until > now {
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -222,13 +222,13 @@
 		}
 		exchange := func() {
 			for _, pair := range rapid.SliceOfN(rapid.IntRange(0, nodes*nodes-1), 20, 60).Draw(rt, "exchanges") {
-				if m := cores[pair/nodes].TellAll(now); m != nil {
+				if m := cores[pair/nodes].AllEvidence(now); m != nil {
 					cores[pair%nodes].Receive(now, m)
 				}
 			}
 			for range nodes {
 				for i := range cores {
-					if m := cores[i].TellAll(now); m != nil {
+					if m := cores[i].AllEvidence(now); m != nil {
 						cores[(i+1)%nodes].Receive(now, m)
 					}
 				}
@@ -270,7 +270,7 @@
 	if got := core.Verdict(now, held); got != quarantine.Quarantined {
 		t.Errorf("who was under quarantine is %v", got)
 	}
-	if m := core.TellAll(now); len(m.Requests) > 32 {
+	if m := core.AllEvidence(now); len(m.Requests) > 32 {
 		t.Errorf("a message has %d requests", len(m.Requests))
 	}
 	core.Forget(now + 2*heldFor + 3600*clock.Second)
@@ -298,7 +298,7 @@
 		})
 		core, now := newCore(), clock.Ms(rapid.IntRange(0, 1<<40).Draw(rt, "now"))
 		core.Receive(now, &message.Evidence{Requests: rapid.SliceOf(drawn).Draw(rt, "evidence")})
-		core.TellAll(now)
+		core.AllEvidence(now)
 		if core.Len() > 32 {
 			rt.Fatalf("%d requests by one message", core.Len())
 		}
