--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -71,7 +71,7 @@
 
 // LeftOut implements forward.Node.
 func (n runNode) LeftOut(service string) bool {
-	return n.gateway.quarantine.LeftOut(clock.Of(n.now), n.run.call.Identity, service)
+	return n.gateway.quarantine.ShardExcluded(clock.Of(n.now), n.run.call.Identity, service)
 }
 
 // Answered implements forward.Node.
--- a/internal/quarantine/exceptions.go
+++ b/internal/quarantine/exceptions.go
@@ -10,8 +10,8 @@
 // its back ends to the first one.
 const otherAfter = 2 * clock.Second
 
-// LeftOut reports whether a request is to be kept from one shard, whose back ends it ends while others answer it.
-func (c *Core) LeftOut(now clock.Ms, id Identity, service string) bool {
+// ShardExcluded reports whether a request is to be kept from one shard, whose back ends it ends while others answer it.
+func (c *Core) ShardExcluded(now clock.Ms, id Identity, service string) bool {
 	r := c.records[id.Request]
 	return r != nil && c.settings.Rounds > 0 && now < r.shardsUntil[service]
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -147,11 +147,11 @@
 		core.RecordCrash(i*100+10, id, run("bad", fmt.Sprint(i), i*100, i*100+10))
 		core.RecordAnswer(i*100+20, id, "good", "v1")
 	}
-	if core.Verdict(400, id) == quarantine.Quarantined || !core.LeftOut(400, id, "bad") || core.LeftOut(400, id, "good") {
-		t.Errorf("%v, left out %v and %v", core.Verdict(400, id), core.LeftOut(400, id, "bad"), core.LeftOut(400, id, "good"))
+	if core.Verdict(400, id) == quarantine.Quarantined || !core.ShardExcluded(400, id, "bad") || core.ShardExcluded(400, id, "good") {
+		t.Errorf("%v, left out %v and %v", core.Verdict(400, id), core.ShardExcluded(400, id, "bad"), core.ShardExcluded(400, id, "good"))
 	}
 	core.RecordAnswer(500, id, "bad", "v1")
-	if core.LeftOut(500, id, "bad") {
+	if core.ShardExcluded(500, id, "bad") {
 		t.Error("left out of a shard that has answered")
 	}
 }
