--- a/internal/quarantine/exceptions.go
+++ b/internal/quarantine/exceptions.go
@@ -16,9 +16,9 @@
 	return r != nil && c.settings.Rounds > 0 && now < r.shardsUntil[service]
 }
 
-// Left is how much longer a request is under quarantine at most, unless it ends more back ends; at least a second, and 0 where it
+// Remaining is how much longer a request is under quarantine at most, unless it ends more back ends; at least a second, and 0 where it
 // is not.
-func (c *Core) Left(now clock.Ms, id Identity) clock.Ms {
+func (c *Core) Remaining(now clock.Ms, id Identity) clock.Ms {
 	r, found := c.quarantineOf(now, id)
 	if !found {
 		return 0
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -79,7 +79,7 @@
 func TestQuarantineEnds(t *testing.T) {
 	core, id := newCore(), asks("a", "x")
 	now := convict(core, id, 1000)
-	if got, left := core.Verdict(now, id), core.Left(now, id); got != quarantine.Quarantined || left < heldFor-100 || left > heldFor {
+	if got, left := core.Verdict(now, id), core.Remaining(now, id); got != quarantine.Quarantined || left < heldFor-100 || left > heldFor {
 		t.Fatalf("%v for %d ms", got, left)
 	}
 	now += heldFor
