--- a/internal/gateway/quarantine_evidence.go
+++ b/internal/gateway/quarantine_evidence.go
@@ -86,7 +86,7 @@
 // nodes.
 func (g *Gateway) verdictsChanged(now clock.Ms, change quarantine.Change, by string) {
 	for _, mark := range change.VerdictChanged {
-		left, held := g.quarantine.Held(now, mark)
+		left, held := g.quarantine.RemainingOf(now, mark)
 		verdict := quarantine.Clear
 		if held {
 			verdict = quarantine.Quarantined
--- a/internal/gateway/quarantine_writes.go
+++ b/internal/gateway/quarantine_writes.go
@@ -183,7 +183,7 @@
 	now := clock.Of(g.now())
 	unstored := g.quarantine.Unstored(now)
 	add := func(mark quarantine.Fingerprint, ifAbsent bool) {
-		length, held := g.quarantine.Held(now, mark)
+		length, held := g.quarantine.RemainingOf(now, mark)
 		if !held {
 			return
 		}
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -81,7 +81,7 @@
 	n.blameBackEnds(attempt.Shard)
 	change := g.quarantine.RecordAnswer(now, n.run.call.Identity, attempt.Service, attempt.Replica.Version)
 	for _, mark := range change.VerdictChanged {
-		_, held := g.quarantine.Held(now, mark)
+		_, held := g.quarantine.RemainingOf(now, mark)
 		g.quarantineWrites.settle(mark, held)
 	}
 	g.verdictsChanged(now, change, byOwn)
--- a/internal/quarantine/exceptions.go
+++ b/internal/quarantine/exceptions.go
@@ -26,8 +26,8 @@
 	return c.left(now, r)
 }
 
-// Held reports whether what bears a mark is under quarantine, and for how much longer at most.
-func (c *Core) Held(now clock.Ms, mark Fingerprint) (left clock.Ms, held bool) {
+// RemainingOf reports whether what bears a mark is under quarantine, and for how much longer at most.
+func (c *Core) RemainingOf(now clock.Ms, mark Fingerprint) (left clock.Ms, held bool) {
 	if r := c.records[mark]; r != nil && r.quarantined(now) {
 		return c.left(now, r), true
 	}
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -370,7 +370,7 @@
 		t.Fatal(err)
 	}
 	core.Lost(mark)
-	if left, held := core.Held(2000, mark); !held || left != heldFor-1000 {
+	if left, held := core.RemainingOf(2000, mark); !held || left != heldFor-1000 {
 		t.Errorf("held %v for %d ms", held, left)
 	}
 	if unstored := core.Unstored(2000); unstored[mark] != heldFor-1000 {
