--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -77,7 +77,7 @@
 		return s
 	}
 	s.trying = g.trials[call.Identity.Request] > 0
-	s.left, s.sound = g.quarantine.Remaining(now, call.Identity), g.quarantine.Sound(now, call.Identity)
+	s.left, s.sound = g.quarantine.Remaining(now, call.Identity), g.quarantine.SafeVersions(now, call.Identity)
 	if s.verdict == quarantine.Quarantined {
 		g.findRetrial(now, call, route, &s)
 	}
--- a/internal/quarantine/exceptions.go
+++ b/internal/quarantine/exceptions.go
@@ -43,8 +43,8 @@
 	return max(left, clock.Second)
 }
 
-// Sound are the versions of software that are known to run a request that is under quarantine for others.
-func (c *Core) Sound(now clock.Ms, id Identity) []string {
+// SafeVersions are the versions of software that are known to run a request that is under quarantine for others.
+func (c *Core) SafeVersions(now clock.Ms, id Identity) []string {
 	if r, found := c.quarantineOf(now, id); found {
 		return slices.Clone(r.sound)
 	}
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -111,7 +111,7 @@
 	}
 	now := convict(core, id, 100)
 	core.RecordAnswer(now, id, "s", "v2")
-	if got, sound := core.Verdict(now, id), core.Sound(now, id); got != quarantine.Quarantined || !slices.Equal(sound, []string{"v2"}) {
+	if got, sound := core.Verdict(now, id), core.SafeVersions(now, id); got != quarantine.Quarantined || !slices.Equal(sound, []string{"v2"}) {
 		t.Errorf("%v, sound %v after another version has answered", got, sound)
 	}
 	core.EvidenceOf(now, id.Request, id.CallerRequest)
--- a/internal/quarantine/stored_test.go
+++ b/internal/quarantine/stored_test.go
@@ -95,7 +95,7 @@
 	if got := string(reader.Encode(id.Request)); got != answered {
 		t.Errorf("written again as %s, want %s", got, answered)
 	}
-	if sound := reader.Sound(now, id); len(sound) != 1 || sound[0] != "2.0" {
+	if sound := reader.SafeVersions(now, id); len(sound) != 1 || sound[0] != "2.0" {
 		t.Errorf("sound versions %q", sound)
 	}
 	if _, _, other := reader.OtherCaller(now, id); other {
