--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -86,7 +86,7 @@
 
 // findRetrial looks for what a request under quarantine may be let go to all the same; the lock is held.
 func (g *Gateway) findRetrial(now clock.Ms, call *Call, route *routing.Route, s *suspicion) {
-	s.mark, s.untried, _ = g.quarantine.Untried(now, call.Identity, g.versionsFor(route))
+	s.mark, s.untried, _ = g.quarantine.UntriedVersion(now, call.Identity, g.versionsFor(route))
 	if s.untried != "" {
 		return
 	}
--- a/internal/quarantine/exceptions.go
+++ b/internal/quarantine/exceptions.go
@@ -51,9 +51,9 @@
 	return nil
 }
 
-// Untried gives one of some versions that a request under quarantine has neither ended nor been answered by, and the mark that it
+// UntriedVersion gives one of some versions that a request under quarantine has neither ended nor been answered by, and the mark that it
 // is under quarantine by; false if there is none.
-func (c *Core) Untried(now clock.Ms, id Identity, versions []string) (mark Fingerprint, version string, found bool) {
+func (c *Core) UntriedVersion(now clock.Ms, id Identity, versions []string) (mark Fingerprint, version string, found bool) {
 	r, quarantined := c.quarantineOf(now, id)
 	if !quarantined || len(r.versions) == 0 {
 		// What it has ended is not known here, so nothing is known to be new to it.
