--- a/internal/gateway/quarantine_evidence.go
+++ b/internal/gateway/quarantine_evidence.go
@@ -144,7 +144,7 @@
 		g.quarantineWrites.settle(mark, false)
 		return
 	}
-	convicted, err := g.quarantine.Store(now, mark, record.Value)
+	convicted, err := g.quarantine.ApplyStored(now, mark, record.Value)
 	if err != nil {
 		g.log.Rejected(&Item{Key: record.Key, Revision: record.Revision, Err: err})
 		return
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -320,10 +320,10 @@
 		if decoded, found := quarantine.ParseKey(quarantine.KeyOf(mark)); !found || decoded != mark {
 			t.Errorf("the key of %v is of %v", mark, decoded)
 		}
-		if _, err := other.Store(now, mark, []byte("{nonsense")); failure.CodeOf(err) != failure.Malformed || other.Len() != 0 {
+		if _, err := other.ApplyStored(now, mark, []byte("{nonsense")); failure.CodeOf(err) != failure.Malformed || other.Len() != 0 {
 			t.Errorf("nonsense: %v, %d remembered", err, other.Len())
 		}
-		if convicted, err := other.Store(now, mark, core.Encode(mark)); err != nil || !convicted || other.Verdict(now, id) != quarantine.Quarantined {
+		if convicted, err := other.ApplyStored(now, mark, core.Encode(mark)); err != nil || !convicted || other.Verdict(now, id) != quarantine.Quarantined {
 			t.Errorf("stored: %v, %v", convicted, err)
 		}
 		if _, _, may := other.OtherCaller(now, id); may {
@@ -332,7 +332,7 @@
 		if !other.Unstore(now, mark) || other.Verdict(now, id) != quarantine.Clear {
 			t.Errorf("%v once the store says nothing", other.Verdict(now, id))
 		}
-		_, _ = core.Store(now, mark, core.Encode(mark))
+		_, _ = core.ApplyStored(now, mark, core.Encode(mark))
 		if core.Unstore(now, mark) || core.Verdict(now, id) != quarantine.Quarantined {
 			t.Error("what a node has seen itself went with the store's word")
 		}
@@ -348,7 +348,7 @@
 func TestFullOfQuarantines(t *testing.T) {
 	core, now := newCore(), clock.Ms(0)
 	for i := range 4096 {
-		if _, err := core.Store(now, quarantine.FingerprintOf([]byte(fmt.Sprint(i))), []byte("{}")); err != nil {
+		if _, err := core.ApplyStored(now, quarantine.FingerprintOf([]byte(fmt.Sprint(i))), []byte("{}")); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -366,7 +366,7 @@
 func TestLostByTheStore(t *testing.T) {
 	core, id := newCore(), asks("a", "x")
 	mark := id.Request
-	if _, err := core.Store(1000, mark, []byte(`{"versions":["v1"]}`)); err != nil {
+	if _, err := core.ApplyStored(1000, mark, []byte(`{"versions":["v1"]}`)); err != nil {
 		t.Fatal(err)
 	}
 	core.Lost(mark)
@@ -383,7 +383,7 @@
 	if !core.Lifted(mark) || core.Verdict(3000, id) != quarantine.Clear {
 		t.Errorf("after an answer %v, lifted %v", core.Verdict(3000, id), core.Lifted(mark))
 	}
-	if _, err := core.Store(9000, mark, []byte(`{"versions":["v1"]}`)); err != nil || core.Lifted(mark) {
+	if _, err := core.ApplyStored(9000, mark, []byte(`{"versions":["v1"]}`)); err != nil || core.Lifted(mark) {
 		t.Errorf("lifted by a newer quarantine, %v", err)
 	}
 	core.Lost(asks("b", "y").Request)
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -59,9 +59,9 @@
 	return value
 }
 
-// Store takes in what the store says of a request. It reports whether the request is under quarantine by it that was not before.
+// ApplyStored takes in what the store says of a request. It reports whether the request is under quarantine by it that was not before.
 // An error, of code MALFORMED, changes nothing.
-func (c *Core) Store(now clock.Ms, mark Fingerprint, value []byte) (begun bool, err error) {
+func (c *Core) ApplyStored(now clock.Ms, mark Fingerprint, value []byte) (begun bool, err error) {
 	var item Item
 	if err := json.Unmarshal(value, &item); err != nil {
 		return false, failure.Wrap(err, failure.Malformed, "the quarantine of a request cannot be read")
--- a/internal/quarantine/stored_test.go
+++ b/internal/quarantine/stored_test.go
@@ -89,7 +89,7 @@
 	expect(answered)
 
 	reader := newCore()
-	if convicted, err := reader.Store(now, id.Request, []byte(answered)); !convicted || err != nil {
+	if convicted, err := reader.ApplyStored(now, id.Request, []byte(answered)); !convicted || err != nil {
 		t.Fatalf("convicted %t, error %v", convicted, err)
 	}
 	if got := string(reader.Encode(id.Request)); got != answered {
