--- a/internal/gateway/quarantine_evidence.go
+++ b/internal/gateway/quarantine_evidence.go
@@ -160,7 +160,7 @@
 		g.quarantine.Lost(mark)
 		return
 	}
-	if now := clock.Of(at); g.quarantine.Unstore(now, mark) {
+	if now := clock.Of(at); g.quarantine.RemoveStored(now, mark) {
 		g.verdictsChanged(now, quarantine.Change{VerdictChanged: []quarantine.Fingerprint{mark}}, byStore)
 	}
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -329,11 +329,11 @@
 		if _, _, may := other.OtherCaller(now, id); may {
 			t.Error("who asked round after round is another one to a node that reads the store")
 		}
-		if !other.Unstore(now, mark) || other.Verdict(now, id) != quarantine.Clear {
+		if !other.RemoveStored(now, mark) || other.Verdict(now, id) != quarantine.Clear {
 			t.Errorf("%v once the store says nothing", other.Verdict(now, id))
 		}
 		_, _ = core.ApplyStored(now, mark, core.Encode(mark))
-		if core.Unstore(now, mark) || core.Verdict(now, id) != quarantine.Quarantined {
+		if core.RemoveStored(now, mark) || core.Verdict(now, id) != quarantine.Quarantined {
 			t.Error("what a node has seen itself went with the store's word")
 		}
 	}
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -78,9 +78,9 @@
 	return begun, nil
 }
 
-// Unstore takes in that the store says nothing of a request any more: its quarantine is over, unless this node has seen more
+// RemoveStored takes in that the store says nothing of a request any more: its quarantine is over, unless this node has seen more
 // itself or heard of it.
-func (c *Core) Unstore(now clock.Ms, mark Fingerprint) (released bool) {
+func (c *Core) RemoveStored(now clock.Ms, mark Fingerprint) (released bool) {
 	r := c.records[mark]
 	if r == nil || !r.stored {
 		return false
