--- a/internal/gateway/quarantine_evidence.go
+++ b/internal/gateway/quarantine_evidence.go
@@ -157,7 +157,7 @@
 // dropQuarantine takes in that the store says nothing of a request any more.
 func (g *Gateway) dropQuarantine(at time.Duration, mark quarantine.Fingerprint) {
 	if g.storeCopy.records.RewriteLeft(at) > 0 {
-		g.quarantine.Lost(mark)
+		g.quarantine.RecordStoreLoss(mark)
 		return
 	}
 	if now := clock.Of(at); g.quarantine.RemoveStored(now, mark) {
--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -76,7 +76,7 @@
 	},
 	{
 		"a quarantine that a copy lacks is over", "internal/gateway/quarantine_evidence.go",
-		"		g.quarantine.Lost(mark)\n		return\n", "",
+		"		g.quarantine.RecordStoreLoss(mark)\n		return\n", "",
 		"./internal/gateway", "TestQuarantineLostWithACopy",
 	},
 	{
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -369,7 +369,7 @@
 	if _, err := core.ApplyStored(1000, mark, []byte(`{"versions":["v1"]}`)); err != nil {
 		t.Fatal(err)
 	}
-	core.Lost(mark)
+	core.RecordStoreLoss(mark)
 	if left, held := core.RemainingOf(2000, mark); !held || left != heldFor-1000 {
 		t.Errorf("held %v for %d ms", held, left)
 	}
@@ -386,5 +386,5 @@
 	if _, err := core.ApplyStored(9000, mark, []byte(`{"versions":["v1"]}`)); err != nil || core.Lifted(mark) {
 		t.Errorf("lifted by a newer quarantine, %v", err)
 	}
-	core.Lost(asks("b", "y").Request)
+	core.RecordStoreLoss(asks("b", "y").Request)
 }
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -89,9 +89,9 @@
 	return !r.quarantined(now)
 }
 
-// Lost takes in that the store, back from a copy, says nothing of a request any more. Nobody has ended its quarantine: that goes
+// RecordStoreLoss takes in that the store, back from a copy, says nothing of a request any more. Nobody has ended its quarantine: that goes
 // on for what was left of it, and Unstored names the request, so that it is written again.
-func (c *Core) Lost(mark Fingerprint) {
+func (c *Core) RecordStoreLoss(mark Fingerprint) {
 	r := c.records[mark]
 	if r == nil || !r.stored {
 		return
