--- a/internal/gateway/quarantine_writes.go
+++ b/internal/gateway/quarantine_writes.go
@@ -181,7 +181,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := clock.Of(g.now())
-	unstored := g.quarantine.Unstored(now)
+	unstored := g.quarantine.MissingFromStore(now)
 	add := func(mark quarantine.Fingerprint, ifAbsent bool) {
 		length, held := g.quarantine.RemainingOf(now, mark)
 		if !held {
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -166,7 +166,7 @@
 	if got != quarantine.Quarantined {
 		t.Errorf("another back end for another question: %v", got)
 	}
-	if held := core.Count(500); held > 0 || len(core.Unstored(500)) > 0 {
+	if held := core.Count(500); held > 0 || len(core.MissingFromStore(500)) > 0 {
 		t.Errorf("%d are under quarantine", held)
 	}
 	if got := core.Verdict(500, asks("a", "new")); got != quarantine.Suspect {
@@ -312,7 +312,7 @@
 func TestStore(t *testing.T) {
 	core, other, id := newCore(), newCore(), asks("a", "x")
 	now := convict(core, id, 0)
-	unstored := core.Unstored(now)
+	unstored := core.MissingFromStore(now)
 	if len(unstored) != 1 {
 		t.Fatalf("%d to be stored", len(unstored))
 	}
@@ -373,7 +373,7 @@
 	if left, held := core.RemainingOf(2000, mark); !held || left != heldFor-1000 {
 		t.Errorf("held %v for %d ms", held, left)
 	}
-	if unstored := core.Unstored(2000); unstored[mark] != heldFor-1000 {
+	if unstored := core.MissingFromStore(2000); unstored[mark] != heldFor-1000 {
 		t.Errorf("to be written %v", unstored)
 	}
 	if core.Lifted(mark) {
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -107,8 +107,8 @@
 	return r != nil && r.lifted
 }
 
-// Unstored are the requests under quarantine that the store says nothing of, with how much longer they are.
-func (c *Core) Unstored(now clock.Ms) map[Fingerprint]clock.Ms {
+// MissingFromStore are the requests under quarantine that the store says nothing of, with how much longer they are.
+func (c *Core) MissingFromStore(now clock.Ms) map[Fingerprint]clock.Ms {
 	var found map[Fingerprint]clock.Ms
 	for mark, r := range c.records {
 		if !r.stored && now < r.until {
