--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -58,6 +58,6 @@
 		MaximumEjection:     10 * time.Second,
 		MaximumEjectedShare: 0.34,
 		DescribeInterval:    500 * time.Millisecond,
-		Quarantine:          quarantine.Settings{Rounds: 3, For: 600 * clock.Second},
+		Quarantine:          quarantine.Settings{Rounds: 3, Duration: 600 * clock.Second},
 	}
 }
--- a/internal/gateway/quarantine_writes.go
+++ b/internal/gateway/quarantine_writes.go
@@ -281,7 +281,7 @@
 func (g *Gateway) mayAskRetrial(key, version string) (length clock.Ms, may bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	length = g.settings.Load().Quarantine.For
+	length = g.settings.Load().Quarantine.Duration
 	if version == "" {
 		length = min(length, otherCallerEvery)
 	}
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -126,7 +126,7 @@
 		Places:     replica.Topology{Node: s.Node, Zone: s.Zone, Regions: s.Regions},
 		Follow:     followSettings(waits),
 		Spread:     spreadSettings(s, waits),
-		Quarantine: quarantine.Settings{Rounds: s.QuarantineRounds, For: clock.Of(s.QuarantineFor)},
+		Quarantine: quarantine.Settings{Rounds: s.QuarantineRounds, Duration: clock.Of(s.QuarantineFor)},
 		Copy: CopySettings{
 			Waits: waits, DoubtFor: doubtFor(s), DistrustDepartedFor: rewriteWithin.Duration() + oldIntervals*s.EntryInterval,
 		},
--- a/internal/quarantine/exceptions.go
+++ b/internal/quarantine/exceptions.go
@@ -38,7 +38,7 @@
 	left := r.until - now
 	if r.stored {
 		// It goes with the store's item, which is as old as what this node has read of it, or older.
-		left = max(left, r.storedAt+c.settings.For-now)
+		left = max(left, r.storedAt+c.settings.Duration-now)
 	}
 	return max(left, clock.Second)
 }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -18,8 +18,8 @@
 	// Rounds that put a request under quarantine; 0 switches quarantines off. Runs that follow each other, each begun after the
 	// one before had ended its back end and none answered, are one round each.
 	Rounds int
-	// For is how long it is under quarantine.
-	For clock.Ms
+	// Duration is how long it is under quarantine.
+	Duration clock.Ms
 }
 
 // Core is what a node knows of requests that have ended back ends. Its times are moments on the node's clock.
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -15,7 +15,9 @@
 
 const heldFor = 600 * clock.Second
 
-func newCore() *quarantine.Core { return quarantine.New(quarantine.Settings{Rounds: 3, For: heldFor}) }
+func newCore() *quarantine.Core {
+	return quarantine.New(quarantine.Settings{Rounds: 3, Duration: heldFor})
+}
 
 func asks(who, what string) quarantine.Identity {
 	return quarantine.NewIdentity(who, []byte("GET host/"+what), nil)
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -97,7 +97,7 @@
 		return
 	}
 	r.stored = false
-	r.until = max(r.until, r.storedAt+c.settings.For)
+	r.until = max(r.until, r.storedAt+c.settings.Duration)
 }
 
 // Lifted reports whether a request is known to have been answered since it was last under quarantine: what a store that is back
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -83,7 +83,7 @@
 	if c.settings.Rounds == 0 || r.wide || r.rounds() < c.settings.Rounds+c.doubt(now, r) {
 		return false
 	}
-	r.quarantinedAt, r.until, r.lifted = now, now+c.settings.For, false
+	r.quarantinedAt, r.until, r.lifted = now, now+c.settings.Duration, false
 	return true
 }
 
@@ -96,7 +96,7 @@
 	if r.shardsUntil == nil {
 		r.shardsUntil = map[string]clock.Ms{}
 	}
-	r.shardsUntil[service] = now + c.settings.For
+	r.shardsUntil[service] = now + c.settings.Duration
 }
 
 // doubt is how many more rounds are asked for, by the back ends that ended of late without the request.
