--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -17,9 +17,9 @@
 
 // Item is a quarantine as it is kept in the store.
 type Item struct {
-	// Versions of software that the request ended, sound ones that answer it.
-	Versions []string `json:"versions"`
-	Sound    []string `json:"sound,omitempty"`
+	// CrashedVersions of software that the request ended, sound ones that answer it.
+	CrashedVersions []string `json:"versions"`
+	Sound           []string `json:"sound,omitempty"`
 	// Askers are the marks of those who asked when it ended back ends.
 	Askers []Fingerprint `json:"askers,omitempty"`
 }
@@ -50,7 +50,7 @@
 func (c *Core) Encode(mark Fingerprint) []byte {
 	item := Item{}
 	if r := c.records[mark]; r != nil {
-		item.Versions, item.Sound, item.Askers = r.versions, r.sound, r.askers
+		item.CrashedVersions, item.Sound, item.Askers = r.versions, r.sound, r.askers
 	}
 	value, err := json.Marshal(item)
 	if err != nil {
@@ -72,7 +72,7 @@
 		r.storedAt = now
 	}
 	r.stored, r.touched, r.lifted = true, now, false
-	r.versions = appendAll(r.versions, item.Versions)
+	r.versions = appendAll(r.versions, item.CrashedVersions)
 	r.sound = appendAll(r.sound, item.Sound)
 	r.addAskers(item.Askers...)
 	return begun, nil
