--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -19,7 +19,7 @@
 type Item struct {
 	// CrashedVersions of software that the request ended, sound ones that answer it.
 	CrashedVersions []string `json:"versions"`
-	Sound           []string `json:"sound,omitempty"`
+	SafeVersions    []string `json:"sound,omitempty"`
 	// Askers are the marks of those who asked when it ended back ends.
 	Askers []Fingerprint `json:"askers,omitempty"`
 }
@@ -50,7 +50,7 @@
 func (c *Core) Encode(mark Fingerprint) []byte {
 	item := Item{}
 	if r := c.records[mark]; r != nil {
-		item.CrashedVersions, item.Sound, item.Askers = r.versions, r.sound, r.askers
+		item.CrashedVersions, item.SafeVersions, item.Askers = r.versions, r.sound, r.askers
 	}
 	value, err := json.Marshal(item)
 	if err != nil {
@@ -73,7 +73,7 @@
 	}
 	r.stored, r.touched, r.lifted = true, now, false
 	r.versions = appendAll(r.versions, item.CrashedVersions)
-	r.sound = appendAll(r.sound, item.Sound)
+	r.sound = appendAll(r.sound, item.SafeVersions)
 	r.addAskers(item.Askers...)
 	return begun, nil
 }
