--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -20,8 +20,8 @@
 	// CrashedVersions of software that the request ended, sound ones that answer it.
 	CrashedVersions []string `json:"versions"`
 	SafeVersions    []string `json:"sound,omitempty"`
-	// Askers are the marks of those who asked when it ended back ends.
-	Askers []Fingerprint `json:"askers,omitempty"`
+	// Callers are the marks of those who asked when it ended back ends.
+	Callers []Fingerprint `json:"askers,omitempty"`
 }
 
 // KeyOf is the store's key of a request.
@@ -50,7 +50,7 @@
 func (c *Core) Encode(mark Fingerprint) []byte {
 	item := Item{}
 	if r := c.records[mark]; r != nil {
-		item.CrashedVersions, item.SafeVersions, item.Askers = r.versions, r.sound, r.askers
+		item.CrashedVersions, item.SafeVersions, item.Callers = r.versions, r.sound, r.askers
 	}
 	value, err := json.Marshal(item)
 	if err != nil {
@@ -74,7 +74,7 @@
 	r.stored, r.touched, r.lifted = true, now, false
 	r.versions = appendAll(r.versions, item.CrashedVersions)
 	r.sound = appendAll(r.sound, item.SafeVersions)
-	r.addAskers(item.Askers...)
+	r.addAskers(item.Callers...)
 	return begun, nil
 }
 
