--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -50,7 +50,7 @@
 		c.retry(now, a, query.StatusLost)
 	default:
 		c.hold(q, a.shards)
-		if quarantine.WithdrawOthers(q.caution.suspect, q.caution.ends) {
+		if quarantine.CancelOthers(q.caution.suspect, q.caution.ends) {
 			q.caution.suspect = true
 			c.withdraw(now, q)
 		}
--- a/internal/forward/caution.go
+++ b/internal/forward/caution.go
@@ -60,7 +60,7 @@
 	if s.live() == 0 {
 		s.become(held{})
 	}
-	if quarantine.WithdrawOthers(r.caution.suspect, r.caution.ends) {
+	if quarantine.CancelOthers(r.caution.suspect, r.caution.ends) {
 		r.caution.suspect = true
 		r.withdrawAll()
 	}
--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -51,7 +51,7 @@
 	},
 	{
 		"attempts go on after two back ends have ended", "internal/forward/caution.go",
-		"if quarantine.WithdrawOthers(r.caution.suspect, r.caution.ends) {", "if r.caution.suspect {",
+		"if quarantine.CancelOthers(r.caution.suspect, r.caution.ends) {", "if r.caution.suspect {",
 		"./internal/forward", "TestTwoEndsWithdrawTheOthers",
 	},
 	{
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -64,9 +64,9 @@
 	return Clear
 }
 
-// WithdrawOthers reports whether the other attempts of a request that nobody has answered are taken back, before they end more:
+// CancelOthers reports whether the other attempts of a request that nobody has answered are taken back, before they end more:
 // suspect is whether it was sent to one back end at a time already, ends how many back ends have ended under it.
-func WithdrawOthers(suspect bool, ends int) bool { return suspect || ends >= endsToWithdraw }
+func CancelOthers(suspect bool, ends int) bool { return suspect || ends >= endsToWithdraw }
 
 // quarantineOf gives the record by which a request is under quarantine.
 func (c *Core) quarantineOf(now clock.Ms, id Identity) (r *record, found bool) {
