--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -85,25 +85,25 @@
 		return
 	}
 	l.warn(EventBackEndEnded, logrus.Fields{
-		fieldRequest: call.ID, fieldMark: call.Identity.Question.String(), fieldCaller: call.Caller, fieldBackEnd: attempt.Replica.ID,
+		fieldRequest: call.ID, fieldMark: call.Identity.Request.String(), fieldCaller: call.Caller, fieldBackEnd: attempt.Replica.ID,
 		fieldService: attempt.Service, fieldRan: ran,
 	})
 }
 
 // VerdictChanged implements gateway.DecisionLog.
-func (l *Log) VerdictChanged(mark quarantine.Mark, verdict quarantine.Verdict, by string, left clock.Ms) {
+func (l *Log) VerdictChanged(mark quarantine.Fingerprint, verdict quarantine.Verdict, by string, left clock.Ms) {
 	l.warn(EventJudged, logrus.Fields{
 		fieldMark: mark.String(), fieldOutcome: verdict.String(), fieldReason: by, fieldLeft: left,
 	})
 }
 
 // RetrialClaimed implements gateway.DecisionLog.
-func (l *Log) RetrialClaimed(mark quarantine.Mark, version string) {
+func (l *Log) RetrialClaimed(mark quarantine.Fingerprint, version string) {
 	l.info(EventRetrial, logrus.Fields{fieldMark: mark.String(), fieldSoftware: version})
 }
 
 // QuarantineNotWritten implements gateway.DecisionLog.
-func (l *Log) QuarantineNotWritten(mark quarantine.Mark, cause *failure.Failure) {
+func (l *Log) QuarantineNotWritten(mark quarantine.Fingerprint, cause *failure.Failure) {
 	l.warn(EventQuarantineLost, logrus.Fields{fieldMark: mark.String(), fieldReason: cause.Error()})
 }
 
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -29,8 +29,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	mark := quarantine.Mark{0x1a, 0x2b, 0x3c, 0x4d, 0x5e, 0x6f, 0x70, 0x81}
-	call := &gateway.Call{ID: "request-1", Caller: "10.0.0.9", Identity: quarantine.Identity{Question: mark}}
+	mark := quarantine.Fingerprint{0x1a, 0x2b, 0x3c, 0x4d, 0x5e, 0x6f, 0x70, 0x81}
+	call := &gateway.Call{ID: "request-1", Caller: "10.0.0.9", Identity: quarantine.Identity{Request: mark}}
 	at, later := history.At(2, 68), history.At(3, 70)
 	answered, lost, open := attempts()
 	down := failure.New(failure.StoreUnavailable, "down")
@@ -85,7 +85,7 @@
 		}
 	}
 	answered = attempt("back-end-1", forward.First, forward.Outcome{
-		Kind: forward.Answered, Load: replica.Load{Told: true, Running: 3, Waiting: 1, Slots: 4, Slowdown: 1.25},
+		Kind: forward.Answered, Load: replica.Load{Reported: true, Running: 3, Waiting: 1, Slots: 4, Slowdown: 1.25},
 	})
 	lost = attempt("back-end-2", forward.Hedge, forward.Outcome{Kind: forward.Lost, Detail: "reset"})
 	open = attempt("back-end-3", forward.Retry, forward.Outcome{})
--- a/internal/decisionlog/request.go
+++ b/internal/decisionlog/request.go
@@ -27,7 +27,7 @@
 	fields := logrus.Fields{
 		fieldRequest: call.ID, fieldVersion: result.Version, fieldElapsed: result.Elapsed.Milliseconds(),
 		fieldReason: string(result.Reason), fieldOutcome: result.Outcome(), fieldCopyAge: result.CopyAge,
-		fieldMark: call.Identity.Question.String(), fieldCaller: call.Caller,
+		fieldMark: call.Identity.Request.String(), fieldCaller: call.Caller,
 	}
 	if result.Route != nil {
 		fields[fieldRoute] = result.Route.Name
@@ -82,7 +82,7 @@
 		} else {
 			fmt.Fprintf(&line, "%d %s", (attempt.EndedAt - result.Arrived).Milliseconds(), attempt.Outcome.Kind)
 		}
-		if load := attempt.Outcome.Load; load.Told {
+		if load := attempt.Outcome.Load; load.Reported {
 			fmt.Fprintf(&line, " load %d+%d/%d x%.2f", load.Running, load.Waiting, load.Slots, load.Slowdown)
 		}
 		if attempt.Outcome.Detail != "" {
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -14,7 +14,7 @@
 // identityOf is what a query is known by to the dispatchers of its service: what it asks. Who asks is not told to them.
 func identityOf(m *message.SubQuery) quarantine.Identity {
 	question := append([]byte(m.Service+"\n"), m.Body...)
-	return quarantine.IdentityOf(string(question), question, nil)
+	return quarantine.NewIdentity(string(question), question, nil)
 }
 
 // caution is how carefully a sub-query is sent on under which back ends have ended: one attempt at a time, until one is answered.
@@ -32,7 +32,7 @@
 // wait until another shard is answered or asked as a trial. Ends are counted by this node; other dispatchers count their own.
 func (c *Core) backEndEnded(now time.Duration, a *attempt) {
 	q := a.subQuery
-	verdict, _ := c.quarantine.Ended(clock.Of(now), identityOf(q.request), quarantine.Run{
+	verdict, _ := c.quarantine.RecordCrash(clock.Of(now), identityOf(q.request), quarantine.Crash{
 		Service: q.request.Service, BackEnd: a.backEnd.address + "#" + strconv.FormatUint(a.number, 10),
 		Began: clock.Of(a.startedAt), Ended: clock.Of(now),
 	})
@@ -50,7 +50,7 @@
 		c.retry(now, a, query.StatusLost)
 	default:
 		c.hold(q, a.shards)
-		if quarantine.WithdrawOthers(q.caution.suspect, q.caution.ends) {
+		if quarantine.CancelOthers(q.caution.suspect, q.caution.ends) {
 			q.caution.suspect = true
 			c.withdraw(now, q)
 		}
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -95,8 +95,8 @@
 
 // choice of replicas for the next attempt at a shard: none that was tried since the last pause, and none that was not asked yet
 // where as many were asked as the route allows.
-func (r *Request) choice(s *shard) replica.Choice {
-	choice := replica.Choice{Excluded: s.tried, Versions: r.versions, Regions: r.route.Regions, Target: r.route.TargetLatency}
+func (r *Request) choice(s *shard) replica.PickOptions {
+	choice := replica.PickOptions{Excluded: s.tried, Versions: r.versions, Regions: r.route.Regions, TargetLatency: r.route.TargetLatency}
 	if distinct(s.asked) >= r.route.MaximumAttempts {
 		choice.Only = s.asked
 	}
@@ -106,7 +106,7 @@
 // tooLate reports whether an answer of a replica cannot come by the deadline, by the least that any of its answers takes.
 // Such an attempt would only take a slot.
 func (r *Request) tooLate(now time.Duration, chosen *replica.Replica) bool {
-	return now+chosen.Least(now) > r.deadline
+	return now+chosen.ExpectedMinimum(now) > r.deadline
 }
 
 // cancelAttempts withdraws all that is under way at a shard. What the shard's state is then is for the caller to say.
--- a/internal/forward/retry_test.go
+++ b/internal/forward/retry_test.go
@@ -163,8 +163,8 @@
 		w := newNode(9, services...)
 		for _, replicas := range w.replicas {
 			for _, r := range replicas {
-				r.Start(0)
-				r.Finish(floor, 0, replica.Answered)
+				r.StartAttempt(0)
+				r.FinishAttempt(floor, 0, replica.Answered)
 			}
 		}
 		return w
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -12,13 +12,13 @@
 
 // send carries an attempt out beside the request; the lock is held.
 func (r *run) send(now time.Duration, attempt *forward.Attempt) {
-	attempt.Replica.Start(now)
+	attempt.Replica.StartAttempt(now)
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancels[attempt] = cancel
 	send := BackEndRequest{
 		Call: r.call, Attempt: attempt, Entry: attempt.Replica.Entry, Deadline: r.deadlineTime, Remaining: r.left, CallerGone: r.callerLeft,
 		NotRepeatable: !r.route.Repeatable, IdleLimit: r.gateway.replicas.IdleLimit(attempt.Replica),
-		VerifyConnection: r.gateway.replicas.MustProve(now, attempt.Replica),
+		VerifyConnection: r.gateway.replicas.MustVerify(now, attempt.Replica),
 	}
 	go func() {
 		outcome := r.gateway.exchange(ctx, send)
@@ -47,8 +47,8 @@
 func (g *Gateway) attemptEnded(call *Call, attempt *forward.Attempt, outcome forward.Outcome, cancelled bool) {
 	g.mu.Lock()
 	now := g.now()
-	attempt.Replica.TakeLoad(now, outcome.Load)
-	ejected := attempt.Replica.Finish(now, attempt.StartedAt, backEndVerdict(outcome, cancelled))
+	attempt.Replica.RecordLoad(now, outcome.Load)
+	ejected := attempt.Replica.FinishAttempt(now, attempt.StartedAt, backEndVerdict(outcome, cancelled))
 	if !cancelled || outcome.Kind == forward.Answered {
 		g.reportHealth(now, attempt.Replica)
 	}
@@ -63,14 +63,14 @@
 
 // backEndVerdict is what a back end is taken for by the outcome of an attempt. What was cancelled without an answer says
 // only how old it was.
-func backEndVerdict(outcome forward.Outcome, cancelled bool) replica.Verdict {
+func backEndVerdict(outcome forward.Outcome, cancelled bool) replica.AttemptResult {
 	switch {
 	case cancelled && outcome.Kind != forward.Answered:
-		return replica.Withdrawn
+		return replica.Cancelled
 	case outcome.BackEndEnded:
 		return replica.Unreachable
 	case outcome.ConnectionTurnedAway:
-		return replica.TurnedAway
+		return replica.ConnectionRejected
 	}
 	switch outcome.Kind {
 	case forward.Answered:
@@ -81,8 +81,8 @@
 		}
 		return replica.Failed
 	case forward.Refused:
-		if outcome.Load.HasRoom() {
-			return replica.RefusedWithRoom
+		if outcome.Load.HasFreeSlot() {
+			return replica.RefusedWithFreeSlots
 		}
 		return replica.Refused
 	case forward.Misdirected:
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -20,11 +20,11 @@
 	// BackEndCrashed: a back end ended while it had an attempt of a call, so long after that was sent.
 	BackEndCrashed(call *Call, attempt *forward.Attempt, ran clock.Ms)
 	// VerdictChanged: the verdict on requests of a mark has changed; by is "own", "peer" or "store", left how much longer a quarantine is.
-	VerdictChanged(mark quarantine.Mark, verdict quarantine.Verdict, by string, left clock.Ms)
+	VerdictChanged(mark quarantine.Fingerprint, verdict quarantine.Verdict, by string, left clock.Ms)
 	// RetrialClaimed: a request under quarantine is sent to a new version of the back ends' software.
-	RetrialClaimed(mark quarantine.Mark, version string)
+	RetrialClaimed(mark quarantine.Fingerprint, version string)
 	// QuarantineNotWritten: a quarantine could not be written to the store; it is tried again.
-	QuarantineNotWritten(mark quarantine.Mark, cause *failure.Failure)
+	QuarantineNotWritten(mark quarantine.Fingerprint, cause *failure.Failure)
 	ConfigurationApplied(table *routing.Table, revision history.Revision)
 	ItemRejected(item *Item)
 	BackEndUpdated(entry replica.Entry, revision history.Revision)
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -244,10 +244,10 @@
 func (silentLog) Request(*gateway.Call, *gateway.Result)                   {}
 func (silentLog) BackEndEjected(*forward.Attempt, forward.Outcome)         {}
 func (silentLog) BackEndCrashed(*gateway.Call, *forward.Attempt, clock.Ms) {}
-func (silentLog) VerdictChanged(quarantine.Mark, quarantine.Verdict, string, clock.Ms) {
+func (silentLog) VerdictChanged(quarantine.Fingerprint, quarantine.Verdict, string, clock.Ms) {
 }
-func (silentLog) RetrialClaimed(quarantine.Mark, string)                              {}
-func (silentLog) QuarantineNotWritten(quarantine.Mark, *failure.Failure)              {}
+func (silentLog) RetrialClaimed(quarantine.Fingerprint, string)                       {}
+func (silentLog) QuarantineNotWritten(quarantine.Fingerprint, *failure.Failure)       {}
 func (silentLog) ConfigurationApplied(*routing.Table, history.Revision)               {}
 func (silentLog) ItemRejected(*gateway.Item)                                          {}
 func (silentLog) BackEndUpdated(replica.Entry, history.Revision)                      {}
--- a/internal/gateway/maintain.go
+++ b/internal/gateway/maintain.go
@@ -33,10 +33,10 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.storeCopy.logStaleness(g.now())
-	for _, id := range g.replicas.Expire(g.now()) {
+	for _, id := range g.replicas.ExpireDoubtful(g.now()) {
 		g.log.BackEndVanished(id, true)
 	}
-	for _, entry := range g.replicas.Readmit(g.now()) {
+	for _, entry := range g.replicas.ReadmitDeparted(g.now()) {
 		g.log.BackEndUpdated(entry, g.storeCopy.records.Revision())
 	}
 	g.returnZonesDue(g.now())
@@ -46,7 +46,7 @@
 func (g *Gateway) prune() {
 	endpoints := map[replica.Endpoint]bool{}
 	g.mu.Lock()
-	g.replicas.All(func(known *replica.Replica) { endpoints[known.Endpoint()] = !known.Draining })
+	g.replicas.ForEach(func(known *replica.Replica) { endpoints[known.Endpoint()] = !known.Draining })
 	g.mu.Unlock()
 	g.backEnds.Prune(func(e replica.Endpoint) bool { return endpoints[e] })
 }
--- a/internal/gateway/quarantine_evidence.go
+++ b/internal/gateway/quarantine_evidence.go
@@ -85,8 +85,8 @@
 // verdictsChanged takes note of what has become of requests, has the store told of a quarantine by this node, and tells other
 // nodes.
 func (g *Gateway) verdictsChanged(now clock.Ms, change quarantine.Change, by string) {
-	for _, mark := range change.Judged {
-		left, held := g.quarantine.Held(now, mark)
+	for _, mark := range change.VerdictChanged {
+		left, held := g.quarantine.RemainingOf(now, mark)
 		verdict := quarantine.Clear
 		if held {
 			verdict = quarantine.Quarantined
@@ -96,18 +96,18 @@
 			g.quarantineWrites.schedule(mark, now)
 		}
 	}
-	if len(change.Tell) > 0 {
+	if len(change.Share) > 0 {
 		g.evidence.changedAt = now
 	}
-	g.tellEvidence(now, change.Tell...)
+	g.tellEvidence(now, change.Share...)
 }
 
 // tellEvidence tells other nodes what is known of requests.
-func (g *Gateway) tellEvidence(now clock.Ms, marks ...quarantine.Mark) {
+func (g *Gateway) tellEvidence(now clock.Ms, marks ...quarantine.Fingerprint) {
 	if g.fleet.members == nil || len(marks) == 0 || !g.evidence.mayTell(now) {
 		return
 	}
-	m := g.quarantine.Tell(now, marks...)
+	m := g.quarantine.EvidenceOf(now, marks...)
 	for _, peer := range g.evidence.receivers(&g.fleet) {
 		g.fleet.transport.Send(peer, m)
 	}
@@ -115,7 +115,7 @@
 
 // tellEvidenceTo tells a node all that is known of requests that ended back ends.
 func (g *Gateway) tellEvidenceTo(now time.Duration, peer string) {
-	if m := g.quarantine.TellAll(clock.Of(now)); m != nil {
+	if m := g.quarantine.AllEvidence(clock.Of(now)); m != nil {
 		g.fleet.transport.Send(peer, m)
 	}
 }
@@ -138,29 +138,29 @@
 }
 
 // takeQuarantine takes in what the store says of a request.
-func (g *Gateway) takeQuarantine(at time.Duration, mark quarantine.Mark, record message.StoreRecord) {
+func (g *Gateway) takeQuarantine(at time.Duration, mark quarantine.Fingerprint, record message.StoreRecord) {
 	now := clock.Of(at)
 	if g.storeCopy.records.RewriteLeft(at) > 0 && g.quarantine.Lifted(mark) {
 		g.quarantineWrites.settle(mark, false)
 		return
 	}
-	convicted, err := g.quarantine.Store(now, mark, record.Value)
+	convicted, err := g.quarantine.ApplyStored(now, mark, record.Value)
 	if err != nil {
 		g.log.ItemRejected(&Item{Key: record.Key, Revision: record.Revision, Err: err})
 		return
 	}
 	if convicted {
-		g.verdictsChanged(now, quarantine.Change{Judged: []quarantine.Mark{mark}}, byStore)
+		g.verdictsChanged(now, quarantine.Change{VerdictChanged: []quarantine.Fingerprint{mark}}, byStore)
 	}
 }
 
 // dropQuarantine takes in that the store says nothing of a request any more.
-func (g *Gateway) dropQuarantine(at time.Duration, mark quarantine.Mark) {
+func (g *Gateway) dropQuarantine(at time.Duration, mark quarantine.Fingerprint) {
 	if g.storeCopy.records.RewriteLeft(at) > 0 {
-		g.quarantine.Lost(mark)
+		g.quarantine.RecordStoreLoss(mark)
 		return
 	}
-	if now := clock.Of(at); g.quarantine.Unstore(now, mark) {
-		g.verdictsChanged(now, quarantine.Change{Judged: []quarantine.Mark{mark}}, byStore)
+	if now := clock.Of(at); g.quarantine.RemoveStored(now, mark) {
+		g.verdictsChanged(now, quarantine.Change{VerdictChanged: []quarantine.Fingerprint{mark}}, byStore)
 	}
 }
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -18,13 +18,13 @@
 }
 
 // Pick implements forward.Node.
-func (n runNode) Pick(service string, choice replica.Choice) (*replica.Replica, bool) {
+func (n runNode) Pick(service string, choice replica.PickOptions) (*replica.Replica, bool) {
 	return n.gateway.replicas.Pick(n.now, service, choice)
 }
 
 // Recovers implements forward.Node.
-func (n runNode) Recovers(service string, choice replica.Choice) (time.Duration, bool) {
-	return n.gateway.replicas.Recovers(service, choice)
+func (n runNode) Recovers(service string, choice replica.PickOptions) (time.Duration, bool) {
+	return n.gateway.replicas.EarliestRecovery(service, choice)
 }
 
 // SpendHedge implements forward.Node.
@@ -51,14 +51,14 @@
 	if n.run.call.Identity == (quarantine.Identity{}) {
 		return quarantine.Clear
 	}
-	verdict, change := g.quarantine.Ended(now, n.run.call.Identity, quarantine.Run{
+	verdict, change := g.quarantine.RecordCrash(now, n.run.call.Identity, quarantine.Crash{
 		Service: attempt.Service, BackEnd: attempt.Replica.Incarnation(), Version: attempt.Replica.Version,
 		Began: clock.Of(attempt.StartedAt), Ended: clock.Of(attempt.EndedAt),
 	})
-	if change.First && n.run.route.FansOut() {
+	if change.FirstRound && n.run.route.FansOut() {
 		// Most often another shard answers soon, and nobody need hear of it.
-		n.run.evidencePending = n.run.evidencePending || len(change.Tell) > 0
-		change.Tell = nil
+		n.run.evidencePending = n.run.evidencePending || len(change.Share) > 0
+		change.Share = nil
 	}
 	g.verdictsChanged(now, change, byOwn)
 	return verdict
@@ -71,7 +71,7 @@
 
 // LeftOut implements forward.Node.
 func (n runNode) LeftOut(service string) bool {
-	return n.gateway.quarantine.LeftOut(clock.Of(n.now), n.run.call.Identity, service)
+	return n.gateway.quarantine.ShardExcluded(clock.Of(n.now), n.run.call.Identity, service)
 }
 
 // Answered implements forward.Node.
@@ -79,9 +79,9 @@
 	g, now := n.gateway, clock.Of(n.now)
 	n.run.evidencePending = false
 	n.blameBackEnds(attempt.Shard)
-	change := g.quarantine.Answered(now, n.run.call.Identity, attempt.Service, attempt.Replica.Version)
-	for _, mark := range change.Judged {
-		_, held := g.quarantine.Held(now, mark)
+	change := g.quarantine.RecordAnswer(now, n.run.call.Identity, attempt.Service, attempt.Replica.Version)
+	for _, mark := range change.VerdictChanged {
+		_, held := g.quarantine.RemainingOf(now, mark)
 		g.quarantineWrites.settle(mark, held)
 	}
 	g.verdictsChanged(now, change, byOwn)
@@ -93,7 +93,7 @@
 		if attempt.Shard != shard || !attempt.Outcome.BlamesRequest {
 			continue
 		}
-		if attempt.Replica.Contradicted(n.now) {
+		if attempt.Replica.RecordContradiction(n.now) {
 			n.gateway.log.BackEndEjected(attempt, attempt.Outcome)
 		}
 		n.gateway.reportHealth(n.now, attempt.Replica)
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -17,7 +17,7 @@
 type Settings struct {
 	Forward    forward.Settings
 	Replica    replica.Settings
-	Places     replica.Places
+	Places     replica.Topology
 	Follow     follow.Settings
 	Spread     spread.Settings
 	Quarantine quarantine.Settings
@@ -123,10 +123,10 @@
 	return Settings{
 		Forward:    forwardSettings(s),
 		Replica:    replicaSettings(s),
-		Places:     replica.Places{Node: s.Node, Zone: s.Zone, Regions: s.Regions},
+		Places:     replica.Topology{Node: s.Node, Zone: s.Zone, Regions: s.Regions},
 		Follow:     followSettings(waits),
 		Spread:     spreadSettings(s, waits),
-		Quarantine: quarantine.Settings{Rounds: s.QuarantineRounds, For: clock.Of(s.QuarantineFor)},
+		Quarantine: quarantine.Settings{Rounds: s.QuarantineRounds, Duration: clock.Of(s.QuarantineFor)},
 		StoreCopy: StoreCopySettings{
 			Propagation: waits, KeepDoubtfulFor: doubtFor(s), DistrustDepartedFor: rewriteWithin.Duration() + oldIntervals*s.EntryInterval,
 		},
@@ -153,9 +153,9 @@
 
 func replicaSettings(s settings.Gateway) replica.Settings {
 	return replica.Settings{
-		Connections: s.Connections, FarPrice: s.FarPrice, FaultPrice: s.FaultPrice, UseSlowdown: s.GoByPace,
-		SubsetSize: s.SubsetSize, FewIdle: s.FewRest, Ejection: s.Ejection, Prove: s.ProveConnections,
-		WithdrawnFactor: s.WithdrawnFactor,
+		Connections: s.Connections, OtherRegionPenalty: s.FarPrice, FaultPenalty: s.FaultPrice, UseSlowdown: s.GoByPace,
+		SubsetSize: s.SubsetSize, LimitIdle: s.FewRest, Ejection: s.Ejection, VerifyConnections: s.ProveConnections,
+		CancelledFactor: s.WithdrawnFactor,
 	}
 }
 
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -55,7 +55,7 @@
 
 // apply brings what a record means in force.
 func (g *Gateway) apply(now time.Duration, record message.StoreRecord) {
-	if mark, found := quarantine.MarkOfKey(record.Key); found {
+	if mark, found := quarantine.ParseKey(record.Key); found {
 		g.takeQuarantine(now, mark, record)
 		return
 	}
@@ -94,7 +94,7 @@
 
 // vanished takes in that a key is gone. A back end of that is used on until a moment.
 func (g *Gateway) vanished(now time.Duration, key string, doubt time.Duration) {
-	if mark, found := quarantine.MarkOfKey(key); found {
+	if mark, found := quarantine.ParseKey(key); found {
 		g.dropQuarantine(now, mark)
 		return
 	}
@@ -122,7 +122,7 @@
 	if g.storeCopy.holdZoneReturn(now, key) {
 		return
 	}
-	if g.replicas.TakeZoneBack(now, zone) {
+	if g.replicas.RestoreZone(now, zone) {
 		g.log.ZoneEvacuationEnded(zone)
 	}
 }
@@ -175,7 +175,7 @@
 	warmups := map[string]replica.Warmup{}
 	for _, service := range table.Services() {
 		if service.ColdFor > 0 || service.ColdRate > 0 {
-			warmups[service.Name] = replica.Warmup{For: service.ColdFor, Rate: service.ColdRate}
+			warmups[service.Name] = replica.Warmup{Duration: service.ColdFor, Rate: service.ColdRate}
 		}
 	}
 	return warmups
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -211,7 +211,7 @@
 	},
 	{
 		"an attempt goes out that cannot be answered in time", "internal/forward/attempt.go",
-		"return now+chosen.Least(now) > r.deadline", "return false",
+		"return now+chosen.ExpectedMinimum(now) > r.deadline", "return false",
 		"./internal/forward", "TestNoSendThatCannotBeAnswered",
 	},
 	{
@@ -343,12 +343,12 @@
 	},
 	{
 		"near back ends get no larger share", "internal/replica/connections.go",
-		"Near: min(max(near, each), most)", "Near: min(max(near, each), each)",
+		"SameRegion: min(max(near, each), most)", "SameRegion: min(max(near, each), each)",
 		"./internal/replica", "TestConnectionShare",
 	},
 	{
 		"connections to far back ends rest like others", "internal/replica/connections.go",
-		"return IdleLimit{Most: 1, For: farIdleFor}", "return IdleLimit{Most: 1}",
+		"return IdleLimit{MaximumIdle: 1, IdleTimeout: farIdleFor}", "return IdleLimit{MaximumIdle: 1}",
 		"./internal/replica", "TestIdleLimit",
 	},
 	{
@@ -398,12 +398,12 @@
 	},
 	{
 		"back ends of a zone that was taken back count as warm", "internal/replica/zones.go",
-		"known.cold.until = max(known.cold.until, now+s.warmups[known.Service].For.Duration())", "_ = now",
+		"known.cold.until = max(known.cold.until, now+s.warmups[known.Service].Duration.Duration())", "_ = now",
 		"./internal/replica", "TestZoneTakenBackIsCold",
 	},
 	{
 		"a refusal with free slots counts as one of a full back end", "internal/gateway/attempt.go",
-		"			return replica.RefusedWithRoom\n", "			return replica.Refused\n",
+		"			return replica.RefusedWithFreeSlots\n", "			return replica.Refused\n",
 		"./internal/gateway", "TestRefusedThoughSlotsAreFree",
 	},
 	{
--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -46,12 +46,12 @@
 	},
 	{
 		"a question is known by its caller's address alone", "internal/quarantine/mark.go",
-		"Question: MarkOf([]byte(question), where, details)", "Question: MarkOf([]byte(question), []byte(who), where, details)",
+		"Request: FingerprintOf([]byte(question), where, details)", "Request: FingerprintOf([]byte(question), []byte(who), where, details)",
 		"./internal/gateway", "TestRequestThatComesInAnotherGuise",
 	},
 	{
 		"attempts go on after two back ends have ended", "internal/forward/caution.go",
-		"if quarantine.WithdrawOthers(r.caution.suspect, r.caution.ends) {", "if r.caution.suspect {",
+		"if quarantine.CancelOthers(r.caution.suspect, r.caution.ends) {", "if r.caution.suspect {",
 		"./internal/forward", "TestTwoEndsWithdrawTheOthers",
 	},
 	{
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -18,8 +18,8 @@
 	sameMoment = clock.Second / 2
 )
 
-// Tell gives what other nodes should know of some requests.
-func (c *Core) Tell(now clock.Ms, marks ...Mark) *message.Evidence {
+// EvidenceOf gives what other nodes should know of some requests.
+func (c *Core) EvidenceOf(now clock.Ms, marks ...Fingerprint) *message.Evidence {
 	m := &message.Evidence{}
 	for _, mark := range marks {
 		if r := c.records[mark]; r != nil && len(m.Requests) < mostRequestsSent {
@@ -29,8 +29,8 @@
 	return m
 }
 
-// TellAll gives all that other nodes should know, of the requests that matter most first; nil where there is nothing.
-func (c *Core) TellAll(now clock.Ms) *message.Evidence {
+// AllEvidence gives all that other nodes should know, of the requests that matter most first; nil where there is nothing.
+func (c *Core) AllEvidence(now clock.Ms) *message.Evidence {
 	var all []*record
 	for _, r := range c.records {
 		if r.suspected() || r.until > now {
@@ -92,7 +92,7 @@
 }
 
 func (c *Core) receive(now clock.Ms, sent *message.RequestEvidence, change *Change) {
-	mark := Mark(sent.Mark)
+	mark := Fingerprint(sent.Mark)
 	if c.records[mark] == nil && len(sent.Runs) == 0 && sent.QuarantinedMs == 0 {
 		return
 	}
@@ -109,10 +109,10 @@
 	}
 	after := r.quarantined(now)
 	if after != before {
-		change.Judged = append(change.Judged, mark)
+		change.VerdictChanged = append(change.VerdictChanged, mark)
 	}
 	if news || after != before {
-		change.Tell = append(change.Tell, mark)
+		change.Share = append(change.Share, mark)
 	}
 }
 
@@ -135,7 +135,7 @@
 // receiveRuns takes in runs that ended their back ends, and reports whether there are more rounds by them.
 func (c *Core) receiveRuns(now clock.Ms, r *record, sent *message.RequestEvidence) (news bool) {
 	for _, run := range sent.Runs[:min(len(sent.Runs), mostRunsSent)] {
-		grew := c.addRun(now, r, Run{
+		grew := c.addRun(now, r, Crash{
 			Service: run.Service, BackEnd: run.BackEnd, Version: run.Version,
 			Began: now - clock.Ms(run.BeganMs), Ended: now - clock.Ms(run.EndedMs),
 		})
--- a/internal/quarantine/outcome.go
+++ b/internal/quarantine/outcome.go
@@ -6,8 +6,8 @@
 	"stiletrail/internal/clock"
 )
 
-// Run is that of a request at a back end that ended meanwhile.
-type Run struct {
+// Crash is that of a request at a back end that ended meanwhile.
+type Crash struct {
 	Service string
 	// BackEnd names one life of a back end, Version its software.
 	BackEnd string
@@ -18,46 +18,46 @@
 
 // Change is what has become of what is known of requests.
 type Change struct {
-	// Tell are the marks of which other nodes should know; First, that is by one round only, which an answer may soon make good.
-	Tell  []Mark
-	First bool
-	// Judged are those that were put under quarantine, or are no longer.
-	Judged []Mark
+	// Share are the marks of which other nodes should know; First, that is by one round only, which an answer may soon make good.
+	Share      []Fingerprint
+	FirstRound bool
+	// VerdictChanged are those that were put under quarantine, or are no longer.
+	VerdictChanged []Fingerprint
 }
 
-// Ended takes in that a back end ended under a request, and gives the verdict on it: a place or a caller whose requests go on
+// RecordCrash takes in that a back end ended under a request, and gives the verdict on it: a place or a caller whose requests go on
 // ending back ends, one after the other and none answered, gets no second back end for another one.
-func (c *Core) Ended(now clock.Ms, id Identity, run Run) (Verdict, Change) {
+func (c *Core) RecordCrash(now clock.Ms, id Identity, run Crash) (Verdict, Change) {
 	c.noteEnd(now, run)
 	var change Change
 	// Where all that may be remembered is under quarantine a record of these may go again as the next one is made.
-	known := map[Mark]*record{}
+	known := map[Fingerprint]*record{}
 	for _, mark := range id.marks() {
 		r := c.recordOf(now, mark)
 		known[mark] = r
 		r.wide = !id.mayBeQuarantined(mark)
 		grew := c.addRun(now, r, run)
 		if grew {
-			change.Tell = append(change.Tell, mark)
+			change.Share = append(change.Share, mark)
 		}
 		if _, already := c.quarantineOf(now, id); grew && !already && c.quarantineIfDue(now, r) {
-			change.Judged = append(change.Judged, mark)
+			change.VerdictChanged = append(change.VerdictChanged, mark)
 		}
 	}
-	if known[id.Asked].rounds() >= c.settings.Rounds {
-		known[id.Question].addAskers(id.Asked)
+	if known[id.CallerRequest].rounds() >= c.settings.Rounds {
+		known[id.Request].addAskers(id.CallerRequest)
 	}
-	change.First = known[id.Question].rounds() <= 1 && known[id.Asked].rounds() <= 1
+	change.FirstRound = known[id.Request].rounds() <= 1 && known[id.CallerRequest].rounds() <= 1
 	verdict := c.Verdict(now, id)
-	if c.settings.Rounds > 0 && max(known[id.Place].rounds(), known[id.Caller].rounds()) > c.settings.Rounds {
+	if c.settings.Rounds > 0 && max(known[id.Resource].rounds(), known[id.Caller].rounds()) > c.settings.Rounds {
 		verdict = Quarantined
 	}
 	return verdict, change
 }
 
 // noteEnd remembers a back end that ended, once.
-func (c *Core) noteEnd(now clock.Ms, run Run) {
-	c.ends = slices.DeleteFunc(c.ends, func(end Run) bool {
+func (c *Core) noteEnd(now clock.Ms, run Crash) {
+	c.ends = slices.DeleteFunc(c.ends, func(end Crash) bool {
 		return now-end.Ended > doubtFor || end.BackEnd == run.BackEnd
 	})
 	if len(c.ends) < mostEnds {
@@ -66,8 +66,8 @@
 }
 
 // addRun takes a run into a record and reports whether there are more rounds by it.
-func (c *Core) addRun(now clock.Ms, r *record, run Run) (grew bool) {
-	if slices.ContainsFunc(r.runs, func(known Run) bool { return known.BackEnd == run.BackEnd }) {
+func (c *Core) addRun(now clock.Ms, r *record, run Crash) (grew bool) {
+	if slices.ContainsFunc(r.runs, func(known Crash) bool { return known.BackEnd == run.BackEnd }) {
 		return false
 	}
 	r.touched = now
@@ -84,8 +84,8 @@
 	return grew
 }
 
-// Answered takes in that a back end answered a request: it does not end what runs it.
-func (c *Core) Answered(now clock.Ms, id Identity, service, version string) (change Change) {
+// RecordAnswer takes in that a back end answered a request: it does not end what runs it.
+func (c *Core) RecordAnswer(now clock.Ms, id Identity, service, version string) (change Change) {
 	for _, mark := range id.marks() {
 		r := c.records[mark]
 		if r == nil {
@@ -95,10 +95,10 @@
 		r.answeredBy(now, service, version)
 		judged := quarantined != r.quarantined(now) || sound != len(r.sound)
 		if judged {
-			change.Judged = append(change.Judged, mark)
+			change.VerdictChanged = append(change.VerdictChanged, mark)
 		}
 		if shared && (judged || rounds != r.rounds()) {
-			change.Tell = append(change.Tell, mark)
+			change.Share = append(change.Share, mark)
 		}
 	}
 	return change
@@ -112,7 +112,7 @@
 		r.sound = appendNew(r.sound, version, mostVersions)
 		return
 	}
-	r.runs = slices.DeleteFunc(r.runs, func(run Run) bool { return run.Service == service && run.Ended <= now })
+	r.runs = slices.DeleteFunc(r.runs, func(run Crash) bool { return run.Service == service && run.Ended <= now })
 	delete(r.shardsUntil, service)
 	if !r.answered || now > r.answeredAt {
 		r.answered, r.answeredAt = true, now
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -15,42 +15,44 @@
 
 const heldFor = 600 * clock.Second
 
-func newCore() *quarantine.Core { return quarantine.New(quarantine.Settings{Rounds: 3, For: heldFor}) }
+func newCore() *quarantine.Core {
+	return quarantine.New(quarantine.Settings{Rounds: 3, Duration: heldFor})
+}
 
 func asks(who, what string) quarantine.Identity {
-	return quarantine.IdentityOf(who, []byte("GET host/"+what), nil)
+	return quarantine.NewIdentity(who, []byte("GET host/"+what), nil)
 }
 
 // run of a request at a back end, from one moment to another.
-func run(service, backEnd string, began, ended clock.Ms) quarantine.Run {
-	return quarantine.Run{Service: service, BackEnd: backEnd, Version: "v1", Began: began, Ended: ended}
+func run(service, backEnd string, began, ended clock.Ms) quarantine.Crash {
+	return quarantine.Crash{Service: service, BackEnd: backEnd, Version: "v1", Began: began, Ended: ended}
 }
 
 // TestRounds: runs that follow each other count, those at the same time count once.
 func TestRounds(t *testing.T) {
 	for name, c := range map[string]struct {
-		runs []quarantine.Run
+		runs []quarantine.Crash
 		want quarantine.Verdict
 	}{
 		"none": {nil, quarantine.Clear},
-		"one":  {[]quarantine.Run{run("s", "1", 0, 10)}, quarantine.Suspect},
-		"ten at once": {many(10, func(i int) quarantine.Run {
+		"one":  {[]quarantine.Crash{run("s", "1", 0, 10)}, quarantine.Suspect},
+		"ten at once": {many(10, func(i int) quarantine.Crash {
 			return run(fmt.Sprint("s", i), fmt.Sprint(i), clock.Ms(i), 100+clock.Ms(i))
 		}), quarantine.Suspect},
-		"two after another":   {[]quarantine.Run{run("s", "1", 0, 10), run("s", "2", 10, 20)}, quarantine.Suspect},
-		"three after another": {[]quarantine.Run{run("s", "1", 0, 10), run("s", "2", 10, 20), run("s", "3", 25, 30)}, quarantine.Quarantined},
+		"two after another":   {[]quarantine.Crash{run("s", "1", 0, 10), run("s", "2", 10, 20)}, quarantine.Suspect},
+		"three after another": {[]quarantine.Crash{run("s", "1", 0, 10), run("s", "2", 10, 20), run("s", "3", 25, 30)}, quarantine.Quarantined},
 		"learned in another order": {
-			[]quarantine.Run{run("s", "3", 25, 30), run("s", "1", 0, 10), run("s", "2", 10, 20)}, quarantine.Quarantined,
+			[]quarantine.Crash{run("s", "3", 25, 30), run("s", "1", 0, 10), run("s", "2", 10, 20)}, quarantine.Quarantined,
 		},
-		"the same back end thrice": {[]quarantine.Run{run("s", "1", 0, 10), run("s", "1", 10, 20), run("s", "1", 25, 30)}, quarantine.Suspect},
+		"the same back end thrice": {[]quarantine.Crash{run("s", "1", 0, 10), run("s", "1", 10, 20), run("s", "1", 25, 30)}, quarantine.Suspect},
 		"long ones beside": {
-			[]quarantine.Run{run("s", "1", 0, 100), run("s", "2", 0, 10), run("s", "3", 20, 30), run("s", "4", 40, 50)}, quarantine.Quarantined,
+			[]quarantine.Crash{run("s", "1", 0, 100), run("s", "2", 0, 10), run("s", "3", 20, 30), run("s", "4", 40, 50)}, quarantine.Quarantined,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			core, id := newCore(), asks("a", "x")
 			for _, r := range c.runs {
-				core.Ended(200, id, r)
+				core.RecordCrash(200, id, r)
 			}
 			if got := core.Verdict(200, id); got != c.want {
 				t.Errorf("%v, want %v", got, c.want)
@@ -59,7 +61,7 @@
 	}
 }
 
-func many(count int, of func(i int) quarantine.Run) (runs []quarantine.Run) {
+func many(count int, of func(i int) quarantine.Crash) (runs []quarantine.Crash) {
 	for i := range count {
 		runs = append(runs, of(i))
 	}
@@ -69,7 +71,7 @@
 // convict has a request end three back ends, one after the other from a moment on, and returns when that is over.
 func convict(core *quarantine.Core, id quarantine.Identity, from clock.Ms) clock.Ms {
 	for i := range 3 {
-		core.Ended(from+10, id, run("s", fmt.Sprint(from, "-", i), from, from+10))
+		core.RecordCrash(from+10, id, run("s", fmt.Sprint(from, "-", i), from, from+10))
 		from += 20
 	}
 	return from
@@ -79,14 +81,14 @@
 func TestQuarantineEnds(t *testing.T) {
 	core, id := newCore(), asks("a", "x")
 	now := convict(core, id, 1000)
-	if got, left := core.Verdict(now, id), core.Left(now, id); got != quarantine.Quarantined || left < heldFor-100 || left > heldFor {
+	if got, left := core.Verdict(now, id), core.Remaining(now, id); got != quarantine.Quarantined || left < heldFor-100 || left > heldFor {
 		t.Fatalf("%v for %d ms", got, left)
 	}
 	now += heldFor
 	if got := core.Verdict(now, id); got != quarantine.Suspect {
 		t.Errorf("afterwards %v", got)
 	}
-	if got, _ := core.Ended(now+20, id, run("s", "again", now, now+10)); got != quarantine.Quarantined {
+	if got, _ := core.RecordCrash(now+20, id, run("s", "again", now, now+10)); got != quarantine.Quarantined {
 		t.Errorf("after one more end %v", got)
 	}
 }
@@ -94,31 +96,31 @@
 // TestAnswerAcquits: whoever is answered does not end what runs it, whatever was seen before; but not where other software answered than what it ended.
 func TestAnswerAcquits(t *testing.T) {
 	core, id := newCore(), asks("a", "x")
-	core.Ended(10, id, run("s", "1", 0, 10))
-	_, change := core.Ended(30, id, run("s", "2", 20, 30))
-	if len(core.Tell(35, change.Tell...).Requests) == 0 {
+	core.RecordCrash(10, id, run("s", "1", 0, 10))
+	_, change := core.RecordCrash(30, id, run("s", "2", 20, 30))
+	if len(core.EvidenceOf(35, change.Share...).Requests) == 0 {
 		t.Error("nobody is told of two rounds")
 	}
-	if change := core.Answered(40, id, "s", "v1"); len(change.Tell) == 0 || core.Verdict(40, id) != quarantine.Clear {
-		t.Errorf("%v after an answer, tells %d", core.Verdict(40, id), len(change.Tell))
+	if change := core.RecordAnswer(40, id, "s", "v1"); len(change.Share) == 0 || core.Verdict(40, id) != quarantine.Clear {
+		t.Errorf("%v after an answer, tells %d", core.Verdict(40, id), len(change.Share))
 	}
-	if change := core.Answered(45, id, "s", "v1"); len(change.Tell) > 0 {
-		t.Errorf("others are told %d times of what they know", 1+len(change.Tell))
+	if change := core.RecordAnswer(45, id, "s", "v1"); len(change.Share) > 0 {
+		t.Errorf("others are told %d times of what they know", 1+len(change.Share))
 	}
-	core.Ended(60, id, run("s", "3", 50, 60))
+	core.RecordCrash(60, id, run("s", "3", 50, 60))
 	if got := core.Verdict(60, id); got != quarantine.Suspect {
 		t.Errorf("%v by what came before the answer too", got)
 	}
 	now := convict(core, id, 100)
-	core.Answered(now, id, "s", "v2")
-	if got, sound := core.Verdict(now, id), core.Sound(now, id); got != quarantine.Quarantined || !slices.Equal(sound, []string{"v2"}) {
+	core.RecordAnswer(now, id, "s", "v2")
+	if got, sound := core.Verdict(now, id), core.SafeVersions(now, id); got != quarantine.Quarantined || !slices.Equal(sound, []string{"v2"}) {
 		t.Errorf("%v, sound %v after another version has answered", got, sound)
 	}
-	core.Tell(now, id.Question, id.Asked)
-	if change := core.Answered(now, id, "s", "v2"); len(change.Judged)+len(change.Tell) > 0 {
+	core.EvidenceOf(now, id.Request, id.CallerRequest)
+	if change := core.RecordAnswer(now, id, "s", "v2"); len(change.VerdictChanged)+len(change.Share) > 0 {
 		t.Errorf("the second answer of that version is news: %+v", change)
 	}
-	if change := core.Answered(now, id, "s", "v1"); len(change.Judged) == 0 || core.Verdict(now, id) != quarantine.Clear {
+	if change := core.RecordAnswer(now, id, "s", "v1"); len(change.VerdictChanged) == 0 || core.Verdict(now, id) != quarantine.Clear {
 		t.Errorf("%v after the same version has answered", core.Verdict(now, id))
 	}
 }
@@ -127,14 +129,14 @@
 func TestOthersEndToo(t *testing.T) {
 	core, id := newCore(), asks("a", "x")
 	for i := range 30 {
-		core.Ended(5, asks("b", fmt.Sprint(i)), run("s", fmt.Sprint("other-", i), 0, 5))
+		core.RecordCrash(5, asks("b", fmt.Sprint(i)), run("s", fmt.Sprint("other-", i), 0, 5))
 	}
 	now := convict(core, id, 10)
 	if got := core.Verdict(now, id); got != quarantine.Suspect {
 		t.Errorf("%v after three rounds while others end", got)
 	}
-	core.Ended(now+10, id, run("s", "4", now, now+10))
-	core.Ended(now+30, id, run("s", "5", now+20, now+30))
+	core.RecordCrash(now+10, id, run("s", "4", now, now+10))
+	core.RecordCrash(now+30, id, run("s", "5", now+20, now+30))
 	if got := core.Verdict(now+30, id); got != quarantine.Quarantined {
 		t.Errorf("%v after five rounds", got)
 	}
@@ -144,14 +146,14 @@
 func TestOneShard(t *testing.T) {
 	core, id := newCore(), asks("a", "x")
 	for i := range clock.Ms(4) {
-		core.Ended(i*100+10, id, run("bad", fmt.Sprint(i), i*100, i*100+10))
-		core.Answered(i*100+20, id, "good", "v1")
+		core.RecordCrash(i*100+10, id, run("bad", fmt.Sprint(i), i*100, i*100+10))
+		core.RecordAnswer(i*100+20, id, "good", "v1")
 	}
-	if core.Verdict(400, id) == quarantine.Quarantined || !core.LeftOut(400, id, "bad") || core.LeftOut(400, id, "good") {
-		t.Errorf("%v, left out %v and %v", core.Verdict(400, id), core.LeftOut(400, id, "bad"), core.LeftOut(400, id, "good"))
+	if core.Verdict(400, id) == quarantine.Quarantined || !core.ShardExcluded(400, id, "bad") || core.ShardExcluded(400, id, "good") {
+		t.Errorf("%v, left out %v and %v", core.Verdict(400, id), core.ShardExcluded(400, id, "bad"), core.ShardExcluded(400, id, "good"))
 	}
-	core.Answered(500, id, "bad", "v1")
-	if core.LeftOut(500, id, "bad") {
+	core.RecordAnswer(500, id, "bad", "v1")
+	if core.ShardExcluded(500, id, "bad") {
 		t.Error("left out of a shard that has answered")
 	}
 }
@@ -161,12 +163,12 @@
 	core := newCore()
 	var got quarantine.Verdict
 	for i := range clock.Ms(5) {
-		got, _ = core.Ended(i*100+10, asks("a", fmt.Sprint(i)), run("s", fmt.Sprint(i), i*100, i*100+10))
+		got, _ = core.RecordCrash(i*100+10, asks("a", fmt.Sprint(i)), run("s", fmt.Sprint(i), i*100, i*100+10))
 	}
 	if got != quarantine.Quarantined {
 		t.Errorf("another back end for another question: %v", got)
 	}
-	if held := core.Count(500); held > 0 || len(core.Unstored(500)) > 0 {
+	if held := core.Count(500); held > 0 || len(core.MissingFromStore(500)) > 0 {
 		t.Errorf("%d are under quarantine", held)
 	}
 	if got := core.Verdict(500, asks("a", "new")); got != quarantine.Suspect {
@@ -191,7 +193,7 @@
 	if _, _, other := core.OtherCaller(now, asks("a", "x")); other {
 		t.Error("who asks round after round is another one")
 	}
-	core.Answered(now, asks("b", "x"), "s", "v1")
+	core.RecordAnswer(now, asks("b", "x"), "s", "v1")
 	if core.Verdict(now, asks("b", "x")) == quarantine.Quarantined || core.Verdict(now, asks("a", "x")) != quarantine.Suspect {
 		t.Errorf("after an answer %v and %v", core.Verdict(now, asks("b", "x")), core.Verdict(now, asks("a", "x")))
 	}
@@ -217,18 +219,18 @@
 		}
 		id, now := asks("a", "x"), clock.Ms(1000)
 		for i := range clock.Ms(3) {
-			cores[i].Ended(now+10, id, run("s", fmt.Sprint(i), now, now+10))
+			cores[i].RecordCrash(now+10, id, run("s", fmt.Sprint(i), now, now+10))
 			now += 20
 		}
 		exchange := func() {
 			for _, pair := range rapid.SliceOfN(rapid.IntRange(0, nodes*nodes-1), 20, 60).Draw(rt, "exchanges") {
-				if m := cores[pair/nodes].TellAll(now); m != nil {
+				if m := cores[pair/nodes].AllEvidence(now); m != nil {
 					cores[pair%nodes].Receive(now, m)
 				}
 			}
 			for range nodes {
 				for i := range cores {
-					if m := cores[i].TellAll(now); m != nil {
+					if m := cores[i].AllEvidence(now); m != nil {
 						cores[(i+1)%nodes].Receive(now, m)
 					}
 				}
@@ -241,13 +243,13 @@
 			}
 		}
 		now += 2000
-		change := cores[rapid.IntRange(0, nodes-1).Draw(rt, "answered")].Answered(now, id, "s", "v1")
-		if len(change.Tell) == 0 {
+		change := cores[rapid.IntRange(0, nodes-1).Draw(rt, "answered")].RecordAnswer(now, id, "s", "v1")
+		if len(change.Share) == 0 {
 			rt.Fatal("nobody is told of an answer")
 		}
 		for i, core := range cores {
 			for _, other := range cores {
-				core.Receive(now, other.Tell(now, change.Tell...))
+				core.Receive(now, other.EvidenceOf(now, change.Share...))
 			}
 			if got := core.Verdict(now, id); got == quarantine.Quarantined {
 				rt.Fatalf("node %d: %v after an answer", i, got)
@@ -262,7 +264,7 @@
 	now := convict(core, held, 0)
 	for i := range 6000 {
 		now += 10
-		core.Ended(now, asks(fmt.Sprint("caller-", i), fmt.Sprint(i)), run("s", fmt.Sprint("b-", i), now-5, now))
+		core.RecordCrash(now, asks(fmt.Sprint("caller-", i), fmt.Sprint(i)), run("s", fmt.Sprint("b-", i), now-5, now))
 	}
 	if core.Len() > 4096 {
 		t.Errorf("%d are remembered", core.Len())
@@ -270,7 +272,7 @@
 	if got := core.Verdict(now, held); got != quarantine.Quarantined {
 		t.Errorf("who was under quarantine is %v", got)
 	}
-	if m := core.TellAll(now); len(m.Requests) > 32 {
+	if m := core.AllEvidence(now); len(m.Requests) > 32 {
 		t.Errorf("a message has %d requests", len(m.Requests))
 	}
 	core.Forget(now + 2*heldFor + 3600*clock.Second)
@@ -298,7 +300,7 @@
 		})
 		core, now := newCore(), clock.Ms(rapid.IntRange(0, 1<<40).Draw(rt, "now"))
 		core.Receive(now, &message.Evidence{Requests: rapid.SliceOf(drawn).Draw(rt, "evidence")})
-		core.TellAll(now)
+		core.AllEvidence(now)
 		if core.Len() > 32 {
 			rt.Fatalf("%d requests by one message", core.Len())
 		}
@@ -312,33 +314,33 @@
 func TestStore(t *testing.T) {
 	core, other, id := newCore(), newCore(), asks("a", "x")
 	now := convict(core, id, 0)
-	unstored := core.Unstored(now)
+	unstored := core.MissingFromStore(now)
 	if len(unstored) != 1 {
 		t.Fatalf("%d to be stored", len(unstored))
 	}
 	for mark := range unstored {
-		if decoded, found := quarantine.MarkOfKey(quarantine.KeyOf(mark)); !found || decoded != mark {
+		if decoded, found := quarantine.ParseKey(quarantine.KeyOf(mark)); !found || decoded != mark {
 			t.Errorf("the key of %v is of %v", mark, decoded)
 		}
-		if _, err := other.Store(now, mark, []byte("{nonsense")); failure.CodeOf(err) != failure.Malformed || other.Len() != 0 {
+		if _, err := other.ApplyStored(now, mark, []byte("{nonsense")); failure.CodeOf(err) != failure.Malformed || other.Len() != 0 {
 			t.Errorf("nonsense: %v, %d remembered", err, other.Len())
 		}
-		if convicted, err := other.Store(now, mark, core.Encode(mark)); err != nil || !convicted || other.Verdict(now, id) != quarantine.Quarantined {
+		if convicted, err := other.ApplyStored(now, mark, core.Encode(mark)); err != nil || !convicted || other.Verdict(now, id) != quarantine.Quarantined {
 			t.Errorf("stored: %v, %v", convicted, err)
 		}
 		if _, _, may := other.OtherCaller(now, id); may {
 			t.Error("who asked round after round is another one to a node that reads the store")
 		}
-		if !other.Unstore(now, mark) || other.Verdict(now, id) != quarantine.Clear {
+		if !other.RemoveStored(now, mark) || other.Verdict(now, id) != quarantine.Clear {
 			t.Errorf("%v once the store says nothing", other.Verdict(now, id))
 		}
-		_, _ = core.Store(now, mark, core.Encode(mark))
-		if core.Unstore(now, mark) || core.Verdict(now, id) != quarantine.Quarantined {
+		_, _ = core.ApplyStored(now, mark, core.Encode(mark))
+		if core.RemoveStored(now, mark) || core.Verdict(now, id) != quarantine.Quarantined {
 			t.Error("what a node has seen itself went with the store's word")
 		}
 	}
 	for _, key := range []string{"quarantine/", "quarantine/zz", "servers/x", "quarantine-retrial/00"} {
-		if _, found := quarantine.MarkOfKey(key); found {
+		if _, found := quarantine.ParseKey(key); found {
 			t.Errorf("%q is of a request", key)
 		}
 	}
@@ -348,14 +350,14 @@
 func TestFullOfQuarantines(t *testing.T) {
 	core, now := newCore(), clock.Ms(0)
 	for i := range 4096 {
-		if _, err := core.Store(now, quarantine.MarkOf([]byte(fmt.Sprint(i))), []byte("{}")); err != nil {
+		if _, err := core.ApplyStored(now, quarantine.FingerprintOf([]byte(fmt.Sprint(i))), []byte("{}")); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if got := core.Count(now); got != 4096 {
 		t.Fatalf("%d are under quarantine", got)
 	}
-	verdict, _ := core.Ended(now+10, asks("a", "x"), run("s", "1", now, now+10))
+	verdict, _ := core.RecordCrash(now+10, asks("a", "x"), run("s", "1", now, now+10))
 	if verdict == quarantine.Quarantined || core.Len() > 4096 {
 		t.Errorf("%v, %d are remembered", verdict, core.Len())
 	}
@@ -365,26 +367,26 @@
 // was lifted is known to be.
 func TestLostByTheStore(t *testing.T) {
 	core, id := newCore(), asks("a", "x")
-	mark := id.Question
-	if _, err := core.Store(1000, mark, []byte(`{"versions":["v1"]}`)); err != nil {
+	mark := id.Request
+	if _, err := core.ApplyStored(1000, mark, []byte(`{"versions":["v1"]}`)); err != nil {
 		t.Fatal(err)
 	}
-	core.Lost(mark)
-	if left, held := core.Held(2000, mark); !held || left != heldFor-1000 {
+	core.RecordStoreLoss(mark)
+	if left, held := core.RemainingOf(2000, mark); !held || left != heldFor-1000 {
 		t.Errorf("held %v for %d ms", held, left)
 	}
-	if unstored := core.Unstored(2000); unstored[mark] != heldFor-1000 {
+	if unstored := core.MissingFromStore(2000); unstored[mark] != heldFor-1000 {
 		t.Errorf("to be written %v", unstored)
 	}
 	if core.Lifted(mark) {
 		t.Error("lifted")
 	}
-	core.Answered(3000, id, "s", "v1")
+	core.RecordAnswer(3000, id, "s", "v1")
 	if !core.Lifted(mark) || core.Verdict(3000, id) != quarantine.Clear {
 		t.Errorf("after an answer %v, lifted %v", core.Verdict(3000, id), core.Lifted(mark))
 	}
-	if _, err := core.Store(9000, mark, []byte(`{"versions":["v1"]}`)); err != nil || core.Lifted(mark) {
+	if _, err := core.ApplyStored(9000, mark, []byte(`{"versions":["v1"]}`)); err != nil || core.Lifted(mark) {
 		t.Errorf("lifted by a newer quarantine, %v", err)
 	}
-	core.Lost(asks("b", "y").Question)
+	core.RecordStoreLoss(asks("b", "y").Request)
 }
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -17,24 +17,24 @@
 
 // Item is a quarantine as it is kept in the store.
 type Item struct {
-	// Versions of software that the request ended, sound ones that answer it.
-	Versions []string `json:"versions"`
-	Sound    []string `json:"sound,omitempty"`
-	// Askers are the marks of those who asked when it ended back ends.
-	Askers []Mark `json:"askers,omitempty"`
+	// CrashedVersions of software that the request ended, sound ones that answer it.
+	CrashedVersions []string `json:"versions"`
+	SafeVersions    []string `json:"sound,omitempty"`
+	// Callers are the marks of those who asked when it ended back ends.
+	Callers []Fingerprint `json:"askers,omitempty"`
 }
 
 // KeyOf is the store's key of a request.
-func KeyOf(mark Mark) string { return keyPrefix + hex.EncodeToString(mark[:]) }
+func KeyOf(mark Fingerprint) string { return keyPrefix + hex.EncodeToString(mark[:]) }
 
 // RetrialKey is the store's key by which nodes agree on who sends a request under quarantine to a new version of the software, or
 // with no version for another caller.
-func RetrialKey(mark Mark, version string) string {
+func RetrialKey(mark Fingerprint, version string) string {
 	return retrialsPrefix + hex.EncodeToString(mark[:]) + "/" + hex.EncodeToString([]byte(version))
 }
 
-// MarkOfKey gives the request that a key of the store is about; false where it is about none.
-func MarkOfKey(key string) (mark Mark, found bool) {
+// ParseKey gives the request that a key of the store is about; false where it is about none.
+func ParseKey(key string) (mark Fingerprint, found bool) {
 	text, found := strings.CutPrefix(key, keyPrefix)
 	if !found {
 		return mark, false
@@ -43,14 +43,14 @@
 	if err != nil || len(decoded) != len(mark) {
 		return mark, false
 	}
-	return Mark(decoded), true
+	return Fingerprint(decoded), true
 }
 
 // Encode gives the value of a request's key.
-func (c *Core) Encode(mark Mark) []byte {
+func (c *Core) Encode(mark Fingerprint) []byte {
 	item := Item{}
 	if r := c.records[mark]; r != nil {
-		item.Versions, item.Sound, item.Askers = r.versions, r.sound, r.askers
+		item.CrashedVersions, item.SafeVersions, item.Callers = r.versions, r.sound, r.askers
 	}
 	value, err := json.Marshal(item)
 	if err != nil {
@@ -59,9 +59,9 @@
 	return value
 }
 
-// Store takes in what the store says of a request. It reports whether the request is under quarantine by it that was not before.
+// ApplyStored takes in what the store says of a request. It reports whether the request is under quarantine by it that was not before.
 // An error, of code MALFORMED, changes nothing.
-func (c *Core) Store(now clock.Ms, mark Mark, value []byte) (begun bool, err error) {
+func (c *Core) ApplyStored(now clock.Ms, mark Fingerprint, value []byte) (begun bool, err error) {
 	var item Item
 	if err := json.Unmarshal(value, &item); err != nil {
 		return false, failure.Wrap(err, failure.Malformed, "the quarantine of a request cannot be read")
@@ -72,15 +72,15 @@
 		r.storedAt = now
 	}
 	r.stored, r.touched, r.lifted = true, now, false
-	r.versions = appendAll(r.versions, item.Versions)
-	r.sound = appendAll(r.sound, item.Sound)
-	r.addAskers(item.Askers...)
+	r.versions = appendAll(r.versions, item.CrashedVersions)
+	r.sound = appendAll(r.sound, item.SafeVersions)
+	r.addAskers(item.Callers...)
 	return begun, nil
 }
 
-// Unstore takes in that the store says nothing of a request any more: its quarantine is over, unless this node has seen more
+// RemoveStored takes in that the store says nothing of a request any more: its quarantine is over, unless this node has seen more
 // itself or heard of it.
-func (c *Core) Unstore(now clock.Ms, mark Mark) (released bool) {
+func (c *Core) RemoveStored(now clock.Ms, mark Fingerprint) (released bool) {
 	r := c.records[mark]
 	if r == nil || !r.stored {
 		return false
@@ -89,31 +89,31 @@
 	return !r.quarantined(now)
 }
 
-// Lost takes in that the store, back from a copy, says nothing of a request any more. Nobody has ended its quarantine: that goes
+// RecordStoreLoss takes in that the store, back from a copy, says nothing of a request any more. Nobody has ended its quarantine: that goes
 // on for what was left of it, and Unstored names the request, so that it is written again.
-func (c *Core) Lost(mark Mark) {
+func (c *Core) RecordStoreLoss(mark Fingerprint) {
 	r := c.records[mark]
 	if r == nil || !r.stored {
 		return
 	}
 	r.stored = false
-	r.until = max(r.until, r.storedAt+c.settings.For)
+	r.until = max(r.until, r.storedAt+c.settings.Duration)
 }
 
 // Lifted reports whether a request is known to have been answered since it was last under quarantine: what a store that is back
 // from a copy says of it is older than that.
-func (c *Core) Lifted(mark Mark) bool {
+func (c *Core) Lifted(mark Fingerprint) bool {
 	r := c.records[mark]
 	return r != nil && r.lifted
 }
 
-// Unstored are the requests under quarantine that the store says nothing of, with how much longer they are.
-func (c *Core) Unstored(now clock.Ms) map[Mark]clock.Ms {
-	var found map[Mark]clock.Ms
+// MissingFromStore are the requests under quarantine that the store says nothing of, with how much longer they are.
+func (c *Core) MissingFromStore(now clock.Ms) map[Fingerprint]clock.Ms {
+	var found map[Fingerprint]clock.Ms
 	for mark, r := range c.records {
 		if !r.stored && now < r.until {
 			if found == nil {
-				found = map[Mark]clock.Ms{}
+				found = map[Fingerprint]clock.Ms{}
 			}
 			found[mark] = r.until - now
 		}
--- a/internal/quarantine/stored_test.go
+++ b/internal/quarantine/stored_test.go
@@ -11,7 +11,7 @@
 // storedIdentity is the request of which the literals below are the stored form. Nodes of different releases must give a request the same marks,
 // keys and items.
 func storedIdentity() quarantine.Identity {
-	return quarantine.IdentityOf("10.1.2.3", []byte("GET /x"), []byte("q=1"))
+	return quarantine.NewIdentity("10.1.2.3", []byte("GET /x"), []byte("q=1"))
 }
 
 const (
@@ -24,14 +24,14 @@
 // TestStoredMarks: the marks of a request, as keys of the store and messages have them.
 func TestStoredMarks(t *testing.T) {
 	id := storedIdentity()
-	for want, mark := range map[string]quarantine.Mark{
-		storedQuestion: id.Question, storedAsked: id.Asked, storedPlace: id.Place, storedCaller: id.Caller,
+	for want, mark := range map[string]quarantine.Fingerprint{
+		storedQuestion: id.Request, storedAsked: id.CallerRequest, storedPlace: id.Resource, storedCaller: id.Caller,
 	} {
 		text, err := mark.MarshalText()
 		if err != nil || string(text) != want {
 			t.Errorf("mark %s, error %v, want %s", text, err, want)
 		}
-		var read quarantine.Mark
+		var read quarantine.Fingerprint
 		if err := read.UnmarshalText([]byte(want)); err != nil || read != mark {
 			t.Errorf("read back %v, error %v, want %v", read, err, mark)
 		}
@@ -40,12 +40,12 @@
 
 // TestStoredKeys: the keys of a quarantine and of a retrial are written and read as before.
 func TestStoredKeys(t *testing.T) {
-	question := storedIdentity().Question
+	question := storedIdentity().Request
 	const key = "quarantine/" + storedQuestion
 	if got := quarantine.KeyOf(question); got != key {
 		t.Errorf("key %q, want %q", got, key)
 	}
-	if mark, found := quarantine.MarkOfKey(key); !found || mark != question {
+	if mark, found := quarantine.ParseKey(key); !found || mark != question {
 		t.Errorf("mark %v, found %t", mark, found)
 	}
 	for version, want := range map[string]string{
@@ -56,7 +56,7 @@
 		if got != want {
 			t.Errorf("retrial key %q, want %q", got, want)
 		}
-		if _, found := quarantine.MarkOfKey(got); found {
+		if _, found := quarantine.ParseKey(got); found {
 			t.Errorf("the retrial key %q passes for that of a quarantine", got)
 		}
 	}
@@ -73,7 +73,7 @@
 	core := newCore()
 	expect := func(want string) {
 		t.Helper()
-		if got := string(core.Encode(id.Question)); got != want {
+		if got := string(core.Encode(id.Request)); got != want {
 			t.Errorf("item %s, want %s", got, want)
 		}
 	}
@@ -82,20 +82,20 @@
 	for i := range 4 {
 		began := now
 		now += clock.Second / 2
-		core.Ended(now, id, quarantine.Run{Service: "s", BackEnd: fmt.Sprint(i), Version: "1.0", Began: began, Ended: now})
+		core.RecordCrash(now, id, quarantine.Crash{Service: "s", BackEnd: fmt.Sprint(i), Version: "1.0", Began: began, Ended: now})
 	}
 	expect(ended)
-	core.Answered(now, id, "s", "2.0")
+	core.RecordAnswer(now, id, "s", "2.0")
 	expect(answered)
 
 	reader := newCore()
-	if convicted, err := reader.Store(now, id.Question, []byte(answered)); !convicted || err != nil {
+	if convicted, err := reader.ApplyStored(now, id.Request, []byte(answered)); !convicted || err != nil {
 		t.Fatalf("convicted %t, error %v", convicted, err)
 	}
-	if got := string(reader.Encode(id.Question)); got != answered {
+	if got := string(reader.Encode(id.Request)); got != answered {
 		t.Errorf("written again as %s, want %s", got, answered)
 	}
-	if sound := reader.Sound(now, id); len(sound) != 1 || sound[0] != "2.0" {
+	if sound := reader.SafeVersions(now, id); len(sound) != 1 || sound[0] != "2.0" {
 		t.Errorf("sound versions %q", sound)
 	}
 	if _, _, other := reader.OtherCaller(now, id); other {
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -64,13 +64,13 @@
 	return Clear
 }
 
-// WithdrawOthers reports whether the other attempts of a request that nobody has answered are taken back, before they end more:
+// CancelOthers reports whether the other attempts of a request that nobody has answered are taken back, before they end more:
 // suspect is whether it was sent to one back end at a time already, ends how many back ends have ended under it.
-func WithdrawOthers(suspect bool, ends int) bool { return suspect || ends >= endsToWithdraw }
+func CancelOthers(suspect bool, ends int) bool { return suspect || ends >= endsToWithdraw }
 
 // quarantineOf gives the record by which a request is under quarantine.
 func (c *Core) quarantineOf(now clock.Ms, id Identity) (r *record, found bool) {
-	for _, mark := range []Mark{id.Question, id.Asked} {
+	for _, mark := range []Fingerprint{id.Request, id.CallerRequest} {
 		if r := c.records[mark]; r != nil && r.quarantined(now) {
 			return r, true
 		}
@@ -83,7 +83,7 @@
 	if c.settings.Rounds == 0 || r.wide || r.rounds() < c.settings.Rounds+c.doubt(now, r) {
 		return false
 	}
-	r.quarantinedAt, r.until, r.lifted = now, now+c.settings.For, false
+	r.quarantinedAt, r.until, r.lifted = now, now+c.settings.Duration, false
 	return true
 }
 
@@ -96,7 +96,7 @@
 	if r.shardsUntil == nil {
 		r.shardsUntil = map[string]clock.Ms{}
 	}
-	r.shardsUntil[service] = now + c.settings.For
+	r.shardsUntil[service] = now + c.settings.Duration
 }
 
 // doubt is how many more rounds are asked for, by the back ends that ended of late without the request.
--- a/internal/replica/connections.go
+++ b/internal/replica/connections.go
@@ -20,9 +20,9 @@
 
 // ConnectionShare is what one node may have of the connections of each back end of a service.
 type ConnectionShare struct {
-	// Near and Far bound the attempts under way at a back end in the own region and at one elsewhere.
-	Near int
-	Far  int
+	// SameRegion and Far bound the attempts under way at a back end in the own region and at one elsewhere.
+	SameRegion   int
+	OtherRegions int
 }
 
 // NewConnectionShare divides the connections that a back end accepts among nodes, so many of them in its own region; no
@@ -31,10 +31,10 @@
 func NewConnectionShare(connections, nodes, nearNodes, most int) ConnectionShare {
 	each := min(max(connections/nodes, 1), most)
 	if each >= ampleShare {
-		return ConnectionShare{Near: each, Far: each}
+		return ConnectionShare{SameRegion: each, OtherRegions: each}
 	}
 	near := (connections - connections/farPart) / max(nearNodes, 1)
-	return ConnectionShare{Near: min(max(near, each), most), Far: each}
+	return ConnectionShare{SameRegion: min(max(near, each), most), OtherRegions: each}
 }
 
 // SetConnectionShares sets what this node may have of the connections, by service.
@@ -48,23 +48,23 @@
 	if share, known := s.shares[service]; known {
 		return share
 	}
-	return ConnectionShare{Near: s.settings.Connections, Far: s.settings.Connections}
+	return ConnectionShare{SameRegion: s.settings.Connections, OtherRegions: s.settings.Connections}
 }
 
 // connectionsTo bounds the attempts under way at a replica.
 func (s *Set) connectionsTo(r *Replica) int {
 	if s.near(r) {
-		return s.connectionShare(r.Service).Near
+		return s.connectionShare(r.Service).SameRegion
 	}
-	return s.connectionShare(r.Service).Far
+	return s.connectionShare(r.Service).OtherRegions
 }
 
 // IdleLimit says which connections to a replica are worth keeping for later requests.
 type IdleLimit struct {
-	// Most connections are idle at a time.
-	Most int
-	// For is how long one is idle at most; 0 leaves that to the back end.
-	For clock.Ms
+	// MaximumIdle connections are idle at a time.
+	MaximumIdle int
+	// IdleTimeout is how long one is idle at most; 0 leaves that to the back end.
+	IdleTimeout clock.Ms
 }
 
 // IdleLimit of connections to a replica. Where the share is not ample, one is kept, and at a far replica only for a
@@ -74,19 +74,19 @@
 func (s *Set) IdleLimit(r *Replica) IdleLimit {
 	share := s.connectionShare(r.Service)
 	switch {
-	case share.Far >= ampleShare || !s.settings.FewIdle:
-		return IdleLimit{Most: share.Near}
+	case share.OtherRegions >= ampleShare || !s.settings.LimitIdle:
+		return IdleLimit{MaximumIdle: share.SameRegion}
 	case s.near(r):
-		return IdleLimit{Most: 1}
+		return IdleLimit{MaximumIdle: 1}
 	}
-	return IdleLimit{Most: 1, For: farIdleFor}
+	return IdleLimit{MaximumIdle: 1, IdleTimeout: farIdleFor}
 }
 
-// MustProve reports whether a new connection to the replica must prove itself before it is used, since the replica may
+// MustVerify reports whether a new connection to the replica must prove itself before it is used, since the replica may
 // be at the limit of the connections that it takes.
-func (s *Set) MustProve(now time.Duration, r *Replica) bool {
-	return s.settings.Prove && (s.manyStarting || now < r.connectionsDoubtedUntil)
+func (s *Set) MustVerify(now time.Duration, r *Replica) bool {
+	return s.settings.VerifyConnections && (s.manyStarting || now < r.connectionsDoubtedUntil)
 }
 
-// SetManyStarting says whether back ends may still count connections of earlier lives of many nodes.
-func (s *Set) SetManyStarting(many bool) { s.manyStarting = many }
+// SetManyNodesStarting says whether back ends may still count connections of earlier lives of many nodes.
+func (s *Set) SetManyNodesStarting(many bool) { s.manyStarting = many }
--- a/internal/replica/departed_test.go
+++ b/internal/replica/departed_test.go
@@ -15,7 +15,7 @@
 	leaves.Draining = true
 	set.Put(0, leaves)
 	set.Put(0, entry("leaves", "a1"))
-	if chosen, _ := set.Pick(0, "s", replica.Choice{}); chosen != nil {
+	if chosen, _ := set.Pick(0, "s", replica.PickOptions{}); chosen != nil {
 		t.Errorf("%s is picked", chosen.ID)
 	}
 }
@@ -47,7 +47,7 @@
 			if c.gone {
 				set.Remove(2*time.Second, "left", 2*time.Second)
 			}
-			readmitted := set.Readmit(c.at)
+			readmitted := set.ReadmitDeparted(c.at)
 			if known := set.Get("left") != nil; known != c.want {
 				t.Errorf("known %v, want %v", known, c.want)
 			}
@@ -82,7 +82,7 @@
 	}
 	set = newSet()
 	leave(0)
-	set.Readmit(time.Minute)
+	set.ReadmitDeparted(time.Minute)
 	set.DistrustDeparted(2 * time.Minute)
 	if count := known(time.Minute); count != many {
 		t.Errorf("%d of %d count after a minute", count, many)
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -14,8 +14,8 @@
 func pricedSet(entries ...replica.Entry) *replica.Set {
 	set := newSet(entries...)
 	priced := settings
-	priced.FarPrice, priced.FaultPrice = 0.3, 2
-	set.Reconfigure(priced, replica.Places{Zone: "a1", Regions: map[string]string{"a1": "a", "a2": "a", "b1": "b", "c1": "c"}})
+	priced.OtherRegionPenalty, priced.FaultPenalty = 0.3, 2
+	set.Reconfigure(priced, replica.Topology{Zone: "a1", Regions: map[string]string{"a1": "a", "a2": "a", "b1": "b", "c1": "c"}})
 	return set
 }
 
@@ -31,13 +31,13 @@
 	got := map[string]int{}
 	failed, now := 0, time.Second
 	send := func(faulty bool) {
-		chosen, _ := set.Pick(now, "s", replica.Choice{Target: target})
+		chosen, _ := set.Pick(now, "s", replica.PickOptions{TargetLatency: target})
 		got[chosen.ID]++
 		if faulty && chosen.ID != "sound" && random.Float64() < 0.45 {
 			failed++
-			run(set, now, chosen.ID, 3*millisecond, replica.RefusedWithRoom)
+			run(set, now, chosen.ID, 3*millisecond, replica.RefusedWithFreeSlots)
 		} else {
-			run(set, now, chosen.ID, max(chosen.Latency(), 12*millisecond), replica.Answered)
+			run(set, now, chosen.ID, max(chosen.AverageLatency(), 12*millisecond), replica.Answered)
 		}
 		now += 500 * millisecond
 	}
@@ -66,7 +66,7 @@
 	if _, faults := set.Get("near").Health(0); faults != 0 {
 		t.Errorf("%v of the attempts at a full replica count as failed", faults)
 	}
-	run(set, 0, "near", 3*millisecond, replica.RefusedWithRoom)
+	run(set, 0, "near", 3*millisecond, replica.RefusedWithFreeSlots)
 	if _, faults := set.Get("near").Health(3 * millisecond); faults < 0.25 {
 		t.Errorf("%v of the attempts at a replica with room count as failed", faults)
 	}
@@ -78,7 +78,7 @@
 	run(set, 0, "near", 95*millisecond, replica.Answered)
 	now := run(set, 0, "far", 35*millisecond, replica.Answered)
 	for aim, want := range map[time.Duration]string{100 * millisecond: "far", 400 * millisecond: "near"} {
-		if chosen, _ := set.Pick(now, "s", replica.Choice{Target: aim}); chosen.ID != want {
+		if chosen, _ := set.Pick(now, "s", replica.PickOptions{TargetLatency: aim}); chosen.ID != want {
 			t.Errorf("picked %q with a target of %v", chosen.ID, aim)
 		}
 	}
--- a/internal/replica/pick.go
+++ b/internal/replica/pick.go
@@ -41,19 +41,19 @@
 	otherZonePart = 0.08
 )
 
-// Choice says which replicas of a service may be picked: of those in Only, if there are any, all but those excluded.
-type Choice struct {
+// PickOptions says which replicas of a service may be picked: of those in Only, if there are any, all but those excluded.
+type PickOptions struct {
 	Excluded []*Replica
 	Only     []*Replica
 	// Versions of software that may be picked, if any are named.
 	Versions []string
 	// Regions whose back ends may be picked.
 	Regions region.Set
-	// Target latency of the request, of which prices are shares; 0 where it has none.
-	Target time.Duration
+	// TargetLatency latency of the request, of which prices are shares; 0 where it has none.
+	TargetLatency time.Duration
 }
 
-func (c Choice) allows(r *Replica) bool {
+func (c PickOptions) allows(r *Replica) bool {
 	if !c.Regions.Allows(r.region) {
 		return false
 	}
@@ -65,8 +65,8 @@
 
 // Pick returns the best replica of a service that the choice allows, or nil. Busy is set where there are replicas but
 // none has room for another attempt.
-func (s *Set) Pick(now time.Duration, service string, choice Choice) (best *Replica, busy bool) {
-	target := choice.Target
+func (s *Set) Pick(now time.Duration, service string, choice PickOptions) (best *Replica, busy bool) {
+	target := choice.TargetLatency
 	if target == 0 {
 		target = unstatedTarget
 	}
@@ -122,7 +122,7 @@
 // score is the latency expected of one more attempt with the prices of distance and of faults, in nanoseconds. It draws
 // one random number.
 func (s *Set) score(now time.Duration, r *Replica, target time.Duration) float64 {
-	expected := float64(r.Expected(now)) * float64(1+len(r.inFlight))
+	expected := float64(r.ExpectedLatency(now)) * float64(1+len(r.inFlight))
 	if s.settings.UseSlowdown {
 		expected *= r.slowdown.now(now, r.affinity)
 	}
@@ -133,7 +133,7 @@
 	if r.outsideSubset {
 		expected += float64(outsidePenalty)
 	}
-	faults := r.faults.odds(now) * s.settings.FaultPrice * float64(target)
+	faults := r.faults.odds(now) * s.settings.FaultPenalty * float64(target)
 	return expected + faults + float64(s.distance(r, target))
 }
 
@@ -142,7 +142,7 @@
 	if r.Zone == s.places.Zone {
 		return 0
 	}
-	price := s.settings.FarPrice * float64(target)
+	price := s.settings.OtherRegionPenalty * float64(target)
 	if s.near(r) {
 		price *= otherZonePart
 	}
@@ -156,13 +156,13 @@
 
 // HasCandidate reports whether a service has a back end in some regions that may be picked.
 func (s *Set) HasCandidate(service string, regions region.Set) bool {
-	choice := Choice{Regions: regions}
+	choice := PickOptions{Regions: regions}
 	return slices.ContainsFunc(s.byService[service], func(r *Replica) bool { return r.candidate() && choice.allows(r) })
 }
 
 // Versions are those of the software of a service's back ends in some regions that may be picked.
 func (s *Set) Versions(service string, regions region.Set) (versions []string) {
-	choice := Choice{Regions: regions}
+	choice := PickOptions{Regions: regions}
 	for _, member := range s.byService[service] {
 		if member.candidate() && choice.allows(member) && !slices.Contains(versions, member.Version) {
 			versions = append(versions, member.Version)
@@ -171,8 +171,8 @@
 	return versions
 }
 
-// Recovers returns the first moment at which one of the replicas that may be picked is not ejected; false if there is none.
-func (s *Set) Recovers(service string, choice Choice) (at time.Duration, known bool) {
+// EarliestRecovery returns the first moment at which one of the replicas that may be picked is not ejected; false if there is none.
+func (s *Set) EarliestRecovery(service string, choice PickOptions) (at time.Duration, known bool) {
 	for _, member := range s.byService[service] {
 		if !member.candidate() || !choice.allows(member) {
 			continue
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -21,8 +21,8 @@
 	// Slots is the number of requests the back end works on at a time.
 	Slots    int
 	Draining bool
-	// ColdFor is how much longer the back end is slow after its start.
-	ColdFor time.Duration
+	// WarmupLeft is how much longer the back end is slow after its start.
+	WarmupLeft time.Duration
 }
 
 // Incarnation names one start of a back end: what counts by who a back end is counts by it.
@@ -85,22 +85,22 @@
 // InFlight is the number of attempts under way.
 func (r *Replica) InFlight() int { return len(r.inFlight) }
 
-// Latency is the average the choice goes by.
-func (r *Replica) Latency() time.Duration { return r.latency.average }
+// AverageLatency is the average the choice goes by.
+func (r *Replica) AverageLatency() time.Duration { return r.latency.average }
 
-// Floor is the least that an answer of the replica takes: the way there and back.
-func (r *Replica) Floor() time.Duration { return r.latency.floor }
+// MinimumLatency is the least that an answer of the replica takes: the way there and back.
+func (r *Replica) MinimumLatency() time.Duration { return r.latency.floor }
 
-// Least is the least that an answer takes by what is known now. Answers that came while this node stood still say that
+// ExpectedMinimum is the least that an answer takes by what is known now. Answers that came while this node stood still say that
 // it takes seconds, and who goes by that for good makes no attempt that would show otherwise; so what was learned
 // decays.
-func (r *Replica) Least(now time.Duration) time.Duration {
+func (r *Replica) ExpectedMinimum(now time.Duration) time.Duration {
 	return r.latency.decay(now, r.latency.floor)
 }
 
-// Expected is the latency expected of an attempt: the average, decayed while the replica is unused, and no less than
+// ExpectedLatency is the latency expected of an attempt: the average, decayed while the replica is unused, and no less than
 // the age of the oldest attempt without an answer.
-func (r *Replica) Expected(now time.Duration) time.Duration {
+func (r *Replica) ExpectedLatency(now time.Duration) time.Duration {
 	expected := r.latency.expected(now)
 	if len(r.inFlight) > 0 {
 		expected = max(expected, now-r.inFlight[0])
@@ -120,16 +120,16 @@
 // Cold reports whether the replica is cold: it has just started, or its zone has just been taken back.
 func (r *Replica) Cold(now time.Duration) bool { return r.cold.active(now) }
 
-// Start counts an attempt in.
-func (r *Replica) Start(now time.Duration) {
+// StartAttempt counts an attempt in.
+func (r *Replica) StartAttempt(now time.Duration) {
 	r.inFlight = append(r.inFlight, now)
 	if r.Cold(now) {
 		r.cold.note(now)
 	}
 }
 
-// Finish counts out an attempt that started at the given time. It reports whether the replica was ejected by it.
-func (r *Replica) Finish(now, started time.Duration, verdict Verdict) (ejected bool) {
+// FinishAttempt counts out an attempt that started at the given time. It reports whether the replica was ejected by it.
+func (r *Replica) FinishAttempt(now, started time.Duration, verdict AttemptResult) (ejected bool) {
 	for i, start := range r.inFlight {
 		if start == started {
 			r.inFlight = append(r.inFlight[:i], r.inFlight[i+1:]...)
@@ -143,21 +143,21 @@
 		r.faults.note(now, 0)
 		r.latency.lowerFloor(elapsed)
 		r.latency.sample(now, r.withoutSlowdown(now, elapsed))
-	case Withdrawn:
+	case Cancelled:
 		// Its latency is more than its age, by an unknown time.
 		if elapsed > r.latency.expected(now) {
 			r.latency.sample(now, time.Duration(r.withdrawnFactor*float64(elapsed)))
 		}
 	case Refused:
 		r.latency.sample(now, max(elapsed, 2*r.latency.expected(now)))
-	case RefusedWithRoom:
+	case RefusedWithFreeSlots:
 		r.faults.note(now, 1)
 	case Failed:
 		r.faults.note(now, 1)
 		return r.ejection.failed(now)
 	case Unreachable:
 		return r.ejection.unreachable(now)
-	case TurnedAway:
+	case ConnectionRejected:
 		r.connectionsDoubtedUntil = now + connectionsDoubtedFor
 		return r.ejection.pause(now, turnedAwayPause)
 	case Misdirected:
@@ -166,9 +166,9 @@
 	return false
 }
 
-// Contradicted takes in that another replica has answered what this one said is the request's fault. It reports whether the
+// RecordContradiction takes in that another replica has answered what this one said is the request's fault. It reports whether the
 // replica was ejected by it.
-func (r *Replica) Contradicted(now time.Duration) (ejected bool) {
+func (r *Replica) RecordContradiction(now time.Duration) (ejected bool) {
 	r.faults.note(now, 1)
 	return r.ejection.failed(now)
 }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -13,12 +13,12 @@
 const millisecond = time.Millisecond
 
 var settings = replica.Settings{
-	Connections: 4, FarPrice: 0.4,
-	SubsetSize: 2, FewIdle: true, Ejection: true, Prove: true, WithdrawnFactor: 2,
+	Connections: 4, OtherRegionPenalty: 0.4,
+	SubsetSize: 2, LimitIdle: true, Ejection: true, VerifyConnections: true, CancelledFactor: 2,
 }
 
 func newSet(entries ...replica.Entry) *replica.Set {
-	places := replica.Places{Zone: "a1", Regions: map[string]string{"a1": "a", "a2": "a", "b1": "b"}}
+	places := replica.Topology{Zone: "a1", Regions: map[string]string{"a1": "a", "a2": "a", "b1": "b"}}
 	set := replica.NewSet(settings, places, rand.New(rand.NewPCG(1, 2)))
 	for _, entry := range entries {
 		set.Put(0, entry)
@@ -31,7 +31,7 @@
 }
 
 func picked(set *replica.Set, now time.Duration, excluded ...*replica.Replica) string {
-	chosen, _ := set.Pick(now, "s", replica.Choice{Excluded: excluded, Target: 200 * millisecond})
+	chosen, _ := set.Pick(now, "s", replica.PickOptions{Excluded: excluded, TargetLatency: 200 * millisecond})
 	if chosen == nil {
 		return ""
 	}
@@ -39,10 +39,10 @@
 }
 
 // run lets an attempt at a replica end with a verdict after some time, and returns the time.
-func run(set *replica.Set, now time.Duration, id string, length time.Duration, verdict replica.Verdict) time.Duration {
+func run(set *replica.Set, now time.Duration, id string, length time.Duration, verdict replica.AttemptResult) time.Duration {
 	chosen := set.Get(id)
-	chosen.Start(now)
-	chosen.Finish(now+length, now, verdict)
+	chosen.StartAttempt(now)
+	chosen.FinishAttempt(now+length, now, verdict)
 	return now + length
 }
 
@@ -75,7 +75,7 @@
 	set := newSet(entry("own", "a1"), entry("far", "b1"))
 	now := run(set, 0, "own", 20*millisecond, replica.Answered)
 	now = run(set, now, "far", 45*millisecond, replica.Answered)
-	set.Get("own").Start(now)
+	set.Get("own").StartAttempt(now)
 	if got := picked(set, now+20*millisecond); got != "own" {
 		t.Errorf("picked %q", got)
 	}
@@ -88,13 +88,13 @@
 func TestWithdrawnAttempt(t *testing.T) {
 	set := newSet(entry("own", "a1"))
 	now := run(set, 0, "own", 20*millisecond, replica.Answered)
-	now = run(set, now, "own", 15*millisecond, replica.Withdrawn)
-	if got := set.Get("own").Latency(); got != 20*millisecond {
+	now = run(set, now, "own", 15*millisecond, replica.Cancelled)
+	if got := set.Get("own").AverageLatency(); got != 20*millisecond {
 		t.Errorf("%v after a young attempt was withdrawn", got)
 	}
-	run(set, now, "own", 120*millisecond, replica.Withdrawn)
+	run(set, now, "own", 120*millisecond, replica.Cancelled)
 	// The average moves by three tenths of the way from 20 to 240 ms.
-	if got := set.Get("own").Latency(); got != 86*millisecond {
+	if got := set.Get("own").AverageLatency(); got != 86*millisecond {
 		t.Errorf("%v after an attempt of 120 ms was withdrawn, want 86ms", got)
 	}
 }
@@ -142,12 +142,12 @@
 func TestTurnedAway(t *testing.T) {
 	set := newSet(entry("own", "a1"), entry("near", "a2"))
 	own := set.Get("own")
-	if set.MustProve(0, own) {
+	if set.MustVerify(0, own) {
 		t.Error("crowded without a sign")
 	}
 	now := time.Duration(0)
 	for range 3 {
-		now = run(set, now, "own", time.Millisecond, replica.TurnedAway)
+		now = run(set, now, "own", time.Millisecond, replica.ConnectionRejected)
 	}
 	if got := picked(set, now); got != "near" {
 		t.Errorf("picked %s at once", got)
@@ -155,10 +155,10 @@
 	if got := picked(set, now+100*time.Millisecond); got != "own" {
 		t.Errorf("picked %s after a moment", got)
 	}
-	if !set.MustProve(now+3*time.Second, own) || set.MustProve(now+5*time.Second, own) || set.MustProve(now, set.Get("near")) {
+	if !set.MustVerify(now+3*time.Second, own) || set.MustVerify(now+5*time.Second, own) || set.MustVerify(now, set.Get("near")) {
 		t.Error("crowded for another time, or another back end")
 	}
-	if set.SetManyStarting(true); !set.MustProve(now+5*time.Second, own) {
+	if set.SetManyNodesStarting(true); !set.MustVerify(now+5*time.Second, own) {
 		t.Error("not crowded among young nodes")
 	}
 }
@@ -170,18 +170,18 @@
 	run(set, 0, "a", 0, replica.Unreachable)
 	run(set, 10*time.Millisecond, "b", 0, replica.Unreachable)
 	for name, c := range map[string]struct {
-		choice replica.Choice
+		choice replica.PickOptions
 		at     time.Duration
 	}{
-		"one is sound":  {replica.Choice{}, 0},
-		"all but it":    {replica.Choice{Only: []*replica.Replica{a, b}}, 250 * time.Millisecond},
-		"the later one": {replica.Choice{Only: []*replica.Replica{a, b}, Excluded: []*replica.Replica{a}}, 260 * time.Millisecond},
+		"one is sound":  {replica.PickOptions{}, 0},
+		"all but it":    {replica.PickOptions{Only: []*replica.Replica{a, b}}, 250 * time.Millisecond},
+		"the later one": {replica.PickOptions{Only: []*replica.Replica{a, b}, Excluded: []*replica.Replica{a}}, 260 * time.Millisecond},
 	} {
-		if at, known := set.Recovers("s", c.choice); at != c.at || !known {
+		if at, known := set.EarliestRecovery("s", c.choice); at != c.at || !known {
 			t.Errorf("%s: %v, %v", name, at, known)
 		}
 	}
-	if _, known := set.Recovers("unknown", replica.Choice{}); known {
+	if _, known := set.EarliestRecovery("unknown", replica.PickOptions{}); known {
 		t.Error("known")
 	}
 }
@@ -190,12 +190,12 @@
 func TestConnections(t *testing.T) {
 	set := newSet(entry("own", "a1"))
 	for range settings.Connections {
-		set.Get("own").Start(0)
+		set.Get("own").StartAttempt(0)
 	}
-	if chosen, busy := set.Pick(0, "s", replica.Choice{}); chosen != nil || !busy {
+	if chosen, busy := set.Pick(0, "s", replica.PickOptions{}); chosen != nil || !busy {
 		t.Errorf("picked %v, busy %v", chosen, busy)
 	}
-	if chosen, busy := set.Pick(0, "unknown", replica.Choice{}); chosen != nil || busy {
+	if chosen, busy := set.Pick(0, "unknown", replica.PickOptions{}); chosen != nil || busy {
 		t.Errorf("picked %v, busy %v for an unknown service", chosen, busy)
 	}
 }
@@ -206,12 +206,12 @@
 		connections, nodes, near, most int
 		want                           replica.ConnectionShare
 	}{
-		{41, 9, 3, 8, replica.ConnectionShare{Near: 4, Far: 4}},
-		{400, 6, 2, 8, replica.ConnectionShare{Near: 8, Far: 8}},
-		{76, 88, 29, 8, replica.ConnectionShare{Near: 2, Far: 1}},
-		{67, 70, 22, 8, replica.ConnectionShare{Near: 2, Far: 1}},
-		{10, 88, 29, 8, replica.ConnectionShare{Near: 1, Far: 1}},
-		{76, 88, 1, 8, replica.ConnectionShare{Near: 8, Far: 1}},
+		{41, 9, 3, 8, replica.ConnectionShare{SameRegion: 4, OtherRegions: 4}},
+		{400, 6, 2, 8, replica.ConnectionShare{SameRegion: 8, OtherRegions: 8}},
+		{76, 88, 29, 8, replica.ConnectionShare{SameRegion: 2, OtherRegions: 1}},
+		{67, 70, 22, 8, replica.ConnectionShare{SameRegion: 2, OtherRegions: 1}},
+		{10, 88, 29, 8, replica.ConnectionShare{SameRegion: 1, OtherRegions: 1}},
+		{76, 88, 1, 8, replica.ConnectionShare{SameRegion: 8, OtherRegions: 1}},
 	} {
 		if got := replica.NewConnectionShare(test.connections, test.nodes, test.near, test.most); got != test.want {
 			t.Errorf("%+v: got %+v", test, got)
@@ -224,8 +224,8 @@
 func TestIdleLimit(t *testing.T) {
 	set := newSet(entry("own", "a1"), entry("near", "a2"), entry("far", "b1"))
 	for share, resting := range map[replica.ConnectionShare]map[string]replica.IdleLimit{
-		{Near: 2, Far: 1}: {"own": {Most: 1}, "near": {Most: 1}, "far": {Most: 1, For: clock.Second}},
-		{Near: 3, Far: 3}: {"own": {Most: 3}, "near": {Most: 3}, "far": {Most: 3}},
+		{SameRegion: 2, OtherRegions: 1}: {"own": {MaximumIdle: 1}, "near": {MaximumIdle: 1}, "far": {MaximumIdle: 1, IdleTimeout: clock.Second}},
+		{SameRegion: 3, OtherRegions: 3}: {"own": {MaximumIdle: 3}, "near": {MaximumIdle: 3}, "far": {MaximumIdle: 3}},
 	} {
 		set.SetConnectionShares(map[string]replica.ConnectionShare{"s": share})
 		for id, want := range resting {
@@ -234,9 +234,9 @@
 			}
 		}
 	}
-	set.SetConnectionShares(map[string]replica.ConnectionShare{"s": {Near: 2, Far: 1}})
+	set.SetConnectionShares(map[string]replica.ConnectionShare{"s": {SameRegion: 2, OtherRegions: 1}})
 	for _, id := range []string{"own", "far"} {
-		set.Get(id).Start(0)
+		set.Get(id).StartAttempt(0)
 	}
 	if got := picked(set, 0, set.Get("near")); got != "own" {
 		t.Errorf("with one attempt at each: picked %q", got)
@@ -248,9 +248,9 @@
 func TestSubset(t *testing.T) {
 	used := map[string]int{}
 	for node := range 60 {
-		places := replica.Places{Node: fmt.Sprint("node-", node), Zone: "a1", Regions: map[string]string{"a1": "a", "b1": "b"}}
+		places := replica.Topology{Node: fmt.Sprint("node-", node), Zone: "a1", Regions: map[string]string{"a1": "a", "b1": "b"}}
 		set := replica.NewSet(settings, places, rand.New(rand.NewPCG(1, uint64(node))))
-		set.SetConnectionShares(map[string]replica.ConnectionShare{"s": {Near: 1, Far: 1}})
+		set.SetConnectionShares(map[string]replica.ConnectionShare{"s": {SameRegion: 1, OtherRegions: 1}})
 		for i := range 10 {
 			set.Put(0, entry(fmt.Sprint("near-", i), "a1"))
 		}
@@ -297,11 +297,11 @@
 		t.Errorf("picked %q where there is only the doubtful one", got)
 	}
 	set.Put(time.Second, entry("own", "a1"))
-	if expired := set.Expire(3 * time.Second); len(expired) != 0 || picked(set, time.Second) != "own" {
+	if expired := set.ExpireDoubtful(3 * time.Second); len(expired) != 0 || picked(set, time.Second) != "own" {
 		t.Errorf("came back, expired %v, picked %q", expired, picked(set, time.Second))
 	}
 	set.Remove(4*time.Second, "own", 6*time.Second)
-	if expired := set.Expire(6 * time.Second); len(expired) != 1 || set.Get("own") != nil {
+	if expired := set.ExpireDoubtful(6 * time.Second); len(expired) != 1 || set.Get("own") != nil {
 		t.Errorf("expired %v", expired)
 	}
 }
--- a/internal/replica/set.go
+++ b/internal/replica/set.go
@@ -20,7 +20,7 @@
 // Set is all back ends known to a node.
 type Set struct {
 	settings  Settings
-	places    Places
+	places    Topology
 	random    *rand.Rand
 	byID      map[string]*Replica
 	byKey     map[uint64]*Replica
@@ -40,7 +40,7 @@
 }
 
 // NewSet returns an empty set.
-func NewSet(settings Settings, places Places, random *rand.Rand) *Set {
+func NewSet(settings Settings, places Topology, random *rand.Rand) *Set {
 	return &Set{
 		settings: settings, places: places, random: random, byID: map[string]*Replica{}, byKey: map[uint64]*Replica{},
 		byService: map[string][]*Replica{}, evacuated: map[string]bool{}, departed: map[string]departed{},
@@ -48,10 +48,10 @@
 }
 
 // Reconfigure changes how replicas are chosen from now on.
-func (s *Set) Reconfigure(settings Settings, places Places) {
+func (s *Set) Reconfigure(settings Settings, places Topology) {
 	s.settings, s.places = settings, places
 	for _, known := range s.byID {
-		known.withdrawnFactor, known.useSlowdown = settings.WithdrawnFactor, settings.UseSlowdown
+		known.withdrawnFactor, known.useSlowdown = settings.CancelledFactor, settings.UseSlowdown
 		s.locate(known)
 	}
 	s.preferSubsets()
@@ -63,15 +63,15 @@
 // Get returns the back end of an id, or nil.
 func (s *Set) Get(id string) *Replica { return s.byID[id] }
 
-// All calls visit for each back end.
-func (s *Set) All(visit func(*Replica)) {
+// ForEach calls visit for each back end.
+func (s *Set) ForEach(visit func(*Replica)) {
 	for _, known := range s.byID {
 		visit(known)
 	}
 }
 
-// Draw returns a random number from 0 to 1, of the set's own source.
-func (s *Set) Draw() float64 { return s.random.Float64() }
+// RandomFloat64 returns a random number from 0 to 1, of the set's own source.
+func (s *Set) RandomFloat64() float64 { return s.random.Float64() }
 
 // Put takes in an entry as it is now. It reports whether anything changed that a choice goes by. One of an earlier start of the
 // back end is old, whenever it comes: from a copy of the store, by a peer, or by a write that was held up. One of a later start
@@ -111,7 +111,7 @@
 	known.Entry = entry
 	known.doubt.doubtful = false
 	known.misdirected = known.misdirected && !moved
-	known.cold.until = now + entry.ColdFor
+	known.cold.until = now + entry.WarmupLeft
 	s.locate(known)
 	if changed {
 		s.preferSubset(entry.Service)
@@ -122,8 +122,8 @@
 func (s *Set) add(now time.Duration, entry Entry) {
 	added := &Replica{
 		Entry: entry, key: xxhash.Sum64String(entry.Incarnation()), affinity: affinity(s.places.Node, entry.ID),
-		latency: latency{sampledAt: now}, cold: coldPhase{until: now + entry.ColdFor},
-		withdrawnFactor: s.settings.WithdrawnFactor, useSlowdown: s.settings.UseSlowdown,
+		latency: latency{sampledAt: now}, cold: coldPhase{until: now + entry.WarmupLeft},
+		withdrawnFactor: s.settings.CancelledFactor, useSlowdown: s.settings.UseSlowdown,
 	}
 	s.locate(added)
 	s.byID[entry.ID] = added
--- a/internal/replica/start_test.go
+++ b/internal/replica/start_test.go
@@ -37,9 +37,9 @@
 	for range 4 {
 		run(set, 3*time.Second, "x", 0, replica.Failed)
 	}
-	before.TakeLoad(3*time.Second, replica.Load{Told: true, Slots: 1, Slowdown: 9})
-	before.Finish(3*time.Second, 3*time.Second, replica.Misdirected)
-	before.Start(3 * time.Second)
+	before.RecordLoad(3*time.Second, replica.Load{Reported: true, Slots: 1, Slowdown: 9})
+	before.FinishAttempt(3*time.Second, 3*time.Second, replica.Misdirected)
+	before.StartAttempt(3 * time.Second)
 
 	now := 4 * time.Second
 	set.Put(now, startedAt("x", 2000))
@@ -47,13 +47,13 @@
 	if after == before {
 		t.Fatal("the second start is the same replica")
 	}
-	if after.InFlight() != 0 || after.Latency() != 0 || after.Floor() != 0 || after.Ejected(now) || after.Doubtful() || after.Cold(now) {
-		t.Errorf("of the earlier start: %d under way, latency %v, floor %v, ejected %v", after.InFlight(), after.Latency(), after.Floor(), after.Ejected(now))
+	if after.InFlight() != 0 || after.AverageLatency() != 0 || after.MinimumLatency() != 0 || after.Ejected(now) || after.Doubtful() || after.Cold(now) {
+		t.Errorf("of the earlier start: %d under way, latency %v, floor %v, ejected %v", after.InFlight(), after.AverageLatency(), after.MinimumLatency(), after.Ejected(now))
 	}
 	if slowdown, faults := after.Health(now); slowdown != 1 || faults != 0 {
 		t.Errorf("slowdown %v and faults %v of the earlier start", slowdown, faults)
 	}
-	before.Finish(now, 3*time.Second, replica.Unreachable)
+	before.FinishAttempt(now, 3*time.Second, replica.Unreachable)
 	if after.Ejected(now) || picked(set, now) != "x" {
 		t.Error("the end of an attempt at the earlier start counts at the next one")
 	}
@@ -64,7 +64,7 @@
 	set := newSet(startedAt("x", 1000))
 	earlier := set.Get("x").Key()
 	set.Put(time.Second, startedAt("x", 2000))
-	set.TakeReport(2*time.Second, earlier, 9, 1, 2*time.Second)
+	set.RecordReport(2*time.Second, earlier, 9, 1, 2*time.Second)
 	if slowdown, faults := set.Get("x").Health(2 * time.Second); slowdown != 1 || faults != 0 {
 		t.Errorf("slowdown %v and faults %v by a report of the earlier start", slowdown, faults)
 	}
@@ -99,7 +99,7 @@
 					t.Error("the entry of the earlier start changed something")
 				}
 			}
-			set.Readmit(10 * time.Second)
+			set.ReadmitDeparted(10 * time.Second)
 			if got := picked(set, 10*time.Second); got != c.want {
 				t.Errorf("picked %q, want %q", got, c.want)
 			}
@@ -189,7 +189,7 @@
 func TestPreferenceOutlivesAStart(t *testing.T) {
 	preferred := func(starts ...int64) string {
 		set := newSet()
-		set.SetConnectionShares(map[string]replica.ConnectionShare{"s": {Near: 1, Far: 1}})
+		set.SetConnectionShares(map[string]replica.ConnectionShare{"s": {SameRegion: 1, OtherRegions: 1}})
 		for i, start := range starts {
 			set.Put(0, startedAt(string(rune('a'+i)), start))
 		}
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -26,7 +26,7 @@
 func trace(seed uint64) uint64 {
 	random := rand.New(rand.NewPCG(seed, 9))
 	set := replica.NewSet(traceSettings(random), tracePlaces, rand.New(rand.NewPCG(seed, 10)))
-	set.SetWarmups(map[string]replica.Warmup{"s": {For: 3 * clock.Second, Rate: 12.5}})
+	set.SetWarmups(map[string]replica.Warmup{"s": {Duration: 3 * clock.Second, Rate: 12.5}})
 	sum := fnv.New64a()
 	note := func(values ...any) { _, _ = fmt.Fprintln(sum, values...) }
 	var running []started
@@ -39,7 +39,7 @@
 			chosen, busy := set.Pick(now, "s", traceChoice(random, set, id))
 			note("pick", name(chosen), busy)
 			if chosen != nil {
-				chosen.Start(now)
+				chosen.StartAttempt(now)
 				running = append(running, started{chosen, now})
 			}
 		case what < 75 && len(running) > 0:
@@ -47,16 +47,16 @@
 			ending := running[i]
 			running = append(running[:i], running[i+1:]...)
 			if random.IntN(2) == 0 {
-				ending.at.TakeLoad(now, replica.Load{Told: true, Running: random.IntN(5), Waiting: random.IntN(2), Slots: 4, Slowdown: 0.5 + 3*random.Float64()})
+				ending.at.RecordLoad(now, replica.Load{Reported: true, Running: random.IntN(5), Waiting: random.IntN(2), Slots: 4, Slowdown: 0.5 + 3*random.Float64()})
 			}
 			verdict := replica.Answered
 			if random.IntN(4) == 0 {
-				verdict = replica.Verdict(random.IntN(int(replica.Neutral) + 1))
+				verdict = replica.AttemptResult(random.IntN(int(replica.Neutral) + 1))
 			}
 			if verdict == replica.Misdirected && random.IntN(10) > 0 {
 				verdict = replica.Failed
 			}
-			note("finish", verdict, ending.at.Finish(now, ending.when, verdict))
+			note("finish", verdict, ending.at.FinishAttempt(now, ending.when, verdict))
 		case what < 80:
 			if now < distrustedUntil {
 				// More than one entry that is put aside would be taken back in the random order of a map.
@@ -71,9 +71,9 @@
 			}
 			note("remove", set.Remove(now, id, until))
 		case what < 84:
-			note("expire", set.Expire(now))
+			note("expire", set.ExpireDoubtful(now))
 		case what < 88 && set.Get(id) != nil:
-			set.TakeReport(now, set.Get(id).Key(), 1+4*random.Float64(), random.Float64(), now-time.Duration(random.IntN(int(time.Second))))
+			set.RecordReport(now, set.Get(id).Key(), 1+4*random.Float64(), random.Float64(), now-time.Duration(random.IntN(int(time.Second))))
 		case what < 90:
 			tracePlace(random, now, set, note)
 		case what < 91 && step%5 == 0:
@@ -86,10 +86,10 @@
 		case set.Get(id) != nil:
 			r := set.Get(id)
 			slowdown, faults := r.Health(now)
-			note(r.Latency(), r.Floor(), r.Least(now), r.Expected(now), r.InFlight(), r.Ejected(now), r.Doubtful(), r.Cold(now), r.Evacuated(), slowdown, faults)
-			note(set.MustProve(now, r), set.IdleLimit(r))
-			at, known := set.Recovers("s", replica.Choice{})
-			note(at, known, set.HasCandidate("s", region.Of("b")), set.Versions("s", region.Set{}), set.Len(), set.Draw())
+			note(r.AverageLatency(), r.MinimumLatency(), r.ExpectedMinimum(now), r.ExpectedLatency(now), r.InFlight(), r.Ejected(now), r.Doubtful(), r.Cold(now), r.Evacuated(), slowdown, faults)
+			note(set.MustVerify(now, r), set.IdleLimit(r))
+			at, known := set.EarliestRecovery("s", replica.PickOptions{})
+			note(at, known, set.HasCandidate("s", region.Of("b")), set.Versions("s", region.Set{}), set.Len(), set.RandomFloat64())
 		}
 	}
 	return sum.Sum64()
@@ -101,15 +101,15 @@
 	when time.Duration
 }
 
-var tracePlaces = replica.Places{
+var tracePlaces = replica.Topology{
 	Node: "node-0", Zone: "a1", Regions: map[string]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c"},
 }
 
 func traceSettings(random *rand.Rand) replica.Settings {
 	often := func() bool { return random.IntN(4) > 0 }
 	return replica.Settings{
-		Connections: 1 + random.IntN(4), FarPrice: random.Float64(), FaultPrice: 3 * random.Float64(), UseSlowdown: often(),
-		SubsetSize: random.IntN(3), FewIdle: often(), Ejection: often(), WithdrawnFactor: 1 + random.Float64(), Prove: often(),
+		Connections: 1 + random.IntN(4), OtherRegionPenalty: random.Float64(), FaultPenalty: 3 * random.Float64(), UseSlowdown: often(),
+		SubsetSize: random.IntN(3), LimitIdle: often(), Ejection: often(), CancelledFactor: 1 + random.Float64(), VerifyConnections: often(),
 	}
 }
 
@@ -119,7 +119,7 @@
 	entry.Version = fmt.Sprint("v", random.IntN(3))
 	entry.Draining = random.IntN(20) == 0
 	if random.IntN(3) == 0 {
-		entry.ColdFor = time.Duration(random.IntN(int(3 * time.Second)))
+		entry.WarmupLeft = time.Duration(random.IntN(int(3 * time.Second)))
 	}
 	if random.IntN(20) == 0 {
 		entry.Service = "other"
@@ -127,8 +127,8 @@
 	return entry
 }
 
-func traceChoice(random *rand.Rand, set *replica.Set, id string) replica.Choice {
-	choice := replica.Choice{Target: time.Duration(random.IntN(4)) * 100 * millisecond}
+func traceChoice(random *rand.Rand, set *replica.Set, id string) replica.PickOptions {
+	choice := replica.PickOptions{TargetLatency: time.Duration(random.IntN(4)) * 100 * millisecond}
 	switch known := set.Get(id); {
 	case random.IntN(3) > 0:
 	case known != nil && random.IntN(2) == 0:
@@ -145,7 +145,7 @@
 
 // anyDoubtful reports whether some entry has vanished in doubt. More than one would expire in the random order of a map.
 func anyDoubtful(set *replica.Set) (found bool) {
-	set.All(func(r *replica.Replica) { found = found || r.Doubtful() })
+	set.ForEach(func(r *replica.Replica) { found = found || r.Doubtful() })
 	return found
 }
 
@@ -156,9 +156,9 @@
 	case 0:
 		note("evacuate", set.EvacuateZone(zone))
 	case 1, 2, 3:
-		note("take back", set.TakeZoneBack(now, zone), set.EvacuatedZones())
+		note("take back", set.RestoreZone(now, zone), set.EvacuatedZones())
 	default:
-		readmitted := set.Readmit(now)
+		readmitted := set.ReadmitDeparted(now)
 		note("readmit", len(readmitted))
 	}
 }
@@ -170,7 +170,7 @@
 		nodes = append(nodes, fmt.Sprint("node-", i))
 	}
 	set.SetNodes("node-0", nodes)
-	set.SetManyStarting(random.IntN(3) == 0)
+	set.SetManyNodesStarting(random.IntN(3) == 0)
 	share := replica.NewConnectionShare(1+random.IntN(80), 1+random.IntN(40), 1+random.IntN(10), 8)
 	set.SetConnectionShares(map[string]replica.ConnectionShare{"s": share})
 }
--- a/internal/replica/verdict.go
+++ b/internal/replica/verdict.go
@@ -1,26 +1,26 @@
 package replica
 
-// Verdict is what the end of an attempt says of its replica.
-type Verdict int
+// AttemptResult is what the end of an attempt says of its replica.
+type AttemptResult int
 
 // The verdicts.
 const (
 	// Answered: it gave an answer of its own.
-	Answered Verdict = iota
+	Answered AttemptResult = iota
 	// Refused: it is too full to take the request.
 	Refused
-	// RefusedWithRoom: it refused the request though it says that slots are free.
-	RefusedWithRoom
+	// RefusedWithFreeSlots: it refused the request though it says that slots are free.
+	RefusedWithFreeSlots
 	// Failed: a broken connection or answer.
 	Failed
 	// Unreachable: no connection was had.
 	Unreachable
-	// TurnedAway: it ended a connection that had carried no answer yet. It may be at its limit, and sound.
-	TurnedAway
+	// ConnectionRejected: it ended a connection that had carried no answer yet. It may be at its limit, and sound.
+	ConnectionRejected
 	// Misdirected: its address answers for another back end.
 	Misdirected
-	// Withdrawn: the attempt was given up on before an answer.
-	Withdrawn
+	// Cancelled: the attempt was given up on before an answer.
+	Cancelled
 	// Neutral: the end says nothing of the replica.
 	Neutral
 )
--- a/internal/replica/warmup_test.go
+++ b/internal/replica/warmup_test.go
@@ -19,11 +19,11 @@
 		names = append(names, fmt.Sprint("node-", i))
 	}
 	for i := range nodes {
-		places := replica.Places{Node: names[i], Zone: "a1", Regions: map[string]string{"a1": "a", "b1": "b"}}
+		places := replica.Topology{Node: names[i], Zone: "a1", Regions: map[string]string{"a1": "a", "b1": "b"}}
 		set := replica.NewSet(settings, places, rand.New(rand.NewPCG(uint64(i), 2)))
-		set.SetWarmups(map[string]replica.Warmup{"s": {For: clock.Of(cold), Rate: rate}})
+		set.SetWarmups(map[string]replica.Warmup{"s": {Duration: clock.Of(cold), Rate: rate}})
 		set.SetNodes(names[i], names)
-		set.Put(0, replica.Entry{ID: "cold", Service: "s", Address: "127.0.0.1:1", Zone: "a1", ColdFor: cold})
+		set.Put(0, replica.Entry{ID: "cold", Service: "s", Address: "127.0.0.1:1", Zone: "a1", WarmupLeft: cold})
 		set.Put(0, entry("warm", "b1"))
 		sets = append(sets, set)
 	}
@@ -34,12 +34,12 @@
 func drive(sets []*replica.Set, every, until time.Duration) (arrivals []time.Duration) {
 	for now := 2 * time.Second; now < until; now += every {
 		for _, set := range sets {
-			chosen, _ := set.Pick(now, "s", replica.Choice{})
+			chosen, _ := set.Pick(now, "s", replica.PickOptions{})
 			if chosen == nil {
 				continue
 			}
-			chosen.Start(now)
-			chosen.Finish(now+millisecond, now, replica.Answered)
+			chosen.StartAttempt(now)
+			chosen.FinishAttempt(now+millisecond, now, replica.Answered)
 			if chosen.ID == "cold" {
 				arrivals = append(arrivals, now)
 			}
@@ -131,7 +131,7 @@
 // TestZoneTakenBackIsCold: back ends of a zone that was evacuated come back as cold ones, which bear little, unless their entries say later that they are warm.
 func TestZoneTakenBackIsCold(t *testing.T) {
 	set := newSet(entry("own", "a1"), entry("far", "b1"))
-	set.SetWarmups(map[string]replica.Warmup{"s": {For: 3 * clock.Second, Rate: 1}})
+	set.SetWarmups(map[string]replica.Warmup{"s": {Duration: 3 * clock.Second, Rate: 1}})
 	set.SetNodes("self", []string{"self"})
 	now := 10 * time.Second
 	if !set.EvacuateZone("a1") || set.EvacuateZone("a1") || set.EvacuatedZones() != 1 {
@@ -144,15 +144,15 @@
 	if set.HasCandidate("s", region.Of("a")) || !set.HasCandidate("s", region.Of("b")) {
 		t.Error("the back ends of an evacuated zone count as known")
 	}
-	if !set.TakeZoneBack(now, "a1") || set.TakeZoneBack(now, "a1") {
+	if !set.RestoreZone(now, "a1") || set.RestoreZone(now, "a1") {
 		t.Error("the end of an evacuation is news once")
 	}
 	if !set.Get("own").Cold(now+2*time.Second) || set.Get("own").Cold(now+4*time.Second) {
 		t.Error("back ends are cold for three seconds after the zone was taken back")
 	}
 	first := set.Get("own")
-	first.Start(now)
-	set.Get("late").Start(now)
+	first.StartAttempt(now)
+	set.Get("late").StartAttempt(now)
 	if got := picked(set, now+100*millisecond); got != "far" {
 		t.Errorf("picked %q, the cold ones have what they bear", got)
 	}
--- a/internal/telemetry/kept_test.go
+++ b/internal/telemetry/kept_test.go
@@ -24,14 +24,14 @@
 // silent is a decision log that writes nothing.
 type silent struct{ gateway.DecisionLog }
 
-func (silent) Request(*gateway.Call, *gateway.Result)                               {}
-func (silent) BackEndEjected(*forward.Attempt, forward.Outcome)                     {}
-func (silent) BackEndCrashed(*gateway.Call, *forward.Attempt, clock.Ms)             {}
-func (silent) VerdictChanged(quarantine.Mark, quarantine.Verdict, string, clock.Ms) {}
-func (silent) QuarantineNotWritten(quarantine.Mark, *failure.Failure)               {}
-func (silent) ItemRejected(*gateway.Item)                                           {}
-func (silent) StoreRestored(uint64)                                                 {}
-func (silent) LearnedFromPeer(from string, records int, revision history.Revision)  {}
+func (silent) Request(*gateway.Call, *gateway.Result)                                      {}
+func (silent) BackEndEjected(*forward.Attempt, forward.Outcome)                            {}
+func (silent) BackEndCrashed(*gateway.Call, *forward.Attempt, clock.Ms)                    {}
+func (silent) VerdictChanged(quarantine.Fingerprint, quarantine.Verdict, string, clock.Ms) {}
+func (silent) QuarantineNotWritten(quarantine.Fingerprint, *failure.Failure)               {}
+func (silent) ItemRejected(*gateway.Item)                                                  {}
+func (silent) StoreRestored(uint64)                                                        {}
+func (silent) LearnedFromPeer(from string, records int, revision history.Revision)         {}
 
 // value is what stands behind the name of a metric.
 var value = regexp.MustCompile(` [^ ]*$`)
@@ -59,8 +59,8 @@
 	measured.Connected(7 * time.Millisecond)
 	measured.BackEndEjected(lost, lost.Outcome)
 	measured.BackEndCrashed(&gateway.Call{}, lost, 12)
-	measured.VerdictChanged(quarantine.Mark{}, quarantine.Quarantined, "own", 0)
-	measured.QuarantineNotWritten(quarantine.Mark{}, nil)
+	measured.VerdictChanged(quarantine.Fingerprint{}, quarantine.Quarantined, "own", 0)
+	measured.QuarantineNotWritten(quarantine.Fingerprint{}, nil)
 	measured.ItemRejected(&gateway.Item{})
 	measured.StoreRestored(3)
 	measured.LearnedFromPeer("", 1, history.Revision{})
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -109,13 +109,13 @@
 }
 
 // VerdictChanged implements gateway.DecisionLog.
-func (m *Metrics) VerdictChanged(mark quarantine.Mark, verdict quarantine.Verdict, by string, left clock.Ms) {
+func (m *Metrics) VerdictChanged(mark quarantine.Fingerprint, verdict quarantine.Verdict, by string, left clock.Ms) {
 	m.count("stiletrail_verdicts_total", "verdict", verdict.String())
 	m.DecisionLog.VerdictChanged(mark, verdict, by, left)
 }
 
 // QuarantineNotWritten implements gateway.DecisionLog.
-func (m *Metrics) QuarantineNotWritten(mark quarantine.Mark, cause *failure.Failure) {
+func (m *Metrics) QuarantineNotWritten(mark quarantine.Fingerprint, cause *failure.Failure) {
 	m.set.GetOrCreateCounter("stiletrail_quarantines_not_written_total").Inc()
 	m.DecisionLog.QuarantineNotWritten(mark, cause)
 }
