--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -76,9 +76,9 @@
 	elapsed := now.Duration()
 	for range 20000 {
 		elapsed += 250 * time.Microsecond
-		gate.Level(clock.Of(elapsed))
+		gate.Level(clock.FromDuration(elapsed))
 	}
-	if level := gate.Level(clock.Of(elapsed)); level.TurnedAway > 0 {
+	if level := gate.Level(clock.FromDuration(elapsed)); level.TurnedAway > 0 {
 		t.Errorf("turns away %v after five seconds of four thousand decisions each", level.TurnedAway)
 	}
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -17,8 +17,8 @@
 // Second is a thousand milliseconds.
 const Second Ms = 1000
 
-// Of returns a duration in whole milliseconds, rounded down.
-func Of(d time.Duration) Ms { return Ms(d.Milliseconds()) }
+// FromDuration returns a duration in whole milliseconds, rounded down.
+func FromDuration(d time.Duration) Ms { return Ms(d.Milliseconds()) }
 
 // Duration returns m as the standard library counts time.
 func (m Ms) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
@@ -36,7 +36,7 @@
 func Start() Clock { return Clock{started: time.Now(), behindThen: (*behind.Load())()} }
 
 // Now returns the time since the start.
-func (c Clock) Now() Ms { return Of(c.Elapsed()) }
+func (c Clock) Now() Ms { return FromDuration(c.Elapsed()) }
 
 // Elapsed is Now as the standard library counts time.
 func (c Clock) Elapsed() time.Duration { return time.Since(c.started) + c.Suspended() }
--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -25,7 +25,7 @@
 // node that is stopping.
 func (c *Core) admit(now time.Duration, q *subQuery, verdict quarantine.Verdict) (refusal, bool) {
 	if verdict == quarantine.Quarantined {
-		return refusal{reason: query.ReasonLost, retryAfter: c.quarantine.Left(clock.Of(now), identityOf(q.request)).Duration()}, false
+		return refusal{reason: query.ReasonLost, retryAfter: c.quarantine.Left(clock.FromDuration(now), identityOf(q.request)).Duration()}, false
 	}
 	wait := c.longestWait(now, q)
 	remaining := q.deadline - now
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -85,7 +85,7 @@
 	}
 	g.lastUsed = now
 	q := newSubQuery(now, root, g, request)
-	verdict := c.quarantine.Verdict(clock.Of(now), identityOf(request))
+	verdict := c.quarantine.Verdict(clock.FromDuration(now), identityOf(request))
 	if refused, admitted := c.admit(now, q, verdict); !admitted {
 		c.refuse(root, request, refused.reason, refused.retryAfter)
 		return c.take()
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -16,7 +16,7 @@
 	case query.StatusOK:
 		a.group.latencies.Record(elapsed)
 		b.succeeded(now, elapsed)
-		c.quarantine.Answered(clock.Of(now), identityOf(a.subQuery.request), a.subQuery.request.Service, "")
+		c.quarantine.Answered(clock.FromDuration(now), identityOf(a.subQuery.request), a.subQuery.request.Service, "")
 	case query.StatusShed:
 		c.Counters.ShedByBackEnd++
 		b.window.Shed(now, max(b.latency, time.Millisecond))
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -32,9 +32,9 @@
 // wait until another shard is answered or asked as a trial. Ends are counted by this node; other dispatchers count their own.
 func (c *Core) backEndEnded(now time.Duration, a *attempt) {
 	q := a.subQuery
-	verdict, _ := c.quarantine.Ended(clock.Of(now), identityOf(q.request), quarantine.Run{
+	verdict, _ := c.quarantine.Ended(clock.FromDuration(now), identityOf(q.request), quarantine.Run{
 		Service: q.request.Service, BackEnd: a.backEnd.address + "#" + strconv.FormatUint(a.number, 10),
-		Began: clock.Of(a.startedAt), Ended: clock.Of(now),
+		Began: clock.FromDuration(a.startedAt), Ended: clock.FromDuration(now),
 	})
 	c.eject(now, a.group, a.backEnd)
 	if q.finished {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -54,7 +54,7 @@
 	}
 	g.mu.Unlock()
 	if outcome.BackEndEnded {
-		g.log.BackEndEnded(call, attempt, clock.Of(now-attempt.StartedAt))
+		g.log.BackEndEnded(call, attempt, clock.FromDuration(now-attempt.StartedAt))
 	}
 	if ejected {
 		g.log.Ejected(attempt, outcome)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -101,7 +101,7 @@
 // manyStarting reports whether back ends may still count many connections of earlier lives: this node has just started, and so
 // have many others, as after a loss of power. What a node that was started alone has left behind is little.
 func (f *fleet) manyStarting(now time.Duration) bool {
-	if clock.Of(now) >= startingFor {
+	if clock.FromDuration(now) >= startingFor {
 		return false
 	}
 	members := f.members.Members()
--- a/internal/gateway/health_reports.go
+++ b/internal/gateway/health_reports.go
@@ -81,8 +81,8 @@
 		return
 	}
 	slowdown, faults := r.Health(now)
-	report := healthreport.Report{BackEnd: r.Key(), Slowdown: slowdown, Faults: faults, SeenAt: clock.Of(now)}
-	if g.reports.core.Observe(clock.Of(now), report) {
+	report := healthreport.Report{BackEnd: r.Key(), Slowdown: slowdown, Faults: faults, SeenAt: clock.FromDuration(now)}
+	if g.reports.core.Observe(clock.FromDuration(now), report) {
 		g.reports.signal()
 	}
 }
@@ -103,7 +103,7 @@
 func (g *Gateway) sendNextReports() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if m := g.reports.core.NextMessage(clock.Of(g.now())); m != nil {
+	if m := g.reports.core.NextMessage(clock.FromDuration(g.now())); m != nil {
 		for _, peer := range g.reports.receiversAmong(&g.fleet) {
 			g.fleet.transport.Send(peer, m)
 		}
@@ -115,7 +115,7 @@
 
 // receiveReports takes in what another node reports of back ends.
 func (g *Gateway) receiveReports(now time.Duration, m *message.BackEndReports) {
-	news := g.reports.core.Receive(clock.Of(now), m)
+	news := g.reports.core.Receive(clock.FromDuration(now), m)
 	for _, r := range news {
 		g.replicas.TakeReport(now, r.BackEnd, r.Slowdown, r.Faults, r.SeenAt.Duration())
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -65,7 +65,7 @@
 	g.sendSpread(g.storeCopy.records.Tick(now, g.served(now), g.toldByWatchers(now)))
 	g.storeCopy.logStaleness(now)
 	g.compareEvidence(now)
-	g.reports.core.Forget(clock.Of(now))
+	g.reports.core.Forget(clock.FromDuration(now))
 	g.noteStarted(now)
 	g.noteMembers(now)
 }
--- a/internal/gateway/quarantine_evidence.go
+++ b/internal/gateway/quarantine_evidence.go
@@ -115,17 +115,17 @@
 
 // tellEvidenceTo tells a node all that is known of requests that ended back ends.
 func (g *Gateway) tellEvidenceTo(now time.Duration, peer string) {
-	if m := g.quarantine.TellAll(clock.Of(now)); m != nil {
+	if m := g.quarantine.TellAll(clock.FromDuration(now)); m != nil {
 		g.fleet.transport.Send(peer, m)
 	}
 }
 
 // compareEvidence tells a random node all that is known, each so often, where there is anything.
 func (g *Gateway) compareEvidence(now time.Duration) {
-	if !g.evidence.accountDue(clock.Of(now)) {
+	if !g.evidence.accountDue(clock.FromDuration(now)) {
 		return
 	}
-	g.quarantine.Forget(clock.Of(now))
+	g.quarantine.Forget(clock.FromDuration(now))
 	for _, peer := range g.fleet.members.Pick(1, membership.Member.Usable) {
 		g.tellEvidenceTo(now, peer)
 	}
@@ -133,13 +133,13 @@
 
 // receiveEvidence takes in what another node knows of requests, and passes on what is news.
 func (g *Gateway) receiveEvidence(at time.Duration, m *message.Evidence) {
-	now := clock.Of(at)
+	now := clock.FromDuration(at)
 	g.verdictsChanged(now, g.quarantine.Receive(now, m), byPeer)
 }
 
 // takeQuarantine takes in what the store says of a request.
 func (g *Gateway) takeQuarantine(at time.Duration, mark quarantine.Mark, record message.StoreRecord) {
-	now := clock.Of(at)
+	now := clock.FromDuration(at)
 	if g.storeCopy.records.RewriteLeft(at) > 0 && g.quarantine.Lifted(mark) {
 		g.quarantineWrites.settle(mark, false)
 		return
@@ -160,7 +160,7 @@
 		g.quarantine.Lost(mark)
 		return
 	}
-	if now := clock.Of(at); g.quarantine.Unstore(now, mark) {
+	if now := clock.FromDuration(at); g.quarantine.Unstore(now, mark) {
 		g.verdictsChanged(now, quarantine.Change{Judged: []quarantine.Mark{mark}}, byStore)
 	}
 }
--- a/internal/gateway/quarantine_writes.go
+++ b/internal/gateway/quarantine_writes.go
@@ -176,7 +176,7 @@
 func (g *Gateway) quarantineWritesDue() (writes []markedWrite) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now := clock.Of(g.now())
+	now := clock.FromDuration(g.now())
 	unstored := g.quarantine.Unstored(now)
 	add := func(mark quarantine.Mark, ifAbsent bool) {
 		length, held := g.quarantine.Held(now, mark)
@@ -198,7 +198,7 @@
 func (g *Gateway) claimRewritesDue() []Write {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.quarantineWrites.takeClaimRewrites(clock.Of(g.now()))
+	return g.quarantineWrites.takeClaimRewrites(clock.FromDuration(g.now()))
 }
 
 func (g *Gateway) quarantineRemovalsDue() []quarantine.Mark {
@@ -267,7 +267,7 @@
 		return false
 	}
 	if claimed {
-		g.quarantineWrites.claimed(key, clock.Of(g.now()), length)
+		g.quarantineWrites.claimed(key, clock.FromDuration(g.now()), length)
 		g.log.Retrial(mark, version)
 	}
 	return claimed
@@ -285,5 +285,5 @@
 		// A restored store may have lost that another node was let do it.
 		return length, false
 	}
-	return length, g.quarantineWrites.mayAskClaim(key, clock.Of(g.now()), length)
+	return length, g.quarantineWrites.mayAskClaim(key, clock.FromDuration(g.now()), length)
 }
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -43,17 +43,17 @@
 }
 
 // Sample implements forward.Node.
-func (n runNode) Sample(sample admit.Sample) { n.gateway.gate.Note(clock.Of(n.now), sample) }
+func (n runNode) Sample(sample admit.Sample) { n.gateway.gate.Note(clock.FromDuration(n.now), sample) }
 
 // BackEndEnded implements forward.Node.
 func (n runNode) BackEndEnded(attempt *forward.Attempt) quarantine.Verdict {
-	g, now := n.gateway, clock.Of(n.now)
+	g, now := n.gateway, clock.FromDuration(n.now)
 	if n.run.call.Identity == (quarantine.Identity{}) {
 		return quarantine.Clear
 	}
 	verdict, change := g.quarantine.Ended(now, n.run.call.Identity, quarantine.Run{
 		Service: attempt.Service, BackEnd: attempt.Replica.Incarnation(), Version: attempt.Replica.Version,
-		Began: clock.Of(attempt.StartedAt), Ended: clock.Of(attempt.EndedAt),
+		Began: clock.FromDuration(attempt.StartedAt), Ended: clock.FromDuration(attempt.EndedAt),
 	})
 	if change.First && n.run.route.FansOut() {
 		// Most often another shard answers soon, and nobody need hear of it.
@@ -66,17 +66,17 @@
 
 // Verdict implements forward.Node.
 func (n runNode) Verdict() quarantine.Verdict {
-	return n.gateway.quarantine.Verdict(clock.Of(n.now), n.run.call.Identity)
+	return n.gateway.quarantine.Verdict(clock.FromDuration(n.now), n.run.call.Identity)
 }
 
 // LeftOut implements forward.Node.
 func (n runNode) LeftOut(service string) bool {
-	return n.gateway.quarantine.LeftOut(clock.Of(n.now), n.run.call.Identity, service)
+	return n.gateway.quarantine.LeftOut(clock.FromDuration(n.now), n.run.call.Identity, service)
 }
 
 // Answered implements forward.Node.
 func (n runNode) Answered(attempt *forward.Attempt) {
-	g, now := n.gateway, clock.Of(n.now)
+	g, now := n.gateway, clock.FromDuration(n.now)
 	n.run.evidencePending = false
 	n.blameBackEnds(attempt.Shard)
 	change := g.quarantine.Answered(now, n.run.call.Identity, attempt.Service, attempt.Replica.Version)
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -100,7 +100,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	return g.gate.Admit(clock.Of(now), route.Name, clock.Of(call.Deadline.Sub(g.at(now))), g.replicas.Draw)
+	return g.gate.Admit(clock.FromDuration(now), route.Name, clock.FromDuration(call.Deadline.Sub(g.at(now))), g.replicas.Draw)
 }
 
 // runToAnswer drives a request to its answer. Where no back end could be asked the store is read soon.
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -119,14 +119,14 @@
 
 // FromSettings gives the gateway's settings for those of the operator.
 func FromSettings(s settings.Gateway) Settings {
-	waits := WaitsWithin(clock.Of(min(s.LeavingTime, s.ApplyWithin, s.EvacuateWithin)))
+	waits := WaitsWithin(clock.FromDuration(min(s.LeavingTime, s.ApplyWithin, s.EvacuateWithin)))
 	return Settings{
 		Forward:    forwardSettings(s),
 		Replica:    replicaSettings(s),
 		Places:     replica.Places{Node: s.Node, Zone: s.Zone, Regions: s.Regions},
 		Follow:     followSettings(waits),
 		Spread:     spreadSettings(s, waits),
-		Quarantine: quarantine.Settings{Rounds: s.QuarantineRounds, For: clock.Of(s.QuarantineFor)},
+		Quarantine: quarantine.Settings{Rounds: s.QuarantineRounds, For: clock.FromDuration(s.QuarantineFor)},
 		Copy: CopySettings{
 			Waits: waits, DoubtFor: doubtFor(s), DistrustDepartedFor: rewriteWithin.Duration() + oldIntervals*s.EntryInterval,
 		},
@@ -171,7 +171,7 @@
 	return spread.Settings{
 		Interval: digestInterval, Fanout: digestFanout, KeepGone: keepGone,
 		Patience: waits.Patience.Duration(), AnswerWithin: waits.AnswerWithin.Duration(),
-		LapseAfter: clock.Of(lapseIntervals * s.EntryInterval), RewriteWithin: rewriteWithin,
+		LapseAfter: clock.FromDuration(lapseIntervals * s.EntryInterval), RewriteWithin: rewriteWithin,
 	}
 }
 
--- a/internal/gateway/suspensions.go
+++ b/internal/gateway/suspensions.go
@@ -40,5 +40,5 @@
 		close(s.noticed)
 		s.noticed = nil
 	}
-	return clock.Of(length)
+	return clock.FromDuration(length)
 }
--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -72,7 +72,7 @@
 func (g *Gateway) suspicionOf(call *Call, route *routing.Route) (s suspicion) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now := clock.Of(g.now())
+	now := clock.FromDuration(g.now())
 	if s.verdict = g.quarantine.Verdict(now, call.Identity); s.verdict == quarantine.Clear {
 		return s
 	}
@@ -123,7 +123,7 @@
 // beginTrial notes that a request is sent to one back end at a time; the lock is held.
 func (r *run) beginTrial(now time.Duration) {
 	g := r.gateway
-	if !r.trial && g.quarantine.Verdict(clock.Of(now), r.call.Identity) != quarantine.Clear {
+	if !r.trial && g.quarantine.Verdict(clock.FromDuration(now), r.call.Identity) != quarantine.Clear {
 		r.trial = true
 		g.trials[r.call.Identity.Question]++
 	}
@@ -138,7 +138,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if r.evidencePending {
-		g.tellEvidence(clock.Of(g.now()), r.call.Identity.Question, r.call.Identity.Asked)
+		g.tellEvidence(clock.FromDuration(g.now()), r.call.Identity.Question, r.call.Identity.Asked)
 	}
 	if !r.trial {
 		return
--- a/internal/replica/warmup_test.go
+++ b/internal/replica/warmup_test.go
@@ -21,7 +21,7 @@
 	for i := range nodes {
 		places := replica.Places{Node: names[i], Zone: "a1", Regions: map[string]string{"a1": "a", "b1": "b"}}
 		set := replica.NewSet(settings, places, rand.New(rand.NewPCG(uint64(i), 2)))
-		set.SetWarmups(map[string]replica.Warmup{"s": {For: clock.Of(cold), Rate: rate}})
+		set.SetWarmups(map[string]replica.Warmup{"s": {For: clock.FromDuration(cold), Rate: rate}})
 		set.SetNodes(names[i], names)
 		set.Put(0, replica.Entry{ID: "cold", Service: "s", Address: "127.0.0.1:1", Zone: "a1", ColdFor: cold})
 		set.Put(0, entry("warm", "b1"))
--- a/internal/spread/confirmation.go
+++ b/internal/spread/confirmation.go
@@ -17,12 +17,12 @@
 
 // Confirm takes in that the store itself has just told all changes up to the revision that is known.
 func (c *Core) Confirm(now time.Duration) {
-	c.confirm(now, confirmation{known: true, revision: c.revision, at: clock.Of(now)})
+	c.confirm(now, confirmation{known: true, revision: c.revision, at: clock.FromDuration(now)})
 }
 
 func (c *Core) confirm(now time.Duration, latest confirmation) {
 	if !c.confirmed.known || latest.at-c.confirmed.at >= c.settings.LapseAfter {
-		c.reconfirmedAt = clock.Of(now)
+		c.reconfirmedAt = clock.FromDuration(now)
 	}
 	c.confirmed = latest
 }
@@ -31,24 +31,24 @@
 // from all for so long, a short while ago, that entries of sound back ends have lapsed. That a call of this node failed says
 // nothing of that: the copies of all nodes are confirmed by whoever reaches the store.
 func (c *Core) Settled(now time.Duration) bool {
-	at := clock.Of(now)
+	at := clock.FromDuration(now)
 	return c.confirmed.known && at-c.confirmed.at < c.settings.LapseAfter && at-c.reconfirmedAt >= c.settings.RewriteWithin &&
 		c.RewriteLeft(now) == 0
 }
 
 // ConfirmedWithin reports whether the copy was complete at some moment within the given time.
 func (c *Core) ConfirmedWithin(now time.Duration, within clock.Ms) bool {
-	return c.confirmed.known && clock.Of(now)-c.confirmed.at <= within
+	return c.confirmed.known && clock.FromDuration(now)-c.confirmed.at <= within
 }
 
 // Age is how long ago the copy was last known to be complete; false where it never was.
 func (c *Core) Age(now time.Duration) (age clock.Ms, known bool) {
-	return max(0, clock.Of(now)-c.confirmed.at), c.confirmed.known
+	return max(0, clock.FromDuration(now)-c.confirmed.at), c.confirmed.known
 }
 
 // PeersConfirmedWithin reports whether a peer's copy was complete at some moment within the given time, as that peer has said.
 func (c *Core) PeersConfirmedWithin(now time.Duration, within clock.Ms) bool {
-	return c.peersHeard && clock.Of(now)-c.peersHeardAt <= within
+	return c.peersHeard && clock.FromDuration(now)-c.peersHeardAt <= within
 }
 
 // receiveConfirmation takes in what a peer says of when the store held nothing beyond a revision. It tells of the own copy once
@@ -57,7 +57,7 @@
 	if !m.Confirmed || revision.Unknown() {
 		return
 	}
-	at := clock.Of(now) - min(clock.Ms(m.AgeMs), maximumAge)
+	at := clock.FromDuration(now) - min(clock.Ms(m.AgeMs), maximumAge)
 	if !c.peersHeard || at > c.peersHeardAt {
 		c.peersHeard, c.peersHeardAt = true, at
 	}
@@ -86,7 +86,7 @@
 	if !c.confirmed.known {
 		return message.Confirmation{}
 	}
-	age := max(0, clock.Of(now)-c.confirmed.at)
+	age := max(0, clock.FromDuration(now)-c.confirmed.at)
 	return message.Confirmation{Confirmed: age < maximumAge, AgeMs: uint32(min(age, maximumAge))}
 }
 
--- a/internal/spread/era.go
+++ b/internal/spread/era.go
@@ -15,7 +15,7 @@
 // observeEra takes in that something was said of an era.
 func (c *Core) observeEra(now time.Duration, era uint64) {
 	if c.knowsEra && era > c.era {
-		c.restored, c.restoredAt = true, clock.Of(now)
+		c.restored, c.restoredAt = true, clock.FromDuration(now)
 	}
 	c.era, c.knowsEra = max(c.era, era), true
 }
@@ -26,7 +26,7 @@
 	if !c.restored {
 		return 0
 	}
-	return max(0, c.restoredAt+c.settings.RewriteWithin-clock.Of(now))
+	return max(0, c.restoredAt+c.settings.RewriteWithin-clock.FromDuration(now))
 }
 
 // Era is the latest one of which anything was said; restored reports whether the store was restored into it, as far as this
--- a/internal/transport/sending.go
+++ b/internal/transport/sending.go
@@ -172,7 +172,7 @@
 		item.message = &shortened
 	}
 	if aged, ok := item.message.(message.Aged); ok {
-		item.message = aged.WithAge(clock.Of(elapsed))
+		item.message = aged.WithAge(clock.FromDuration(elapsed))
 	}
 	frame := message.Encode(item.message)
 	if len(frame) > message.MaximumPayload {
