--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -19,7 +19,7 @@
 func TestAfterAFailure(t *testing.T) {
 	cases := []struct {
 		name       string
-		kind       forward.Kind
+		kind       forward.OutcomeKind
 		repeatable bool
 		budget     int
 		most       int
@@ -80,7 +80,7 @@
 				continue
 			}
 			number := rapid.IntRange(0, len(s.sent)-1).Draw(rt, "attempt")
-			kind := rapid.SampledFrom([]forward.Kind{forward.Answered, forward.Refused, forward.Lost, forward.NotSent, forward.Failed}).Draw(rt, "kind")
+			kind := rapid.SampledFrom([]forward.OutcomeKind{forward.Answered, forward.Refused, forward.Lost, forward.NotSent, forward.Failed}).Draw(rt, "kind")
 			outcome := ended(kind)
 			if kind == forward.Answered || kind == forward.Failed {
 				outcome.Response = &forward.Response{Status: 200, Signature: "s"}
@@ -282,7 +282,7 @@
 		s.take(actions)
 		for s.answer == nil {
 			s.now += 40 * millisecond
-			kind := rapid.SampledFrom([]forward.Kind{0, forward.Refused, forward.Lost, forward.NotSent, forward.Misdirected}).Draw(rt, "kind")
+			kind := rapid.SampledFrom([]forward.OutcomeKind{0, forward.Refused, forward.Lost, forward.NotSent, forward.Misdirected}).Draw(rt, "kind")
 			if kind == 0 {
 				s.at(s.now)
 			} else {
--- a/internal/forward/outcome.go
+++ b/internal/forward/outcome.go
@@ -6,13 +6,13 @@
 	"stiletrail/internal/replica"
 )
 
-// Kind of an outcome.
-type Kind int
+// OutcomeKind of an outcome.
+type OutcomeKind int
 
 // The outcomes of an attempt.
 const (
 	// Answered: the back end ran the request and gave a good, whole answer.
-	Answered Kind = iota + 1
+	Answered OutcomeKind = iota + 1
 	// Failed: the back end ran the request, or may have, and answered with a failure.
 	Failed
 	// Refused: the back end said that it did not run the request.
@@ -30,19 +30,19 @@
 )
 
 // NotRun reports whether the outcome proves that the attempt did not run.
-func (k Kind) NotRun() bool {
+func (k OutcomeKind) NotRun() bool {
 	return k == Refused || k == Misdirected || k == NotSent || k == Expired
 }
 
 // String names the outcome in logs.
-func (k Kind) String() string {
+func (k OutcomeKind) String() string {
 	names := [...]string{"none", "answered", "failed", "refused", "misdirected", "not_sent", "lost", "invalid", "expired"}
 	return names[k]
 }
 
 // Outcome of an attempt.
 type Outcome struct {
-	Kind Kind
+	Kind OutcomeKind
 	// RetryAfter is what a refusal says of when to come back.
 	RetryAfter time.Duration
 	// Response is the back end's answer, with Answered and Failed.
--- a/internal/forward/retry_test.go
+++ b/internal/forward/retry_test.go
@@ -124,7 +124,7 @@
 				s.at(s.now)
 				continue
 			}
-			kind := rapid.SampledFrom([]forward.Kind{forward.Answered, forward.Refused, forward.Lost, forward.NotSent}).Draw(rt, "kind")
+			kind := rapid.SampledFrom([]forward.OutcomeKind{forward.Answered, forward.Refused, forward.Lost, forward.NotSent}).Draw(rt, "kind")
 			outcome := ended(kind)
 			if kind == forward.Answered {
 				outcome.Response = &forward.Response{Status: 200, Signature: "s"}
--- a/internal/forward/scene_test.go
+++ b/internal/forward/scene_test.go
@@ -169,4 +169,4 @@
 	return forward.Outcome{Kind: forward.Answered, Response: &forward.Response{Status: 200, Signature: signature, Body: []byte(body)}}
 }
 
-func ended(kind forward.Kind) forward.Outcome { return forward.Outcome{Kind: kind} }
+func ended(kind forward.OutcomeKind) forward.Outcome { return forward.Outcome{Kind: kind} }
--- a/internal/forward/schedule_test.go
+++ b/internal/forward/schedule_test.go
@@ -14,7 +14,7 @@
 // asks for another one at a moment that has passed, and the request is answered by its deadline.
 func TestAnySchedule(t *testing.T) {
 	verdicts := []quarantine.Verdict{quarantine.Clear, quarantine.Suspect, quarantine.Quarantined}
-	kinds := []forward.Kind{
+	kinds := []forward.OutcomeKind{
 		forward.Answered, forward.Failed, forward.Refused, forward.Misdirected, forward.NotSent, forward.Lost, forward.Invalid, forward.Expired,
 	}
 	rapid.Check(t, func(rt *rapid.T) {
--- a/internal/gateway/simulation_backend_test.go
+++ b/internal/gateway/simulation_backend_test.go
@@ -136,7 +136,7 @@
 	return outcome
 }
 
-func silence(ctx context.Context, length time.Duration, kind forward.Kind) forward.Outcome {
+func silence(ctx context.Context, length time.Duration, kind forward.OutcomeKind) forward.Outcome {
 	select {
 	case <-time.After(length):
 	case <-ctx.Done():
