--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -96,7 +96,7 @@
 	return &gateway.Result{
 		Answer: answer, Route: &routing.Route{Name: "route"}, Version: 21, CopyAge: 340, Attempts: attempts,
 		Arrived: time.Second, Elapsed: 95 * time.Millisecond,
-		Denied: func(attempt *forward.Attempt) forward.Denied {
+		Denied: func(attempt *forward.Attempt) forward.DenialReason {
 			if attempt.Purpose == forward.Hedge {
 				return forward.DeniedBudget
 			}
--- a/internal/decisionlog/request.go
+++ b/internal/decisionlog/request.go
@@ -103,7 +103,7 @@
 
 // describeUnasked tells the shards without an attempt by reason: the reason, how many, and the first of them by name.
 func describeUnasked(unasked []forward.Unasked) (lines []string) {
-	services := map[forward.Denied][]string{}
+	services := map[forward.DenialReason][]string{}
 	for _, shard := range unasked {
 		services[shard.Why] = append(services[shard.Why], shard.Service)
 	}
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -33,28 +33,28 @@
 	Retry Purpose = "retry"
 )
 
-// Denied says why an attempt that was due was not sent.
-type Denied string
+// DenialReason says why an attempt that was due was not sent.
+type DenialReason string
 
 // The reasons.
 const (
-	DeniedBudget    Denied = "no_budget"
-	DeniedBusy      Denied = "replicas_busy"
-	DeniedNoReplica Denied = "no_other_replica"
+	DeniedBudget    DenialReason = "no_budget"
+	DeniedBusy      DenialReason = "replicas_busy"
+	DeniedNoReplica DenialReason = "no_other_replica"
 	// DeniedTooLate: no answer could come by the deadline any more.
-	DeniedTooLate Denied = "too_late"
+	DeniedTooLate DenialReason = "too_late"
 	// DeniedQuarantined: the request ends the back ends that run it, here or at this shard.
-	DeniedQuarantined Denied = "quarantined"
+	DeniedQuarantined DenialReason = "quarantined"
 )
 
 // Denied returns why the last attempt that was due for an attempt's shard was not sent, empty if none was.
-func (r *Request) Denied(attempt *Attempt) Denied { return r.shards[attempt.Shard].denied }
+func (r *Request) Denied(attempt *Attempt) DenialReason { return r.shards[attempt.Shard].denied }
 
 // Unasked is a shard without an attempt.
 type Unasked struct {
 	Service string
 	// Why it was not asked, empty where its turn had not come.
-	Why Denied
+	Why DenialReason
 }
 
 // Unasked are the shards at which no attempt was begun, in their order. Those of a request that was refused at its start are all.
@@ -71,7 +71,7 @@
 	return unasked
 }
 
-func noReplica(busy bool) Denied {
+func noReplica(busy bool) DenialReason {
 	if busy {
 		return DeniedBusy
 	}
--- a/internal/forward/shard.go
+++ b/internal/forward/shard.go
@@ -24,7 +24,7 @@
 	wait  time.Duration
 	pause time.Duration
 	// denied is why the last attempt that was due was not sent.
-	denied Denied
+	denied DenialReason
 }
 
 func newShards(services []string) []shard {
@@ -44,7 +44,7 @@
 }
 
 // fail gives the shard up.
-func (s *shard) fail(why Denied) {
+func (s *shard) fail(why DenialReason) {
 	s.denied = why
 	s.become(failed{})
 }
