--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -98,7 +98,7 @@
 		Arrived: time.Second, Elapsed: 95 * time.Millisecond,
 		Denied: func(attempt *forward.Attempt) forward.DenialReason {
 			if attempt.Purpose == forward.Hedge {
-				return forward.DeniedBudget
+				return forward.DeniedNoBudget
 			}
 			return ""
 		},
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -38,7 +38,7 @@
 
 // The reasons.
 const (
-	DeniedBudget    DenialReason = "no_budget"
+	DeniedNoBudget    DenialReason = "no_budget"
 	DeniedBusy      DenialReason = "replicas_busy"
 	DeniedNoReplica DenialReason = "no_other_replica"
 	// DeniedTooLate: no answer could come by the deadline any more.
--- a/internal/forward/hedge.go
+++ b/internal/forward/hedge.go
@@ -75,7 +75,7 @@
 	case r.tooLate(now, chosen):
 		s.denied = DeniedTooLate
 	case !r.node.SpendHedge(s.service):
-		s.denied = DeniedBudget
+		s.denied = DeniedNoBudget
 	default:
 		s.denied = ""
 		s.paid++
--- a/internal/forward/retry.go
+++ b/internal/forward/retry.go
@@ -58,7 +58,7 @@
 		return false
 	}
 	if !r.spendRetry(s) {
-		s.denied = DeniedBudget
+		s.denied = DeniedNoBudget
 		return false
 	}
 	r.send(now, number, chosen, Retry)
