--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -39,7 +39,7 @@
 // The reasons.
 const (
 	DeniedNoBudget    DenialReason = "no_budget"
-	DeniedBusy      DenialReason = "replicas_busy"
+	DeniedReplicasBusy      DenialReason = "replicas_busy"
 	DeniedNoReplica DenialReason = "no_other_replica"
 	// DeniedTooLate: no answer could come by the deadline any more.
 	DeniedTooLate DenialReason = "too_late"
@@ -73,7 +73,7 @@
 
 func noReplica(busy bool) DenialReason {
 	if busy {
-		return DeniedBusy
+		return DeniedReplicasBusy
 	}
 	return DeniedNoReplica
 }
