--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -40,7 +40,7 @@
 const (
 	DeniedNoBudget    DenialReason = "no_budget"
 	DeniedReplicasBusy      DenialReason = "replicas_busy"
-	DeniedNoReplica DenialReason = "no_other_replica"
+	DeniedNoOtherReplica DenialReason = "no_other_replica"
 	// DeniedTooLate: no answer could come by the deadline any more.
 	DeniedTooLate DenialReason = "too_late"
 	// DeniedQuarantined: the request ends the back ends that run it, here or at this shard.
@@ -75,7 +75,7 @@
 	if busy {
 		return DeniedReplicasBusy
 	}
-	return DeniedNoReplica
+	return DeniedNoOtherReplica
 }
 
 // send begins an attempt at a shard.
--- a/internal/forward/first.go
+++ b/internal/forward/first.go
@@ -28,6 +28,6 @@
 		s.wait = min(max(2*s.wait, firstWait), longestWait)
 		s.become(waiting{until: now + s.wait})
 	default:
-		s.fail(DeniedNoReplica)
+		s.fail(DeniedNoOtherReplica)
 	}
 }
