--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -116,7 +116,7 @@
 	unasked := func() []forward.Unasked {
 		shards := []forward.Unasked{{Service: "held"}}
 		for i := range 10 {
-			shards = append(shards, forward.Unasked{Service: fmt.Sprint("s", i), Why: forward.DeniedTooLate})
+			shards = append(shards, forward.Unasked{Service: fmt.Sprint("s", i), Reason: forward.DeniedTooLate})
 		}
 		return shards
 	}
--- a/internal/decisionlog/request.go
+++ b/internal/decisionlog/request.go
@@ -105,7 +105,7 @@
 func describeUnasked(unasked []forward.Unasked) (lines []string) {
 	services := map[forward.DenialReason][]string{}
 	for _, shard := range unasked {
-		services[shard.Why] = append(services[shard.Why], shard.Service)
+		services[shard.Reason] = append(services[shard.Reason], shard.Service)
 	}
 	for _, why := range slices.Sorted(maps.Keys(services)) {
 		named := services[why]
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -53,8 +53,8 @@
 // Unasked is a shard without an attempt.
 type Unasked struct {
 	Service string
-	// Why it was not asked, empty where its turn had not come.
-	Why DenialReason
+	// Reason it was not asked, empty where its turn had not come.
+	Reason DenialReason
 }
 
 // Unasked are the shards at which no attempt was begun, in their order. Those of a request that was refused at its start are all.
