--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -113,10 +113,10 @@
 
 // TestFateOfEachShardIsTold: the line of a request tells how long it could be served, how long it lay unread, and why shards were not asked.
 func TestFateOfEachShardIsTold(t *testing.T) {
-	unasked := func() []forward.Unasked {
-		shards := []forward.Unasked{{Service: "held"}}
+	unasked := func() []forward.UnaskedShard {
+		shards := []forward.UnaskedShard{{Service: "held"}}
 		for i := range 10 {
-			shards = append(shards, forward.Unasked{Service: fmt.Sprint("s", i), Reason: forward.DeniedTooLate})
+			shards = append(shards, forward.UnaskedShard{Service: fmt.Sprint("s", i), Reason: forward.DeniedTooLate})
 		}
 		return shards
 	}
--- a/internal/decisionlog/request.go
+++ b/internal/decisionlog/request.go
@@ -102,7 +102,7 @@
 const mostUnaskedNamed = 8
 
 // describeUnasked tells the shards without an attempt by reason: the reason, how many, and the first of them by name.
-func describeUnasked(unasked []forward.Unasked) (lines []string) {
+func describeUnasked(unasked []forward.UnaskedShard) (lines []string) {
 	services := map[forward.DenialReason][]string{}
 	for _, shard := range unasked {
 		services[shard.Reason] = append(services[shard.Reason], shard.Service)
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -50,22 +50,22 @@
 // Denied returns why the last attempt that was due for an attempt's shard was not sent, empty if none was.
 func (r *Request) Denied(attempt *Attempt) DenialReason { return r.shards[attempt.Shard].denied }
 
-// Unasked is a shard without an attempt.
-type Unasked struct {
+// UnaskedShard is a shard without an attempt.
+type UnaskedShard struct {
 	Service string
 	// Reason it was not asked, empty where its turn had not come.
 	Reason DenialReason
 }
 
 // Unasked are the shards at which no attempt was begun, in their order. Those of a request that was refused at its start are all.
-func (r *Request) Unasked() (unasked []Unasked) {
+func (r *Request) Unasked() (unasked []UnaskedShard) {
 	begun := make([]bool, len(r.shards))
 	for _, attempt := range r.attempts {
 		begun[attempt.Shard] = true
 	}
 	for i := range r.shards {
 		if s := &r.shards[i]; !begun[i] {
-			unasked = append(unasked, Unasked{s.service, s.denied})
+			unasked = append(unasked, UnaskedShard{s.service, s.denied})
 		}
 	}
 	return unasked
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -80,7 +80,7 @@
 	// Denied says, for the shard of an attempt, why an extra attempt that was due was not sent.
 	Denied func(*forward.Attempt) forward.DenialReason
 	// Unasked gives the shards at which no attempt was begun; nil where the call was refused before any was looked at.
-	Unasked func() []forward.Unasked
+	Unasked func() []forward.UnaskedShard
 	// Within is how long the call could be served from its arrival: what its caller and its route leave; 0 where it was refused
 	// before that was looked at.
 	Within time.Duration
