--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -22,7 +22,7 @@
 const (
 	Complete      Reason = "complete"
 	TargetReached Reason = "target_reached"
-	DeadlineCame  Reason = "deadline"
+	DeadlineReached  Reason = "deadline"
 	ShardsFailed  Reason = "shards_failed"
 	BackEndFailed Reason = "back_end_failed"
 	NoRoom        Reason = "no_room"
--- a/internal/forward/finish.go
+++ b/internal/forward/finish.go
@@ -32,7 +32,7 @@
 	case enough && !r.worthWaiting():
 		r.succeed(ShardsFailed)
 	case now >= r.deadline && enough:
-		r.succeed(DeadlineCame)
+		r.succeed(DeadlineReached)
 	case now >= r.deadline:
 		r.finish(r.timedOut())
 	case r.nothingRan() && now >= r.roomUntil():
--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -79,9 +79,9 @@
 // timedOut is the answer at the deadline. An attempt under way may have run.
 func (r *Request) timedOut() Answer {
 	if !r.nothingRan() {
-		return r.withFailure(DeadlineCame, failure.New(failure.DeadlineExceeded, "the time of the request is over"))
+		return r.withFailure(DeadlineReached, failure.New(failure.DeadlineExceeded, "the time of the request is over"))
 	}
-	return r.withFailure(DeadlineCame, r.refusal(failure.DeadlineExceeded, retryAfterOverloaded))
+	return r.withFailure(DeadlineReached, r.refusal(failure.DeadlineExceeded, retryAfterOverloaded))
 }
 
 // nodeStops is the answer that a request gets as the node stops.
--- a/internal/forward/refusal_test.go
+++ b/internal/forward/refusal_test.go
@@ -55,7 +55,7 @@
 			s := start(t, single(true), newNode(9, "a"))
 			s.now = time.Second
 			return s.end(0, refuses)
-		}, failure.DeadlineExceeded, forward.DeadlineCame, 60 * millisecond},
+		}, failure.DeadlineExceeded, forward.DeadlineReached, 60 * millisecond},
 		"the node stops": {func(t *testing.T) *scene {
 			node := newNode(9, "a")
 			node.full["a"] = true
