--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -4,8 +4,8 @@
 
 // Answer is what the caller gets. One of Passed, Records with Signatures, and Failure is set.
 type Answer struct {
-	// Passed is the answer of a single back end, passed back as it is.
-	Passed *Response
+	// BackEndResponse is the answer of a single back end, passed back as it is.
+	BackEndResponse *Response
 	// Records are the greatest records of the parts that are in, greatest first; Signatures are those parts' own.
 	Records    []byte
 	Signatures []string
@@ -38,7 +38,7 @@
 // succeed answers with the parts that are in.
 func (r *Request) succeed(reason Reason) {
 	if !r.route.FansOut() {
-		r.finish(Answer{Passed: r.shards[0].response(), Total: 1, Reason: reason})
+		r.finish(Answer{BackEndResponse: r.shards[0].response(), Total: 1, Reason: reason})
 		return
 	}
 	answer := Answer{Total: len(r.shards), Missing: len(r.shards) - r.answered, Reason: reason}
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -120,7 +120,7 @@
 		t.Fatalf("more attempts than allowed: %v", s.sends())
 	}
 	s.end(1, part("s", ""))
-	if s.answer == nil || s.answer.Passed == nil || len(s.cancels) != 1 || s.cancels[0] != s.sent[0] {
+	if s.answer == nil || s.answer.BackEndResponse == nil || len(s.cancels) != 1 || s.cancels[0] != s.sent[0] {
 		t.Errorf("answer %+v, cancelled %v", s.answer, s.cancels)
 	}
 }
--- a/internal/forward/retry_test.go
+++ b/internal/forward/retry_test.go
@@ -97,7 +97,7 @@
 	t.Run("the only back end's own failure", func(t *testing.T) {
 		failed := forward.Outcome{Kind: forward.Failed, Response: &forward.Response{Status: 500}}
 		s := startPaced(t, single(true), newNode(0, "a")).end(0, failed)
-		if s.answer == nil || s.answer.Passed == nil {
+		if s.answer == nil || s.answer.BackEndResponse == nil {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
--- a/internal/gateway/disturbed_test.go
+++ b/internal/gateway/disturbed_test.go
@@ -89,7 +89,7 @@
 		one := func() gateway.Result {
 			return s.gateway.Serve(context.Background(), &gateway.Call{ID: "id", Host: "h", Path: "/one/x"})
 		}
-		if result := one(); result.Passed == nil || result.Passed.Status != 200 {
+		if result := one(); result.BackEndResponse == nil || result.BackEndResponse.Status != 200 {
 			t.Errorf("a late answer: %+v", result.Answer)
 		}
 		// The hedge fails by itself before the first attempt answers.
@@ -99,7 +99,7 @@
 			}
 			return forward.Outcome{Kind: forward.Failed, Response: &forward.Response{Status: 500}}
 		})
-		if result := one(); result.Passed == nil || result.Passed.Status != 200 {
+		if result := one(); result.BackEndResponse == nil || result.BackEndResponse.Status != 200 {
 			t.Errorf("beside a hedge that failed: %+v", result.Answer)
 		}
 		// Three of four parts are there when the node gives up: enough for this route.
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -39,7 +39,7 @@
 		s.store.put(evacuation("zone"))
 		time.Sleep(time.Second)
 		s.store.put(backEnd("s0", "-near-2", "zone"))
-		if result := <-running; result.Failure != nil || result.Passed == nil {
+		if result := <-running; result.Failure != nil || result.BackEndResponse == nil {
 			t.Errorf("what ran in the zone was cut: %+v", result.Answer)
 		}
 		s.backEnds.set(after(20 * time.Millisecond))
--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -18,8 +18,8 @@
 		return string(r.Failure.Code)
 	case r.Missing > 0:
 		return OutcomePartial
-	case r.Passed != nil:
-		return strconv.Itoa(r.Passed.Status)
+	case r.BackEndResponse != nil:
+		return strconv.Itoa(r.BackEndResponse.Status)
 	}
 	return OutcomeComplete
 }
