--- a/internal/decisionlog/request.go
+++ b/internal/decisionlog/request.go
@@ -35,8 +35,8 @@
 	if unread := result.Unread.Milliseconds(); unread > 0 {
 		fields[fieldUnread] = unread
 	}
-	if result.Total > 0 {
-		fields[fieldTotal] = result.Total
+	if result.TotalShards > 0 {
+		fields[fieldTotal] = result.TotalShards
 		fields[fieldMissing] = result.Missing
 	}
 	if result.Reason == forward.TurnedAway {
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -9,7 +9,7 @@
 	// Records are the greatest records of the parts that are in, greatest first; Signatures are those parts' own.
 	Records    []byte
 	Signatures []string
-	Total      int
+	TotalShards      int
 	Missing    int
 	Failure    *failure.Failure
 	Reason     Reason
@@ -38,10 +38,10 @@
 // succeed answers with the parts that are in.
 func (r *Request) succeed(reason Reason) {
 	if !r.route.FansOut() {
-		r.finish(Answer{BackEndResponse: r.shards[0].response(), Total: 1, Reason: reason})
+		r.finish(Answer{BackEndResponse: r.shards[0].response(), TotalShards: 1, Reason: reason})
 		return
 	}
-	answer := Answer{Total: len(r.shards), Missing: len(r.shards) - r.answered, Reason: reason}
+	answer := Answer{TotalShards: len(r.shards), Missing: len(r.shards) - r.answered, Reason: reason}
 	merger := newMerger(r.route.Top)
 	for i := range r.shards {
 		response := r.shards[i].response()
@@ -57,5 +57,5 @@
 
 // withFailure is the answer of a request over all its shards that failed.
 func (r *Request) withFailure(reason Reason, f *failure.Failure) Answer {
-	return Answer{Reason: reason, Total: len(r.shards), Missing: len(r.shards) - r.answered, Failure: f}
+	return Answer{Reason: reason, TotalShards: len(r.shards), Missing: len(r.shards) - r.answered, Failure: f}
 }
--- a/internal/forward/finish.go
+++ b/internal/forward/finish.go
@@ -45,7 +45,7 @@
 	response := r.shards[0].last.Response
 	switch {
 	case !r.route.FansOut() && response != nil:
-		r.finish(Answer{BackEndResponse: response, Total: 1, Reason: BackEndFailed})
+		r.finish(Answer{BackEndResponse: response, TotalShards: 1, Reason: BackEndFailed})
 	case now >= r.deadline:
 		r.finish(r.timedOut())
 	case r.caution.quarantined:
