--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -62,7 +62,7 @@
 		Outcome: forward.Outcome{Kind: forward.Lost, Detail: "reset"},
 	}
 	return &gateway.Result{
-		Answer: forward.Answer{Failure: failed, Missing: missing, TotalShards: 10, Reason: forward.TargetReached},
+		Answer: forward.Answer{Failure: failed, MissingShards: missing, TotalShards: 10, Reason: forward.TargetReached},
 		Route:  &routing.Route{Name: "route"}, Version: 7, CopyAge: 340, Attempts: []*forward.Attempt{attempt},
 	}
 }
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -39,7 +39,7 @@
 		log.ReloadRefused("not valid")
 		log.Stopped("terminated")
 		log.Request(call, ended(forward.Answer{TotalShards: 3, Reason: forward.TargetReached}, answered))
-		log.Request(call, ended(forward.Answer{TotalShards: 3, Missing: 1, Reason: forward.TargetReached}, answered, lost, open))
+		log.Request(call, ended(forward.Answer{TotalShards: 3, MissingShards: 1, Reason: forward.TargetReached}, answered, lost, open))
 		log.Request(call, &gateway.Result{
 			Answer:   forward.Answer{Failure: failure.Refused(failure.Overloaded, "", time.Second), Reason: forward.TurnedAway},
 			Overload: admit.Level{Lacking: 1.9, Shed: 0.126, TurnedAway: 0.5},
--- a/internal/decisionlog/request.go
+++ b/internal/decisionlog/request.go
@@ -17,7 +17,7 @@
 // Request writes the line of a request: all decisions that touched it, folded. Ordinary successes are sampled; others are
 // kept up to a rate.
 func (l *Log) Request(call *gateway.Call, result *gateway.Result) {
-	ordinary := result.Failure == nil && result.Missing == 0 && !result.CallerGone && !anyExtra(result.Attempts)
+	ordinary := result.Failure == nil && result.MissingShards == 0 && !result.CallerGone && !anyExtra(result.Attempts)
 	if ordinary && !l.ordinal.sampled() {
 		return
 	}
@@ -37,7 +37,7 @@
 	}
 	if result.TotalShards > 0 {
 		fields[fieldTotal] = result.TotalShards
-		fields[fieldMissing] = result.Missing
+		fields[fieldMissing] = result.MissingShards
 	}
 	if result.Reason == forward.TurnedAway {
 		fields[fieldLacking] = percent(result.Overload.Lacking)
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -10,7 +10,7 @@
 	Records    []byte
 	Signatures []string
 	TotalShards      int
-	Missing    int
+	MissingShards    int
 	Failure    *failure.Failure
 	Reason     Reason
 }
@@ -41,7 +41,7 @@
 		r.finish(Answer{BackEndResponse: r.shards[0].response(), TotalShards: 1, Reason: reason})
 		return
 	}
-	answer := Answer{TotalShards: len(r.shards), Missing: len(r.shards) - r.answered, Reason: reason}
+	answer := Answer{TotalShards: len(r.shards), MissingShards: len(r.shards) - r.answered, Reason: reason}
 	merger := newMerger(r.route.Top)
 	for i := range r.shards {
 		response := r.shards[i].response()
@@ -57,5 +57,5 @@
 
 // withFailure is the answer of a request over all its shards that failed.
 func (r *Request) withFailure(reason Reason, f *failure.Failure) Answer {
-	return Answer{Reason: reason, TotalShards: len(r.shards), Missing: len(r.shards) - r.answered, Failure: f}
+	return Answer{Reason: reason, TotalShards: len(r.shards), MissingShards: len(r.shards) - r.answered, Failure: f}
 }
--- a/internal/forward/caution_test.go
+++ b/internal/forward/caution_test.go
@@ -30,7 +30,7 @@
 		t.Errorf("sent %s at %s, %d withdrawn", got.Service, got.Replica.ID, len(s.cancels))
 	}
 	s.end(2, part("c-1", "")).end(3, part("a-2", ""))
-	if s.answer == nil || s.answer.Missing != 0 {
+	if s.answer == nil || s.answer.MissingShards != 0 {
 		t.Errorf("answered %+v", s.answer)
 	}
 }
@@ -50,7 +50,7 @@
 	for i := 5; i < 8; i++ {
 		s.end(i, part(s.sent[i].Replica.ID, ""))
 	}
-	if s.answer == nil || s.answer.Failure != nil || s.answer.Missing != 0 {
+	if s.answer == nil || s.answer.Failure != nil || s.answer.MissingShards != 0 {
 		t.Errorf("answered %+v", s.answer)
 	}
 }
@@ -115,7 +115,7 @@
 	s := start(t, fanOut("a", "b", "c"), w)
 	s.wantSends(2)
 	s.end(0, part("a-1", "")).end(1, part("c-1", ""))
-	if s.answer == nil || s.answer.Missing != 1 || s.answer.Failure != nil {
+	if s.answer == nil || s.answer.MissingShards != 1 || s.answer.Failure != nil {
 		t.Errorf("answered %+v", s.answer)
 	}
 }
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -183,7 +183,7 @@
 func TestFinish(t *testing.T) {
 	t.Run("complete", func(t *testing.T) {
 		s := start(t, fanOut("a", "b"), newNode(0, "a", "b")).end(0, part("sa", "")).end(1, part("sb", ""))
-		if s.answer == nil || s.answer.Missing != 0 || s.answer.Reason != forward.Complete {
+		if s.answer == nil || s.answer.MissingShards != 0 || s.answer.Reason != forward.Complete {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
@@ -193,13 +193,13 @@
 			t.Fatal("before the target")
 		}
 		s.at(190 * millisecond)
-		if s.answer == nil || s.answer.Missing != 1 || s.answer.Reason != forward.TargetReached || len(s.cancels) != 1 {
+		if s.answer == nil || s.answer.MissingShards != 1 || s.answer.Reason != forward.TargetReached || len(s.cancels) != 1 {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
 	t.Run("after the target as soon as there is enough", func(t *testing.T) {
 		s := start(t, fanOut("a", "b"), newNode(0, "a", "b")).at(300*millisecond).end(0, part("sa", ""))
-		if s.answer == nil || s.answer.Missing != 1 {
+		if s.answer == nil || s.answer.MissingShards != 1 {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
@@ -217,14 +217,14 @@
 	})
 	t.Run("a part that is not signed does not count", func(t *testing.T) {
 		s := start(t, fanOut("a", "b"), newNode(0, "a", "b")).end(0, part("", "")).end(1, part("sb", ""))
-		if s.answer == nil || s.answer.Missing != 1 || !slices.Equal(s.answer.Signatures, []string{"sb"}) {
+		if s.answer == nil || s.answer.MissingShards != 1 || !slices.Equal(s.answer.Signatures, []string{"sb"}) {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
 	t.Run("given up as the node stops", func(t *testing.T) {
 		s := start(t, fanOut("a", "b"), newNode(0, "a", "b")).end(0, part("sa", ""))
 		s.take(s.request.GiveUp(s.now))
-		if s.answer == nil || s.answer.Missing != 1 || s.answer.Reason != forward.GivenUp {
+		if s.answer == nil || s.answer.MissingShards != 1 || s.answer.Reason != forward.GivenUp {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
--- a/internal/forward/left_out_test.go
+++ b/internal/forward/left_out_test.go
@@ -13,7 +13,7 @@
 		t.Errorf("wakes at %v, and it is %v", wake, s.now)
 	}
 	s.end(1, part("c-1", ""))
-	if s.answer == nil || s.answer.Missing != 1 || s.answer.Failure != nil {
+	if s.answer == nil || s.answer.MissingShards != 1 || s.answer.Failure != nil {
 		t.Errorf("answered %+v", s.answer)
 	}
 }
--- a/internal/forward/retry_test.go
+++ b/internal/forward/retry_test.go
@@ -67,7 +67,7 @@
 		node := newNode(0, "a", "b")
 		node.recovers = map[string]time.Duration{"b": 400 * millisecond}
 		s := startPaced(t, fanOut("a", "b"), node).end(1, ended(forward.Lost)).end(0, part("sa", ""))
-		if s.answer == nil || s.answer.Missing != 1 || s.answer.Reason != forward.ShardsFailed {
+		if s.answer == nil || s.answer.MissingShards != 1 || s.answer.Reason != forward.ShardsFailed {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
--- a/internal/gateway/disturbed_test.go
+++ b/internal/gateway/disturbed_test.go
@@ -65,7 +65,7 @@
 				s.store.set(func(s *fakeStore) { s.err = errHistoryLost })
 			}
 			callers.Go(func() {
-				if result := s.search(); result.Failure != nil || result.Missing > 0 {
+				if result := s.search(); result.Failure != nil || result.MissingShards > 0 {
 					t.Errorf("at %d: answered %+v", moment, result.Answer)
 				}
 			})
@@ -107,7 +107,7 @@
 			return silence(ctx, time.Minute, forward.Lost)
 		}, "s3-near", "s3-far"))
 		time.AfterFunc(200*time.Millisecond, s.gateway.GiveUp)
-		if result := s.search(); result.Failure != nil || result.Missing != 1 {
+		if result := s.search(); result.Failure != nil || result.MissingShards != 1 {
 			t.Errorf("given up with enough parts: %+v", result.Answer)
 		}
 	})
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -37,7 +37,7 @@
 	play(t, func(t *testing.T, s *scene) {
 		s.store.set(func(s *fakeStore) { s.err = errDown })
 		time.Sleep(5 * time.Hour)
-		if result := s.search(); result.Failure != nil || result.Missing != 0 {
+		if result := s.search(); result.Failure != nil || result.MissingShards != 0 {
 			t.Errorf("answered %+v", result.Answer)
 		}
 		s.store.set(func(s *fakeStore) { s.err = nil })
@@ -118,8 +118,8 @@
 		}
 		s.backEnds.set(except(after(time.Hour), "s1-near"))
 		result := s.search()
-		if result.Missing != 0 || result.Elapsed > 100*time.Millisecond {
-			t.Errorf("answered with %d missing after %v", result.Missing, result.Elapsed)
+		if result.MissingShards != 0 || result.Elapsed > 100*time.Millisecond {
+			t.Errorf("answered with %d missing after %v", result.MissingShards, result.Elapsed)
 		}
 	})
 }
@@ -129,8 +129,8 @@
 	play(t, func(t *testing.T, s *scene) {
 		s.backEnds.set(except(after(time.Hour), "s1-near", "s1-far"))
 		result := s.search()
-		if result.Failure != nil || result.Missing != 1 || result.Elapsed > 250*time.Millisecond {
-			t.Errorf("answered with %d missing after %v: %v", result.Missing, result.Elapsed, result.Failure)
+		if result.Failure != nil || result.MissingShards != 1 || result.Elapsed > 250*time.Millisecond {
+			t.Errorf("answered with %d missing after %v: %v", result.MissingShards, result.Elapsed, result.Failure)
 		}
 	})
 }
@@ -286,7 +286,7 @@
 func TestFaultOfOurs(t *testing.T) {
 	play(t, func(t *testing.T, s *scene) {
 		s.backEnds.set(except(func(context.Context, gateway.Send) forward.Outcome { panic("a fault") }, "s1-near", "s1-far"))
-		if result := s.search(); result.Failure != nil || result.Missing != 1 {
+		if result := s.search(); result.Failure != nil || result.MissingShards != 1 {
 			t.Errorf("answered %+v", result.Answer)
 		}
 	})
--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -16,7 +16,7 @@
 		return OutcomeGone
 	case r.Failure != nil:
 		return string(r.Failure.Code)
-	case r.Missing > 0:
+	case r.MissingShards > 0:
 		return OutcomePartial
 	case r.BackEndResponse != nil:
 		return strconv.Itoa(r.BackEndResponse.Status)
--- a/internal/gateway/simulation_checker_test.go
+++ b/internal/gateway/simulation_checker_test.go
@@ -200,8 +200,8 @@
 // checkCoverage: the parts, one of each shard, and those missing make up the shards of one version.
 func (s *simulation) checkCoverage(id string, result gateway.Result) {
 	total := shards - int(result.Version%2)
-	if result.TotalShards != total || len(result.Signatures)+result.Missing != total {
-		s.t.Errorf("request %s: %d parts, %d missing, version %d has %d shards", id, len(result.Signatures), result.Missing, result.Version, total)
+	if result.TotalShards != total || len(result.Signatures)+result.MissingShards != total {
+		s.t.Errorf("request %s: %d parts, %d missing, version %d has %d shards", id, len(result.Signatures), result.MissingShards, result.Version, total)
 	}
 	if float64(len(result.Signatures)) < 0.75*float64(total) {
 		s.t.Errorf("request %s: %d of %d parts are too few", id, len(result.Signatures), total)
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -161,7 +161,7 @@
 	},
 	{
 		"a partial answer says nothing of what is missing", "internal/forward/answer.go",
-		"Missing: len(r.shards) - r.answered, Reason: reason}", "Reason: reason}",
+		"MissingShards: len(r.shards) - r.answered, Reason: reason}", "Reason: reason}",
 		"./internal/gateway", "TestRandomFaults",
 	},
 	{
--- a/internal/telemetry/kept_test.go
+++ b/internal/telemetry/kept_test.go
@@ -53,7 +53,7 @@
 	}
 	lost := &forward.Attempt{Replica: &replica.Replica{}, Purpose: forward.Retry, Outcome: forward.Outcome{Kind: forward.Lost}}
 	measured.Request(&gateway.Call{}, &gateway.Result{
-		Answer: forward.Answer{Missing: 1, Reason: forward.TargetReached}, Attempts: append(attempts, lost), Elapsed: 30 * time.Millisecond,
+		Answer: forward.Answer{MissingShards: 1, Reason: forward.TargetReached}, Attempts: append(attempts, lost), Elapsed: 30 * time.Millisecond,
 		Denied: func(*forward.Attempt) forward.DenialReason { return forward.DeniedNoBudget },
 	})
 	measured.Connected(7 * time.Millisecond)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -70,7 +70,7 @@
 	if result.Reason != "" {
 		m.count("stiletrail_request_ends_total", "reason", string(result.Reason))
 	}
-	m.set.GetOrCreateCounter("stiletrail_shards_missing_total").Add(result.Missing)
+	m.set.GetOrCreateCounter("stiletrail_shards_missing_total").Add(result.MissingShards)
 	for _, attempt := range result.Attempts {
 		m.attempt(attempt)
 		if attempt.Purpose == forward.First {
