--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -86,7 +86,7 @@
 
 func newRequest(now time.Duration, parameters Parameters, settings Settings, node Node) *Request {
 	route := parameters.Route
-	arrived := parameters.Arrived
+	arrived := parameters.ArrivedAt
 	if arrived == 0 {
 		arrived = now
 	}
--- a/internal/forward/parameters.go
+++ b/internal/forward/parameters.go
@@ -11,8 +11,8 @@
 	Route *routing.Route
 	// Service a request to a single back end goes to.
 	Service string
-	// Arrived is when the request came, zero if it starts as it comes. Target and timeout count from then.
-	Arrived time.Duration
+	// ArrivedAt is when the request came, zero if it starts as it comes. Target and timeout count from then.
+	ArrivedAt time.Duration
 	// Deadline is when the caller stops waiting, zero if it did not say.
 	Deadline time.Duration
 	// Versions of software that may get the request, if any are named.
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -119,7 +119,7 @@
 
 // parameters of the request; the lock is held.
 func (r *run) parameters() forward.Parameters {
-	parameters := forward.Parameters{Route: r.route, Arrived: r.arrived, Versions: r.allowed.versions, Retrial: r.allowed.retrial}
+	parameters := forward.Parameters{Route: r.route, ArrivedAt: r.arrived, Versions: r.allowed.versions, Retrial: r.allowed.retrial}
 	if r.route.FansOut() {
 		parameters.TrialFrom = r.call.Identity.Number(len(r.route.Shards))
 	} else {
