--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -93,7 +93,7 @@
 	r := &Request{
 		node: node, settings: settings, route: route, versions: parameters.Versions, arrivedAt: arrived,
 		deadline: arrived + route.Timeout, target: arrived + route.TargetLatency - settings.AnswerMargin,
-		caution: caution{from: parameters.TrialFrom, retrial: parameters.Retrial},
+		caution: caution{from: parameters.FirstTrialShard, retrial: parameters.Retrial},
 	}
 	if parameters.Deadline > 0 {
 		r.deadline = min(r.deadline, parameters.Deadline-settings.AnswerMargin)
--- a/internal/forward/parameters.go
+++ b/internal/forward/parameters.go
@@ -17,9 +17,9 @@
 	Deadline time.Duration
 	// Versions of software that may get the request, if any are named.
 	Versions []string
-	// TrialFrom is the shard from which on one is looked for that a trial goes to. It differs among requests, so that trials
+	// FirstTrialShard is the shard from which on one is looked for that a trial goes to. It differs among requests, so that trials
 	// that end back ends do not end all of one shard: a request over ten shards may lack one.
-	TrialFrom int
+	FirstTrialShard int
 	// Retrial: the request is under quarantine, and one back end may get it.
 	Retrial bool
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -121,7 +121,7 @@
 func (r *run) parameters() forward.Parameters {
 	parameters := forward.Parameters{Route: r.route, ArrivedAt: r.arrived, Versions: r.allowed.versions, Retrial: r.allowed.retrial}
 	if r.route.FansOut() {
-		parameters.TrialFrom = r.call.Identity.Number(len(r.route.Shards))
+		parameters.FirstTrialShard = r.call.Identity.Number(len(r.route.Shards))
 	} else {
 		parameters.Service = r.gateway.splitter.Next(r.route)
 	}
