--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -102,8 +102,8 @@
 	return r
 }
 
-// Refresh gives the request its node as it is now; it is called before each step.
-func (r *Request) Refresh(node Node) { r.node = node }
+// SetNode gives the request its node as it is now; it is called before each step.
+func (r *Request) SetNode(node Node) { r.node = node }
 
 // Done reports whether the request was answered.
 func (r *Request) Done() bool { return r.done }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -137,7 +137,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	r.request.Refresh(runNode{g, now, r})
+	r.request.SetNode(runNode{g, now, r})
 	r.carryOut(now, decide(now))
 }
 
