--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -114,8 +114,8 @@
 // Attempts are all attempts so far.
 func (r *Request) Attempts() []*Attempt { return r.attempts }
 
-// Receive takes in the outcome of an attempt.
-func (r *Request) Receive(now time.Duration, attempt *Attempt, outcome Outcome) []Action {
+// HandleOutcome takes in the outcome of an attempt.
+func (r *Request) HandleOutcome(now time.Duration, attempt *Attempt, outcome Outcome) []Action {
 	if r.done || !attempt.live {
 		return nil
 	}
--- a/internal/forward/scene_test.go
+++ b/internal/forward/scene_test.go
@@ -153,7 +153,7 @@
 }
 
 func (s *scene) end(attempt int, outcome forward.Outcome) *scene {
-	s.take(s.request.Receive(s.now, s.sent[attempt], outcome))
+	s.take(s.request.HandleOutcome(s.now, s.sent[attempt], outcome))
 	return s
 }
 
