--- a/internal/forward/scene_test.go
+++ b/internal/forward/scene_test.go
@@ -106,7 +106,7 @@
 	now     time.Duration
 }
 
-var settings = forward.Settings{HedgeShare: 0.25, SiblingHedges: true, LastExtras: 2, EarlyFinish: true, AnswerMargin: 10 * millisecond, Caution: true, RetryAfter: 600 * millisecond}
+var settings = forward.Settings{HedgeShare: 0.25, SiblingHedges: true, LastExtras: 2, EarlyFinish: true, AnswerMargin: 10 * millisecond, SerialTrials: true, RetryAfter: 600 * millisecond}
 
 func fanOut(shards ...string) *routing.Route {
 	return &routing.Route{
--- a/internal/forward/settings.go
+++ b/internal/forward/settings.go
@@ -17,8 +17,8 @@
 	RetryPause time.Duration
 	// AnswerMargin is kept before the target latency and the caller's deadline, for the way back to the caller.
 	AnswerMargin time.Duration
-	// Caution has a request under which back ends have ended tried at one at a time, until one answers.
-	Caution bool
+	// SerialTrials has a request under which back ends have ended tried at one at a time, until one answers.
+	SerialTrials bool
 	// RetryAfter is when a caller may come back that was refused because too few back ends can be asked, or because its
 	// request ends them.
 	RetryAfter time.Duration
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -147,7 +147,7 @@
 func forwardSettings(s settings.Gateway) forward.Settings {
 	return forward.Settings{
 		HedgeShare: s.HedgeShare, SiblingHedges: s.SiblingHedges, LastExtras: s.LastExtras, EarlyFinish: s.EarlyFinish,
-		RetryPause: s.RetryPace, AnswerMargin: answerMargin, Caution: s.QuarantineRounds > 0, RetryAfter: s.EntryInterval / 2,
+		RetryPause: s.RetryPace, AnswerMargin: answerMargin, SerialTrials: s.QuarantineRounds > 0, RetryAfter: s.EntryInterval / 2,
 	}
 }
 
