--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -22,8 +22,8 @@
 	return n.gateway.replicas.Pick(n.now, service, choice)
 }
 
-// Recovers implements forward.Node.
-func (n runNode) Recovers(service string, choice replica.Choice) (time.Duration, bool) {
+// RecoversAt implements forward.Node.
+func (n runNode) RecoversAt(service string, choice replica.Choice) (time.Duration, bool) {
 	return n.gateway.replicas.Recovers(service, choice)
 }
 
