--- a/internal/forward/hedge.go
+++ b/internal/forward/hedge.go
@@ -52,7 +52,7 @@
 func (r *Request) lateAfter(s *shard) time.Duration {
 	late := siblingFactor*r.siblingLatency + siblingSlack
 	latest := r.target - r.arrivedAt - late - hedgeRoom
-	if latest > late && r.node.ExtrasLeft(s.service) < float64(r.settings.LastExtras) {
+	if latest > late && r.node.ExtraAttemptsLeft(s.service) < float64(r.settings.LastExtras) {
 		late += time.Duration(hedgePatience * float64(latest-late))
 	}
 	return late
--- a/internal/forward/node.go
+++ b/internal/forward/node.go
@@ -17,8 +17,8 @@
 	RecoversAt(service string, choice replica.Choice) (at time.Duration, known bool)
 	// SpendHedge takes an extra attempt that only saves time out of the service's budget.
 	SpendHedge(service string) bool
-	// ExtrasLeft is how many extra attempts the service's budget allows now.
-	ExtrasLeft(service string) float64
+	// ExtraAttemptsLeft is how many extra attempts the service's budget allows now.
+	ExtraAttemptsLeft(service string) float64
 	// SpendRetry takes an extra attempt after a failure out of the service's budget.
 	SpendRetry(service string) bool
 	// BackEndEnded takes in that a back end ended under an attempt, and gives the verdict on the request.
--- a/internal/forward/scene_test.go
+++ b/internal/forward/scene_test.go
@@ -64,8 +64,8 @@
 	return w.budget >= 0
 }
 
-// ExtrasLeft implements forward.Node.
-func (w *fakeNode) ExtrasLeft(string) float64 {
+// ExtraAttemptsLeft implements forward.Node.
+func (w *fakeNode) ExtraAttemptsLeft(string) float64 {
 	if w.few {
 		return 1
 	}
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -32,8 +32,8 @@
 	return n.gateway.budget(service).Spend(n.now, n.gateway.settings.Load().Retries.HedgeReserve, n.gateway.retrySlack())
 }
 
-// ExtrasLeft implements forward.Node.
-func (n runNode) ExtrasLeft(service string) float64 {
+// ExtraAttemptsLeft implements forward.Node.
+func (n runNode) ExtraAttemptsLeft(service string) float64 {
 	return n.gateway.budget(service).Remaining(n.now, n.gateway.retrySlack())
 }
 
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -363,7 +363,7 @@
 	},
 	{
 		"the last extra attempts go to shards that are just late", "internal/forward/hedge.go",
-		"r.node.ExtrasLeft(s.service) < float64(r.settings.LastExtras)", "false",
+		"r.node.ExtraAttemptsLeft(s.service) < float64(r.settings.LastExtras)", "false",
 		"./internal/forward", "TestLateAgainstSiblings",
 	},
 	{
