--- a/internal/forward/node.go
+++ b/internal/forward/node.go
@@ -27,8 +27,8 @@
 	Answered(attempt *Attempt)
 	// Verdict on the request as it is known by now.
 	Verdict() quarantine.Verdict
-	// LeftOut reports whether the request is to be kept from a service, whose back ends it ends.
-	LeftOut(service string) bool
+	// Excluded reports whether the request is to be kept from a service, whose back ends it ends.
+	Excluded(service string) bool
 	// Sample takes in what a request over many shards lacks at its target, once.
 	Sample(sample admit.Sample)
 }
--- a/internal/forward/scene_test.go
+++ b/internal/forward/scene_test.go
@@ -90,8 +90,8 @@
 // Answered implements forward.Node.
 func (w *fakeNode) Answered(*forward.Attempt) { w.verdict = quarantine.Clear }
 
-// LeftOut implements forward.Node.
-func (w *fakeNode) LeftOut(service string) bool { return w.leftOut[service] }
+// Excluded implements forward.Node.
+func (w *fakeNode) Excluded(service string) bool { return w.leftOut[service] }
 
 // Sample implements forward.Node.
 func (w *fakeNode) Sample(sample admit.Sample) { w.samples = append(w.samples, sample) }
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -69,8 +69,8 @@
 	return n.gateway.quarantine.Verdict(clock.FromDuration(n.now), n.run.call.Identity)
 }
 
-// LeftOut implements forward.Node.
-func (n runNode) LeftOut(service string) bool {
+// Excluded implements forward.Node.
+func (n runNode) Excluded(service string) bool {
 	return n.gateway.quarantine.LeftOut(clock.FromDuration(n.now), n.run.call.Identity, service)
 }
 
