--- a/internal/forward/finish.go
+++ b/internal/forward/finish.go
@@ -121,7 +121,7 @@
 			sample.Shed++
 		}
 	}
-	r.node.Sample(sample)
+	r.node.RecordSample(sample)
 }
 
 // finish gives the answer, which is the last action.
--- a/internal/forward/node.go
+++ b/internal/forward/node.go
@@ -29,6 +29,6 @@
 	Verdict() quarantine.Verdict
 	// Excluded reports whether the request is to be kept from a service, whose back ends it ends.
 	Excluded(service string) bool
-	// Sample takes in what a request over many shards lacks at its target, once.
-	Sample(sample admit.Sample)
+	// RecordSample takes in what a request over many shards lacks at its target, once.
+	RecordSample(sample admit.Sample)
 }
--- a/internal/forward/scene_test.go
+++ b/internal/forward/scene_test.go
@@ -93,8 +93,8 @@
 // Excluded implements forward.Node.
 func (w *fakeNode) Excluded(service string) bool { return w.leftOut[service] }
 
-// Sample implements forward.Node.
-func (w *fakeNode) Sample(sample admit.Sample) { w.samples = append(w.samples, sample) }
+// RecordSample implements forward.Node.
+func (w *fakeNode) RecordSample(sample admit.Sample) { w.samples = append(w.samples, sample) }
 
 // scene is a request with what it has done so far.
 type scene struct {
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -42,8 +42,8 @@
 	return n.gateway.budget(service).Spend(n.now, 0, n.gateway.retrySlack())
 }
 
-// Sample implements forward.Node.
-func (n runNode) Sample(sample admit.Sample) { n.gateway.gate.Note(clock.FromDuration(n.now), sample) }
+// RecordSample implements forward.Node.
+func (n runNode) RecordSample(sample admit.Sample) { n.gateway.gate.Note(clock.FromDuration(n.now), sample) }
 
 // BackEndEnded implements forward.Node.
 func (n runNode) BackEndEnded(attempt *forward.Attempt) quarantine.Verdict {
