--- a/internal/forward/outcome.go
+++ b/internal/forward/outcome.go
@@ -49,9 +49,9 @@
 	Response *Response
 	// BlamesRequest, with Failed: the back end says that the request is at fault. It is believed unless another one answers it.
 	BlamesRequest bool
-	// ConnectionTurnedAway: the back end ended a connection that had carried no answer yet, as it does with those over its
+	// ConnectionRejected: the back end ended a connection that had carried no answer yet, as it does with those over its
 	// limit.
-	ConnectionTurnedAway bool
+	ConnectionRejected bool
 	// BackEndEnded: the back end itself ended, and not just the connection: it takes no connections any more.
 	BackEndEnded bool
 	// Load is what the back end told of itself with the answer.
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -69,7 +69,7 @@
 		return replica.Withdrawn
 	case outcome.BackEndEnded:
 		return replica.Unreachable
-	case outcome.ConnectionTurnedAway:
+	case outcome.ConnectionRejected:
 		return replica.TurnedAway
 	}
 	switch outcome.Kind {
--- a/internal/gateway/simulation_backend_test.go
+++ b/internal/gateway/simulation_backend_test.go
@@ -132,7 +132,7 @@
 	if send.Prove {
 		outcome.Kind = forward.NotSent
 	}
-	outcome.ConnectionTurnedAway = true
+	outcome.ConnectionRejected = true
 	return outcome
 }
 
