--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -39,8 +39,8 @@
 	MaximumConnections int
 	// HealthPath answers whether a back end is well.
 	HealthPath string
-	// ColdFor is how long a back end is cold after its start, or when it has got nothing for long.
-	ColdFor clock.Ms
+	// WarmupTime is how long a back end is cold after its start, or when it has got nothing for long.
+	WarmupTime clock.Ms
 	// ColdRate is the number of requests a second that a cold back end bears from all nodes together; 0 where that is not
 	// bounded.
 	ColdRate float64
