--- a/internal/gateway/simulation_places_test.go
+++ b/internal/gateway/simulation_places_test.go
@@ -51,7 +51,7 @@
 	})
 	c.Services = append(c.Services, routing.Service{Name: "s2"}, routing.Service{Name: "s3"})
 	for i := range c.Services {
-		c.Services[i].WarmupTime, c.Services[i].ColdRate = coldFor, coldBears
+		c.Services[i].WarmupTime, c.Services[i].WarmupRate = coldFor, coldBears
 	}
 }
 
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -174,8 +174,8 @@
 func warmups(table *routing.Table) map[string]replica.Warmup {
 	warmups := map[string]replica.Warmup{}
 	for _, service := range table.Services() {
-		if service.WarmupTime > 0 || service.ColdRate > 0 {
-			warmups[service.Name] = replica.Warmup{For: service.WarmupTime, Rate: service.ColdRate}
+		if service.WarmupTime > 0 || service.WarmupRate > 0 {
+			warmups[service.Name] = replica.Warmup{For: service.WarmupTime, Rate: service.WarmupRate}
 		}
 	}
 	return warmups
--- a/internal/routing/check.go
+++ b/internal/routing/check.go
@@ -17,7 +17,7 @@
 		}
 	}
 	for _, service := range configuration.Services {
-		if service.WarmupTime < 0 || service.ColdRate < 0 {
+		if service.WarmupTime < 0 || service.WarmupRate < 0 {
 			return invalid("service %q has a negative time or rate for cold back ends", service.Name)
 		}
 	}
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -41,9 +41,9 @@
 	HealthPath string
 	// WarmupTime is how long a back end is cold after its start, or when it has got nothing for long.
 	WarmupTime clock.Ms
-	// ColdRate is the number of requests a second that a cold back end bears from all nodes together; 0 where that is not
+	// WarmupRate is the number of requests a second that a cold back end bears from all nodes together; 0 where that is not
 	// bounded.
-	ColdRate float64
+	WarmupRate float64
 }
 
 // Target is a service with its share of a route's requests.
