--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -52,8 +52,8 @@
 	longest map[string]clock.Ms
 }
 
-// Note takes in a sample.
-func (g *Gate) Note(now clock.Ms, sample Sample) {
+// Record takes in a sample.
+func (g *Gate) Record(now clock.Ms, sample Sample) {
 	g.age(now)
 	g.lack += float64(sample.Lacking) / float64(max(sample.MayLack, 1))
 	g.shed += float64(sample.Shed) / float64(max(sample.Attempts, 1))
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -25,7 +25,7 @@
 func met(gate *admit.Gate, now clock.Ms, sample admit.Sample, count int) clock.Ms {
 	for range count {
 		now += 400 * clock.Ms(1)
-		gate.Note(now, sample)
+		gate.Record(now, sample)
 	}
 	return now
 }
