--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -68,8 +68,8 @@
 	TurnedAway float64
 }
 
-// Level returns what it is now.
-func (g *Gate) Level(now clock.Ms) Level {
+// OverloadLevel returns what it is now.
+func (g *Gate) OverloadLevel(now clock.Ms) Level {
 	g.age(now)
 	weight := g.weight + calmWeight
 	level := Level{Lacking: g.lack / weight, Shed: g.shed / weight}
@@ -95,7 +95,7 @@
 		g.longest = map[string]clock.Ms{}
 	}
 	g.longest[route] = max(g.longest[route], patience)
-	level := g.Level(now)
+	level := g.OverloadLevel(now)
 	if patience < g.longest[route]-returning || draw() >= level.TurnedAway {
 		return Decision{Admitted: true, Level: level}
 	}
