--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -44,8 +44,8 @@
 	Shed, Attempts int
 }
 
-// Gate holds the samples of late, weighted by their age. The zero value has none. It is not safe for concurrent use.
-type Gate struct {
+// Controller holds the samples of late, weighted by their age. The zero value has none. It is not safe for concurrent use.
+type Controller struct {
 	lack, shed, weight float64
 	at                 clock.Ms
 	// longest time that callers of a route gave, by route.
@@ -53,7 +53,7 @@
 }
 
 // Record takes in a sample.
-func (g *Gate) Record(now clock.Ms, sample Sample) {
+func (g *Controller) Record(now clock.Ms, sample Sample) {
 	g.age(now)
 	g.lack += float64(sample.Lacking) / float64(max(sample.MayLack, 1))
 	g.shed += float64(sample.Shed) / float64(max(sample.Attempts, 1))
@@ -69,7 +69,7 @@
 }
 
 // OverloadLevel returns what it is now.
-func (g *Gate) OverloadLevel(now clock.Ms) Level {
+func (g *Controller) OverloadLevel(now clock.Ms) Level {
 	g.age(now)
 	weight := g.weight + calmWeight
 	level := Level{Lacking: g.lack / weight, Shed: g.shed / weight}
@@ -90,7 +90,7 @@
 
 // Admit decides on a request of a route whose caller waits for so long. Draw returns random numbers from 0 to 1. One that
 // has been turned away or has waited before is always admitted.
-func (g *Gate) Admit(now clock.Ms, route string, patience clock.Ms, draw func() float64) Decision {
+func (g *Controller) Admit(now clock.Ms, route string, patience clock.Ms, draw func() float64) Decision {
 	if g.longest == nil {
 		g.longest = map[string]clock.Ms{}
 	}
@@ -104,7 +104,7 @@
 }
 
 // Retain forgets routes that are not served any more.
-func (g *Gate) Retain(served func(route string) bool) {
+func (g *Controller) Retain(served func(route string) bool) {
 	for route := range g.longest {
 		if !served(route) {
 			delete(g.longest, route)
@@ -113,7 +113,7 @@
 }
 
 // age weighs the samples down by the time since it was done last.
-func (g *Gate) age(now clock.Ms) {
+func (g *Controller) age(now clock.Ms) {
 	kept := math.Exp(-float64(now-g.at) / float64(memory))
 	g.lack *= kept
 	g.shed *= kept
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -22,7 +22,7 @@
 )
 
 // met notes the same for so many requests, one each 400 ms, and returns the time.
-func met(gate *admit.Gate, now clock.Ms, sample admit.Sample, count int) clock.Ms {
+func met(gate *admit.Controller, now clock.Ms, sample admit.Sample, count int) clock.Ms {
 	for range count {
 		now += 400 * clock.Ms(1)
 		gate.Record(now, sample)
@@ -46,7 +46,7 @@
 		"nothing may lack":                    {admit.Sample{Lacking: 4, Shed: 5, Attempts: 36}, 10, 0.7, 0.7},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var gate admit.Gate
+			var gate admit.Controller
 			now := met(&gate, 0, c.seen, c.count)
 			if share := gate.OverloadLevel(now).TurnedAway; share < c.least || share > c.most {
 				t.Errorf("turns away %v, want %v to %v", share, c.least, c.most)
@@ -57,12 +57,12 @@
 
 // TestRoomAgain: once requests find room, all are admitted after four of them, and without any after some seconds.
 func TestRoomAgain(t *testing.T) {
-	var gate admit.Gate
+	var gate admit.Controller
 	now := met(&gate, 0, overload, 10)
 	if share := gate.OverloadLevel(met(&gate, now, calm, 4)).TurnedAway; share > 0 {
 		t.Errorf("turns away %v after four requests that found room", share)
 	}
-	gate = admit.Gate{}
+	gate = admit.Controller{}
 	now = met(&gate, 0, overload, 10)
 	if share := gate.OverloadLevel(now + 5*clock.Second).TurnedAway; share > 0 {
 		t.Errorf("turns away %v after five seconds without a request", share)
@@ -71,7 +71,7 @@
 
 // TestAgesBetweenManyDecisions: what was met is forgotten in the same time however often the gate is asked meanwhile.
 func TestAgesBetweenManyDecisions(t *testing.T) {
-	var gate admit.Gate
+	var gate admit.Controller
 	now := met(&gate, 0, overload, 10)
 	elapsed := now.Duration()
 	for range 20000 {
@@ -86,7 +86,7 @@
 // TestAdmit: about the share is turned away, each with a time to come back that its caller heeds; who has waited before is admitted.
 func TestAdmit(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	var gate admit.Gate
+	var gate admit.Controller
 	now := met(&gate, 0, overload, 10)
 	share := gate.OverloadLevel(now).TurnedAway
 	const requests = 2000
@@ -112,7 +112,7 @@
 
 // TestRetain: what callers of a route waited for is forgotten with the route.
 func TestRetain(t *testing.T) {
-	var gate admit.Gate
+	var gate admit.Controller
 	now := met(&gate, 0, overload, 20)
 	first := func() float64 { return 0 }
 	gate.Admit(now, route, 100*clock.Second, first)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -63,7 +63,7 @@
 	budgets  map[string]*limit.SlidingBudget
 	splitter *routing.Splitter
 	// gate turns requests away while there are more than back ends can answer in time.
-	gate admit.Gate
+	gate admit.Controller
 	// quarantine knows the requests that have ended back ends; trials are those that are sent to one back end at a time now, by how
 	// many calls.
 	quarantine       *quarantine.Core
