--- a/internal/decisionlog/request.go
+++ b/internal/decisionlog/request.go
@@ -40,7 +40,7 @@
 		fields[fieldMissing] = result.MissingShards
 	}
 	if result.Reason == forward.TurnedAway {
-		fields[fieldLacking] = percent(result.Overload.Lacking)
+		fields[fieldLacking] = percent(result.Overload.MissingShare)
 		fields[fieldShed] = percent(result.Overload.Shed)
 		fields[fieldShare] = percent(result.Overload.TurnedAway)
 	}
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -303,12 +303,12 @@
 	},
 	{
 		"no request is turned away", "internal/admit/admit.go",
-		"level.TurnedAway = min(1-wantedLack/level.Lacking, mostTurnedAway)", "level.TurnedAway = 0",
+		"level.TurnedAway = min(1-wantedLack/level.MissingShare, mostTurnedAway)", "level.TurnedAway = 0",
 		"./internal/gateway", "TestTurnedAwayUnderOverload",
 	},
 	{
 		"requests are turned away where no back end sheds", "internal/admit/admit.go",
-		"if level.Shed >= shedShare && level.Lacking > wantedLack {", "if level.Lacking > wantedLack {",
+		"if level.Shed >= shedShare && level.MissingShare > wantedLack {", "if level.MissingShare > wantedLack {",
 		"./internal/admit", "TestTurnedAway",
 	},
 	{
