--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -62,8 +62,8 @@
 
 // Level is what requests lacked of late, and what follows from it.
 type Level struct {
-	// MissingShare shards at the target, as a share of those that may lack, and Shed attempts, as a share of all.
-	MissingShare, Shed float64
+	// MissingShare shards at the target, as a share of those that may lack, and ShedShare attempts, as a share of all.
+	MissingShare, ShedShare float64
 	// TurnedAway is the share of fresh requests that is turned away.
 	TurnedAway float64
 }
@@ -72,8 +72,8 @@
 func (g *Controller) OverloadLevel(now clock.Ms) Level {
 	g.age(now)
 	weight := g.weight + calmWeight
-	level := Level{MissingShare: g.lack / weight, Shed: g.shed / weight}
-	if level.Shed >= shedShare && level.MissingShare > wantedLack {
+	level := Level{MissingShare: g.lack / weight, ShedShare: g.shed / weight}
+	if level.ShedShare >= shedShare && level.MissingShare > wantedLack {
 		level.TurnedAway = min(1-wantedLack/level.MissingShare, mostTurnedAway)
 	}
 	return level
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -308,7 +308,7 @@
 	},
 	{
 		"requests are turned away where no back end sheds", "internal/admit/admit.go",
-		"if level.Shed >= shedShare && level.MissingShare > wantedLack {", "if level.MissingShare > wantedLack {",
+		"if level.ShedShare >= shedShare && level.MissingShare > wantedLack {", "if level.MissingShare > wantedLack {",
 		"./internal/admit", "TestTurnedAway",
 	},
 	{
