--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -64,8 +64,8 @@
 type Level struct {
 	// MissingShare shards at the target, as a share of those that may lack, and ShedShare attempts, as a share of all.
 	MissingShare, ShedShare float64
-	// TurnedAway is the share of fresh requests that is turned away.
-	TurnedAway float64
+	// TurnedAwayShare is the share of fresh requests that is turned away.
+	TurnedAwayShare float64
 }
 
 // OverloadLevel returns what it is now.
@@ -74,7 +74,7 @@
 	weight := g.weight + calmWeight
 	level := Level{MissingShare: g.lack / weight, ShedShare: g.shed / weight}
 	if level.ShedShare >= shedShare && level.MissingShare > wantedLack {
-		level.TurnedAway = min(1-wantedLack/level.MissingShare, mostTurnedAway)
+		level.TurnedAwayShare = min(1-wantedLack/level.MissingShare, mostTurnedAway)
 	}
 	return level
 }
@@ -96,7 +96,7 @@
 	}
 	g.longest[route] = max(g.longest[route], patience)
 	level := g.OverloadLevel(now)
-	if patience < g.longest[route]-returning || draw() >= level.TurnedAway {
+	if patience < g.longest[route]-returning || draw() >= level.TurnedAwayShare {
 		return Decision{Admitted: true, Level: level}
 	}
 	share := retryAfterFrom + (retryAfterTo-retryAfterFrom)*draw()
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -48,7 +48,7 @@
 		t.Run(name, func(t *testing.T) {
 			var gate admit.Controller
 			now := met(&gate, 0, c.seen, c.count)
-			if share := gate.OverloadLevel(now).TurnedAway; share < c.least || share > c.most {
+			if share := gate.OverloadLevel(now).TurnedAwayShare; share < c.least || share > c.most {
 				t.Errorf("turns away %v, want %v to %v", share, c.least, c.most)
 			}
 		})
@@ -59,12 +59,12 @@
 func TestRoomAgain(t *testing.T) {
 	var gate admit.Controller
 	now := met(&gate, 0, overload, 10)
-	if share := gate.OverloadLevel(met(&gate, now, calm, 4)).TurnedAway; share > 0 {
+	if share := gate.OverloadLevel(met(&gate, now, calm, 4)).TurnedAwayShare; share > 0 {
 		t.Errorf("turns away %v after four requests that found room", share)
 	}
 	gate = admit.Controller{}
 	now = met(&gate, 0, overload, 10)
-	if share := gate.OverloadLevel(now + 5*clock.Second).TurnedAway; share > 0 {
+	if share := gate.OverloadLevel(now + 5*clock.Second).TurnedAwayShare; share > 0 {
 		t.Errorf("turns away %v after five seconds without a request", share)
 	}
 }
@@ -78,8 +78,8 @@
 		elapsed += 250 * time.Microsecond
 		gate.OverloadLevel(clock.FromDuration(elapsed))
 	}
-	if level := gate.OverloadLevel(clock.FromDuration(elapsed)); level.TurnedAway > 0 {
-		t.Errorf("turns away %v after five seconds of four thousand decisions each", level.TurnedAway)
+	if level := gate.OverloadLevel(clock.FromDuration(elapsed)); level.TurnedAwayShare > 0 {
+		t.Errorf("turns away %v after five seconds of four thousand decisions each", level.TurnedAwayShare)
 	}
 }
 
@@ -88,7 +88,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	var gate admit.Controller
 	now := met(&gate, 0, overload, 10)
-	share := gate.OverloadLevel(now).TurnedAway
+	share := gate.OverloadLevel(now).TurnedAwayShare
 	const requests = 2000
 	away := 0
 	for range requests {
--- a/internal/decisionlog/request.go
+++ b/internal/decisionlog/request.go
@@ -42,7 +42,7 @@
 	if result.Reason == forward.TurnedAway {
 		fields[fieldLacking] = percent(result.Overload.MissingShare)
 		fields[fieldShed] = percent(result.Overload.ShedShare)
-		fields[fieldShare] = percent(result.Overload.TurnedAway)
+		fields[fieldShare] = percent(result.Overload.TurnedAwayShare)
 	}
 	if !ordinary {
 		fields[fieldAttempts] = describe(result)
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -303,7 +303,7 @@
 	},
 	{
 		"no request is turned away", "internal/admit/admit.go",
-		"level.TurnedAway = min(1-wantedLack/level.MissingShare, mostTurnedAway)", "level.TurnedAway = 0",
+		"level.TurnedAwayShare = min(1-wantedLack/level.MissingShare, mostTurnedAway)", "level.TurnedAwayShare = 0",
 		"./internal/gateway", "TestTurnedAwayUnderOverload",
 	},
 	{
