--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -84,8 +84,8 @@
 	Admitted bool
 	// RetryAfter is after what time a request that is not admitted may come back.
 	RetryAfter clock.Ms
-	// Level by which it was decided.
-	Level Level
+	// Overload by which it was decided.
+	Overload Level
 }
 
 // Admit decides on a request of a route whose caller waits for so long. Draw returns random numbers from 0 to 1. One that
@@ -97,10 +97,10 @@
 	g.longest[route] = max(g.longest[route], patience)
 	level := g.OverloadLevel(now)
 	if patience < g.longest[route]-returning || draw() >= level.TurnedAwayShare {
-		return Decision{Admitted: true, Level: level}
+		return Decision{Admitted: true, Overload: level}
 	}
 	share := retryAfterFrom + (retryAfterTo-retryAfterFrom)*draw()
-	return Decision{RetryAfter: clock.Ms(share * float64(patience)), Level: level}
+	return Decision{RetryAfter: clock.Ms(share * float64(patience)), Overload: level}
 }
 
 // Retain forgets routes that are not served any more.
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -77,7 +77,7 @@
 		return Result{Answer: refuseTooMany()}
 	}
 	if decision := g.admission(call, route); !decision.Admitted {
-		return Result{Answer: refuseTurnedAway(decision), Overload: decision.Level}
+		return Result{Answer: refuseTurnedAway(decision), Overload: decision.Overload}
 	}
 	allowed, refusal := g.allow(ctx, call, route, holdUntil)
 	if refusal != nil {
