--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -60,8 +60,8 @@
 	g.weight++
 }
 
-// Level is what requests lacked of late, and what follows from it.
-type Level struct {
+// OverloadLevel is what requests lacked of late, and what follows from it.
+type OverloadLevel struct {
 	// MissingShare shards at the target, as a share of those that may lack, and ShedShare attempts, as a share of all.
 	MissingShare, ShedShare float64
 	// TurnedAwayShare is the share of fresh requests that is turned away.
@@ -69,10 +69,10 @@
 }
 
 // OverloadLevel returns what it is now.
-func (g *Controller) OverloadLevel(now clock.Ms) Level {
+func (g *Controller) OverloadLevel(now clock.Ms) OverloadLevel {
 	g.age(now)
 	weight := g.weight + calmWeight
-	level := Level{MissingShare: g.lack / weight, ShedShare: g.shed / weight}
+	level := OverloadLevel{MissingShare: g.lack / weight, ShedShare: g.shed / weight}
 	if level.ShedShare >= shedShare && level.MissingShare > wantedLack {
 		level.TurnedAwayShare = min(1-wantedLack/level.MissingShare, mostTurnedAway)
 	}
@@ -85,7 +85,7 @@
 	// RetryAfter is after what time a request that is not admitted may come back.
 	RetryAfter clock.Ms
 	// Overload by which it was decided.
-	Overload Level
+	Overload OverloadLevel
 }
 
 // Admit decides on a request of a route whose caller waits for so long. Draw returns random numbers from 0 to 1. One that
--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -98,7 +98,7 @@
 	lines := logged(func(log *decisionlog.Log) {
 		log.Request(&gateway.Call{ID: "request"}, &gateway.Result{
 			Answer:   forward.Answer{Failure: failure.Refused(failure.Overloaded, "", time.Second), Reason: forward.TurnedAway},
-			Overload: admit.Level{MissingShare: 1.9, ShedShare: 0.126, TurnedAwayShare: 0.5},
+			Overload: admit.OverloadLevel{MissingShare: 1.9, ShedShare: 0.126, TurnedAwayShare: 0.5},
 		})
 	})
 	if len(lines) != 1 {
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -42,7 +42,7 @@
 		log.Request(call, ended(forward.Answer{TotalShards: 3, MissingShards: 1, Reason: forward.TargetReached}, answered, lost, open))
 		log.Request(call, &gateway.Result{
 			Answer:   forward.Answer{Failure: failure.Refused(failure.Overloaded, "", time.Second), Reason: forward.TurnedAway},
-			Overload: admit.Level{MissingShare: 1.9, ShedShare: 0.126, TurnedAwayShare: 0.5},
+			Overload: admit.OverloadLevel{MissingShare: 1.9, ShedShare: 0.126, TurnedAwayShare: 0.5},
 		})
 		log.Ejected(lost, lost.Outcome)
 		log.BackEndEnded(call, lost, 12)
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -87,5 +87,5 @@
 	// CallerGone: the caller left; there is nobody to answer.
 	CallerGone bool
 	// Overload is by what a request was turned away.
-	Overload admit.Level
+	Overload admit.OverloadLevel
 }
