--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -39,7 +39,7 @@
 // Sample is what one request over many shards lacked at its target, or when it was answered before.
 type Sample struct {
 	// Missing shards at the target, of those that the route lets lack.
-	Missing, MayLack int
+	Missing, AllowedMissing int
 	// Shed attempts, refused by full back ends, of all attempts.
 	Shed, Attempts int
 }
@@ -55,7 +55,7 @@
 // Record takes in a sample.
 func (g *Controller) Record(now clock.Ms, sample Sample) {
 	g.age(now)
-	g.lack += float64(sample.Missing) / float64(max(sample.MayLack, 1))
+	g.lack += float64(sample.Missing) / float64(max(sample.AllowedMissing, 1))
 	g.shed += float64(sample.Shed) / float64(max(sample.Attempts, 1))
 	g.weight++
 }
--- a/internal/forward/finish.go
+++ b/internal/forward/finish.go
@@ -114,7 +114,7 @@
 	}
 	r.sampled = true
 	sample := admit.Sample{
-		Missing: len(r.shards) - r.answered, MayLack: len(r.shards) - r.required(), Attempts: len(r.attempts),
+		Missing: len(r.shards) - r.answered, AllowedMissing: len(r.shards) - r.required(), Attempts: len(r.attempts),
 	}
 	for _, attempt := range r.attempts {
 		if attempt.Outcome.Kind == Refused && !attempt.Outcome.Load.HasRoom() {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -334,7 +334,7 @@
 		}
 		s.at(190 * millisecond)
 		s.at(400 * millisecond)
-		want := admit.Sample{Missing: 2, MayLack: 1, Shed: 1, Attempts: 3}
+		want := admit.Sample{Missing: 2, AllowedMissing: 1, Shed: 1, Attempts: 3}
 		if len(node.samples) != 1 || node.samples[0] != want {
 			t.Errorf("told %+v, want %+v once", node.samples, want)
 		}
@@ -342,7 +342,7 @@
 	t.Run("when it succeeds", func(t *testing.T) {
 		node := newNode(0, "a", "b")
 		start(t, fanOut("a", "b"), node).end(0, part("sa", "")).end(1, part("sb", ""))
-		want := admit.Sample{Missing: 0, MayLack: 1, Attempts: 2}
+		want := admit.Sample{Missing: 0, AllowedMissing: 1, Attempts: 2}
 		if len(node.samples) != 1 || node.samples[0] != want {
 			t.Errorf("told %+v, want %+v once", node.samples, want)
 		}
