--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -40,8 +40,8 @@
 type Sample struct {
 	// Missing shards at the target, of those that the route lets lack.
 	Missing, AllowedMissing int
-	// Shed attempts, refused by full back ends, of all attempts.
-	Shed, Attempts int
+	// ShedAttempts attempts, refused by full back ends, of all attempts.
+	ShedAttempts, Attempts int
 }
 
 // Controller holds the samples of late, weighted by their age. The zero value has none. It is not safe for concurrent use.
@@ -56,7 +56,7 @@
 func (g *Controller) Record(now clock.Ms, sample Sample) {
 	g.age(now)
 	g.lack += float64(sample.Missing) / float64(max(sample.AllowedMissing, 1))
-	g.shed += float64(sample.Shed) / float64(max(sample.Attempts, 1))
+	g.shed += float64(sample.ShedAttempts) / float64(max(sample.Attempts, 1))
 	g.weight++
 }
 
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -16,9 +16,9 @@
 
 // Requests of 30 shards, of which 3 may lack.
 var (
-	calm     = admit.Sample{Missing: 0, AllowedMissing: 3, Shed: 0, Attempts: 31}
-	slow     = admit.Sample{Missing: 3, AllowedMissing: 3, Shed: 0, Attempts: 33}
-	overload = admit.Sample{Missing: 6, AllowedMissing: 3, Shed: 5, Attempts: 36}
+	calm     = admit.Sample{Missing: 0, AllowedMissing: 3, ShedAttempts: 0, Attempts: 31}
+	slow     = admit.Sample{Missing: 3, AllowedMissing: 3, ShedAttempts: 0, Attempts: 33}
+	overload = admit.Sample{Missing: 6, AllowedMissing: 3, ShedAttempts: 5, Attempts: 36}
 )
 
 // met notes the same for so many requests, one each 400 ms, and returns the time.
@@ -42,8 +42,8 @@
 		"one request in trouble is too few":   {overload, 1, 0, 0.65},
 		"slow back ends, and none sheds":      {slow, 10, 0, 0},
 		"overload":                            {overload, 10, 0.5, 0.75},
-		"back ends shed, and parts are there": {admit.Sample{Missing: 1, AllowedMissing: 3, Shed: 5, Attempts: 36}, 10, 0, 0},
-		"nothing may lack":                    {admit.Sample{Missing: 4, Shed: 5, Attempts: 36}, 10, 0.7, 0.7},
+		"back ends shed, and parts are there": {admit.Sample{Missing: 1, AllowedMissing: 3, ShedAttempts: 5, Attempts: 36}, 10, 0, 0},
+		"nothing may lack":                    {admit.Sample{Missing: 4, ShedAttempts: 5, Attempts: 36}, 10, 0.7, 0.7},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var gate admit.Controller
--- a/internal/forward/finish.go
+++ b/internal/forward/finish.go
@@ -118,7 +118,7 @@
 	}
 	for _, attempt := range r.attempts {
 		if attempt.Outcome.Kind == Refused && !attempt.Outcome.Load.HasRoom() {
-			sample.Shed++
+			sample.ShedAttempts++
 		}
 	}
 	r.node.RecordSample(sample)
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -334,7 +334,7 @@
 		}
 		s.at(190 * millisecond)
 		s.at(400 * millisecond)
-		want := admit.Sample{Missing: 2, AllowedMissing: 1, Shed: 1, Attempts: 3}
+		want := admit.Sample{Missing: 2, AllowedMissing: 1, ShedAttempts: 1, Attempts: 3}
 		if len(node.samples) != 1 || node.samples[0] != want {
 			t.Errorf("told %+v, want %+v once", node.samples, want)
 		}
@@ -352,7 +352,7 @@
 		refused := ended(forward.Refused)
 		refused.Load = replica.Load{Told: true, Running: 1, Slots: 4, Slowdown: 1}
 		start(t, fanOut("a", "b", "c"), node).end(0, part("sa", "")).end(1, refused).at(190 * millisecond)
-		if len(node.samples) != 1 || node.samples[0].Shed != 0 {
+		if len(node.samples) != 1 || node.samples[0].ShedAttempts != 0 {
 			t.Errorf("told %+v: no back end was full", node.samples)
 		}
 	})
