--- a/internal/dispatch/group.go
+++ b/internal/dispatch/group.go
@@ -21,7 +21,7 @@
 	// lastUsed is when the last sub-query came.
 	lastUsed  time.Duration
 	backEnds  []*backEnd
-	latencies limit.Latencies
+	latencies limit.LatencyHistogram
 	// overdue holds attempts that are due for a hedge and found no free slot.
 	overdue []*attempt
 	hedges  limit.Budget
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -72,7 +72,7 @@
 	// subQueryOwners are the numbers of the searches and executes that sub-queries under way belong to.
 	subQueryOwners map[query.ID]uint64
 	// queryTimes are the times from the start of a search to the end of each of its sub-queries.
-	queryTimes limit.Latencies
+	queryTimes limit.LatencyHistogram
 	reissues   limit.Budget
 
 	rollouts map[uint64]*rolloutRun
--- a/internal/limit/latencies.go
+++ b/internal/limit/latencies.go
@@ -13,9 +13,9 @@
 	decayAfter = 512
 )
 
-// Latencies is a decaying histogram of latencies with logarithmic buckets (a quarter of a doubling each, from
+// LatencyHistogram is a decaying histogram of latencies with logarithmic buckets (a quarter of a doubling each, from
 // 50 microseconds to about 50 seconds); 336 bytes.
-type Latencies struct {
+type LatencyHistogram struct {
 	counts [buckets]float32
 	total  float32
 }
@@ -29,7 +29,7 @@
 }
 
 // Record adds a sample.
-func (l *Latencies) Record(latency time.Duration) {
+func (l *LatencyHistogram) Record(latency time.Duration) {
 	l.counts[bucketOf(latency)]++
 	l.total++
 	if l.total < decayAfter {
@@ -42,11 +42,11 @@
 }
 
 // Samples is the weight of what was recorded, after decay.
-func (l *Latencies) Samples() int { return int(l.total) }
+func (l *LatencyHistogram) Samples() int { return int(l.total) }
 
 // Quantile returns the upper edge of the bucket that holds the quantile, or otherwise while there are too few
 // samples (fewer than minimum) to say.
-func (l *Latencies) Quantile(quantile float64, minimum int, otherwise time.Duration) time.Duration {
+func (l *LatencyHistogram) Quantile(quantile float64, minimum int, otherwise time.Duration) time.Duration {
 	if l.Samples() < minimum {
 		return otherwise
 	}
