--- a/internal/dispatch/group.go
+++ b/internal/dispatch/group.go
@@ -105,7 +105,7 @@
 		}
 	}
 	if found == nil {
-		found = &backEnd{address: specified.Address, window: limit.NewWindow(share), nextDescribe: now}
+		found = &backEnd{address: specified.Address, window: limit.NewConcurrencyWindow(share), nextDescribe: now}
 	}
 	if refusedAt, refused := c.refusals[specified.Address]; refused && now-refusedAt <= drainBelief {
 		found.draining |= drainByAttempt
--- a/internal/limit/window.go
+++ b/internal/limit/window.go
@@ -18,8 +18,8 @@
 // minimumWindow keeps one attempt going, by which recovery is noticed.
 const minimumWindow = 1
 
-// NewWindow returns a window that starts at one and may grow to the ceiling.
-func NewWindow(ceiling int) Window {
+// NewConcurrencyWindow returns a window that starts at one and may grow to the ceiling.
+func NewConcurrencyWindow(ceiling int) Window {
 	return Window{ceiling: float64(ceiling), size: math.Min(minimumWindow, float64(ceiling))}
 }
 
