--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -21,7 +21,7 @@
 // backEnd is the dispatcher's view of one back end for one service.
 type backEnd struct {
 	address string
-	window  limit.Window
+	window  limit.ConcurrencyWindow
 	holding query.Holding
 	// described: the holding is known.
 	described bool
