--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -109,7 +109,7 @@
 	r.beginTrial(now)
 	parameters := r.parameters()
 	for _, service := range parameters.Services() {
-		g.budget(service).Request(now, 1)
+		g.budget(service).CountRequests(now, 1)
 	}
 	request, actions := forward.Start(now, parameters, g.settings.Load().Forward, runNode{g, now, r})
 	r.request = request
--- a/internal/limit/sliding.go
+++ b/internal/limit/sliding.go
@@ -43,8 +43,8 @@
 // SetShare changes the share from now on.
 func (b *SlidingBudget) SetShare(share float64) { b.share = share }
 
-// Request counts requests in.
-func (b *SlidingBudget) Request(now time.Duration, count int) {
+// CountRequests counts requests in.
+func (b *SlidingBudget) CountRequests(now time.Duration, count int) {
 	b.requests[b.present(now)] += count
 }
 
--- a/internal/limit/sliding_test.go
+++ b/internal/limit/sliding_test.go
@@ -35,7 +35,7 @@
 					events = append(events, event{now, false})
 				}
 			default:
-				nodes[node].Request(now, 1)
+				nodes[node].CountRequests(now, 1)
 				events = append(events, event{now, true})
 			}
 		}
@@ -67,7 +67,7 @@
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(rt, "pass")) * time.Millisecond
 			for range rapid.IntRange(0, 50).Draw(rt, "requests") {
-				budget.Request(now, 1)
+				budget.CountRequests(now, 1)
 				requests = append(requests, now)
 			}
 			for range rapid.IntRange(0, 50).Draw(rt, "extras") {
@@ -87,14 +87,14 @@
 func TestSpentEarlyInAWindow(t *testing.T) {
 	budget := limit.NewSlidingBudget(0.2, 10*time.Second)
 	for at := range 10 {
-		budget.Request(time.Duration(at)*time.Second, 10)
+		budget.CountRequests(time.Duration(at)*time.Second, 10)
 	}
 	const spentAt = 9900 * time.Millisecond
 	for budget.Spend(spentAt, 0, 0) {
 		continue
 	}
 	for at := 10; at < 20; at++ {
-		budget.Request(time.Duration(at)*time.Second, 10)
+		budget.CountRequests(time.Duration(at)*time.Second, 10)
 	}
 	if budget.Spend(spentAt+9500*time.Millisecond, 0, 0) {
 		t.Error("20 of 100 were spent 9.5 s ago, and one more is allowed")
@@ -120,7 +120,7 @@
 	if budget.Spend(0, 0, 0) {
 		t.Error("spent before any request")
 	}
-	budget.Request(0, 50)
+	budget.CountRequests(0, 50)
 	for budget.Spend(0, 0.5, 0) {
 		continue
 	}
@@ -130,7 +130,7 @@
 	for budget.Spend(0, 0, 0) {
 		continue
 	}
-	budget.Request(9*time.Second, 10)
+	budget.CountRequests(9*time.Second, 10)
 	if budget.Remaining(9*time.Second, 0) != 2 {
 		t.Errorf("%v left of 12 with 10 spent", budget.Remaining(9*time.Second, 0))
 	}
