--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -48,8 +48,8 @@
 // suspended before it comes.
 func (c Clock) Time(moment time.Duration) time.Time { return c.started.Add(moment - c.Suspended()) }
 
-// Moment gives a time of the standard library as a moment on the clock.
-func (c Clock) Moment(t time.Time) time.Duration { return t.Sub(c.started) + c.Suspended() }
+// FromTime gives a time of the standard library as a moment on the clock.
+func (c Clock) FromTime(t time.Time) time.Duration { return t.Sub(c.started) + c.Suspended() }
 
 // behind is by how much the monotonic clock, on which the standard library counts, is behind the machine's clock that
 // also counts while the machine is suspended.
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -28,7 +28,7 @@
 		defer clock.Replace(func() time.Duration { return behind })()
 		c := clock.Start()
 		deadline := time.Now().Add(2 * time.Second)
-		if got := c.Moment(deadline); got != 2*time.Second {
+		if got := c.FromTime(deadline); got != 2*time.Second {
 			t.Errorf("before the suspension the deadline is at %v", got)
 		}
 		time.Sleep(time.Second)
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -126,7 +126,7 @@
 		parameters.Service = r.gateway.splitter.Next(r.route)
 	}
 	if !r.call.Deadline.IsZero() {
-		parameters.Deadline = r.gateway.clock.Moment(r.call.Deadline)
+		parameters.Deadline = r.gateway.clock.FromTime(r.call.Deadline)
 	}
 	return parameters
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -39,7 +39,7 @@
 	if call.Arrived.IsZero() {
 		return read
 	}
-	return min(read, g.clock.Moment(call.Arrived))
+	return min(read, g.clock.FromTime(call.Arrived))
 }
 
 // Refuse notes a call that is wrong by itself and was answered with a failure.
