--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -44,9 +44,9 @@
 // Suspended is for how long the machine has been suspended since the start.
 func (c Clock) Suspended() time.Duration { return (*behind.Load())() - c.behindThen }
 
-// Time gives a moment on the clock as the standard library's timers and deadlines understand it, unless the machine is
+// ToTime gives a moment on the clock as the standard library's timers and deadlines understand it, unless the machine is
 // suspended before it comes.
-func (c Clock) Time(moment time.Duration) time.Time { return c.started.Add(moment - c.Suspended()) }
+func (c Clock) ToTime(moment time.Duration) time.Time { return c.started.Add(moment - c.Suspended()) }
 
 // FromTime gives a time of the standard library as a moment on the clock.
 func (c Clock) FromTime(t time.Time) time.Duration { return t.Sub(c.started) + c.Suspended() }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -39,7 +39,7 @@
 		if got := c.Suspended(); got != 10*time.Second {
 			t.Errorf("suspended for %v", got)
 		}
-		if got := c.Time(12 * time.Second); !got.Equal(deadline) {
+		if got := c.ToTime(12 * time.Second); !got.Equal(deadline) {
 			t.Errorf("a second from now is %v before the deadline", deadline.Sub(got))
 		}
 	})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -128,7 +128,7 @@
 // now is the time since the start, suspensions of the machine included.
 func (g *Gateway) now() time.Duration { return g.clock.Elapsed() }
 
-func (g *Gateway) at(moment time.Duration) time.Time { return g.clock.Time(moment) }
+func (g *Gateway) at(moment time.Duration) time.Time { return g.clock.ToTime(moment) }
 
 // Ready reports whether the node should get requests: it has a configuration and back ends, and is not leaving.
 func (g *Gateway) Ready() bool {
