--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -55,11 +55,11 @@
 // also counts while the machine is suspended.
 var behind atomic.Pointer[func() time.Duration]
 
-func init() { Replace((&gauge{began: time.Now()}).read) }
+func init() { ReplaceSuspendedTime((&gauge{began: time.Now()}).read) }
 
-// Replace has another function tell by how much the monotonic clock is behind, for tests on a virtual clock. The
+// ReplaceSuspendedTime has another function tell by how much the monotonic clock is behind, for tests on a virtual clock. The
 // function returned undoes that.
-func Replace(with func() time.Duration) (undo func()) {
+func ReplaceSuspendedTime(with func() time.Duration) (undo func()) {
 	before := behind.Swap(&with)
 	return func() { behind.Store(before) }
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -25,7 +25,7 @@
 func TestSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		behind := 3 * time.Hour
-		defer clock.Replace(func() time.Duration { return behind })()
+		defer clock.ReplaceSuspendedTime(func() time.Duration { return behind })()
 		c := clock.Start()
 		deadline := time.Now().Add(2 * time.Second)
 		if got := c.FromTime(deadline); got != 2*time.Second {
--- a/internal/clock/played.go
+++ b/internal/clock/played.go
@@ -18,7 +18,7 @@
 	if path == "" {
 		return
 	}
-	Replace(func() time.Duration {
+	ReplaceSuspendedTime(func() time.Duration {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			return 0
--- a/internal/exchange/suspended_test.go
+++ b/internal/exchange/suspended_test.go
@@ -15,7 +15,7 @@
 // request that cannot be sent again.
 func TestConnectionOfASuspendedMachine(t *testing.T) {
 	var behind atomic.Int64
-	defer clock.Replace(func() time.Duration { return time.Duration(behind.Load()) })()
+	defer clock.ReplaceSuspendedTime(func() time.Duration { return time.Duration(behind.Load()) })()
 	s := serve(t, func(socket net.Conn, _ int64) bool {
 		respond(socket, "")
 		return true
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -28,7 +28,7 @@
 // playSuspended runs a test on the scene of one gateway whose machine can be suspended.
 func playSuspended(t *testing.T, test func(t *testing.T, s *scene, machine *suspension)) {
 	machine := &suspension{}
-	undo := clock.Replace(func() time.Duration { return time.Duration(machine.behind.Load()) })
+	undo := clock.ReplaceSuspendedTime(func() time.Duration { return time.Duration(machine.behind.Load()) })
 	defer undo()
 	play(t, func(t *testing.T, s *scene) { test(t, s, machine) })
 }
