--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -17,7 +17,7 @@
 func bound(version uint64, regions ...string) gateway.Item {
 	item := configuration(version)
 	for i := range configurationOf(item).Routes {
-		configurationOf(item).Routes[i].Regions = region.Of(regions...)
+		configurationOf(item).Routes[i].Regions = region.NewSet(regions...)
 	}
 	return item
 }
--- a/internal/gateway/simulation_places_test.go
+++ b/internal/gateway/simulation_places_test.go
@@ -47,7 +47,7 @@
 func bindPlaces(c *routing.Configuration) {
 	c.Routes = append(c.Routes, routing.Route{
 		Name: "home", Host: "h", Prefix: homePath, Repeatable: true, Timeout: 4 * time.Second, TargetLatency: 250 * time.Millisecond, MaximumAttempts: 2,
-		Targets: []routing.Target{{Service: "s0", Weight: 1}}, Regions: region.Of(homeOf(c.Version)),
+		Targets: []routing.Target{{Service: "s0", Weight: 1}}, Regions: region.NewSet(homeOf(c.Version)),
 	})
 	c.Services = append(c.Services, routing.Service{Name: "s2"}, routing.Service{Name: "s3"})
 	for i := range c.Services {
--- a/internal/region/region.go
+++ b/internal/region/region.go
@@ -9,8 +9,8 @@
 	names []string
 }
 
-// Of returns the set of some regions; without any it allows all.
-func Of(names ...string) Set { return Set{names: slices.Clone(names)} }
+// NewSet returns the set of some regions; without any it allows all.
+func NewSet(names ...string) Set { return Set{names: slices.Clone(names)} }
 
 // Bound reports whether the set leaves any region out.
 func (s Set) Bound() bool { return len(s.names) > 0 }
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -89,7 +89,7 @@
 			note(r.Latency(), r.Floor(), r.Least(now), r.Expected(now), r.InFlight(), r.Ejected(now), r.Doubtful(), r.Cold(now), r.Evacuated(), slowdown, faults)
 			note(set.MustProve(now, r), set.IdleLimit(r))
 			at, known := set.Recovers("s", replica.Choice{})
-			note(at, known, set.HasCandidate("s", region.Of("b")), set.Versions("s", region.Set{}), set.Len(), set.Draw())
+			note(at, known, set.HasCandidate("s", region.NewSet("b")), set.Versions("s", region.Set{}), set.Len(), set.Draw())
 		}
 	}
 	return sum.Sum64()
@@ -138,7 +138,7 @@
 	case random.IntN(2) == 0:
 		choice.Versions = []string{"v0", "v1"}
 	default:
-		choice.Regions = region.Of("a", "c")
+		choice.Regions = region.NewSet("a", "c")
 	}
 	return choice
 }
--- a/internal/replica/warmup_test.go
+++ b/internal/replica/warmup_test.go
@@ -141,7 +141,7 @@
 	if got := picked(set, now); got != "far" {
 		t.Errorf("picked %q while the zone is evacuated", got)
 	}
-	if set.HasCandidate("s", region.Of("a")) || !set.HasCandidate("s", region.Of("b")) {
+	if set.HasCandidate("s", region.NewSet("a")) || !set.HasCandidate("s", region.NewSet("b")) {
 		t.Error("the back ends of an evacuated zone count as known")
 	}
 	if !set.TakeZoneBack(now, "a1") || set.TakeZoneBack(now, "a1") {
