--- a/internal/region/region.go
+++ b/internal/region/region.go
@@ -12,12 +12,12 @@
 // NewSet returns the set of some regions; without any it allows all.
 func NewSet(names ...string) Set { return Set{names: slices.Clone(names)} }
 
-// Bound reports whether the set leaves any region out.
-func (s Set) Bound() bool { return len(s.names) > 0 }
+// Restricted reports whether the set leaves any region out.
+func (s Set) Restricted() bool { return len(s.names) > 0 }
 
 // Allows reports whether a region is in the set. A place whose region is not known is in none.
 func (s Set) Allows(name string) bool {
-	return !s.Bound() || slices.Contains(s.names, name)
+	return !s.Restricted() || slices.Contains(s.names, name)
 }
 
 // Unknown returns the regions of the set that are not known.
