--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -7,12 +7,12 @@
 	// BackEndResponse is the answer of a single back end, passed back as it is.
 	BackEndResponse *Response
 	// Records are the greatest records of the parts that are in, greatest first; Signatures are those parts' own.
-	Records    []byte
-	Signatures []string
-	TotalShards      int
-	MissingShards    int
-	Failure    *failure.Failure
-	Reason     Reason
+	Records       []byte
+	Signatures    []string
+	TotalShards   int
+	MissingShards int
+	Failure       *failure.Failure
+	Reason        Reason
 }
 
 // Reason says why a request was answered when it was.
@@ -20,15 +20,15 @@
 
 // The reasons.
 const (
-	Complete      Reason = "complete"
-	TargetReached Reason = "target_reached"
-	DeadlineReached  Reason = "deadline"
-	ShardsFailed  Reason = "shards_failed"
-	BackEndFailed Reason = "back_end_failed"
-	NoRoom        Reason = "no_room"
-	NoBackEnd     Reason = "no_back_end"
-	AllRefused    Reason = "all_refused"
-	GivenUp       Reason = "given_up"
+	Complete        Reason = "complete"
+	TargetReached   Reason = "target_reached"
+	DeadlineReached Reason = "deadline"
+	ShardsFailed    Reason = "shards_failed"
+	BackEndFailed   Reason = "back_end_failed"
+	NoRoom          Reason = "no_room"
+	NoBackEnd       Reason = "no_back_end"
+	AllRefused      Reason = "all_refused"
+	GivenUp         Reason = "given_up"
 	// TurnedAway: the node gets more requests than back ends can answer in time.
 	TurnedAway Reason = "turned_away"
 	// Quarantined: the request ends the back ends that run it.
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -38,8 +38,8 @@
 
 // The reasons.
 const (
-	DeniedNoBudget    DenialReason = "no_budget"
-	DeniedReplicasBusy      DenialReason = "replicas_busy"
+	DeniedNoBudget       DenialReason = "no_budget"
+	DeniedReplicasBusy   DenialReason = "replicas_busy"
 	DeniedNoOtherReplica DenialReason = "no_other_replica"
 	// DeniedTooLate: no answer could come by the deadline any more.
 	DeniedTooLate DenialReason = "too_late"
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -73,7 +73,9 @@
 				r.leave()
 				continue
 			}
-			r.step(func(now time.Duration) []forward.Action { return r.request.HandleOutcome(now, end.attempt, end.outcome) })
+			r.step(func(now time.Duration) []forward.Action {
+				return r.request.HandleOutcome(now, end.attempt, end.outcome)
+			})
 		case <-timer.C:
 			r.step(r.request.Tick)
 		case <-r.gateway.givenUp:
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -43,7 +43,9 @@
 }
 
 // RecordSample implements forward.Node.
-func (n runNode) RecordSample(sample admit.Sample) { n.gateway.gate.Record(clock.FromDuration(n.now), sample) }
+func (n runNode) RecordSample(sample admit.Sample) {
+	n.gateway.gate.Record(clock.FromDuration(n.now), sample)
+}
 
 // BackEndEnded implements forward.Node.
 func (n runNode) BackEndEnded(attempt *forward.Attempt) quarantine.Verdict {
