--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -96,7 +96,7 @@
 	},
 	{
 		"a request's time counts from when it was read", "internal/gateway/serve.go",
-		"	return min(read, g.clock.Moment(call.Arrived))", "	return read",
+		"	return min(read, g.clock.FromTime(call.Arrived))", "	return read",
 		"./internal/gateway", "TestTimeOfARequestThatLayUnread",
 	},
 	{
