--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -38,43 +38,43 @@
 
 // Sample is what one request over many shards lacked at its target, or when it was answered before.
 type Sample struct {
-	// Lacking shards at the target, of those that the route lets lack.
-	Lacking, MayLack int
-	// Shed attempts, refused by full back ends, of all attempts.
-	Shed, Attempts int
+	// Missing shards at the target, of those that the route lets lack.
+	Missing, AllowedMissing int
+	// ShedAttempts attempts, refused by full back ends, of all attempts.
+	ShedAttempts, Attempts int
 }
 
-// Gate holds the samples of late, weighted by their age. The zero value has none. It is not safe for concurrent use.
-type Gate struct {
+// Controller holds the samples of late, weighted by their age. The zero value has none. It is not safe for concurrent use.
+type Controller struct {
 	lack, shed, weight float64
 	at                 clock.Ms
 	// longest time that callers of a route gave, by route.
 	longest map[string]clock.Ms
 }
 
-// Note takes in a sample.
-func (g *Gate) Note(now clock.Ms, sample Sample) {
+// Record takes in a sample.
+func (g *Controller) Record(now clock.Ms, sample Sample) {
 	g.age(now)
-	g.lack += float64(sample.Lacking) / float64(max(sample.MayLack, 1))
-	g.shed += float64(sample.Shed) / float64(max(sample.Attempts, 1))
+	g.lack += float64(sample.Missing) / float64(max(sample.AllowedMissing, 1))
+	g.shed += float64(sample.ShedAttempts) / float64(max(sample.Attempts, 1))
 	g.weight++
 }
 
-// Level is what requests lacked of late, and what follows from it.
-type Level struct {
-	// Lacking shards at the target, as a share of those that may lack, and Shed attempts, as a share of all.
-	Lacking, Shed float64
-	// TurnedAway is the share of fresh requests that is turned away.
-	TurnedAway float64
+// OverloadLevel is what requests lacked of late, and what follows from it.
+type OverloadLevel struct {
+	// MissingShare shards at the target, as a share of those that may lack, and ShedShare attempts, as a share of all.
+	MissingShare, ShedShare float64
+	// TurnedAwayShare is the share of fresh requests that is turned away.
+	TurnedAwayShare float64
 }
 
-// Level returns what it is now.
-func (g *Gate) Level(now clock.Ms) Level {
+// OverloadLevel returns what it is now.
+func (g *Controller) OverloadLevel(now clock.Ms) OverloadLevel {
 	g.age(now)
 	weight := g.weight + calmWeight
-	level := Level{Lacking: g.lack / weight, Shed: g.shed / weight}
-	if level.Shed >= shedShare && level.Lacking > wantedLack {
-		level.TurnedAway = min(1-wantedLack/level.Lacking, mostTurnedAway)
+	level := OverloadLevel{MissingShare: g.lack / weight, ShedShare: g.shed / weight}
+	if level.ShedShare >= shedShare && level.MissingShare > wantedLack {
+		level.TurnedAwayShare = min(1-wantedLack/level.MissingShare, mostTurnedAway)
 	}
 	return level
 }
@@ -84,27 +84,27 @@
 	Admitted bool
 	// RetryAfter is after what time a request that is not admitted may come back.
 	RetryAfter clock.Ms
-	// Level by which it was decided.
-	Level Level
+	// Overload by which it was decided.
+	Overload OverloadLevel
 }
 
 // Admit decides on a request of a route whose caller waits for so long. Draw returns random numbers from 0 to 1. One that
 // has been turned away or has waited before is always admitted.
-func (g *Gate) Admit(now clock.Ms, route string, patience clock.Ms, draw func() float64) Decision {
+func (g *Controller) Admit(now clock.Ms, route string, patience clock.Ms, draw func() float64) Decision {
 	if g.longest == nil {
 		g.longest = map[string]clock.Ms{}
 	}
 	g.longest[route] = max(g.longest[route], patience)
-	level := g.Level(now)
-	if patience < g.longest[route]-returning || draw() >= level.TurnedAway {
-		return Decision{Admitted: true, Level: level}
+	level := g.OverloadLevel(now)
+	if patience < g.longest[route]-returning || draw() >= level.TurnedAwayShare {
+		return Decision{Admitted: true, Overload: level}
 	}
 	share := retryAfterFrom + (retryAfterTo-retryAfterFrom)*draw()
-	return Decision{RetryAfter: clock.Ms(share * float64(patience)), Level: level}
+	return Decision{RetryAfter: clock.Ms(share * float64(patience)), Overload: level}
 }
 
 // Retain forgets routes that are not served any more.
-func (g *Gate) Retain(served func(route string) bool) {
+func (g *Controller) Retain(served func(route string) bool) {
 	for route := range g.longest {
 		if !served(route) {
 			delete(g.longest, route)
@@ -113,7 +113,7 @@
 }
 
 // age weighs the samples down by the time since it was done last.
-func (g *Gate) age(now clock.Ms) {
+func (g *Controller) age(now clock.Ms) {
 	kept := math.Exp(-float64(now-g.at) / float64(memory))
 	g.lack *= kept
 	g.shed *= kept
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -16,16 +16,16 @@
 
 // Requests of 30 shards, of which 3 may lack.
 var (
-	calm     = admit.Sample{Lacking: 0, MayLack: 3, Shed: 0, Attempts: 31}
-	slow     = admit.Sample{Lacking: 3, MayLack: 3, Shed: 0, Attempts: 33}
-	overload = admit.Sample{Lacking: 6, MayLack: 3, Shed: 5, Attempts: 36}
+	calm     = admit.Sample{Missing: 0, AllowedMissing: 3, ShedAttempts: 0, Attempts: 31}
+	slow     = admit.Sample{Missing: 3, AllowedMissing: 3, ShedAttempts: 0, Attempts: 33}
+	overload = admit.Sample{Missing: 6, AllowedMissing: 3, ShedAttempts: 5, Attempts: 36}
 )
 
 // met notes the same for so many requests, one each 400 ms, and returns the time.
-func met(gate *admit.Gate, now clock.Ms, sample admit.Sample, count int) clock.Ms {
+func met(gate *admit.Controller, now clock.Ms, sample admit.Sample, count int) clock.Ms {
 	for range count {
 		now += 400 * clock.Ms(1)
-		gate.Note(now, sample)
+		gate.Record(now, sample)
 	}
 	return now
 }
@@ -42,13 +42,13 @@
 		"one request in trouble is too few":   {overload, 1, 0, 0.65},
 		"slow back ends, and none sheds":      {slow, 10, 0, 0},
 		"overload":                            {overload, 10, 0.5, 0.75},
-		"back ends shed, and parts are there": {admit.Sample{Lacking: 1, MayLack: 3, Shed: 5, Attempts: 36}, 10, 0, 0},
-		"nothing may lack":                    {admit.Sample{Lacking: 4, Shed: 5, Attempts: 36}, 10, 0.7, 0.7},
+		"back ends shed, and parts are there": {admit.Sample{Missing: 1, AllowedMissing: 3, ShedAttempts: 5, Attempts: 36}, 10, 0, 0},
+		"nothing may lack":                    {admit.Sample{Missing: 4, ShedAttempts: 5, Attempts: 36}, 10, 0.7, 0.7},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var gate admit.Gate
+			var gate admit.Controller
 			now := met(&gate, 0, c.seen, c.count)
-			if share := gate.Level(now).TurnedAway; share < c.least || share > c.most {
+			if share := gate.OverloadLevel(now).TurnedAwayShare; share < c.least || share > c.most {
 				t.Errorf("turns away %v, want %v to %v", share, c.least, c.most)
 			}
 		})
@@ -57,38 +57,38 @@
 
 // TestRoomAgain: once requests find room, all are admitted after four of them, and without any after some seconds.
 func TestRoomAgain(t *testing.T) {
-	var gate admit.Gate
+	var gate admit.Controller
 	now := met(&gate, 0, overload, 10)
-	if share := gate.Level(met(&gate, now, calm, 4)).TurnedAway; share > 0 {
+	if share := gate.OverloadLevel(met(&gate, now, calm, 4)).TurnedAwayShare; share > 0 {
 		t.Errorf("turns away %v after four requests that found room", share)
 	}
-	gate = admit.Gate{}
+	gate = admit.Controller{}
 	now = met(&gate, 0, overload, 10)
-	if share := gate.Level(now + 5*clock.Second).TurnedAway; share > 0 {
+	if share := gate.OverloadLevel(now + 5*clock.Second).TurnedAwayShare; share > 0 {
 		t.Errorf("turns away %v after five seconds without a request", share)
 	}
 }
 
 // TestAgesBetweenManyDecisions: what was met is forgotten in the same time however often the gate is asked meanwhile.
 func TestAgesBetweenManyDecisions(t *testing.T) {
-	var gate admit.Gate
+	var gate admit.Controller
 	now := met(&gate, 0, overload, 10)
 	elapsed := now.Duration()
 	for range 20000 {
 		elapsed += 250 * time.Microsecond
-		gate.Level(clock.Of(elapsed))
+		gate.OverloadLevel(clock.FromDuration(elapsed))
 	}
-	if level := gate.Level(clock.Of(elapsed)); level.TurnedAway > 0 {
-		t.Errorf("turns away %v after five seconds of four thousand decisions each", level.TurnedAway)
+	if level := gate.OverloadLevel(clock.FromDuration(elapsed)); level.TurnedAwayShare > 0 {
+		t.Errorf("turns away %v after five seconds of four thousand decisions each", level.TurnedAwayShare)
 	}
 }
 
 // TestAdmit: about the share is turned away, each with a time to come back that its caller heeds; who has waited before is admitted.
 func TestAdmit(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	var gate admit.Gate
+	var gate admit.Controller
 	now := met(&gate, 0, overload, 10)
-	share := gate.Level(now).TurnedAway
+	share := gate.OverloadLevel(now).TurnedAwayShare
 	const requests = 2000
 	away := 0
 	for range requests {
@@ -112,7 +112,7 @@
 
 // TestRetain: what callers of a route waited for is forgotten with the route.
 func TestRetain(t *testing.T) {
-	var gate admit.Gate
+	var gate admit.Controller
 	now := met(&gate, 0, overload, 20)
 	first := func() float64 { return 0 }
 	gate.Admit(now, route, 100*clock.Second, first)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -17,8 +17,8 @@
 // Second is a thousand milliseconds.
 const Second Ms = 1000
 
-// Of returns a duration in whole milliseconds, rounded down.
-func Of(d time.Duration) Ms { return Ms(d.Milliseconds()) }
+// FromDuration returns a duration in whole milliseconds, rounded down.
+func FromDuration(d time.Duration) Ms { return Ms(d.Milliseconds()) }
 
 // Duration returns m as the standard library counts time.
 func (m Ms) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
@@ -36,7 +36,7 @@
 func Start() Clock { return Clock{started: time.Now(), behindThen: (*behind.Load())()} }
 
 // Now returns the time since the start.
-func (c Clock) Now() Ms { return Of(c.Elapsed()) }
+func (c Clock) Now() Ms { return FromDuration(c.Elapsed()) }
 
 // Elapsed is Now as the standard library counts time.
 func (c Clock) Elapsed() time.Duration { return time.Since(c.started) + c.Suspended() }
@@ -44,22 +44,22 @@
 // Suspended is for how long the machine has been suspended since the start.
 func (c Clock) Suspended() time.Duration { return (*behind.Load())() - c.behindThen }
 
-// Time gives a moment on the clock as the standard library's timers and deadlines understand it, unless the machine is
+// ToTime gives a moment on the clock as the standard library's timers and deadlines understand it, unless the machine is
 // suspended before it comes.
-func (c Clock) Time(moment time.Duration) time.Time { return c.started.Add(moment - c.Suspended()) }
+func (c Clock) ToTime(moment time.Duration) time.Time { return c.started.Add(moment - c.Suspended()) }
 
-// Moment gives a time of the standard library as a moment on the clock.
-func (c Clock) Moment(t time.Time) time.Duration { return t.Sub(c.started) + c.Suspended() }
+// FromTime gives a time of the standard library as a moment on the clock.
+func (c Clock) FromTime(t time.Time) time.Duration { return t.Sub(c.started) + c.Suspended() }
 
 // behind is by how much the monotonic clock, on which the standard library counts, is behind the machine's clock that
 // also counts while the machine is suspended.
 var behind atomic.Pointer[func() time.Duration]
 
-func init() { Replace((&gauge{began: time.Now()}).read) }
+func init() { ReplaceSuspendedTime((&gauge{began: time.Now()}).read) }
 
-// Replace has another function tell by how much the monotonic clock is behind, for tests on a virtual clock. The
+// ReplaceSuspendedTime has another function tell by how much the monotonic clock is behind, for tests on a virtual clock. The
 // function returned undoes that.
-func Replace(with func() time.Duration) (undo func()) {
+func ReplaceSuspendedTime(with func() time.Duration) (undo func()) {
 	before := behind.Swap(&with)
 	return func() { behind.Store(before) }
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -25,10 +25,10 @@
 func TestSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		behind := 3 * time.Hour
-		defer clock.Replace(func() time.Duration { return behind })()
+		defer clock.ReplaceSuspendedTime(func() time.Duration { return behind })()
 		c := clock.Start()
 		deadline := time.Now().Add(2 * time.Second)
-		if got := c.Moment(deadline); got != 2*time.Second {
+		if got := c.FromTime(deadline); got != 2*time.Second {
 			t.Errorf("before the suspension the deadline is at %v", got)
 		}
 		time.Sleep(time.Second)
@@ -39,7 +39,7 @@
 		if got := c.Suspended(); got != 10*time.Second {
 			t.Errorf("suspended for %v", got)
 		}
-		if got := c.Time(12 * time.Second); !got.Equal(deadline) {
+		if got := c.ToTime(12 * time.Second); !got.Equal(deadline) {
 			t.Errorf("a second from now is %v before the deadline", deadline.Sub(got))
 		}
 	})
--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -62,7 +62,7 @@
 		Outcome: forward.Outcome{Kind: forward.Lost, Detail: "reset"},
 	}
 	return &gateway.Result{
-		Answer: forward.Answer{Failure: failed, Missing: missing, Total: 10, Reason: forward.TargetReached},
+		Answer: forward.Answer{Failure: failed, MissingShards: missing, TotalShards: 10, Reason: forward.TargetReached},
 		Route:  &routing.Route{Name: "route"}, Version: 7, CopyAge: 340, Attempts: []*forward.Attempt{attempt},
 	}
 }
@@ -98,7 +98,7 @@
 	lines := logged(func(log *decisionlog.Log) {
 		log.Request(&gateway.Call{ID: "request"}, &gateway.Result{
 			Answer:   forward.Answer{Failure: failure.Refused(failure.Overloaded, "", time.Second), Reason: forward.TurnedAway},
-			Overload: admit.Level{Lacking: 1.9, Shed: 0.126, TurnedAway: 0.5},
+			Overload: admit.OverloadLevel{MissingShare: 1.9, ShedShare: 0.126, TurnedAwayShare: 0.5},
 		})
 	})
 	if len(lines) != 1 {
@@ -113,10 +113,10 @@
 
 // TestFateOfEachShardIsTold: the line of a request tells how long it could be served, how long it lay unread, and why shards were not asked.
 func TestFateOfEachShardIsTold(t *testing.T) {
-	unasked := func() []forward.Unasked {
-		shards := []forward.Unasked{{Service: "held"}}
+	unasked := func() []forward.UnaskedShard {
+		shards := []forward.UnaskedShard{{Service: "held"}}
 		for i := range 10 {
-			shards = append(shards, forward.Unasked{Service: fmt.Sprint("s", i), Why: forward.DeniedTooLate})
+			shards = append(shards, forward.UnaskedShard{Service: fmt.Sprint("s", i), Reason: forward.DeniedTooLate})
 		}
 		return shards
 	}
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/kept_test.go
@@ -38,11 +38,11 @@
 		log.Started("s", nil)
 		log.ReloadRefused("not valid")
 		log.Stopped("terminated")
-		log.Request(call, ended(forward.Answer{Total: 3, Reason: forward.TargetReached}, answered))
-		log.Request(call, ended(forward.Answer{Total: 3, Missing: 1, Reason: forward.TargetReached}, answered, lost, open))
+		log.Request(call, ended(forward.Answer{TotalShards: 3, Reason: forward.TargetReached}, answered))
+		log.Request(call, ended(forward.Answer{TotalShards: 3, MissingShards: 1, Reason: forward.TargetReached}, answered, lost, open))
 		log.Request(call, &gateway.Result{
 			Answer:   forward.Answer{Failure: failure.Refused(failure.Overloaded, "", time.Second), Reason: forward.TurnedAway},
-			Overload: admit.Level{Lacking: 1.9, Shed: 0.126, TurnedAway: 0.5},
+			Overload: admit.OverloadLevel{MissingShare: 1.9, ShedShare: 0.126, TurnedAwayShare: 0.5},
 		})
 		log.BackEndEjected(lost, lost.Outcome)
 		log.BackEndCrashed(call, lost, 12)
@@ -96,9 +96,9 @@
 	return &gateway.Result{
 		Answer: answer, Route: &routing.Route{Name: "route"}, Version: 21, CopyAge: 340, Attempts: attempts,
 		Arrived: time.Second, Elapsed: 95 * time.Millisecond,
-		Denied: func(attempt *forward.Attempt) forward.Denied {
+		Denied: func(attempt *forward.Attempt) forward.DenialReason {
 			if attempt.Purpose == forward.Hedge {
-				return forward.DeniedBudget
+				return forward.DeniedNoBudget
 			}
 			return ""
 		},
--- a/internal/decisionlog/request.go
+++ b/internal/decisionlog/request.go
@@ -17,7 +17,7 @@
 // Request writes the line of a request: all decisions that touched it, folded. Ordinary successes are sampled; others are
 // kept up to a rate.
 func (l *Log) Request(call *gateway.Call, result *gateway.Result) {
-	ordinary := result.Failure == nil && result.Missing == 0 && !result.CallerGone && !anyExtra(result.Attempts)
+	ordinary := result.Failure == nil && result.MissingShards == 0 && !result.CallerGone && !anyExtra(result.Attempts)
 	if ordinary && !l.ordinal.sampled() {
 		return
 	}
@@ -35,14 +35,14 @@
 	if unread := result.ReadDelay.Milliseconds(); unread > 0 {
 		fields[fieldUnread] = unread
 	}
-	if result.Total > 0 {
-		fields[fieldTotal] = result.Total
-		fields[fieldMissing] = result.Missing
+	if result.TotalShards > 0 {
+		fields[fieldTotal] = result.TotalShards
+		fields[fieldMissing] = result.MissingShards
 	}
 	if result.Reason == forward.TurnedAway {
-		fields[fieldLacking] = percent(result.Overload.Lacking)
-		fields[fieldShed] = percent(result.Overload.Shed)
-		fields[fieldShare] = percent(result.Overload.TurnedAway)
+		fields[fieldLacking] = percent(result.Overload.MissingShare)
+		fields[fieldShed] = percent(result.Overload.ShedShare)
+		fields[fieldShare] = percent(result.Overload.TurnedAwayShare)
 	}
 	if !ordinary {
 		fields[fieldAttempts] = describe(result)
@@ -102,10 +102,10 @@
 const mostUnaskedNamed = 8
 
 // describeUnasked tells the shards without an attempt by reason: the reason, how many, and the first of them by name.
-func describeUnasked(unasked []forward.Unasked) (lines []string) {
-	services := map[forward.Denied][]string{}
+func describeUnasked(unasked []forward.UnaskedShard) (lines []string) {
+	services := map[forward.DenialReason][]string{}
 	for _, shard := range unasked {
-		services[shard.Why] = append(services[shard.Why], shard.Service)
+		services[shard.Reason] = append(services[shard.Reason], shard.Service)
 	}
 	for _, why := range slices.Sorted(maps.Keys(services)) {
 		named := services[why]
--- a/internal/dispatch/group.go
+++ b/internal/dispatch/group.go
@@ -21,7 +21,7 @@
 	// lastUsed is when the last sub-query came.
 	lastUsed  time.Duration
 	backEnds  []*backEnd
-	latencies limit.Latencies
+	latencies limit.LatencyHistogram
 	// overdue holds attempts that are due for a hedge and found no free slot.
 	overdue []*attempt
 	hedges  limit.Budget
@@ -105,7 +105,7 @@
 		}
 	}
 	if found == nil {
-		found = &backEnd{address: specified.Address, window: limit.NewWindow(share), nextDescribe: now}
+		found = &backEnd{address: specified.Address, window: limit.NewConcurrencyWindow(share), nextDescribe: now}
 	}
 	if refusedAt, refused := c.refusals[specified.Address]; refused && now-refusedAt <= drainBelief {
 		found.draining |= drainByAttempt
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -33,49 +33,49 @@
 	Retry Purpose = "retry"
 )
 
-// Denied says why an attempt that was due was not sent.
-type Denied string
+// DenialReason says why an attempt that was due was not sent.
+type DenialReason string
 
 // The reasons.
 const (
-	DeniedBudget    Denied = "no_budget"
-	DeniedBusy      Denied = "replicas_busy"
-	DeniedNoReplica Denied = "no_other_replica"
+	DeniedNoBudget       DenialReason = "no_budget"
+	DeniedReplicasBusy   DenialReason = "replicas_busy"
+	DeniedNoOtherReplica DenialReason = "no_other_replica"
 	// DeniedTooLate: no answer could come by the deadline any more.
-	DeniedTooLate Denied = "too_late"
+	DeniedTooLate DenialReason = "too_late"
 	// DeniedQuarantined: the request ends the back ends that run it, here or at this shard.
-	DeniedQuarantined Denied = "quarantined"
+	DeniedQuarantined DenialReason = "quarantined"
 )
 
 // Denied returns why the last attempt that was due for an attempt's shard was not sent, empty if none was.
-func (r *Request) Denied(attempt *Attempt) Denied { return r.shards[attempt.Shard].denied }
+func (r *Request) Denied(attempt *Attempt) DenialReason { return r.shards[attempt.Shard].denied }
 
-// Unasked is a shard without an attempt.
-type Unasked struct {
+// UnaskedShard is a shard without an attempt.
+type UnaskedShard struct {
 	Service string
-	// Why it was not asked, empty where its turn had not come.
-	Why Denied
+	// Reason it was not asked, empty where its turn had not come.
+	Reason DenialReason
 }
 
 // Unasked are the shards at which no attempt was begun, in their order. Those of a request that was refused at its start are all.
-func (r *Request) Unasked() (unasked []Unasked) {
+func (r *Request) Unasked() (unasked []UnaskedShard) {
 	begun := make([]bool, len(r.shards))
 	for _, attempt := range r.attempts {
 		begun[attempt.Shard] = true
 	}
 	for i := range r.shards {
 		if s := &r.shards[i]; !begun[i] {
-			unasked = append(unasked, Unasked{s.service, s.denied})
+			unasked = append(unasked, UnaskedShard{s.service, s.denied})
 		}
 	}
 	return unasked
 }
 
-func noReplica(busy bool) Denied {
+func noReplica(busy bool) DenialReason {
 	if busy {
-		return DeniedBusy
+		return DeniedReplicasBusy
 	}
-	return DeniedNoReplica
+	return DeniedNoOtherReplica
 }
 
 // send begins an attempt at a shard.
--- a/internal/forward/finish.go
+++ b/internal/forward/finish.go
@@ -32,7 +32,7 @@
 	case enough && !r.worthWaiting():
 		r.succeed(ShardsFailed)
 	case now >= r.deadline && enough:
-		r.succeed(DeadlineCame)
+		r.succeed(DeadlineReached)
 	case now >= r.deadline:
 		r.finish(r.timedOut())
 	case r.nothingRan() && now >= r.roomUntil():
@@ -45,7 +45,7 @@
 	response := r.shards[0].last.Response
 	switch {
 	case !r.route.FansOut() && response != nil:
-		r.finish(Answer{Passed: response, Total: 1, Reason: BackEndFailed})
+		r.finish(Answer{BackEndResponse: response, TotalShards: 1, Reason: BackEndFailed})
 	case now >= r.deadline:
 		r.finish(r.timedOut())
 	case r.caution.quarantined:
@@ -114,14 +114,14 @@
 	}
 	r.sampled = true
 	sample := admit.Sample{
-		Lacking: len(r.shards) - r.answered, MayLack: len(r.shards) - r.required(), Attempts: len(r.attempts),
+		Missing: len(r.shards) - r.answered, AllowedMissing: len(r.shards) - r.required(), Attempts: len(r.attempts),
 	}
 	for _, attempt := range r.attempts {
 		if attempt.Outcome.Kind == Refused && !attempt.Outcome.Load.HasFreeSlot() {
-			sample.Shed++
+			sample.ShedAttempts++
 		}
 	}
-	r.node.Sample(sample)
+	r.node.RecordSample(sample)
 }
 
 // finish gives the answer, which is the last action.
--- a/internal/forward/first.go
+++ b/internal/forward/first.go
@@ -14,7 +14,7 @@
 //   - one whose replicas all have their attempts waits for room.
 func (r *Request) askFirst(now time.Duration, number int) {
 	s := &r.shards[number]
-	if r.node.LeftOut(s.service) {
+	if r.node.Excluded(s.service) {
 		s.fail(DeniedQuarantined)
 		return
 	}
@@ -28,6 +28,6 @@
 		s.wait = min(max(2*s.wait, firstWait), longestWait)
 		s.become(waiting{until: now + s.wait})
 	default:
-		s.fail(DeniedNoReplica)
+		s.fail(DeniedNoOtherReplica)
 	}
 }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -86,14 +86,14 @@
 
 func newRequest(now time.Duration, parameters Parameters, settings Settings, node Node) *Request {
 	route := parameters.Route
-	arrived := parameters.Arrived
+	arrived := parameters.ArrivedAt
 	if arrived == 0 {
 		arrived = now
 	}
 	r := &Request{
 		node: node, settings: settings, route: route, versions: parameters.Versions, arrivedAt: arrived,
 		deadline: arrived + route.Timeout, target: arrived + route.TargetLatency - settings.AnswerMargin,
-		caution: caution{from: parameters.TrialFrom, retrial: parameters.Retrial},
+		caution: caution{from: parameters.FirstTrialShard, retrial: parameters.Retrial},
 	}
 	if parameters.Deadline > 0 {
 		r.deadline = min(r.deadline, parameters.Deadline-settings.AnswerMargin)
@@ -102,8 +102,8 @@
 	return r
 }
 
-// Refresh gives the request its node as it is now; it is called before each step.
-func (r *Request) Refresh(node Node) { r.node = node }
+// SetNode gives the request its node as it is now; it is called before each step.
+func (r *Request) SetNode(node Node) { r.node = node }
 
 // Done reports whether the request was answered.
 func (r *Request) Done() bool { return r.done }
@@ -114,8 +114,8 @@
 // Attempts are all attempts so far.
 func (r *Request) Attempts() []*Attempt { return r.attempts }
 
-// Receive takes in the outcome of an attempt.
-func (r *Request) Receive(now time.Duration, attempt *Attempt, outcome Outcome) []Action {
+// HandleOutcome takes in the outcome of an attempt.
+func (r *Request) HandleOutcome(now time.Duration, attempt *Attempt, outcome Outcome) []Action {
 	if r.done || !attempt.live {
 		return nil
 	}
@@ -129,7 +129,7 @@
 		r.node.Answered(attempt)
 		r.clearSuspicion(now)
 		r.hedgeLateSiblings(now, attempt)
-	case outcome.BackEndEnded && r.settings.Caution:
+	case outcome.BackEndEnded && r.settings.SerialTrials:
 		s.last = outcome
 		r.backEndEnded(now, attempt)
 	case r.retrialOver(outcome):
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -19,7 +19,7 @@
 func TestAfterAFailure(t *testing.T) {
 	cases := []struct {
 		name       string
-		kind       forward.Kind
+		kind       forward.OutcomeKind
 		repeatable bool
 		budget     int
 		most       int
@@ -80,7 +80,7 @@
 				continue
 			}
 			number := rapid.IntRange(0, len(s.sent)-1).Draw(rt, "attempt")
-			kind := rapid.SampledFrom([]forward.Kind{forward.Answered, forward.Refused, forward.Lost, forward.NotSent, forward.Failed}).Draw(rt, "kind")
+			kind := rapid.SampledFrom([]forward.OutcomeKind{forward.Answered, forward.Refused, forward.Lost, forward.NotSent, forward.Failed}).Draw(rt, "kind")
 			outcome := ended(kind)
 			if kind == forward.Answered || kind == forward.Failed {
 				outcome.Response = &forward.Response{Status: 200, Signature: "s"}
@@ -120,7 +120,7 @@
 		t.Fatalf("more attempts than allowed: %v", s.sends())
 	}
 	s.end(1, part("s", ""))
-	if s.answer == nil || s.answer.Passed == nil || len(s.cancels) != 1 || s.cancels[0] != s.sent[0] {
+	if s.answer == nil || s.answer.BackEndResponse == nil || len(s.cancels) != 1 || s.cancels[0] != s.sent[0] {
 		t.Errorf("answer %+v, cancelled %v", s.answer, s.cancels)
 	}
 }
@@ -183,7 +183,7 @@
 func TestFinish(t *testing.T) {
 	t.Run("complete", func(t *testing.T) {
 		s := start(t, fanOut("a", "b"), newNode(0, "a", "b")).end(0, part("sa", "")).end(1, part("sb", ""))
-		if s.answer == nil || s.answer.Missing != 0 || s.answer.Reason != forward.Complete {
+		if s.answer == nil || s.answer.MissingShards != 0 || s.answer.Reason != forward.Complete {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
@@ -193,13 +193,13 @@
 			t.Fatal("before the target")
 		}
 		s.at(190 * millisecond)
-		if s.answer == nil || s.answer.Missing != 1 || s.answer.Reason != forward.TargetReached || len(s.cancels) != 1 {
+		if s.answer == nil || s.answer.MissingShards != 1 || s.answer.Reason != forward.TargetReached || len(s.cancels) != 1 {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
 	t.Run("after the target as soon as there is enough", func(t *testing.T) {
 		s := start(t, fanOut("a", "b"), newNode(0, "a", "b")).at(300*millisecond).end(0, part("sa", ""))
-		if s.answer == nil || s.answer.Missing != 1 {
+		if s.answer == nil || s.answer.MissingShards != 1 {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
@@ -217,14 +217,14 @@
 	})
 	t.Run("a part that is not signed does not count", func(t *testing.T) {
 		s := start(t, fanOut("a", "b"), newNode(0, "a", "b")).end(0, part("", "")).end(1, part("sb", ""))
-		if s.answer == nil || s.answer.Missing != 1 || !slices.Equal(s.answer.Signatures, []string{"sb"}) {
+		if s.answer == nil || s.answer.MissingShards != 1 || !slices.Equal(s.answer.Signatures, []string{"sb"}) {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
 	t.Run("given up as the node stops", func(t *testing.T) {
 		s := start(t, fanOut("a", "b"), newNode(0, "a", "b")).end(0, part("sa", ""))
 		s.take(s.request.GiveUp(s.now))
-		if s.answer == nil || s.answer.Missing != 1 || s.answer.Reason != forward.GivenUp {
+		if s.answer == nil || s.answer.MissingShards != 1 || s.answer.Reason != forward.GivenUp {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
@@ -282,7 +282,7 @@
 		s.take(actions)
 		for s.answer == nil {
 			s.now += 40 * millisecond
-			kind := rapid.SampledFrom([]forward.Kind{0, forward.Refused, forward.Lost, forward.NotSent, forward.Misdirected}).Draw(rt, "kind")
+			kind := rapid.SampledFrom([]forward.OutcomeKind{0, forward.Refused, forward.Lost, forward.NotSent, forward.Misdirected}).Draw(rt, "kind")
 			if kind == 0 {
 				s.at(s.now)
 			} else {
@@ -307,7 +307,7 @@
 		parts := rapid.SliceOfN(rapid.SliceOfN(rapid.ByteRange(0, 2), 0, 100), 1, 4).Draw(rt, "parts")
 		route := fanOut("a", "b", "c", "d")
 		route.Shards = route.Shards[:len(parts)]
-		route.Top = top
+		route.TopK = top
 		s := start(t, route, newNode(0, "a", "b", "c", "d"))
 		var all [][]byte
 		for i, body := range parts {
@@ -334,7 +334,7 @@
 		}
 		s.at(190 * millisecond)
 		s.at(400 * millisecond)
-		want := admit.Sample{Lacking: 2, MayLack: 1, Shed: 1, Attempts: 3}
+		want := admit.Sample{Missing: 2, AllowedMissing: 1, ShedAttempts: 1, Attempts: 3}
 		if len(node.samples) != 1 || node.samples[0] != want {
 			t.Errorf("told %+v, want %+v once", node.samples, want)
 		}
@@ -342,7 +342,7 @@
 	t.Run("when it succeeds", func(t *testing.T) {
 		node := newNode(0, "a", "b")
 		start(t, fanOut("a", "b"), node).end(0, part("sa", "")).end(1, part("sb", ""))
-		want := admit.Sample{Lacking: 0, MayLack: 1, Attempts: 2}
+		want := admit.Sample{Missing: 0, AllowedMissing: 1, Attempts: 2}
 		if len(node.samples) != 1 || node.samples[0] != want {
 			t.Errorf("told %+v, want %+v once", node.samples, want)
 		}
@@ -352,7 +352,7 @@
 		refused := ended(forward.Refused)
 		refused.Load = replica.Load{Reported: true, Running: 1, Slots: 4, Slowdown: 1}
 		start(t, fanOut("a", "b", "c"), node).end(0, part("sa", "")).end(1, refused).at(190 * millisecond)
-		if len(node.samples) != 1 || node.samples[0].Shed != 0 {
+		if len(node.samples) != 1 || node.samples[0].ShedAttempts != 0 {
 			t.Errorf("told %+v: no back end was full", node.samples)
 		}
 	})
--- a/internal/forward/retry_test.go
+++ b/internal/forward/retry_test.go
@@ -67,7 +67,7 @@
 		node := newNode(0, "a", "b")
 		node.recovers = map[string]time.Duration{"b": 400 * millisecond}
 		s := startPaced(t, fanOut("a", "b"), node).end(1, ended(forward.Lost)).end(0, part("sa", ""))
-		if s.answer == nil || s.answer.Missing != 1 || s.answer.Reason != forward.ShardsFailed {
+		if s.answer == nil || s.answer.MissingShards != 1 || s.answer.Reason != forward.ShardsFailed {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
@@ -97,7 +97,7 @@
 	t.Run("the only back end's own failure", func(t *testing.T) {
 		failed := forward.Outcome{Kind: forward.Failed, Response: &forward.Response{Status: 500}}
 		s := startPaced(t, single(true), newNode(0, "a")).end(0, failed)
-		if s.answer == nil || s.answer.Passed == nil {
+		if s.answer == nil || s.answer.BackEndResponse == nil {
 			t.Errorf("answer %+v", s.answer)
 		}
 	})
@@ -124,7 +124,7 @@
 				s.at(s.now)
 				continue
 			}
-			kind := rapid.SampledFrom([]forward.Kind{forward.Answered, forward.Refused, forward.Lost, forward.NotSent}).Draw(rt, "kind")
+			kind := rapid.SampledFrom([]forward.OutcomeKind{forward.Answered, forward.Refused, forward.Lost, forward.NotSent}).Draw(rt, "kind")
 			outcome := ended(kind)
 			if kind == forward.Answered {
 				outcome.Response = &forward.Response{Status: 200, Signature: "s"}
--- a/internal/forward/scene_test.go
+++ b/internal/forward/scene_test.go
@@ -54,8 +54,8 @@
 	return nil, false
 }
 
-// Recovers implements forward.Node.
-func (w *fakeNode) Recovers(service string, _ replica.PickOptions) (time.Duration, bool) {
+// RecoversAt implements forward.Node.
+func (w *fakeNode) RecoversAt(service string, _ replica.PickOptions) (time.Duration, bool) {
 	return w.recovers[service], len(w.replicas[service]) > 0
 }
 
@@ -64,8 +64,8 @@
 	return w.budget >= 0
 }
 
-// ExtrasLeft implements forward.Node.
-func (w *fakeNode) ExtrasLeft(string) float64 {
+// ExtraAttemptsLeft implements forward.Node.
+func (w *fakeNode) ExtraAttemptsLeft(string) float64 {
 	if w.few {
 		return 1
 	}
@@ -90,11 +90,11 @@
 // Answered implements forward.Node.
 func (w *fakeNode) Answered(*forward.Attempt) { w.verdict = quarantine.Clear }
 
-// LeftOut implements forward.Node.
-func (w *fakeNode) LeftOut(service string) bool { return w.leftOut[service] }
+// Excluded implements forward.Node.
+func (w *fakeNode) Excluded(service string) bool { return w.leftOut[service] }
 
-// Sample implements forward.Node.
-func (w *fakeNode) Sample(sample admit.Sample) { w.samples = append(w.samples, sample) }
+// RecordSample implements forward.Node.
+func (w *fakeNode) RecordSample(sample admit.Sample) { w.samples = append(w.samples, sample) }
 
 // scene is a request with what it has done so far.
 type scene struct {
@@ -106,12 +106,12 @@
 	now     time.Duration
 }
 
-var settings = forward.Settings{HedgeShare: 0.25, SiblingHedges: true, LastExtras: 2, EarlyFinish: true, AnswerMargin: 10 * millisecond, Caution: true, RetryAfter: 600 * millisecond}
+var settings = forward.Settings{HedgeShare: 0.25, SiblingHedges: true, LastExtras: 2, EarlyFinish: true, AnswerMargin: 10 * millisecond, SerialTrials: true, RetryAfter: 600 * millisecond}
 
 func fanOut(shards ...string) *routing.Route {
 	return &routing.Route{
 		Name: "all", Repeatable: true, Timeout: time.Second, TargetLatency: 200 * millisecond, MaximumAttempts: 2,
-		Shards: shards, MinimumCoverage: 0.5, Top: 3,
+		Shards: shards, MinimumCoverage: 0.5, TopK: 3,
 	}
 }
 
@@ -153,7 +153,7 @@
 }
 
 func (s *scene) end(attempt int, outcome forward.Outcome) *scene {
-	s.take(s.request.Receive(s.now, s.sent[attempt], outcome))
+	s.take(s.request.HandleOutcome(s.now, s.sent[attempt], outcome))
 	return s
 }
 
@@ -169,4 +169,4 @@
 	return forward.Outcome{Kind: forward.Answered, Response: &forward.Response{Status: 200, Signature: signature, Body: []byte(body)}}
 }
 
-func ended(kind forward.Kind) forward.Outcome { return forward.Outcome{Kind: kind} }
+func ended(kind forward.OutcomeKind) forward.Outcome { return forward.Outcome{Kind: kind} }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -54,7 +54,7 @@
 	}
 	g.mu.Unlock()
 	if outcome.BackEndEnded {
-		g.log.BackEndCrashed(call, attempt, clock.Of(now-attempt.StartedAt))
+		g.log.BackEndCrashed(call, attempt, clock.FromDuration(now-attempt.StartedAt))
 	}
 	if ejected {
 		g.log.BackEndEjected(attempt, outcome)
@@ -69,7 +69,7 @@
 		return replica.Cancelled
 	case outcome.BackEndEnded:
 		return replica.Unreachable
-	case outcome.ConnectionTurnedAway:
+	case outcome.ConnectionRejected:
 		return replica.ConnectionRejected
 	}
 	switch outcome.Kind {
--- a/internal/gateway/disturbed_test.go
+++ b/internal/gateway/disturbed_test.go
@@ -65,7 +65,7 @@
 				s.store.set(func(s *fakeStore) { s.err = errHistoryLost })
 			}
 			callers.Go(func() {
-				if result := s.search(); result.Failure != nil || result.Missing > 0 {
+				if result := s.search(); result.Failure != nil || result.MissingShards > 0 {
 					t.Errorf("at %d: answered %+v", moment, result.Answer)
 				}
 			})
@@ -89,7 +89,7 @@
 		one := func() gateway.Result {
 			return s.gateway.Serve(context.Background(), &gateway.Call{ID: "id", Host: "h", Path: "/one/x"})
 		}
-		if result := one(); result.Passed == nil || result.Passed.Status != 200 {
+		if result := one(); result.BackEndResponse == nil || result.BackEndResponse.Status != 200 {
 			t.Errorf("a late answer: %+v", result.Answer)
 		}
 		// The hedge fails by itself before the first attempt answers.
@@ -99,7 +99,7 @@
 			}
 			return forward.Outcome{Kind: forward.Failed, Response: &forward.Response{Status: 500}}
 		})
-		if result := one(); result.Passed == nil || result.Passed.Status != 200 {
+		if result := one(); result.BackEndResponse == nil || result.BackEndResponse.Status != 200 {
 			t.Errorf("beside a hedge that failed: %+v", result.Answer)
 		}
 		// Three of four parts are there when the node gives up: enough for this route.
@@ -107,7 +107,7 @@
 			return silence(ctx, time.Minute, forward.Lost)
 		}, "s3-near", "s3-far"))
 		time.AfterFunc(200*time.Millisecond, s.gateway.FinishInFlight)
-		if result := s.search(); result.Failure != nil || result.Missing != 1 {
+		if result := s.search(); result.Failure != nil || result.MissingShards != 1 {
 			t.Errorf("given up with enough parts: %+v", result.Answer)
 		}
 	})
--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -16,10 +16,10 @@
 		return OutcomeCallerGone
 	case r.Failure != nil:
 		return string(r.Failure.Code)
-	case r.Missing > 0:
+	case r.MissingShards > 0:
 		return OutcomePartial
-	case r.Passed != nil:
-		return strconv.Itoa(r.Passed.Status)
+	case r.BackEndResponse != nil:
+		return strconv.Itoa(r.BackEndResponse.Status)
 	}
 	return OutcomeComplete
 }
--- a/internal/gateway/quarantine_writes.go
+++ b/internal/gateway/quarantine_writes.go
@@ -180,7 +180,7 @@
 func (g *Gateway) quarantineWritesDue() (writes []markedWrite) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now := clock.Of(g.now())
+	now := clock.FromDuration(g.now())
 	unstored := g.quarantine.MissingFromStore(now)
 	add := func(mark quarantine.Fingerprint, ifAbsent bool) {
 		length, held := g.quarantine.RemainingOf(now, mark)
@@ -202,7 +202,7 @@
 func (g *Gateway) claimRewritesDue() []StoreWrite {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.quarantineWrites.takeClaimRewrites(clock.Of(g.now()))
+	return g.quarantineWrites.takeClaimRewrites(clock.FromDuration(g.now()))
 }
 
 func (g *Gateway) quarantineRemovalsDue() []quarantine.Fingerprint {
@@ -271,7 +271,7 @@
 		return false
 	}
 	if claimed {
-		g.quarantineWrites.claimed(key, clock.Of(g.now()), length)
+		g.quarantineWrites.claimed(key, clock.FromDuration(g.now()), length)
 		g.log.RetrialClaimed(mark, version)
 	}
 	return claimed
@@ -289,5 +289,5 @@
 		// A restored store may have lost that another node was let do it.
 		return length, false
 	}
-	return length, g.quarantineWrites.mayAskClaim(key, clock.Of(g.now()), length)
+	return length, g.quarantineWrites.mayAskClaim(key, clock.FromDuration(g.now()), length)
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -73,7 +73,9 @@
 				r.leave()
 				continue
 			}
-			r.step(func(now time.Duration) []forward.Action { return r.request.Receive(now, end.attempt, end.outcome) })
+			r.step(func(now time.Duration) []forward.Action {
+				return r.request.HandleOutcome(now, end.attempt, end.outcome)
+			})
 		case <-timer.C:
 			r.step(r.request.Tick)
 		case <-r.gateway.givenUp:
@@ -109,7 +111,7 @@
 	r.beginTrial(now)
 	parameters := r.parameters()
 	for _, service := range parameters.Services() {
-		g.budget(service).Request(now, 1)
+		g.budget(service).CountRequests(now, 1)
 	}
 	request, actions := forward.Start(now, parameters, g.settings.Load().Forward, runNode{g, now, r})
 	r.request = request
@@ -119,14 +121,14 @@
 
 // parameters of the request; the lock is held.
 func (r *run) parameters() forward.Parameters {
-	parameters := forward.Parameters{Route: r.route, Arrived: r.arrived, Versions: r.allowed.versions, Retrial: r.allowed.retrial}
+	parameters := forward.Parameters{Route: r.route, ArrivedAt: r.arrived, Versions: r.allowed.versions, Retrial: r.allowed.retrial}
 	if r.route.FansOut() {
-		parameters.TrialFrom = r.call.Identity.HashModulo(len(r.route.Shards))
+		parameters.FirstTrialShard = r.call.Identity.HashModulo(len(r.route.Shards))
 	} else {
 		parameters.Service = r.gateway.splitter.Next(r.route)
 	}
 	if !r.call.Deadline.IsZero() {
-		parameters.Deadline = r.gateway.clock.Moment(r.call.Deadline)
+		parameters.Deadline = r.gateway.clock.FromTime(r.call.Deadline)
 	}
 	return parameters
 }
@@ -137,7 +139,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	r.request.Refresh(runNode{g, now, r})
+	r.request.SetNode(runNode{g, now, r})
 	r.carryOut(now, decide(now))
 }
 
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -22,8 +22,8 @@
 	return n.gateway.replicas.Pick(n.now, service, choice)
 }
 
-// Recovers implements forward.Node.
-func (n runNode) Recovers(service string, choice replica.PickOptions) (time.Duration, bool) {
+// RecoversAt implements forward.Node.
+func (n runNode) RecoversAt(service string, choice replica.PickOptions) (time.Duration, bool) {
 	return n.gateway.replicas.EarliestRecovery(service, choice)
 }
 
@@ -32,8 +32,8 @@
 	return n.gateway.budget(service).Spend(n.now, n.gateway.settings.Load().Retries.HedgeReserve, n.gateway.retrySlack())
 }
 
-// ExtrasLeft implements forward.Node.
-func (n runNode) ExtrasLeft(service string) float64 {
+// ExtraAttemptsLeft implements forward.Node.
+func (n runNode) ExtraAttemptsLeft(service string) float64 {
 	return n.gateway.budget(service).Remaining(n.now, n.gateway.retrySlack())
 }
 
@@ -42,18 +42,20 @@
 	return n.gateway.budget(service).Spend(n.now, 0, n.gateway.retrySlack())
 }
 
-// Sample implements forward.Node.
-func (n runNode) Sample(sample admit.Sample) { n.gateway.gate.Note(clock.Of(n.now), sample) }
+// RecordSample implements forward.Node.
+func (n runNode) RecordSample(sample admit.Sample) {
+	n.gateway.gate.Record(clock.FromDuration(n.now), sample)
+}
 
 // BackEndEnded implements forward.Node.
 func (n runNode) BackEndEnded(attempt *forward.Attempt) quarantine.Verdict {
-	g, now := n.gateway, clock.Of(n.now)
+	g, now := n.gateway, clock.FromDuration(n.now)
 	if n.run.call.Identity == (quarantine.Identity{}) {
 		return quarantine.Clear
 	}
 	verdict, change := g.quarantine.RecordCrash(now, n.run.call.Identity, quarantine.Crash{
 		Service: attempt.Service, BackEnd: attempt.Replica.Incarnation(), Version: attempt.Replica.Version,
-		Began: clock.Of(attempt.StartedAt), Ended: clock.Of(attempt.EndedAt),
+		Began: clock.FromDuration(attempt.StartedAt), Ended: clock.FromDuration(attempt.EndedAt),
 	})
 	if change.FirstRound && n.run.route.FansOut() {
 		// Most often another shard answers soon, and nobody need hear of it.
@@ -66,17 +68,17 @@
 
 // Verdict implements forward.Node.
 func (n runNode) Verdict() quarantine.Verdict {
-	return n.gateway.quarantine.Verdict(clock.Of(n.now), n.run.call.Identity)
+	return n.gateway.quarantine.Verdict(clock.FromDuration(n.now), n.run.call.Identity)
 }
 
-// LeftOut implements forward.Node.
-func (n runNode) LeftOut(service string) bool {
-	return n.gateway.quarantine.ShardExcluded(clock.Of(n.now), n.run.call.Identity, service)
+// Excluded implements forward.Node.
+func (n runNode) Excluded(service string) bool {
+	return n.gateway.quarantine.ShardExcluded(clock.FromDuration(n.now), n.run.call.Identity, service)
 }
 
 // Answered implements forward.Node.
 func (n runNode) Answered(attempt *forward.Attempt) {
-	g, now := n.gateway, clock.Of(n.now)
+	g, now := n.gateway, clock.FromDuration(n.now)
 	n.run.evidencePending = false
 	n.blameBackEnds(attempt.Shard)
 	change := g.quarantine.RecordAnswer(now, n.run.call.Identity, attempt.Service, attempt.Replica.Version)
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -39,7 +39,7 @@
 	if call.Arrived.IsZero() {
 		return read
 	}
-	return min(read, g.clock.Moment(call.Arrived))
+	return min(read, g.clock.FromTime(call.Arrived))
 }
 
 // LogRefusal notes a call that is wrong by itself and was answered with a failure.
@@ -77,7 +77,7 @@
 		return Result{Answer: refuseTooMany()}
 	}
 	if decision := g.admission(call, route); !decision.Admitted {
-		return Result{Answer: refuseTurnedAway(decision), Overload: decision.Level}
+		return Result{Answer: refuseTurnedAway(decision), Overload: decision.Overload}
 	}
 	allowed, refusal := g.allow(ctx, call, route, holdUntil)
 	if refusal != nil {
@@ -100,7 +100,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	return g.gate.Admit(clock.Of(now), route.Name, clock.Of(call.Deadline.Sub(g.at(now))), g.replicas.RandomFloat64)
+	return g.gate.Admit(clock.FromDuration(now), route.Name, clock.FromDuration(call.Deadline.Sub(g.at(now))), g.replicas.RandomFloat64)
 }
 
 // runToAnswer drives a request to its answer. Where no back end could be asked the store is read soon.
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -119,14 +119,14 @@
 
 // FromSettings gives the gateway's settings for those of the operator.
 func FromSettings(s settings.Gateway) Settings {
-	waits := PropagationTimesWithin(clock.Of(min(s.LeavingTime, s.ApplyWithin, s.EvacuateWithin)))
+	waits := PropagationTimesWithin(clock.FromDuration(min(s.LeavingTime, s.ApplyWithin, s.EvacuateWithin)))
 	return Settings{
 		Forward:    forwardSettings(s),
 		Replica:    replicaSettings(s),
 		Places:     replica.Topology{Node: s.Node, Zone: s.Zone, Regions: s.Regions},
 		Follow:     followSettings(waits),
 		Spread:     spreadSettings(s, waits),
-		Quarantine: quarantine.Settings{Rounds: s.QuarantineRounds, Duration: clock.Of(s.QuarantineFor)},
+		Quarantine: quarantine.Settings{Rounds: s.QuarantineRounds, Duration: clock.FromDuration(s.QuarantineFor)},
 		StoreCopy: StoreCopySettings{
 			Propagation: waits, KeepDoubtfulFor: doubtFor(s), DistrustDepartedFor: rewriteWithin.Duration() + oldIntervals*s.EntryInterval,
 		},
@@ -147,7 +147,7 @@
 func forwardSettings(s settings.Gateway) forward.Settings {
 	return forward.Settings{
 		HedgeShare: s.HedgeShare, SiblingHedges: s.SiblingHedges, LastExtras: s.LastExtras, EarlyFinish: s.EarlyFinish,
-		RetryPause: s.RetryPace, AnswerMargin: answerMargin, Caution: s.QuarantineRounds > 0, RetryAfter: s.EntryInterval / 2,
+		RetryPause: s.RetryPace, AnswerMargin: answerMargin, SerialTrials: s.QuarantineRounds > 0, RetryAfter: s.EntryInterval / 2,
 	}
 }
 
@@ -171,7 +171,7 @@
 	return spread.Settings{
 		Interval: digestInterval, Fanout: digestFanout, TombstoneRetention: keepGone,
 		PeerRequestDelay: waits.Patience.Duration(), AnswerTimeout: waits.AnswerWithin.Duration(),
-		EntryLifetime: clock.Of(lapseIntervals * s.EntryInterval), RewriteWindow: rewriteWithin,
+		EntryLifetime: clock.FromDuration(lapseIntervals * s.EntryInterval), RewriteWindow: rewriteWithin,
 	}
 }
 
--- a/internal/gateway/simulation_backend_test.go
+++ b/internal/gateway/simulation_backend_test.go
@@ -132,11 +132,11 @@
 	if send.VerifyConnection {
 		outcome.Kind = forward.NotSent
 	}
-	outcome.ConnectionTurnedAway = true
+	outcome.ConnectionRejected = true
 	return outcome
 }
 
-func silence(ctx context.Context, length time.Duration, kind forward.Kind) forward.Outcome {
+func silence(ctx context.Context, length time.Duration, kind forward.OutcomeKind) forward.Outcome {
 	select {
 	case <-time.After(length):
 	case <-ctx.Done():
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -96,7 +96,7 @@
 	},
 	{
 		"a request's time counts from when it was read", "internal/gateway/serve.go",
-		"	return min(read, g.clock.Moment(call.Arrived))", "	return read",
+		"	return min(read, g.clock.FromTime(call.Arrived))", "	return read",
 		"./internal/gateway", "TestTimeOfARequestThatLayUnread",
 	},
 	{
@@ -161,7 +161,7 @@
 	},
 	{
 		"a partial answer says nothing of what is missing", "internal/forward/answer.go",
-		"Missing: len(r.shards) - r.answered, Reason: reason}", "Reason: reason}",
+		"MissingShards: len(r.shards) - r.answered, Reason: reason}", "Reason: reason}",
 		"./internal/gateway", "TestRandomFaults",
 	},
 	{
@@ -303,12 +303,12 @@
 	},
 	{
 		"no request is turned away", "internal/admit/admit.go",
-		"level.TurnedAway = min(1-wantedLack/level.Lacking, mostTurnedAway)", "level.TurnedAway = 0",
+		"level.TurnedAwayShare = min(1-wantedLack/level.MissingShare, mostTurnedAway)", "level.TurnedAwayShare = 0",
 		"./internal/gateway", "TestTurnedAwayUnderOverload",
 	},
 	{
 		"requests are turned away where no back end sheds", "internal/admit/admit.go",
-		"if level.Shed >= shedShare && level.Lacking > wantedLack {", "if level.Lacking > wantedLack {",
+		"if level.ShedShare >= shedShare && level.MissingShare > wantedLack {", "if level.MissingShare > wantedLack {",
 		"./internal/admit", "TestTurnedAway",
 	},
 	{
@@ -363,7 +363,7 @@
 	},
 	{
 		"the last extra attempts go to shards that are just late", "internal/forward/hedge.go",
-		"r.node.ExtrasLeft(s.service) < float64(r.settings.LastExtras)", "false",
+		"r.node.ExtraAttemptsLeft(s.service) < float64(r.settings.LastExtras)", "false",
 		"./internal/forward", "TestLateAgainstSiblings",
 	},
 	{
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -89,7 +89,7 @@
 			note(r.AverageLatency(), r.MinimumLatency(), r.ExpectedMinimum(now), r.ExpectedLatency(now), r.InFlight(), r.Ejected(now), r.Doubtful(), r.Cold(now), r.Evacuated(), slowdown, faults)
 			note(set.MustVerify(now, r), set.IdleLimit(r))
 			at, known := set.EarliestRecovery("s", replica.PickOptions{})
-			note(at, known, set.HasCandidate("s", region.Of("b")), set.Versions("s", region.Set{}), set.Len(), set.RandomFloat64())
+			note(at, known, set.HasCandidate("s", region.NewSet("b")), set.Versions("s", region.Set{}), set.Len(), set.RandomFloat64())
 		}
 	}
 	return sum.Sum64()
@@ -138,7 +138,7 @@
 	case random.IntN(2) == 0:
 		choice.Versions = []string{"v0", "v1"}
 	default:
-		choice.Regions = region.Of("a", "c")
+		choice.Regions = region.NewSet("a", "c")
 	}
 	return choice
 }
--- a/internal/replica/warmup_test.go
+++ b/internal/replica/warmup_test.go
@@ -21,7 +21,7 @@
 	for i := range nodes {
 		places := replica.Topology{Node: names[i], Zone: "a1", Regions: map[string]string{"a1": "a", "b1": "b"}}
 		set := replica.NewSet(settings, places, rand.New(rand.NewPCG(uint64(i), 2)))
-		set.SetWarmups(map[string]replica.Warmup{"s": {Duration: clock.Of(cold), Rate: rate}})
+		set.SetWarmups(map[string]replica.Warmup{"s": {Duration: clock.FromDuration(cold), Rate: rate}})
 		set.SetNodes(names[i], names)
 		set.Put(0, replica.Entry{ID: "cold", Service: "s", Address: "127.0.0.1:1", Zone: "a1", WarmupLeft: cold})
 		set.Put(0, entry("warm", "b1"))
@@ -141,7 +141,7 @@
 	if got := picked(set, now); got != "far" {
 		t.Errorf("picked %q while the zone is evacuated", got)
 	}
-	if set.HasCandidate("s", region.Of("a")) || !set.HasCandidate("s", region.Of("b")) {
+	if set.HasCandidate("s", region.NewSet("a")) || !set.HasCandidate("s", region.NewSet("b")) {
 		t.Error("the back ends of an evacuated zone count as known")
 	}
 	if !set.RestoreZone(now, "a1") || set.RestoreZone(now, "a1") {
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -39,11 +39,11 @@
 	MaximumConnections int
 	// HealthPath answers whether a back end is well.
 	HealthPath string
-	// ColdFor is how long a back end is cold after its start, or when it has got nothing for long.
-	ColdFor clock.Ms
-	// ColdRate is the number of requests a second that a cold back end bears from all nodes together; 0 where that is not
+	// WarmupTime is how long a back end is cold after its start, or when it has got nothing for long.
+	WarmupTime clock.Ms
+	// WarmupRate is the number of requests a second that a cold back end bears from all nodes together; 0 where that is not
 	// bounded.
-	ColdRate float64
+	WarmupRate float64
 }
 
 // Target is a service with its share of a route's requests.
@@ -71,8 +71,8 @@
 	Shards []string
 	// MinimumCoverage is the smallest share of the shards an answer may be made of.
 	MinimumCoverage float64
-	// Top is the number of records in a gathered answer.
-	Top int
+	// TopK is the number of records in a gathered answer.
+	TopK int
 	// Targets share the requests of a route without Shards by their weights.
 	Targets []Target
 	// Regions in which its requests may be served, cached and kept.
--- a/internal/telemetry/kept_test.go
+++ b/internal/telemetry/kept_test.go
@@ -53,8 +53,8 @@
 	}
 	lost := &forward.Attempt{Replica: &replica.Replica{}, Purpose: forward.Retry, Outcome: forward.Outcome{Kind: forward.Lost}}
 	measured.Request(&gateway.Call{}, &gateway.Result{
-		Answer: forward.Answer{Missing: 1, Reason: forward.TargetReached}, Attempts: append(attempts, lost), Elapsed: 30 * time.Millisecond,
-		Denied: func(*forward.Attempt) forward.Denied { return forward.DeniedBudget },
+		Answer: forward.Answer{MissingShards: 1, Reason: forward.TargetReached}, Attempts: append(attempts, lost), Elapsed: 30 * time.Millisecond,
+		Denied: func(*forward.Attempt) forward.DenialReason { return forward.DeniedNoBudget },
 	})
 	measured.Connected(7 * time.Millisecond)
 	measured.BackEndEjected(lost, lost.Outcome)
