--- a/internal/forward/caution_test.go
+++ b/internal/forward/caution_test.go
@@ -9,7 +9,7 @@
 )
 
 // gone is the outcome of an attempt whose back end ended.
-var gone = forward.Outcome{Kind: forward.Lost, BackEndEnded: true}
+var gone = forward.Outcome{Kind: forward.Lost, BackEndCrashed: true}
 
 func (s *scene) wantSends(count int) {
 	s.t.Helper()
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -129,7 +129,7 @@
 		r.node.Answered(attempt)
 		r.clearSuspicion(now)
 		r.hedgeLateSiblings(now, attempt)
-	case outcome.BackEndEnded && r.settings.SerialTrials:
+	case outcome.BackEndCrashed && r.settings.SerialTrials:
 		s.last = outcome
 		r.backEndEnded(now, attempt)
 	case r.retrialOver(outcome):
--- a/internal/forward/outcome.go
+++ b/internal/forward/outcome.go
@@ -52,8 +52,8 @@
 	// ConnectionRejected: the back end ended a connection that had carried no answer yet, as it does with those over its
 	// limit.
 	ConnectionRejected bool
-	// BackEndEnded: the back end itself ended, and not just the connection: it takes no connections any more.
-	BackEndEnded bool
+	// BackEndCrashed: the back end itself ended, and not just the connection: it takes no connections any more.
+	BackEndCrashed bool
 	// Load is what the back end told of itself with the answer.
 	Load replica.Load
 	// Detail says what happened, for logs.
--- a/internal/forward/schedule_test.go
+++ b/internal/forward/schedule_test.go
@@ -41,7 +41,7 @@
 					outcome.Response = &forward.Response{Status: 200, Signature: "s"}
 				}
 				if outcome.Kind == forward.Lost && rapid.Bool().Draw(rt, "back end ended") {
-					outcome.BackEndEnded = true
+					outcome.BackEndCrashed = true
 					node.verdict = rapid.SampledFrom(verdicts).Draw(rt, "verdict")
 				}
 				s.end(rapid.IntRange(0, len(s.sent)-1).Draw(rt, "attempt"), outcome)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -53,7 +53,7 @@
 		g.reportHealth(now, attempt.Replica)
 	}
 	g.mu.Unlock()
-	if outcome.BackEndEnded {
+	if outcome.BackEndCrashed {
 		g.log.BackEndEnded(call, attempt, clock.FromDuration(now-attempt.StartedAt))
 	}
 	if ejected {
@@ -67,7 +67,7 @@
 	switch {
 	case cancelled && outcome.Kind != forward.Answered:
 		return replica.Withdrawn
-	case outcome.BackEndEnded:
+	case outcome.BackEndCrashed:
 		return replica.Unreachable
 	case outcome.ConnectionRejected:
 		return replica.TurnedAway
--- a/internal/gateway/crashing_fleet_test.go
+++ b/internal/gateway/crashing_fleet_test.go
@@ -192,7 +192,7 @@
 		return part(send)
 	case <-b.ended:
 		time.Sleep(time.Millisecond)
-		return forward.Outcome{Kind: forward.Lost, BackEndEnded: true}
+		return forward.Outcome{Kind: forward.Lost, BackEndCrashed: true}
 	case <-ctx.Done():
 		return forward.Outcome{Kind: forward.Lost}
 	}
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -61,7 +61,7 @@
 		"sound":  part,
 		"refuse": func(gateway.Send) forward.Outcome { return forward.Outcome{Kind: forward.Refused} },
 		"lose":   func(gateway.Send) forward.Outcome { return forward.Outcome{Kind: forward.Lost} },
-		"end":    func(gateway.Send) forward.Outcome { return forward.Outcome{Kind: forward.Lost, BackEndEnded: true} },
+		"end":    func(gateway.Send) forward.Outcome { return forward.Outcome{Kind: forward.Lost, BackEndCrashed: true} },
 	}
 	for name, answer := range troubles {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gateway/simulation_backend_test.go
+++ b/internal/gateway/simulation_backend_test.go
@@ -89,7 +89,7 @@
 	}
 	select {
 	case <-b.over:
-		return forward.Outcome{Kind: forward.Lost, BackEndEnded: true}
+		return forward.Outcome{Kind: forward.Lost, BackEndCrashed: true}
 	case <-time.After(max(wait, 0) + work):
 	case <-time.After(time.Until(send.Deadline)):
 		return forward.Outcome{Kind: forward.Lost}
@@ -110,7 +110,7 @@
 	case b.busy <- struct{}{}:
 		return forward.Outcome{}, true
 	case <-b.over:
-		return forward.Outcome{Kind: forward.Lost, BackEndEnded: true}, false
+		return forward.Outcome{Kind: forward.Lost, BackEndCrashed: true}, false
 	case <-time.After(time.Until(deadline)):
 		return forward.Outcome{Kind: forward.Refused}, false
 	case <-ctx.Done():
--- a/internal/gateway/traffic_test.go
+++ b/internal/gateway/traffic_test.go
@@ -134,7 +134,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ends := func(context.Context, gateway.Send) forward.Outcome {
 			time.Sleep(10 * time.Millisecond)
-			return forward.Outcome{Kind: forward.Lost, BackEndEnded: true}
+			return forward.Outcome{Kind: forward.Lost, BackEndCrashed: true}
 		}
 		c, sent := startMany(nodes, &fakeBackEnds{answer: ends})
 		c.store.put(frailConfiguration())
