--- a/internal/forward/caution.go
+++ b/internal/forward/caution.go
@@ -41,7 +41,7 @@
 // says nothing of the request.
 func (r *Request) backEndEnded(now time.Duration, attempt *Attempt) {
 	s := &r.shards[attempt.Shard]
-	verdict := r.node.BackEndEnded(attempt)
+	verdict := r.node.RecordCrash(attempt)
 	if r.answered > 0 {
 		r.retryOrGiveUp(now, attempt.Shard)
 		return
--- a/internal/forward/node.go
+++ b/internal/forward/node.go
@@ -21,8 +21,8 @@
 	ExtraAttemptsLeft(service string) float64
 	// SpendRetry takes an extra attempt after a failure out of the service's budget.
 	SpendRetry(service string) bool
-	// BackEndEnded takes in that a back end ended under an attempt, and gives the verdict on the request.
-	BackEndEnded(attempt *Attempt) quarantine.Verdict
+	// RecordCrash takes in that a back end ended under an attempt, and gives the verdict on the request.
+	RecordCrash(attempt *Attempt) quarantine.Verdict
 	// Answered takes in that a back end answered an attempt.
 	Answered(attempt *Attempt)
 	// Verdict on the request as it is known by now.
--- a/internal/forward/scene_test.go
+++ b/internal/forward/scene_test.go
@@ -78,8 +78,8 @@
 // SpendRetry implements forward.Node.
 func (w *fakeNode) SpendRetry(string) bool { return w.spend() }
 
-// BackEndEnded implements forward.Node.
-func (w *fakeNode) BackEndEnded(attempt *forward.Attempt) quarantine.Verdict {
+// RecordCrash implements forward.Node.
+func (w *fakeNode) RecordCrash(attempt *forward.Attempt) quarantine.Verdict {
 	w.ends = append(w.ends, attempt.Replica.ID)
 	return w.verdict
 }
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -47,8 +47,8 @@
 	n.gateway.gate.Record(clock.FromDuration(n.now), sample)
 }
 
-// BackEndEnded implements forward.Node.
-func (n runNode) BackEndEnded(attempt *forward.Attempt) quarantine.Verdict {
+// RecordCrash implements forward.Node.
+func (n runNode) RecordCrash(attempt *forward.Attempt) quarantine.Verdict {
 	g, now := n.gateway, clock.FromDuration(n.now)
 	if n.run.call.Identity == (quarantine.Identity{}) {
 		return quarantine.Clear
