--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -126,7 +126,7 @@
 		s.become(answered{outcome.Response})
 		r.answered++
 		r.cancelAttempts(attempt.Shard)
-		r.node.Answered(attempt)
+		r.node.RecordAnswer(attempt)
 		r.clearSuspicion(now)
 		r.hedgeLateSiblings(now, attempt)
 	case outcome.BackEndCrashed && r.settings.SerialTrials:
--- a/internal/forward/node.go
+++ b/internal/forward/node.go
@@ -23,8 +23,8 @@
 	SpendRetry(service string) bool
 	// RecordCrash takes in that a back end ended under an attempt, and gives the verdict on the request.
 	RecordCrash(attempt *Attempt) quarantine.Verdict
-	// Answered takes in that a back end answered an attempt.
-	Answered(attempt *Attempt)
+	// RecordAnswer takes in that a back end answered an attempt.
+	RecordAnswer(attempt *Attempt)
 	// Verdict on the request as it is known by now.
 	Verdict() quarantine.Verdict
 	// Excluded reports whether the request is to be kept from a service, whose back ends it ends.
--- a/internal/forward/scene_test.go
+++ b/internal/forward/scene_test.go
@@ -87,8 +87,8 @@
 // Verdict implements forward.Node.
 func (w *fakeNode) Verdict() quarantine.Verdict { return w.verdict }
 
-// Answered implements forward.Node.
-func (w *fakeNode) Answered(*forward.Attempt) { w.verdict = quarantine.Clear }
+// RecordAnswer implements forward.Node.
+func (w *fakeNode) RecordAnswer(*forward.Attempt) { w.verdict = quarantine.Clear }
 
 // Excluded implements forward.Node.
 func (w *fakeNode) Excluded(service string) bool { return w.leftOut[service] }
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -76,8 +76,8 @@
 	return n.gateway.quarantine.LeftOut(clock.FromDuration(n.now), n.run.call.Identity, service)
 }
 
-// Answered implements forward.Node.
-func (n runNode) Answered(attempt *forward.Attempt) {
+// RecordAnswer implements forward.Node.
+func (n runNode) RecordAnswer(attempt *forward.Attempt) {
 	g, now := n.gateway, clock.FromDuration(n.now)
 	n.run.evidencePending = false
 	n.blameBackEnds(attempt.Shard)
