--- a/internal/forward/first.go
+++ b/internal/forward/first.go
@@ -14,7 +14,7 @@
 //   - one whose replicas all have their attempts waits for room.
 func (r *Request) askFirst(now time.Duration, number int) {
 	s := &r.shards[number]
-	if r.node.Excluded(s.service) {
+	if r.node.ShardExcluded(s.service) {
 		s.fail(DeniedQuarantined)
 		return
 	}
--- a/internal/forward/node.go
+++ b/internal/forward/node.go
@@ -27,8 +27,8 @@
 	RecordAnswer(attempt *Attempt)
 	// Verdict on the request as it is known by now.
 	Verdict() quarantine.Verdict
-	// Excluded reports whether the request is to be kept from a service, whose back ends it ends.
-	Excluded(service string) bool
+	// ShardExcluded reports whether the request is to be kept from a service, whose back ends it ends.
+	ShardExcluded(service string) bool
 	// RecordSample takes in what a request over many shards lacks at its target, once.
 	RecordSample(sample admit.Sample)
 }
--- a/internal/forward/pause.go
+++ b/internal/forward/pause.go
@@ -23,7 +23,7 @@
 	s.tried = nil
 	recovery, known := r.node.RecoversAt(s.service, r.choice(s))
 	until := max(now+s.pause, recovery)
-	if r.settings.RetryPause > 0 && known && until < r.deadline && !r.ownFailure(s) && !r.node.Excluded(s.service) {
+	if r.settings.RetryPause > 0 && known && until < r.deadline && !r.ownFailure(s) && !r.node.ShardExcluded(s.service) {
 		s.become(paused{until: until})
 	} else {
 		s.become(failed{})
--- a/internal/forward/retry.go
+++ b/internal/forward/retry.go
@@ -41,7 +41,7 @@
 // retry asks another replica at once, and reports whether it did.
 func (r *Request) retry(now time.Duration, number int) bool {
 	s := &r.shards[number]
-	if r.node.Excluded(s.service) {
+	if r.node.ShardExcluded(s.service) {
 		s.denied = DeniedQuarantined
 		return false
 	}
--- a/internal/forward/scene_test.go
+++ b/internal/forward/scene_test.go
@@ -90,8 +90,8 @@
 // RecordAnswer implements forward.Node.
 func (w *fakeNode) RecordAnswer(*forward.Attempt) { w.verdict = quarantine.Clear }
 
-// Excluded implements forward.Node.
-func (w *fakeNode) Excluded(service string) bool { return w.leftOut[service] }
+// ShardExcluded implements forward.Node.
+func (w *fakeNode) ShardExcluded(service string) bool { return w.leftOut[service] }
 
 // RecordSample implements forward.Node.
 func (w *fakeNode) RecordSample(sample admit.Sample) { w.samples = append(w.samples, sample) }
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -71,8 +71,8 @@
 	return n.gateway.quarantine.Verdict(clock.FromDuration(n.now), n.run.call.Identity)
 }
 
-// Excluded implements forward.Node.
-func (n runNode) Excluded(service string) bool {
+// ShardExcluded implements forward.Node.
+func (n runNode) ShardExcluded(service string) bool {
 	return n.gateway.quarantine.LeftOut(clock.FromDuration(n.now), n.run.call.Identity, service)
 }
 
