--- a/internal/forward/node.go
+++ b/internal/forward/node.go
@@ -12,9 +12,9 @@
 type Node interface {
 	// Pick returns a replica of the service that the choice allows, or nil; busy is set where each has its attempts.
 	Pick(service string, choice replica.Choice) (chosen *replica.Replica, busy bool)
-	// RecoversAt returns the first moment at which one of the replicas that the choice allows is not ejected; false if there
+	// EarliestRecovery returns the first moment at which one of the replicas that the choice allows is not ejected; false if there
 	// is none.
-	RecoversAt(service string, choice replica.Choice) (at time.Duration, known bool)
+	EarliestRecovery(service string, choice replica.Choice) (at time.Duration, known bool)
 	// SpendHedge takes an extra attempt that only saves time out of the service's budget.
 	SpendHedge(service string) bool
 	// ExtraAttemptsLeft is how many extra attempts the service's budget allows now.
--- a/internal/forward/pause.go
+++ b/internal/forward/pause.go
@@ -21,7 +21,7 @@
 	s := &r.shards[number]
 	s.pause = min(max(2*s.pause, r.settings.RetryPause), longestPause)
 	s.tried = nil
-	recovery, known := r.node.RecoversAt(s.service, r.choice(s))
+	recovery, known := r.node.EarliestRecovery(s.service, r.choice(s))
 	until := max(now+s.pause, recovery)
 	if r.settings.RetryPause > 0 && known && until < r.deadline && !r.ownFailure(s) && !r.node.ShardExcluded(s.service) {
 		s.become(paused{until: until})
--- a/internal/forward/scene_test.go
+++ b/internal/forward/scene_test.go
@@ -54,8 +54,8 @@
 	return nil, false
 }
 
-// RecoversAt implements forward.Node.
-func (w *fakeNode) RecoversAt(service string, _ replica.Choice) (time.Duration, bool) {
+// EarliestRecovery implements forward.Node.
+func (w *fakeNode) EarliestRecovery(service string, _ replica.Choice) (time.Duration, bool) {
 	return w.recovers[service], len(w.replicas[service]) > 0
 }
 
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -22,8 +22,8 @@
 	return n.gateway.replicas.Pick(n.now, service, choice)
 }
 
-// RecoversAt implements forward.Node.
-func (n runNode) RecoversAt(service string, choice replica.Choice) (time.Duration, bool) {
+// EarliestRecovery implements forward.Node.
+func (n runNode) EarliestRecovery(service string, choice replica.Choice) (time.Duration, bool) {
 	return n.gateway.replicas.Recovers(service, choice)
 }
 
