--- a/internal/forward/scene_test.go
+++ b/internal/forward/scene_test.go
@@ -54,8 +54,8 @@
 	return nil, false
 }
 
-// RecoversAt implements forward.Node.
-func (w *fakeNode) RecoversAt(service string, _ replica.PickOptions) (time.Duration, bool) {
+// EarliestRecovery implements forward.Node.
+func (w *fakeNode) EarliestRecovery(service string, _ replica.PickOptions) (time.Duration, bool) {
 	return w.recovers[service], len(w.replicas[service]) > 0
 }
 
@@ -78,8 +78,8 @@
 // SpendRetry implements forward.Node.
 func (w *fakeNode) SpendRetry(string) bool { return w.spend() }
 
-// BackEndEnded implements forward.Node.
-func (w *fakeNode) BackEndEnded(attempt *forward.Attempt) quarantine.Verdict {
+// RecordCrash implements forward.Node.
+func (w *fakeNode) RecordCrash(attempt *forward.Attempt) quarantine.Verdict {
 	w.ends = append(w.ends, attempt.Replica.ID)
 	return w.verdict
 }
@@ -87,11 +87,11 @@
 // Verdict implements forward.Node.
 func (w *fakeNode) Verdict() quarantine.Verdict { return w.verdict }
 
-// Answered implements forward.Node.
-func (w *fakeNode) Answered(*forward.Attempt) { w.verdict = quarantine.Clear }
+// RecordAnswer implements forward.Node.
+func (w *fakeNode) RecordAnswer(*forward.Attempt) { w.verdict = quarantine.Clear }
 
-// Excluded implements forward.Node.
-func (w *fakeNode) Excluded(service string) bool { return w.leftOut[service] }
+// ShardExcluded implements forward.Node.
+func (w *fakeNode) ShardExcluded(service string) bool { return w.leftOut[service] }
 
 // RecordSample implements forward.Node.
 func (w *fakeNode) RecordSample(sample admit.Sample) { w.samples = append(w.samples, sample) }
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -62,7 +62,7 @@
 		"refuse": func(gateway.BackEndRequest) forward.Outcome { return forward.Outcome{Kind: forward.Refused} },
 		"lose":   func(gateway.BackEndRequest) forward.Outcome { return forward.Outcome{Kind: forward.Lost} },
 		"end": func(gateway.BackEndRequest) forward.Outcome {
-			return forward.Outcome{Kind: forward.Lost, BackEndEnded: true}
+			return forward.Outcome{Kind: forward.Lost, BackEndCrashed: true}
 		},
 	}
 	for name, answer := range troubles {
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -22,8 +22,8 @@
 	return n.gateway.replicas.Pick(n.now, service, choice)
 }
 
-// RecoversAt implements forward.Node.
-func (n runNode) RecoversAt(service string, choice replica.PickOptions) (time.Duration, bool) {
+// EarliestRecovery implements forward.Node.
+func (n runNode) EarliestRecovery(service string, choice replica.PickOptions) (time.Duration, bool) {
 	return n.gateway.replicas.EarliestRecovery(service, choice)
 }
 
@@ -47,8 +47,8 @@
 	n.gateway.gate.Record(clock.FromDuration(n.now), sample)
 }
 
-// BackEndEnded implements forward.Node.
-func (n runNode) BackEndEnded(attempt *forward.Attempt) quarantine.Verdict {
+// RecordCrash implements forward.Node.
+func (n runNode) RecordCrash(attempt *forward.Attempt) quarantine.Verdict {
 	g, now := n.gateway, clock.FromDuration(n.now)
 	if n.run.call.Identity == (quarantine.Identity{}) {
 		return quarantine.Clear
@@ -71,13 +71,13 @@
 	return n.gateway.quarantine.Verdict(clock.FromDuration(n.now), n.run.call.Identity)
 }
 
-// Excluded implements forward.Node.
-func (n runNode) Excluded(service string) bool {
+// ShardExcluded implements forward.Node.
+func (n runNode) ShardExcluded(service string) bool {
 	return n.gateway.quarantine.ShardExcluded(clock.FromDuration(n.now), n.run.call.Identity, service)
 }
 
-// Answered implements forward.Node.
-func (n runNode) Answered(attempt *forward.Attempt) {
+// RecordAnswer implements forward.Node.
+func (n runNode) RecordAnswer(attempt *forward.Attempt) {
 	g, now := n.gateway, clock.FromDuration(n.now)
 	n.run.evidencePending = false
 	n.blameBackEnds(attempt.Shard)
