--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -111,7 +111,7 @@
 	},
 	{
 		"the machine is not asked how long a request lay there", "platform/ingress.go",
-		"time.Now().Add(-caller.Waited())", "time.Now()",
+		"time.Now().Add(-caller.UnreadFor())", "time.Now()",
 		"./platform", "TestBackEndsAreToldWhatACallerHasLeft",
 	},
 	{
--- a/internal/serving/caller.go
+++ b/internal/serving/caller.go
@@ -43,9 +43,9 @@
 	return caller
 }
 
-// Waited is how long ago the last bytes came that the caller has sent, 0 where the machine does not tell. It counts in whole
+// UnreadFor is how long ago the last bytes came that the caller has sent, 0 where the machine does not tell. It counts in whole
 // milliseconds, and not while the machine is suspended.
-func (c Caller) Waited() time.Duration {
+func (c Caller) UnreadFor() time.Duration {
 	var waited time.Duration
 	c.look(func(fd int) {
 		if info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
--- a/internal/serving/caller_test.go
+++ b/internal/serving/caller_test.go
@@ -58,7 +58,7 @@
 	waited := make(chan time.Duration, 2)
 	hold := make(chan struct{}, 2)
 	address, take := serveLate(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		waited <- CallerOf(r.Context()).Waited()
+		waited <- CallerOf(r.Context()).UnreadFor()
 		<-hold
 	}))
 	socket := send(t, address)
@@ -115,7 +115,7 @@
 	near, far := net.Pipe()
 	_ = far.Close()
 	for _, unknown := range []Caller{NewCaller(near), CallerOf(context.Background())} {
-		if unknown.Gone() || unknown.Waited() != 0 {
+		if unknown.Gone() || unknown.UnreadFor() != 0 {
 			t.Error("something is known")
 		}
 	}
