--- a/internal/serving/caller.go
+++ b/internal/serving/caller.go
@@ -55,9 +55,9 @@
 	return waited
 }
 
-// Gone reports whether the caller has closed its end, or the connection has broken: there is nobody to answer. A caller that has
+// Disconnected reports whether the caller has closed its end, or the connection has broken: there is nobody to answer. A caller that has
 // sent more meanwhile passes for there.
-func (c Caller) Gone() (gone bool) {
+func (c Caller) Disconnected() (gone bool) {
 	c.look(func(fd int) {
 		var next [1]byte
 		n, _, err := unix.Recvfrom(fd, next[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
--- a/internal/serving/caller_test.go
+++ b/internal/serving/caller_test.go
@@ -94,7 +94,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			gone := make(chan bool, 2)
-			address, take := serveLate(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { gone <- CallerOf(r.Context()).Gone() }))
+			address, take := serveLate(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { gone <- CallerOf(r.Context()).Disconnected() }))
 			c.leave(send(t, address))
 			// What the caller did last lies in the machine once a connection that came later can be had.
 			later, err := net.Dial("tcp4", address)
@@ -115,7 +115,7 @@
 	near, far := net.Pipe()
 	_ = far.Close()
 	for _, unknown := range []Caller{NewCaller(near), CallerOf(context.Background())} {
-		if unknown.Gone() || unknown.UnreadFor() != 0 {
+		if unknown.Disconnected() || unknown.UnreadFor() != 0 {
 			t.Error("something is known")
 		}
 	}
