--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -179,7 +179,7 @@
 }
 
 // StoreLost implements gateway.DecisionLog. Only the first failure in a row is written.
-func (l *Log) StoreLost(trouble follow.Trouble, cause *failure.Failure, contactAge time.Duration) {
+func (l *Log) StoreLost(trouble follow.FailureKind, cause *failure.Failure, contactAge time.Duration) {
 	if !l.lost.lose() {
 		return
 	}
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -11,13 +11,13 @@
 	"stiletrail/internal/history"
 )
 
-// Trouble is a way in which a call to the store went wrong.
-type Trouble int
+// FailureKind is a way in which a call to the store went wrong.
+type FailureKind int
 
 // The troubles.
 const (
 	// Unavailable: no answer, or the store said that it cannot answer.
-	Unavailable Trouble = iota + 1
+	Unavailable FailureKind = iota + 1
 	// Throttled: too many calls.
 	Throttled
 	// Silent: a watch was ended that had told nothing for too long.
@@ -29,7 +29,7 @@
 )
 
 // String names the trouble in logs.
-func (t Trouble) String() string {
+func (t FailureKind) String() string {
 	return [...]string{"none", "unavailable", "throttled", "silent", "history_lost", "outdated"}[t]
 }
 
@@ -286,7 +286,7 @@
 }
 
 // Failed takes in that a call went wrong.
-func (c *Core) Failed(now time.Duration, trouble Trouble) {
+func (c *Core) Failed(now time.Duration, trouble FailureKind) {
 	c.coalescing = false
 	if trouble == HistoryLost {
 		c.relist()
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -40,7 +40,7 @@
 	// Older: the store tells changes of which later ones were known, so many; key, revision and what was known are those of one of
 	// them.
 	Older(key string, revision, known history.Revision, count int)
-	StoreLost(trouble follow.Trouble, cause *failure.Failure, contactAge time.Duration)
+	StoreLost(trouble follow.FailureKind, cause *failure.Failure, contactAge time.Duration)
 	StoreAnswered(contactAge time.Duration)
 	// CopyStale: nothing has confirmed the copy of the store for that long; CopyFresh: it is complete again.
 	CopyStale(age clock.Ms)
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -55,7 +55,7 @@
 )
 
 // Trouble implements gateway.Store.
-func (s *fakeStore) Trouble(err error) follow.Trouble {
+func (s *fakeStore) Trouble(err error) follow.FailureKind {
 	if errors.Is(err, errHistoryLost) {
 		return follow.HistoryLost
 	}
@@ -246,28 +246,28 @@
 func (silentLog) BackEndEnded(*gateway.Call, *forward.Attempt, clock.Ms) {}
 func (silentLog) Judged(quarantine.Mark, quarantine.Verdict, string, clock.Ms) {
 }
-func (silentLog) Retrial(quarantine.Mark, string)                           {}
-func (silentLog) QuarantineLost(quarantine.Mark, *failure.Failure)          {}
-func (silentLog) Configuration(*routing.Table, history.Revision)            {}
-func (silentLog) Rejected(*gateway.Item)                                    {}
-func (silentLog) BackEnd(replica.Entry, history.Revision)                   {}
-func (silentLog) Vanished(string, bool)                                     {}
-func (silentLog) Evacuated(string, history.Revision)                        {}
-func (silentLog) TakenBack(string)                                          {}
-func (silentLog) Listed(int, history.Revision)                              {}
-func (silentLog) WentBack(history.Revision, history.Revision)               {}
-func (silentLog) Returned(uint64)                                           {}
-func (silentLog) Older(string, history.Revision, history.Revision, int)     {}
-func (silentLog) StoreLost(follow.Trouble, *failure.Failure, time.Duration) {}
-func (silentLog) StoreAnswered(time.Duration)                               {}
-func (silentLog) CopyStale(clock.Ms)                                        {}
-func (silentLog) Suspended(clock.Ms)                                        {}
-func (silentLog) CopyFresh()                                                {}
-func (silentLog) Members(int)                                               {}
-func (silentLog) Learned(string, int, history.Revision)                     {}
-func (silentLog) Fault(string)                                              {}
-func (silentLog) PeerSilent(string)                                         {}
-func (silentLog) PeerMalformed(string, error)                               {}
+func (silentLog) Retrial(quarantine.Mark, string)                               {}
+func (silentLog) QuarantineLost(quarantine.Mark, *failure.Failure)              {}
+func (silentLog) Configuration(*routing.Table, history.Revision)                {}
+func (silentLog) Rejected(*gateway.Item)                                        {}
+func (silentLog) BackEnd(replica.Entry, history.Revision)                       {}
+func (silentLog) Vanished(string, bool)                                         {}
+func (silentLog) Evacuated(string, history.Revision)                            {}
+func (silentLog) TakenBack(string)                                              {}
+func (silentLog) Listed(int, history.Revision)                                  {}
+func (silentLog) WentBack(history.Revision, history.Revision)                   {}
+func (silentLog) Returned(uint64)                                               {}
+func (silentLog) Older(string, history.Revision, history.Revision, int)         {}
+func (silentLog) StoreLost(follow.FailureKind, *failure.Failure, time.Duration) {}
+func (silentLog) StoreAnswered(time.Duration)                                   {}
+func (silentLog) CopyStale(clock.Ms)                                            {}
+func (silentLog) Suspended(clock.Ms)                                            {}
+func (silentLog) CopyFresh()                                                    {}
+func (silentLog) Members(int)                                                   {}
+func (silentLog) Learned(string, int, history.Revision)                         {}
+func (silentLog) Fault(string)                                                  {}
+func (silentLog) PeerSilent(string)                                             {}
+func (silentLog) PeerMalformed(string, error)                                   {}
 
 const shards = 4
 
--- a/internal/gateway/store.go
+++ b/internal/gateway/store.go
@@ -46,5 +46,5 @@
 	// Remove takes something away that nodes keep there.
 	Remove(ctx context.Context, key string) error
 	// Trouble is the kind of a failure of this store.
-	Trouble(err error) follow.Trouble
+	Trouble(err error) follow.FailureKind
 }
