--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -52,13 +52,13 @@
 	PollTimeout time.Duration
 }
 
-// Kind of a Call.
-type Kind int
+// CallKind of a Call.
+type CallKind int
 
 // The kinds of call.
 const (
 	// List: read the page of keys after Call.After. Call.Revision is what was known before, or that of the first page.
-	List Kind = iota + 1
+	List CallKind = iota + 1
 	// Watch: wait for changes after Call.Revision.
 	Watch
 	// Pause: do nothing for Call.For.
@@ -69,7 +69,7 @@
 
 // Call is what to do next.
 type Call struct {
-	Kind     Kind
+	Kind     CallKind
 	After    string
 	Revision history.Revision
 	For      time.Duration
