--- a/internal/gateway/tell_tree.go
+++ b/internal/gateway/tell_tree.go
@@ -70,7 +70,7 @@
 // passOn passes a change on to the nodes below this one, if it came from the node above it.
 func (g *Gateway) passOn(from string, m *message.StoreRecords) {
 	place := &g.fleet.watch.place
-	if from != place.parent || m.Whole || !isLarge(m.Records, place.receivers) {
+	if from != place.parent || m.Complete || !isLarge(m.Records, place.receivers) {
 		return
 	}
 	for _, child := range place.children {
--- a/internal/message/store.go
+++ b/internal/message/store.go
@@ -90,9 +90,9 @@
 	Since history.Revision
 	// Revision up to which all changes are known once these records are taken.
 	Revision history.Revision
-	// Whole: the records are all there are, and not only what has changed since the revision that was asked for.
-	Whole   bool
-	Records []StoreRecord
+	// Complete: the records are all there are, and not only what has changed since the revision that was asked for.
+	Complete bool
+	Records  []StoreRecord
 	// Kept are items that the sender goes by though the store, back from a copy, says otherwise now.
 	Kept []StoreRecord
 	Confirmation
@@ -103,7 +103,7 @@
 func (m *StoreRecords) fields(c *codec) {
 	c.revision(&m.Since)
 	c.revision(&m.Revision)
-	c.bool(&m.Whole)
+	c.bool(&m.Complete)
 	list(c, &m.Records, (*codec).storeRecord)
 	list(c, &m.Kept, (*codec).storeRecord)
 	m.Confirmation.fields(c)
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -136,7 +136,7 @@
 	},
 	{
 		"an answer to an earlier life counts as complete", "internal/spread/spread.go",
-		"if m.Whole || !m.Since.After(c.revision) {", "if true {",
+		"if m.Complete || !m.Since.After(c.revision) {", "if true {",
 		"./internal/spread", "TestAnswerToAnEarlierLife",
 	},
 	{
@@ -333,7 +333,7 @@
 	},
 	{
 		"changes after a gap count as all", "internal/spread/spread.go",
-		"if m.Whole || !m.Since.After(c.revision) {", "if true {",
+		"if m.Complete || !m.Since.After(c.revision) {", "if true {",
 		"./internal/spread", "TestGapIsAskedFor",
 	},
 	{
--- a/internal/spread/era_test.go
+++ b/internal/spread/era_test.go
@@ -23,7 +23,7 @@
 // more.
 func TestLaterEraGoesFirst(t *testing.T) {
 	core := inEra(68)
-	later := &message.StoreRecords{Whole: true, Revision: history.At(2, 65), Records: []message.StoreRecord{
+	later := &message.StoreRecords{Complete: true, Revision: history.At(2, 65), Records: []message.StoreRecord{
 		{Key: "k", Revision: history.At(2, 60), Value: []byte("earlier")}, {Key: "gone", Revision: history.At(2, 50)},
 	}}
 	received := core.Receive(0, "peer", later, false)
@@ -49,7 +49,7 @@
 	ahead.Advance(0, history.At(2, 65))
 	behind.Apply(0, message.StoreRecord{Key: "lost", Revision: at(71)})
 	sends := ahead.Receive(0, "behind", &message.StoreRequest{Revision: behind.Revision()}, true).Sends
-	if len(sends) != 1 || !sends[0].Message.(*message.StoreRecords).Whole {
+	if len(sends) != 1 || !sends[0].Message.(*message.StoreRecords).Complete {
 		t.Fatalf("answered %+v", sends)
 	}
 	received := behind.Receive(0, "ahead", sends[0].Message, true)
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -263,11 +263,11 @@
 		return nil
 	}
 	reply := &message.StoreRecords{
-		Since: m.Revision, Revision: c.revision, Whole: m.Revision.Before(c.horizon) || m.Revision.Unknown(),
+		Since: m.Revision, Revision: c.revision, Complete: m.Revision.Before(c.horizon) || m.Revision.Unknown(),
 		Kept: c.keptRecords(), Confirmation: c.confirmation(now),
 	}
 	for _, known := range c.records {
-		if reply.Whole && !known.Gone || !reply.Whole && known.Revision.After(m.Revision) {
+		if reply.Complete && !known.Gone || !reply.Complete && known.Revision.After(m.Revision) {
 			reply.Records = append(reply.Records, known.StoreRecord)
 		}
 	}
@@ -286,11 +286,11 @@
 			received.Records = append(received.Records, record)
 		}
 	}
-	if m.Whole {
+	if m.Complete {
 		received.Gone = c.Listed(now, listed, m.Revision)
 	}
 	// An answer to a request of an earlier life of this node may still come; what it leaves out is not known in this one.
-	if m.Whole || !m.Since.After(c.revision) {
+	if m.Complete || !m.Since.After(c.revision) {
 		received.Advanced = m.Revision.After(c.revision)
 		received.Sends = c.Advance(now, m.Revision)
 	} else if m.Revision.After(c.revision) {
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -189,7 +189,7 @@
 			t.Errorf("revision %d replaces 5", revision)
 		}
 	}
-	core.Receive(0, "peer", &message.StoreRecords{Whole: true, Revision: at(4), Records: []message.StoreRecord{{Key: "k", Revision: at(4)}}}, true)
+	core.Receive(0, "peer", &message.StoreRecords{Complete: true, Revision: at(4), Records: []message.StoreRecord{{Key: "k", Revision: at(4)}}}, true)
 	if records := core.Records(); len(records) != 1 || records[0].Revision != at(5) {
 		t.Errorf("the records are %+v", records)
 	}
