--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -267,7 +267,7 @@
 		sends = []Send{{To: m.Target, Message: &message.Probe{Sequence: sequence, Updates: c.piggyback()}}}
 	case *message.MemberSync:
 		c.merge(m.Updates, now)
-		c.viewed = c.viewed || !m.Reply || m.Whole
+		c.viewed = c.viewed || !m.Reply || m.Complete
 		if m.Reply {
 			sends = c.answerSync(from, m)
 		}
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -48,7 +48,7 @@
 // whole view of this node, for which the peer then sends what it knows better.
 func (c *Core) answerSync(from string, m *message.MemberSync) []Send {
 	switch {
-	case m.Whole:
+	case m.Complete:
 		return c.betterFor(from, m.Updates)
 	case m.Hash == 0:
 		return c.viewFor(from, false)
@@ -92,7 +92,7 @@
 	for len(updates) > 0 {
 		chunk := updates[:min(len(updates), syncChunk)]
 		updates = updates[len(chunk):]
-		sends = append(sends, Send{To: peer, Message: &message.MemberSync{Reply: reply, Whole: whole, Updates: chunk}})
+		sends = append(sends, Send{To: peer, Message: &message.MemberSync{Reply: reply, Complete: whole, Updates: chunk}})
 		reply = false
 	}
 	return sends
--- a/internal/message/frames_test.go
+++ b/internal/message/frames_test.go
@@ -19,7 +19,7 @@
 	return append(samples(),
 		&StoreDigest{Revision: history.At(3, 70000), Configuration: 300, Confirmation: confirmation},
 		&StoreRecords{Since: history.At(2, 5), Revision: history.At(3, 6), Confirmation: confirmation},
-		&MemberSync{Whole: true, Hash: 77},
+		&MemberSync{Complete: true, Hash: 77},
 		&CatalogDocuments{Operation: 9, Documents: [][]byte{{1, 2}, {3}}, Wanted: []ServiceVersion{{Service: "w", Version: 4}}},
 	)
 }
