--- a/internal/gateway/copies_test.go
+++ b/internal/gateway/copies_test.go
@@ -47,7 +47,7 @@
 	for _, key := range slices.Sorted(maps.Keys(s.written)) {
 		record := s.written[key]
 		known, there := s.items[key]
-		if there == record.Gone || !bytes.Equal(known.Value, record.Value) {
+		if there == record.Deleted || !bytes.Equal(known.Value, record.Value) {
 			s.note(record)
 		}
 	}
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -65,7 +65,7 @@
 func (s *fakeStore) put(item gateway.Item) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	record := message.StoreRecord{Key: item.Key, Gone: item.Gone}
+	record := message.StoreRecord{Key: item.Key, Deleted: item.Gone}
 	if !item.Gone {
 		record.Value = fmt.Appendf(nil, "value %d%*s", len(s.meanings)+1, s.padding, "")
 		s.meanings[string(record.Value)] = item
@@ -79,7 +79,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	item := s.meanings[string(record.Value)]
-	item.Key, item.Revision, item.Gone = record.Key, record.Revision, record.Gone
+	item.Key, item.Revision, item.Gone = record.Key, record.Revision, record.Deleted
 	if id, found := strings.CutPrefix(record.Key, "back ends/"); found {
 		known, _ := item.Content.(gateway.BackEnd)
 		item.Content = gateway.BackEnd{ID: id, Entry: known.Entry}
@@ -120,7 +120,7 @@
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
 		if s.items[w.Key].Revision.Number == lease {
-			s.note(message.StoreRecord{Key: w.Key, Gone: true})
+			s.note(message.StoreRecord{Key: w.Key, Deleted: true})
 		}
 	})
 	return true, nil
@@ -132,7 +132,7 @@
 	defer s.mutex.Unlock()
 	s.calls++
 	if s.err == nil {
-		s.note(message.StoreRecord{Key: key, Gone: true})
+		s.note(message.StoreRecord{Key: key, Deleted: true})
 	}
 	return s.err
 }
@@ -141,7 +141,7 @@
 func (s *fakeStore) note(record message.StoreRecord) {
 	s.revision++
 	record.Revision = history.At(s.era, s.revision)
-	if record.Gone {
+	if record.Deleted {
 		delete(s.items, record.Key)
 	} else {
 		s.items[record.Key] = record
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -27,7 +27,7 @@
 // takeChanges takes in what a watch has told. Back ends whose entries are gone are used on until a moment.
 func (g *Gateway) takeChanges(now time.Duration, records []message.StoreRecord, doubt time.Duration) {
 	for _, record := range records {
-		if !record.Gone {
+		if !record.Deleted {
 			g.take(now, record)
 		} else if g.storeCopy.records.Apply(now, record) {
 			g.vanished(now, record.Key, doubt)
@@ -38,7 +38,7 @@
 func countGone(records []message.StoreRecord) int {
 	count := 0
 	for _, record := range records {
-		if record.Gone {
+		if record.Deleted {
 			count++
 		}
 	}
@@ -101,7 +101,7 @@
 	if key == g.storeCopy.configuration.Key {
 		g.storeCopy.keepConfiguration(key, true)
 	}
-	switch content := g.store.Decode(message.StoreRecord{Key: key, Gone: true}).Content.(type) {
+	switch content := g.store.Decode(message.StoreRecord{Key: key, Deleted: true}).Content.(type) {
 	case nil, Configuration:
 	case BackEnd:
 		if content.ID != "" && g.replicas.Remove(now, content.ID, doubt) {
@@ -193,7 +193,7 @@
 	g.enterRestoredEra(now)
 	doubt := c.doubtUntil(now, age, countGone(received.Records)+len(received.Gone), g.replicas.Len())
 	for _, record := range received.Records {
-		if record.Gone {
+		if record.Deleted {
 			g.vanished(now, record.Key, doubt)
 		} else {
 			g.apply(now, record)
--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -181,7 +181,7 @@
 			continue
 		}
 		delete(c.zoneReturns, key)
-		if record, known := c.records.Record(key); !known || record.Gone {
+		if record, known := c.records.Record(key); !known || record.Deleted {
 			keys = append(keys, key)
 		}
 	}
--- a/internal/message/store.go
+++ b/internal/message/store.go
@@ -80,7 +80,7 @@
 type StoreRecord struct {
 	Key      string
 	Revision history.Revision
-	Gone     bool
+	Deleted  bool
 	Value    []byte
 }
 
@@ -112,6 +112,6 @@
 func (c *codec) storeRecord(record *StoreRecord) {
 	c.string(&record.Key)
 	c.revision(&record.Revision)
-	c.bool(&record.Gone)
+	c.bool(&record.Deleted)
 	c.bytes(&record.Value)
 }
--- a/internal/spread/era_test.go
+++ b/internal/spread/era_test.go
@@ -14,7 +14,7 @@
 func inEra(number uint64) *spread.Core {
 	core := spread.New(settings, func(int) []string { return nil })
 	core.Apply(0, message.StoreRecord{Key: "k", Revision: at(number), Value: []byte("later")})
-	core.Apply(0, message.StoreRecord{Key: "gone", Revision: at(number - 1), Gone: true})
+	core.Apply(0, message.StoreRecord{Key: "gone", Revision: at(number - 1), Deleted: true})
 	core.Advance(0, at(number))
 	return core
 }
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -128,17 +128,17 @@
 	}
 	// A restored store tells all that it has, and most of it was known: a back end whose entry tells how much longer it is cold
 	// would be cold anew.
-	same := found && !known.Gone && !record.Gone && bytes.Equal(known.Value, record.Value) &&
+	same := found && !known.Deleted && !record.Deleted && bytes.Equal(known.Value, record.Value) &&
 		record.Revision.Era != known.Revision.Era
 	c.observeEra(now, record.Revision.Era)
 	taken := Record{StoreRecord: record}
-	if record.Gone {
+	if record.Deleted {
 		taken.Value = nil
 		taken.goneAt = now
 	}
 	c.records[record.Key] = taken
-	if record.Gone {
-		return found && !known.Gone
+	if record.Deleted {
+		return found && !known.Deleted
 	}
 	return !same
 }
@@ -147,10 +147,10 @@
 func (c *Core) Listed(now time.Duration, listed map[string]bool, revision history.Revision) []string {
 	var gone []string
 	for key, known := range c.records {
-		if listed[key] || known.Gone || known.Revision.After(revision) {
+		if listed[key] || known.Deleted || known.Revision.After(revision) {
 			continue
 		}
-		c.records[key] = Record{StoreRecord: message.StoreRecord{Key: key, Revision: revision, Gone: true}, goneAt: now}
+		c.records[key] = Record{StoreRecord: message.StoreRecord{Key: key, Revision: revision, Deleted: true}, goneAt: now}
 		gone = append(gone, key)
 	}
 	// What was gone before is not remembered: whoever knows less than this revision must be sent everything.
@@ -267,7 +267,7 @@
 		Kept: c.keptRecords(), Confirmation: c.confirmation(now),
 	}
 	for _, known := range c.records {
-		if reply.Complete && !known.Gone || !reply.Complete && known.Revision.After(m.Revision) {
+		if reply.Complete && !known.Deleted || !reply.Complete && known.Revision.After(m.Revision) {
 			reply.Records = append(reply.Records, known.StoreRecord)
 		}
 	}
@@ -304,7 +304,7 @@
 // forget drops the memory of keys that are gone since long.
 func (c *Core) forget(now time.Duration) {
 	for key, known := range c.records {
-		if known.Gone && now-known.goneAt >= c.settings.KeepGone {
+		if known.Deleted && now-known.goneAt >= c.settings.KeepGone {
 			c.horizon = history.Latest(c.horizon, known.Revision)
 			delete(c.records, key)
 		}
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -77,7 +77,7 @@
 
 // change writes or removes a key in the store.
 func (w *world) change(key string, gone bool) {
-	record := message.StoreRecord{Key: key, Revision: history.At(w.era, uint64(len(w.history)+1)), Gone: gone, Value: []byte(fmt.Sprint(len(w.history)))}
+	record := message.StoreRecord{Key: key, Revision: history.At(w.era, uint64(len(w.history)+1)), Deleted: gone, Value: []byte(fmt.Sprint(len(w.history)))}
 	if gone {
 		record.Value = nil
 	}
@@ -100,7 +100,7 @@
 func (w *world) list(n *node) {
 	listed := map[string]bool{}
 	for key, record := range w.records {
-		if !record.Gone {
+		if !record.Deleted {
 			listed[key] = true
 			n.core.Apply(w.now, record)
 		}
@@ -185,7 +185,7 @@
 		t.Error("a first record is not taken")
 	}
 	for _, revision := range []uint64{3, 5} {
-		if core.Apply(0, message.StoreRecord{Key: "k", Revision: at(revision), Gone: revision == 3}) {
+		if core.Apply(0, message.StoreRecord{Key: "k", Revision: at(revision), Deleted: revision == 3}) {
 			t.Errorf("revision %d replaces 5", revision)
 		}
 	}
@@ -309,12 +309,12 @@
 	}
 	held := map[string]message.StoreRecord{}
 	for _, record := range n.core.Records() {
-		if !record.Gone {
+		if !record.Deleted {
 			held[record.Key] = record
 		}
 	}
 	for key, record := range w.records {
-		if known, found := held[key]; found == record.Gone || (found && known.Revision != record.Revision) {
+		if known, found := held[key]; found == record.Deleted || (found && known.Revision != record.Revision) {
 			rt.Fatalf("node %s holds %+v of %s, the store %+v", n.name, known, key, record)
 		}
 	}
