--- a/internal/message/message_test.go
+++ b/internal/message/message_test.go
@@ -33,7 +33,7 @@
 		&ForwardReply{Sequence: 1, Code: "C", NotRun: true, Text: "t", RetryAfterMilliseconds: 1, Shard: 2, Result: []byte("r")},
 		&VersionRequest{Sequence: 1, Service: "s"}, &VersionReply{Sequence: 1, Versions: []ServiceVersion{{Service: "s", Version: 2}}},
 		&Hello{Address: "a"}, &StoreDigest{Revision: history.At(1, 1), Configuration: 3}, &StoreRequest{Revision: history.At(1, 2)},
-		&StoreRecords{Since: history.At(1, 1), Revision: history.At(1, 3), Complete: true, Records: []StoreRecord{{Key: "k", Revision: history.At(1, 2), Deleted: true, Value: []byte("v")}}, Kept: []StoreRecord{{Key: "c", Revision: history.At(1, 9), Value: []byte("w")}}},
+		&StoreRecords{Since: history.At(1, 1), Revision: history.At(1, 3), Complete: true, Records: []StoreRecord{{Key: "k", Revision: history.At(1, 2), Deleted: true, Value: []byte("v")}}, Retained: []StoreRecord{{Key: "c", Revision: history.At(1, 9), Value: []byte("w")}}},
 		&Evidence{Requests: []RequestEvidence{{
 			Mark: [16]byte{1, 15: 2}, Wide: true, Runs: []EndedRun{{Service: "s", BackEnd: "b", Version: "v", BeganMs: 3, EndedMs: 4}}, Answered: true, AnsweredMs: 5,
 			QuarantinedMs: 6, HeldMs: 7, Versions: []string{"v"}, Sound: []string{"w"}, Askers: [][16]byte{{3}},
--- a/internal/message/store.go
+++ b/internal/message/store.go
@@ -93,8 +93,8 @@
 	// Complete: the records are all there are, and not only what has changed since the revision that was asked for.
 	Complete bool
 	Records  []StoreRecord
-	// Kept are items that the sender goes by though the store, back from a copy, says otherwise now.
-	Kept []StoreRecord
+	// Retained are items that the sender goes by though the store, back from a copy, says otherwise now.
+	Retained []StoreRecord
 	Confirmation
 }
 
@@ -105,7 +105,7 @@
 	c.revision(&m.Revision)
 	c.bool(&m.Complete)
 	list(c, &m.Records, (*codec).storeRecord)
-	list(c, &m.Kept, (*codec).storeRecord)
+	list(c, &m.Retained, (*codec).storeRecord)
 	m.Confirmation.fields(c)
 }
 
--- a/internal/spread/era_test.go
+++ b/internal/spread/era_test.go
@@ -131,7 +131,7 @@
 	}
 	ahead.Unkeep("configuration")
 	reply = ahead.Receive(now, "another", &message.StoreRequest{}, true).Sends
-	if len(reply[0].Message.(*message.StoreRecords).Kept) != 0 {
+	if len(reply[0].Message.(*message.StoreRecords).Retained) != 0 {
 		t.Error("what the store says again is told as kept")
 	}
 }
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -264,7 +264,7 @@
 	}
 	reply := &message.StoreRecords{
 		Since: m.Revision, Revision: c.revision, Complete: m.Revision.Before(c.horizon) || m.Revision.Unknown(),
-		Kept: c.keptRecords(), Confirmation: c.confirmation(now),
+		Retained: c.keptRecords(), Confirmation: c.confirmation(now),
 	}
 	for _, known := range c.records {
 		if reply.Complete && !known.Deleted || !reply.Complete && known.Revision.After(m.Revision) {
@@ -276,7 +276,7 @@
 }
 
 func (c *Core) receiveRecords(now time.Duration, from string, m *message.StoreRecords) Received {
-	received := Received{Kept: m.Kept}
+	received := Received{Kept: m.Retained}
 	c.receiveConfirmation(now, m.Revision, m.Confirmation)
 	c.askedUntil = 0
 	listed := make(map[string]bool, len(m.Records))
