--- a/internal/message/evidence.go
+++ b/internal/message/evidence.go
@@ -11,8 +11,8 @@
 type RequestEvidence struct {
 	// Mark of the request; 16 bytes.
 	Mark [16]byte
-	// Wide: the mark is one of many different requests, such as those of a caller.
-	Wide bool
+	// Shared: the mark is one of many different requests, such as those of a caller.
+	Shared bool
 	// Runs whose back ends ended, none of which was answered since.
 	Runs []EndedRun
 	// Answered: a back end has answered the request, AnsweredMs ago.
@@ -42,7 +42,7 @@
 func (m *Evidence) fields(c *codec) {
 	list(c, &m.Requests, func(c *codec, r *RequestEvidence) {
 		c.fixed(&r.Mark)
-		c.bool(&r.Wide)
+		c.bool(&r.Shared)
 		list(c, &r.Runs, func(c *codec, run *EndedRun) {
 			c.string(&run.Service)
 			c.string(&run.BackEnd)
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -61,7 +61,7 @@
 
 func (r *record) evidence(now clock.Ms) message.RequestEvidence {
 	sent := message.RequestEvidence{
-		Mark: r.mark, QuarantinedMs: age(r.until - now), Versions: r.versions, Sound: r.sound, Answered: r.answered, Wide: r.wide,
+		Mark: r.mark, QuarantinedMs: age(r.until - now), Versions: r.versions, Sound: r.sound, Answered: r.answered, Shared: r.wide,
 	}
 	for _, asker := range r.askers {
 		sent.Askers = append(sent.Askers, asker)
@@ -97,7 +97,7 @@
 		return
 	}
 	r := c.recordOf(now, mark)
-	r.wide, r.shared = sent.Wide, true
+	r.wide, r.shared = sent.Shared, true
 	before := r.quarantined(now)
 	news := r.receiveAnswer(now, sent)
 	news = c.receiveRuns(now, r, sent) || news
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -286,7 +286,7 @@
 		ms := rapid.Uint32()
 		drawn := rapid.Custom(func(t *rapid.T) message.RequestEvidence {
 			evidence := message.RequestEvidence{
-				Mark: [16]byte{rapid.Byte().Draw(t, "mark")}, Wide: rapid.Bool().Draw(t, "wide"), Answered: rapid.Bool().Draw(t, "answered"),
+				Mark: [16]byte{rapid.Byte().Draw(t, "mark")}, Shared: rapid.Bool().Draw(t, "wide"), Answered: rapid.Bool().Draw(t, "answered"),
 				AnsweredMs: ms.Draw(t, "answered ago"), QuarantinedMs: ms.Draw(t, "left"), Versions: rapid.SliceOf(text).Draw(t, "versions"),
 			}
 			for range rapid.IntRange(0, 30).Draw(t, "runs") {
