--- a/internal/message/evidence.go
+++ b/internal/message/evidence.go
@@ -18,9 +18,9 @@
 	// Answered: a back end has answered the request, AnsweredMs ago.
 	Answered   bool
 	AnsweredMs uint32
-	// QuarantinedMs is how much longer the request is kept from back ends, 0 where it is not; HeldMs for how long it has been.
-	QuarantinedMs uint32
-	HeldMs        uint32
+	// QuarantineRemainingMs is how much longer the request is kept from back ends, 0 where it is not; HeldMs for how long it has been.
+	QuarantineRemainingMs uint32
+	HeldMs                uint32
 	// Versions of the back ends' software that the request ended, sound ones that answer it.
 	Versions []string
 	Sound    []string
@@ -52,7 +52,7 @@
 		})
 		c.bool(&r.Answered)
 		c.uint32(&r.AnsweredMs)
-		c.uint32(&r.QuarantinedMs)
+		c.uint32(&r.QuarantineRemainingMs)
 		c.uint32(&r.HeldMs)
 		list(c, &r.Versions, (*codec).string)
 		list(c, &r.Sound, (*codec).string)
@@ -74,7 +74,7 @@
 		r.Runs = runs
 		r.AnsweredMs += later
 		r.HeldMs += later
-		r.QuarantinedMs -= min(r.QuarantinedMs, later)
+		r.QuarantineRemainingMs -= min(r.QuarantineRemainingMs, later)
 		older.Requests[i] = r
 	}
 	return older
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -61,12 +61,12 @@
 
 func (r *record) evidence(now clock.Ms) message.RequestEvidence {
 	sent := message.RequestEvidence{
-		Mark: r.mark, QuarantinedMs: age(r.until - now), Versions: r.versions, Sound: r.sound, Answered: r.answered, Shared: r.wide,
+		Mark: r.mark, QuarantineRemainingMs: age(r.until - now), Versions: r.versions, Sound: r.sound, Answered: r.answered, Shared: r.wide,
 	}
 	for _, asker := range r.askers {
 		sent.Askers = append(sent.Askers, asker)
 	}
-	if sent.QuarantinedMs > 0 {
+	if sent.QuarantineRemainingMs > 0 {
 		sent.HeldMs = age(now - r.quarantinedAt)
 	}
 	if r.answered {
@@ -93,7 +93,7 @@
 
 func (c *Core) receive(now clock.Ms, sent *message.RequestEvidence, change *Change) {
 	mark := Mark(sent.Mark)
-	if c.records[mark] == nil && len(sent.Runs) == 0 && sent.QuarantinedMs == 0 {
+	if c.records[mark] == nil && len(sent.Runs) == 0 && sent.QuarantineRemainingMs == 0 {
 		return
 	}
 	r := c.recordOf(now, mark)
@@ -154,10 +154,10 @@
 
 // receiveQuarantine takes in that the request is under quarantine elsewhere, and reports whether it was not so here.
 func (r *record) receiveQuarantine(now clock.Ms, sent *message.RequestEvidence) (news bool) {
-	quarantinedAt, until := now-clock.Ms(sent.HeldMs), now+clock.Ms(min(sent.QuarantinedMs, uint32(longestAge)))
+	quarantinedAt, until := now-clock.Ms(sent.HeldMs), now+clock.Ms(min(sent.QuarantineRemainingMs, uint32(longestAge)))
 	// An answer after the beginning has ended it, whoever has not heard of that yet.
 	over := r.answered && r.answeredAt >= quarantinedAt
-	if sent.QuarantinedMs > 0 && until > r.until+sameMoment && !over {
+	if sent.QuarantineRemainingMs > 0 && until > r.until+sameMoment && !over {
 		news = r.until <= now
 		r.quarantinedAt, r.until, r.lifted = quarantinedAt, until, false
 	}
