--- a/internal/message/evidence.go
+++ b/internal/message/evidence.go
@@ -20,7 +20,7 @@
 	AnsweredMs uint32
 	// QuarantineRemainingMs is how much longer the request is kept from back ends, 0 where it is not; HeldMs for how long it has been.
 	QuarantineRemainingMs uint32
-	HeldMs                uint32
+	QuarantinedForMs      uint32
 	// Versions of the back ends' software that the request ended, sound ones that answer it.
 	Versions []string
 	Sound    []string
@@ -53,7 +53,7 @@
 		c.bool(&r.Answered)
 		c.uint32(&r.AnsweredMs)
 		c.uint32(&r.QuarantineRemainingMs)
-		c.uint32(&r.HeldMs)
+		c.uint32(&r.QuarantinedForMs)
 		list(c, &r.Versions, (*codec).string)
 		list(c, &r.Sound, (*codec).string)
 		list(c, &r.Askers, func(c *codec, asker *[16]byte) { c.fixed(asker) })
@@ -73,7 +73,7 @@
 		}
 		r.Runs = runs
 		r.AnsweredMs += later
-		r.HeldMs += later
+		r.QuarantinedForMs += later
 		r.QuarantineRemainingMs -= min(r.QuarantineRemainingMs, later)
 		older.Requests[i] = r
 	}
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -67,7 +67,7 @@
 		sent.Askers = append(sent.Askers, asker)
 	}
 	if sent.QuarantineRemainingMs > 0 {
-		sent.HeldMs = age(now - r.quarantinedAt)
+		sent.QuarantinedForMs = age(now - r.quarantinedAt)
 	}
 	if r.answered {
 		sent.AnsweredMs = age(now - r.answeredAt)
@@ -154,7 +154,7 @@
 
 // receiveQuarantine takes in that the request is under quarantine elsewhere, and reports whether it was not so here.
 func (r *record) receiveQuarantine(now clock.Ms, sent *message.RequestEvidence) (news bool) {
-	quarantinedAt, until := now-clock.Ms(sent.HeldMs), now+clock.Ms(min(sent.QuarantineRemainingMs, uint32(longestAge)))
+	quarantinedAt, until := now-clock.Ms(sent.QuarantinedForMs), now+clock.Ms(min(sent.QuarantineRemainingMs, uint32(longestAge)))
 	// An answer after the beginning has ended it, whoever has not heard of that yet.
 	over := r.answered && r.answeredAt >= quarantinedAt
 	if sent.QuarantineRemainingMs > 0 && until > r.until+sameMoment && !over {
