--- a/internal/message/evidence.go
+++ b/internal/message/evidence.go
@@ -16,8 +16,8 @@
 	// Runs whose back ends ended, none of which was answered since.
 	Runs []EndedRun
 	// Answered: a back end has answered the request, AnsweredMs ago.
-	Answered   bool
-	AnsweredMs uint32
+	Answered      bool
+	AnsweredAgoMs uint32
 	// QuarantineRemainingMs is how much longer the request is kept from back ends, 0 where it is not; HeldMs for how long it has been.
 	QuarantineRemainingMs uint32
 	QuarantinedForMs      uint32
@@ -51,7 +51,7 @@
 			c.uint32(&run.EndedMs)
 		})
 		c.bool(&r.Answered)
-		c.uint32(&r.AnsweredMs)
+		c.uint32(&r.AnsweredAgoMs)
 		c.uint32(&r.QuarantineRemainingMs)
 		c.uint32(&r.QuarantinedForMs)
 		list(c, &r.Versions, (*codec).string)
@@ -72,7 +72,7 @@
 			runs[n] = run
 		}
 		r.Runs = runs
-		r.AnsweredMs += later
+		r.AnsweredAgoMs += later
 		r.QuarantinedForMs += later
 		r.QuarantineRemainingMs -= min(r.QuarantineRemainingMs, later)
 		older.Requests[i] = r
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -70,7 +70,7 @@
 		sent.QuarantinedForMs = age(now - r.quarantinedAt)
 	}
 	if r.answered {
-		sent.AnsweredMs = age(now - r.answeredAt)
+		sent.AnsweredAgoMs = age(now - r.answeredAt)
 	}
 	for _, run := range r.runs[max(0, len(r.runs)-mostRunsSent):] {
 		sent.Runs = append(sent.Runs, message.EndedRun{
@@ -118,7 +118,7 @@
 
 // receiveAnswer takes in that a back end answered the request, and reports whether that changes anything.
 func (r *record) receiveAnswer(now clock.Ms, sent *message.RequestEvidence) (news bool) {
-	answeredAt := now - clock.Ms(sent.AnsweredMs)
+	answeredAt := now - clock.Ms(sent.AnsweredAgoMs)
 	if !sent.Answered || r.answered && answeredAt <= r.answeredAt+sameMoment {
 		return false
 	}
