--- a/internal/message/evidence.go
+++ b/internal/message/evidence.go
@@ -22,8 +22,8 @@
 	QuarantineRemainingMs uint32
 	QuarantinedForMs      uint32
 	// Versions of the back ends' software that the request ended, sound ones that answer it.
-	Versions []string
-	Sound    []string
+	Versions      []string
+	SoundVersions []string
 	// Askers are the marks of those who asked when it ended back ends.
 	Askers [][16]byte
 }
@@ -55,7 +55,7 @@
 		c.uint32(&r.QuarantineRemainingMs)
 		c.uint32(&r.QuarantinedForMs)
 		list(c, &r.Versions, (*codec).string)
-		list(c, &r.Sound, (*codec).string)
+		list(c, &r.SoundVersions, (*codec).string)
 		list(c, &r.Askers, func(c *codec, asker *[16]byte) { c.fixed(asker) })
 	})
 }
