--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -61,7 +61,7 @@
 
 func (r *record) evidence(now clock.Ms) message.RequestEvidence {
 	sent := message.RequestEvidence{
-		Mark: r.mark, QuarantineRemainingMs: age(r.until - now), Versions: r.versions, SoundVersions: r.sound, Answered: r.answered, Shared: r.wide,
+		Mark: r.mark, QuarantineRemainingMs: age(r.until - now), EndedVersions: r.versions, SoundVersions: r.sound, Answered: r.answered, Shared: r.wide,
 	}
 	for _, asker := range r.askers {
 		sent.Askers = append(sent.Askers, asker)
@@ -149,7 +149,7 @@
 	for _, asker := range sent.Askers[:min(len(sent.Askers), mostAskers)] {
 		r.addAskers(asker)
 	}
-	r.versions = appendAll(r.versions, sent.Versions)
+	r.versions = appendAll(r.versions, sent.EndedVersions)
 }
 
 // receiveQuarantine takes in that the request is under quarantine elsewhere, and reports whether it was not so here.
