--- a/internal/message/evidence.go
+++ b/internal/message/evidence.go
@@ -30,11 +30,11 @@
 
 // EndedRun is a run of a request at a back end that ended meanwhile.
 type EndedRun struct {
-	Service string
-	BackEnd string
-	Version string
-	BeganMs uint32
-	EndedMs uint32
+	Service      string
+	BackEnd      string
+	Version      string
+	StartedAgoMs uint32
+	EndedMs      uint32
 }
 
 // Kind implements Message.
@@ -47,7 +47,7 @@
 			c.string(&run.Service)
 			c.string(&run.BackEnd)
 			c.string(&run.Version)
-			c.uint32(&run.BeganMs)
+			c.uint32(&run.StartedAgoMs)
 			c.uint32(&run.EndedMs)
 		})
 		c.bool(&r.Answered)
@@ -67,7 +67,7 @@
 	for i, r := range m.Requests {
 		runs := make([]EndedRun, len(r.Runs))
 		for n, run := range r.Runs {
-			run.BeganMs += later
+			run.StartedAgoMs += later
 			run.EndedMs += later
 			runs[n] = run
 		}
