--- a/internal/message/evidence.go
+++ b/internal/message/evidence.go
@@ -34,7 +34,7 @@
 	BackEnd      string
 	Version      string
 	StartedAgoMs uint32
-	EndedMs      uint32
+	EndedAgoMs   uint32
 }
 
 // Kind implements Message.
@@ -48,7 +48,7 @@
 			c.string(&run.BackEnd)
 			c.string(&run.Version)
 			c.uint32(&run.StartedAgoMs)
-			c.uint32(&run.EndedMs)
+			c.uint32(&run.EndedAgoMs)
 		})
 		c.bool(&r.Answered)
 		c.uint32(&r.AnsweredAgoMs)
@@ -68,7 +68,7 @@
 		runs := make([]EndedRun, len(r.Runs))
 		for n, run := range r.Runs {
 			run.StartedAgoMs += later
-			run.EndedMs += later
+			run.EndedAgoMs += later
 			runs[n] = run
 		}
 		r.Runs = runs
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -291,7 +291,7 @@
 			}
 			for range rapid.IntRange(0, 30).Draw(t, "runs") {
 				evidence.Runs = append(evidence.Runs, message.EndedRun{
-					Service: text.Draw(t, "service"), BackEnd: text.Draw(t, "back end"), StartedAgoMs: ms.Draw(t, "began"), EndedMs: ms.Draw(t, "ended"),
+					Service: text.Draw(t, "service"), BackEnd: text.Draw(t, "back end"), StartedAgoMs: ms.Draw(t, "began"), EndedAgoMs: ms.Draw(t, "ended"),
 				})
 			}
 			return evidence
