--- a/internal/healthreport/healthreport_test.go
+++ b/internal/healthreport/healthreport_test.go
@@ -122,7 +122,7 @@
 	for why, bad := range map[string]message.BackEndReport{
 		"older":      {BackEnd: 1, Slowdown: 16, AgeMs: 500},
 		"very old":   {BackEnd: 2, Slowdown: 136, AgeMs: 2500},
-		"impossible": {BackEnd: 3, Slowdown: 136, Faults: 200},
+		"impossible": {BackEnd: 3, Slowdown: 136, FailurePercent: 200},
 		"too slow":   {BackEnd: 4, Slowdown: 60000},
 	} {
 		if hear(bad) {
--- a/internal/message/reports.go
+++ b/internal/message/reports.go
@@ -17,8 +17,8 @@
 	BackEnd uint64
 	// Slowdown is how long work takes there, in sixteenths of the usual.
 	Slowdown uint16
-	// Faults is the share of attempts that failed, in hundredths.
-	Faults uint8
+	// FailurePercent is the share of attempts that failed, in hundredths.
+	FailurePercent uint8
 	// AgeMs is how long ago that was met, in milliseconds.
 	AgeMs uint16
 }
