--- a/internal/healthreport/healthreport.go
+++ b/internal/healthreport/healthreport.go
@@ -101,7 +101,7 @@
 		age := clock.Ms(received.AgeMs)
 		r := Report{
 			BackEnd:  received.BackEnd,
-			Slowdown: float64(received.Slowdown) / slowdownUnit,
+			Slowdown: float64(received.SlowdownSixteenths) / slowdownUnit,
 			Faults:   float64(received.FailurePercent) / faultUnit,
 			SeenAt:   now - age,
 		}
@@ -143,10 +143,10 @@
 	for _, id := range c.pending[:count] {
 		r := c.latest[id].report
 		m.Reports = append(m.Reports, message.BackEndReport{
-			BackEnd:        id,
-			Slowdown:       uint16(math.Round(slowdownUnit * min(max(r.Slowdown, 0), maximumSlowdown))),
-			FailurePercent: uint8(math.Round(faultUnit * r.Faults)),
-			AgeMs:          uint16(min(max(now-r.SeenAt, 0), maximumAge)),
+			BackEnd:            id,
+			SlowdownSixteenths: uint16(math.Round(slowdownUnit * min(max(r.Slowdown, 0), maximumSlowdown))),
+			FailurePercent:     uint8(math.Round(faultUnit * r.Faults)),
+			AgeMs:              uint16(min(max(now-r.SeenAt, 0), maximumAge)),
 		})
 	}
 	c.pending = slices.Delete(c.pending, 0, count)
--- a/internal/healthreport/healthreport_test.go
+++ b/internal/healthreport/healthreport_test.go
@@ -115,21 +115,21 @@
 	hear := func(r message.BackEndReport) bool {
 		return len(c.Receive(now, &message.BackEndReports{Reports: []message.BackEndReport{r}})) > 0
 	}
-	good := message.BackEndReport{BackEnd: 1, Slowdown: 136, AgeMs: 100}
+	good := message.BackEndReport{BackEnd: 1, SlowdownSixteenths: 136, AgeMs: 100}
 	if !hear(good) || hear(good) {
 		t.Error("a report is news once")
 	}
 	for why, bad := range map[string]message.BackEndReport{
-		"older":      {BackEnd: 1, Slowdown: 16, AgeMs: 500},
-		"very old":   {BackEnd: 2, Slowdown: 136, AgeMs: 2500},
-		"impossible": {BackEnd: 3, Slowdown: 136, FailurePercent: 200},
-		"too slow":   {BackEnd: 4, Slowdown: 60000},
+		"older":      {BackEnd: 1, SlowdownSixteenths: 16, AgeMs: 500},
+		"very old":   {BackEnd: 2, SlowdownSixteenths: 136, AgeMs: 2500},
+		"impossible": {BackEnd: 3, SlowdownSixteenths: 136, FailurePercent: 200},
+		"too slow":   {BackEnd: 4, SlowdownSixteenths: 60000},
 	} {
 		if hear(bad) {
 			t.Errorf("a report that is %s is believed", why)
 		}
 	}
-	if !hear(message.BackEndReport{BackEnd: 1, Slowdown: 16, AgeMs: 20}) {
+	if !hear(message.BackEndReport{BackEnd: 1, SlowdownSixteenths: 16, AgeMs: 20}) {
 		t.Error("a newer report that says otherwise is not believed")
 	}
 }
--- a/internal/message/message_test.go
+++ b/internal/message/message_test.go
@@ -38,7 +38,7 @@
 			Mark: [16]byte{1, 15: 2}, Shared: true, Runs: []EndedRun{{Service: "s", BackEnd: "b", Version: "v", StartedAgoMs: 3, EndedAgoMs: 4}}, Answered: true, AnsweredAgoMs: 5,
 			QuarantineRemainingMs: 6, QuarantinedForMs: 7, EndedVersions: []string{"v"}, SoundVersions: []string{"w"}, CallerMarks: [][16]byte{{3}},
 		}}},
-		&BackEndReports{Reports: []BackEndReport{{BackEnd: 1 << 60, Slowdown: 136, FailurePercent: 45, AgeMs: 200}}},
+		&BackEndReports{Reports: []BackEndReport{{BackEnd: 1 << 60, SlowdownSixteenths: 136, FailurePercent: 45, AgeMs: 200}}},
 	}
 }
 
--- a/internal/message/reports.go
+++ b/internal/message/reports.go
@@ -15,8 +15,8 @@
 type BackEndReport struct {
 	// BackEnd is the hash of its id.
 	BackEnd uint64
-	// Slowdown is how long work takes there, in sixteenths of the usual.
-	Slowdown uint16
+	// SlowdownSixteenths is how long work takes there, in sixteenths of the usual.
+	SlowdownSixteenths uint16
 	// FailurePercent is the share of attempts that failed, in hundredths.
 	FailurePercent uint8
 	// AgeMs is how long ago that was met, in milliseconds.
