--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -20,8 +20,8 @@
 	Unavailable FailureKind = iota + 1
 	// Throttled: too many calls.
 	Throttled
-	// Silent: a watch was ended that had told nothing for too long.
-	Silent
+	// WatchTimedOut: a watch was ended that had told nothing for too long.
+	WatchTimedOut
 	// HistoryLost: the store no longer knows the changes since the revision asked for.
 	HistoryLost
 	// Outdated: an answer was of an earlier era than is known.
--- a/internal/gateway/store_reading.go
+++ b/internal/gateway/store_reading.go
@@ -178,7 +178,7 @@
 func (g *Gateway) watchWasSilent(err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.log.StoreLost(follow.Silent, failure.From(err), g.storeCopy.reader.ContactAge(g.now()))
+	g.log.StoreLost(follow.WatchTimedOut, failure.From(err), g.storeCopy.reader.ContactAge(g.now()))
 }
 
 // callFailed takes in that a call to the store failed, unless this node ends.
