--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -24,8 +24,8 @@
 	WatchTimedOut
 	// HistoryLost: the store no longer knows the changes since the revision asked for.
 	HistoryLost
-	// Outdated: an answer was of an earlier era than is known.
-	Outdated
+	// EarlierEra: an answer was of an earlier era than is known.
+	EarlierEra
 )
 
 // String names the trouble in logs.
@@ -312,7 +312,7 @@
 // outdated takes in an answer of an earlier era than was known when it was asked for or has become known since.
 func (c *Core) outdated(now time.Duration) {
 	c.relist()
-	c.Failed(now, Outdated)
+	c.Failed(now, EarlierEra)
 }
 
 // relist has the next call begin a new listing.
