--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -35,10 +35,10 @@
 
 // Settings of the reading.
 type Settings struct {
-	// WatchFor is how long a watch waits for a change. The silence of a watch proves nothing: a store that drops its history
+	// WatchDuration is how long a watch waits for a change. The silence of a watch proves nothing: a store that drops its history
 	// may cut it without a word, and only the next one says that a change was missed. So it is kept shorter than the time
 	// in which changes must be in force.
-	WatchFor time.Duration
+	WatchDuration time.Duration
 	// CoalesceFor is the pause after changes came, so that changes close to each other cost one call.
 	CoalesceFor time.Duration
 	// FirstBackoff and LongestBackoff bound the pause after trouble.
@@ -267,7 +267,7 @@
 // watchFor is the time until this node's next turn, by a clock that nodes share well enough for that.
 func (c *Core) watchFor(clock time.Duration, state CopyState) time.Duration {
 	if c.period == 0 || state.PeersSilent {
-		return c.settings.WatchFor
+		return c.settings.WatchDuration
 	}
 	wait := c.period - (clock-c.phase)%c.period
 	if wait < minimumWatch {
@@ -282,7 +282,7 @@
 	if c.failures > 0 {
 		return false
 	}
-	return c.contactAt < 0 || now-c.contactAt < max(c.settings.WatchFor, c.period)+c.settings.CoalesceFor+c.settings.LongestBackoff
+	return c.contactAt < 0 || now-c.contactAt < max(c.settings.WatchDuration, c.period)+c.settings.CoalesceFor+c.settings.LongestBackoff
 }
 
 // Failed takes in that a call went wrong.
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -10,7 +10,7 @@
 )
 
 var settings = follow.Settings{
-	WatchFor: 2 * time.Second, CoalesceFor: time.Second,
+	WatchDuration: 2 * time.Second, CoalesceFor: time.Second,
 	FirstBackoff: 100 * time.Millisecond, LongestBackoff: time.Second,
 	FirstTimeout: time.Second, LongestTimeout: 4 * time.Second, PollTimeout: 600 * time.Millisecond,
 }
@@ -45,7 +45,7 @@
 	if !core.Page(0, "d", at(9), false) {
 		t.Error("the last page ends the listing")
 	}
-	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Watch || call.Revision != at(7) || call.For != settings.WatchFor {
+	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Watch || call.Revision != at(7) || call.For != settings.WatchDuration {
 		t.Errorf("goes on with %+v: changes between the pages would be missed", call)
 	}
 }
@@ -152,7 +152,7 @@
 	if call := core.Next(time.Second, stale); call.Timeout != 2*settings.PollTimeout {
 		t.Errorf("stale, after a failure: %+v", call)
 	}
-	if call := core.Next(time.Second, follow.CopyState{PeersSilent: true}); call.For != settings.WatchFor {
+	if call := core.Next(time.Second, follow.CopyState{PeersSilent: true}); call.For != settings.WatchDuration {
 		t.Errorf("alone: %+v", call)
 	}
 	if call := core.Next(time.Second, follow.CopyState{}); call.For != 59*time.Second {
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -161,8 +161,8 @@
 
 func followSettings(waits Waits) follow.Settings {
 	return follow.Settings{
-		WatchFor:    clock.Ms(watchPart * float64(waits.StaleAfter)).Duration(),
-		CoalesceFor: coalesceFor, FirstBackoff: firstBackoff, LongestBackoff: longestBackoff,
+		WatchDuration: clock.Ms(watchPart * float64(waits.StaleAfter)).Duration(),
+		CoalesceFor:   coalesceFor, FirstBackoff: firstBackoff, LongestBackoff: longestBackoff,
 		FirstTimeout: firstTimeout, LongestTimeout: longestTimeout, PollTimeout: waits.PollTimeout.Duration(),
 	}
 }
