--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -39,8 +39,8 @@
 	// may cut it without a word, and only the next one says that a change was missed. So it is kept shorter than the time
 	// in which changes must be in force.
 	WatchDuration time.Duration
-	// CoalesceFor is the pause after changes came, so that changes close to each other cost one call.
-	CoalesceFor time.Duration
+	// CoalesceDelay is the pause after changes came, so that changes close to each other cost one call.
+	CoalesceDelay time.Duration
 	// FirstBackoff and LongestBackoff bound the pause after trouble.
 	FirstBackoff   time.Duration
 	LongestBackoff time.Duration
@@ -223,7 +223,7 @@
 	c.historyLost = false
 	c.revision = history.Latest(c.revision, at)
 	if count > 0 {
-		c.pause, c.coalescing = c.settings.CoalesceFor, true
+		c.pause, c.coalescing = c.settings.CoalesceDelay, true
 	}
 	return true
 }
@@ -282,7 +282,7 @@
 	if c.failures > 0 {
 		return false
 	}
-	return c.contactAt < 0 || now-c.contactAt < max(c.settings.WatchDuration, c.period)+c.settings.CoalesceFor+c.settings.LongestBackoff
+	return c.contactAt < 0 || now-c.contactAt < max(c.settings.WatchDuration, c.period)+c.settings.CoalesceDelay+c.settings.LongestBackoff
 }
 
 // Failed takes in that a call went wrong.
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -10,7 +10,7 @@
 )
 
 var settings = follow.Settings{
-	WatchDuration: 2 * time.Second, CoalesceFor: time.Second,
+	WatchDuration: 2 * time.Second, CoalesceDelay: time.Second,
 	FirstBackoff: 100 * time.Millisecond, LongestBackoff: time.Second,
 	FirstTimeout: time.Second, LongestTimeout: 4 * time.Second, PollTimeout: 600 * time.Millisecond,
 }
@@ -54,7 +54,7 @@
 func TestChangesAreCoalesced(t *testing.T) {
 	core := listed(t)
 	core.Changes(0, core.Revision(), at(9), 2)
-	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Coalesce || call.For != settings.CoalesceFor {
+	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Coalesce || call.For != settings.CoalesceDelay {
 		t.Errorf("after changes: %+v", call)
 	}
 	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Watch || call.Revision != at(9) {
@@ -166,14 +166,14 @@
 	core := listed(t)
 	core.TakeTurns(10*time.Second, 0)
 	for _, c := range []struct{ clock, pause time.Duration }{
-		{2 * time.Second, settings.CoalesceFor}, {9600 * time.Millisecond, 400 * time.Millisecond}, {8900 * time.Millisecond, 1100 * time.Millisecond},
+		{2 * time.Second, settings.CoalesceDelay}, {9600 * time.Millisecond, 400 * time.Millisecond}, {8900 * time.Millisecond, 1100 * time.Millisecond},
 	} {
 		core.Changes(0, core.Revision(), at(9), 1)
 		if call := core.Next(c.clock, follow.CopyState{}); call.Kind != follow.Coalesce || call.For != c.pause {
 			t.Errorf("at %v: %+v, want a pause of %v", c.clock, call, c.pause)
 		}
 		call := core.Next(c.clock+c.pause, follow.CopyState{})
-		if look := call.For <= 10*time.Millisecond; call.Kind != follow.Watch || look != (c.pause != settings.CoalesceFor) {
+		if look := call.For <= 10*time.Millisecond; call.Kind != follow.Watch || look != (c.pause != settings.CoalesceDelay) {
 			t.Errorf("at %v, after the pause: %+v", c.clock, call)
 		}
 	}
