--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -41,8 +41,8 @@
 	WatchDuration time.Duration
 	// CoalesceDelay is the pause after changes came, so that changes close to each other cost one call.
 	CoalesceDelay time.Duration
-	// FirstBackoff and LongestBackoff bound the pause after trouble.
-	FirstBackoff   time.Duration
+	// InitialBackoff and LongestBackoff bound the pause after trouble.
+	InitialBackoff time.Duration
 	LongestBackoff time.Duration
 	// FirstTimeout and LongestTimeout bound the wait for the answer to a listing, and to a watch beyond the time that it waits for
 	// changes.
@@ -298,7 +298,7 @@
 	}
 	c.failures = min(c.failures+1, maximumFailures)
 	if c.backoff == 0 {
-		c.backoff = c.settings.FirstBackoff
+		c.backoff = c.settings.InitialBackoff
 	} else {
 		c.backoff = min(2*c.backoff, c.settings.LongestBackoff)
 	}
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -11,7 +11,7 @@
 
 var settings = follow.Settings{
 	WatchDuration: 2 * time.Second, CoalesceDelay: time.Second,
-	FirstBackoff: 100 * time.Millisecond, LongestBackoff: time.Second,
+	InitialBackoff: 100 * time.Millisecond, LongestBackoff: time.Second,
 	FirstTimeout: time.Second, LongestTimeout: 4 * time.Second, PollTimeout: 600 * time.Millisecond,
 }
 
@@ -113,7 +113,7 @@
 		}
 		core.Changes(time.Second, core.Revision(), at(8), 0)
 		core.Failed(time.Second, follow.Throttled)
-		if call := core.Next(0, follow.CopyState{}); call.For != settings.FirstBackoff {
+		if call := core.Next(0, follow.CopyState{}); call.For != settings.InitialBackoff {
 			t.Errorf("the pause does not begin anew after an answer: %+v", call)
 		}
 	})
