--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -43,7 +43,7 @@
 	CoalesceDelay time.Duration
 	// InitialBackoff and LongestBackoff bound the pause after trouble.
 	InitialBackoff time.Duration
-	LongestBackoff time.Duration
+	MaximumBackoff time.Duration
 	// FirstTimeout and LongestTimeout bound the wait for the answer to a listing, and to a watch beyond the time that it waits for
 	// changes.
 	FirstTimeout   time.Duration
@@ -282,7 +282,7 @@
 	if c.failures > 0 {
 		return false
 	}
-	return c.contactAt < 0 || now-c.contactAt < max(c.settings.WatchDuration, c.period)+c.settings.CoalesceDelay+c.settings.LongestBackoff
+	return c.contactAt < 0 || now-c.contactAt < max(c.settings.WatchDuration, c.period)+c.settings.CoalesceDelay+c.settings.MaximumBackoff
 }
 
 // Failed takes in that a call went wrong.
@@ -300,7 +300,7 @@
 	if c.backoff == 0 {
 		c.backoff = c.settings.InitialBackoff
 	} else {
-		c.backoff = min(2*c.backoff, c.settings.LongestBackoff)
+		c.backoff = min(2*c.backoff, c.settings.MaximumBackoff)
 	}
 	// Spread, so that many nodes do not come back at the same moment.
 	c.pause = time.Duration((0.5 + c.random()) * float64(c.backoff))
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -11,7 +11,7 @@
 
 var settings = follow.Settings{
 	WatchDuration: 2 * time.Second, CoalesceDelay: time.Second,
-	InitialBackoff: 100 * time.Millisecond, LongestBackoff: time.Second,
+	InitialBackoff: 100 * time.Millisecond, MaximumBackoff: time.Second,
 	FirstTimeout: time.Second, LongestTimeout: 4 * time.Second, PollTimeout: 600 * time.Millisecond,
 }
 
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -162,7 +162,7 @@
 func followSettings(waits Waits) follow.Settings {
 	return follow.Settings{
 		WatchDuration: clock.Ms(watchPart * float64(waits.StaleAfter)).Duration(),
-		CoalesceDelay: coalesceFor, InitialBackoff: firstBackoff, LongestBackoff: longestBackoff,
+		CoalesceDelay: coalesceFor, InitialBackoff: firstBackoff, MaximumBackoff: longestBackoff,
 		FirstTimeout: firstTimeout, LongestTimeout: longestTimeout, PollTimeout: waits.PollTimeout.Duration(),
 	}
 }
