--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -44,9 +44,9 @@
 	// InitialBackoff and LongestBackoff bound the pause after trouble.
 	InitialBackoff time.Duration
 	MaximumBackoff time.Duration
-	// FirstTimeout and LongestTimeout bound the wait for the answer to a listing, and to a watch beyond the time that it waits for
+	// InitialTimeout and LongestTimeout bound the wait for the answer to a listing, and to a watch beyond the time that it waits for
 	// changes.
-	FirstTimeout   time.Duration
+	InitialTimeout time.Duration
 	LongestTimeout time.Duration
 	// PollTimeout is the first one for a poll: a watch that does not wait for changes.
 	PollTimeout time.Duration
@@ -153,14 +153,14 @@
 		if c.listing {
 			known = c.listedAt
 		}
-		return Call{Kind: List, After: c.after, Revision: known, Timeout: c.timeout(c.settings.FirstTimeout)}
+		return Call{Kind: List, After: c.after, Revision: known, Timeout: c.timeout(c.settings.InitialTimeout)}
 	}
 	poll := c.pollNext || state.Stale
 	c.pollNext = false
 	if poll {
 		return Call{Kind: Watch, Revision: c.revision, For: pollWait, Timeout: c.timeout(c.settings.PollTimeout)}
 	}
-	return Call{Kind: Watch, Revision: c.revision, For: c.watchFor(clock, state), Timeout: c.timeout(c.settings.FirstTimeout)}
+	return Call{Kind: Watch, Revision: c.revision, For: c.watchFor(clock, state), Timeout: c.timeout(c.settings.InitialTimeout)}
 }
 
 // takePause returns the pause that is due.
