--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -47,7 +47,7 @@
 	// InitialTimeout and LongestTimeout bound the wait for the answer to a listing, and to a watch beyond the time that it waits for
 	// changes.
 	InitialTimeout time.Duration
-	LongestTimeout time.Duration
+	MaximumTimeout time.Duration
 	// PollTimeout is the first one for a poll: a watch that does not wait for changes.
 	PollTimeout time.Duration
 }
@@ -241,7 +241,7 @@
 func (c *Core) timeout(first time.Duration) time.Duration {
 	timeout := first
 	for range c.failures {
-		timeout = min(2*timeout, c.settings.LongestTimeout)
+		timeout = min(2*timeout, c.settings.MaximumTimeout)
 	}
 	return timeout
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -12,7 +12,7 @@
 var settings = follow.Settings{
 	WatchDuration: 2 * time.Second, CoalesceDelay: time.Second,
 	InitialBackoff: 100 * time.Millisecond, MaximumBackoff: time.Second,
-	InitialTimeout: time.Second, LongestTimeout: 4 * time.Second, PollTimeout: 600 * time.Millisecond,
+	InitialTimeout: time.Second, MaximumTimeout: 4 * time.Second, PollTimeout: 600 * time.Millisecond,
 }
 
 // at is a revision of the first era.
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -163,7 +163,7 @@
 	return follow.Settings{
 		WatchDuration: clock.Ms(watchPart * float64(waits.StaleAfter)).Duration(),
 		CoalesceDelay: coalesceFor, InitialBackoff: firstBackoff, MaximumBackoff: longestBackoff,
-		InitialTimeout: firstTimeout, LongestTimeout: longestTimeout, PollTimeout: waits.PollTimeout.Duration(),
+		InitialTimeout: firstTimeout, MaximumTimeout: longestTimeout, PollTimeout: waits.PollTimeout.Duration(),
 	}
 }
 
