--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -70,7 +70,7 @@
 // Call is what to do next.
 type Call struct {
 	Kind     CallKind
-	After    string
+	AfterKey string
 	Revision history.Revision
 	For      time.Duration
 	// Timeout of a listing, and of a watch beyond For.
@@ -153,7 +153,7 @@
 		if c.listing {
 			known = c.listedAt
 		}
-		return Call{Kind: List, After: c.after, Revision: known, Timeout: c.timeout(c.settings.InitialTimeout)}
+		return Call{Kind: List, AfterKey: c.after, Revision: known, Timeout: c.timeout(c.settings.InitialTimeout)}
 	}
 	poll := c.pollNext || state.Stale
 	c.pollNext = false
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -23,7 +23,7 @@
 func listed(t *testing.T) *follow.Core {
 	t.Helper()
 	core := follow.New(settings, half)
-	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.After != "" {
+	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.AfterKey != "" {
 		t.Fatalf("begins with %+v", call)
 	}
 	if !core.Page(0, "k", at(7), false) {
@@ -39,7 +39,7 @@
 	if core.Page(0, "b", at(7), true) {
 		t.Error("a first page with more behind it is no whole listing")
 	}
-	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.After != "b" {
+	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.AfterKey != "b" {
 		t.Errorf("goes on with %+v", call)
 	}
 	if !core.Page(0, "d", at(9), false) {
@@ -71,7 +71,7 @@
 	t.Run("the history is lost", func(t *testing.T) {
 		core := listed(t)
 		core.Failed(time.Second, follow.HistoryLost)
-		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.After != "" {
+		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.AfterKey != "" {
 			t.Errorf("goes on with %+v", call)
 		}
 	})
@@ -84,7 +84,7 @@
 		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Pause || call.For != 100*time.Millisecond {
 			t.Errorf("goes on with %+v", call)
 		}
-		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.After != "" {
+		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.AfterKey != "" {
 			t.Errorf("then %+v", call)
 		}
 		core.Failed(time.Second, follow.HistoryLost)
@@ -123,7 +123,7 @@
 		core.Page(0, "b", at(7), true)
 		core.Failed(0, follow.Unavailable)
 		core.Next(0, follow.CopyState{})
-		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.After != "" {
+		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.AfterKey != "" {
 			t.Errorf("goes on with %+v", call)
 		}
 	})
@@ -227,19 +227,19 @@
 	if core.Changes(0, at(7), history.At(2, 9), 2) {
 		t.Error("what a store that was asked in another era tells is taken for all changes since")
 	}
-	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.After != "" {
+	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.AfterKey != "" {
 		t.Fatalf("goes on with %+v", call)
 	}
 	if core.Page(0, "b", history.At(2, 5), true) {
 		t.Error("a first page with more behind it is no whole listing")
 	}
-	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.After != "b" || call.Revision != history.At(2, 5) {
+	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.AfterKey != "b" || call.Revision != history.At(2, 5) {
 		t.Errorf("the next page is asked for with %+v", call)
 	}
 	if core.Page(0, "d", history.At(3, 4), false) {
 		t.Error("pages of two eras make a listing")
 	}
-	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.After != "" {
+	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.AfterKey != "" {
 		t.Fatalf("then goes on with %+v", call)
 	}
 	if !core.Page(0, "d", history.At(3, 4), false) || core.Revision() != history.At(3, 4) {
@@ -309,7 +309,7 @@
 		core.Page(0, "z", history.At(era, 7), false)
 	}
 	mixed()
-	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.After != "" {
+	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.AfterKey != "" {
 		t.Errorf("the first time goes on with %+v", call)
 	}
 	mixed()
--- a/internal/gateway/store_reading.go
+++ b/internal/gateway/store_reading.go
@@ -67,7 +67,7 @@
 func (g *Gateway) list(ctx context.Context, call follow.Call) {
 	bounded, cancel := context.WithTimeout(ctx, call.Timeout)
 	defer cancel()
-	page, err := g.store.List(bounded, call.Revision, call.After)
+	page, err := g.store.List(bounded, call.Revision, call.AfterKey)
 	if err != nil {
 		g.callFailed(ctx, err)
 		return
@@ -76,7 +76,7 @@
 	defer g.mu.Unlock()
 	now, c := g.now(), g.storeCopy
 	g.log.StoreAnswered(c.reader.ContactAge(now))
-	if call.After == "" {
+	if call.AfterKey == "" {
 		c.logRevision(call.Revision, page.At)
 		clear(c.listedKeys)
 	}
