--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -72,7 +72,7 @@
 	Kind     CallKind
 	AfterKey string
 	Revision history.Revision
-	For      time.Duration
+	Duration time.Duration
 	// Timeout of a listing, and of a watch beyond For.
 	Timeout time.Duration
 }
@@ -158,17 +158,17 @@
 	poll := c.pollNext || state.Stale
 	c.pollNext = false
 	if poll {
-		return Call{Kind: Watch, Revision: c.revision, For: pollWait, Timeout: c.timeout(c.settings.PollTimeout)}
+		return Call{Kind: Watch, Revision: c.revision, Duration: pollWait, Timeout: c.timeout(c.settings.PollTimeout)}
 	}
-	return Call{Kind: Watch, Revision: c.revision, For: c.watchFor(clock, state), Timeout: c.timeout(c.settings.InitialTimeout)}
+	return Call{Kind: Watch, Revision: c.revision, Duration: c.watchFor(clock, state), Timeout: c.timeout(c.settings.InitialTimeout)}
 }
 
 // takePause returns the pause that is due.
 func (c *Core) takePause(clock time.Duration) Call {
-	call := Call{Kind: Pause, For: c.pause}
+	call := Call{Kind: Pause, Duration: c.pause}
 	if c.coalescing {
 		call.Kind = Coalesce
-		call.For, c.pollNext = c.untilTurn(clock, c.pause)
+		call.Duration, c.pollNext = c.untilTurn(clock, c.pause)
 	}
 	c.pause, c.coalescing = 0, false
 	return call
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -45,7 +45,7 @@
 	if !core.Page(0, "d", at(9), false) {
 		t.Error("the last page ends the listing")
 	}
-	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Watch || call.Revision != at(7) || call.For != settings.WatchDuration {
+	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Watch || call.Revision != at(7) || call.Duration != settings.WatchDuration {
 		t.Errorf("goes on with %+v: changes between the pages would be missed", call)
 	}
 }
@@ -54,7 +54,7 @@
 func TestChangesAreCoalesced(t *testing.T) {
 	core := listed(t)
 	core.Changes(0, core.Revision(), at(9), 2)
-	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Coalesce || call.For != settings.CoalesceDelay {
+	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Coalesce || call.Duration != settings.CoalesceDelay {
 		t.Errorf("after changes: %+v", call)
 	}
 	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Watch || call.Revision != at(9) {
@@ -81,14 +81,14 @@
 		core.Next(0, follow.CopyState{})
 		core.Page(time.Second, "b", at(8), false)
 		core.Failed(time.Second, follow.HistoryLost)
-		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Pause || call.For != 100*time.Millisecond {
+		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Pause || call.Duration != 100*time.Millisecond {
 			t.Errorf("goes on with %+v", call)
 		}
 		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.AfterKey != "" {
 			t.Errorf("then %+v", call)
 		}
 		core.Failed(time.Second, follow.HistoryLost)
-		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Pause || call.For != 200*time.Millisecond {
+		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Pause || call.Duration != 200*time.Millisecond {
 			t.Errorf("a listing that says so: goes on with %+v", call)
 		}
 		core.Next(0, follow.CopyState{})
@@ -104,7 +104,7 @@
 		want := []time.Duration{100, 200, 400, 800, 1000, 1000}
 		for _, milliseconds := range want {
 			core.Failed(time.Second, follow.Unavailable)
-			if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Pause || call.For != milliseconds*time.Millisecond {
+			if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Pause || call.Duration != milliseconds*time.Millisecond {
 				t.Errorf("pauses %+v, want %d ms", call, milliseconds)
 			}
 			if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Watch || call.Revision != at(7) {
@@ -113,7 +113,7 @@
 		}
 		core.Changes(time.Second, core.Revision(), at(8), 0)
 		core.Failed(time.Second, follow.Throttled)
-		if call := core.Next(0, follow.CopyState{}); call.For != settings.InitialBackoff {
+		if call := core.Next(0, follow.CopyState{}); call.Duration != settings.InitialBackoff {
 			t.Errorf("the pause does not begin anew after an answer: %+v", call)
 		}
 	})
@@ -144,7 +144,7 @@
 	core := listed(t)
 	core.TakeTurns(time.Minute, 0)
 	stale := follow.CopyState{Stale: true}
-	if call := core.Next(time.Second, stale); call.Kind != follow.Watch || call.For > 10*time.Millisecond || call.Timeout != settings.PollTimeout {
+	if call := core.Next(time.Second, stale); call.Kind != follow.Watch || call.Duration > 10*time.Millisecond || call.Timeout != settings.PollTimeout {
 		t.Errorf("stale: %+v", call)
 	}
 	core.Failed(time.Second, follow.Unavailable)
@@ -152,10 +152,10 @@
 	if call := core.Next(time.Second, stale); call.Timeout != 2*settings.PollTimeout {
 		t.Errorf("stale, after a failure: %+v", call)
 	}
-	if call := core.Next(time.Second, follow.CopyState{PeersSilent: true}); call.For != settings.WatchDuration {
+	if call := core.Next(time.Second, follow.CopyState{PeersSilent: true}); call.Duration != settings.WatchDuration {
 		t.Errorf("alone: %+v", call)
 	}
-	if call := core.Next(time.Second, follow.CopyState{}); call.For != 59*time.Second {
+	if call := core.Next(time.Second, follow.CopyState{}); call.Duration != 59*time.Second {
 		t.Errorf("among others: %+v", call)
 	}
 }
@@ -169,11 +169,11 @@
 		{2 * time.Second, settings.CoalesceDelay}, {9600 * time.Millisecond, 400 * time.Millisecond}, {8900 * time.Millisecond, 1100 * time.Millisecond},
 	} {
 		core.Changes(0, core.Revision(), at(9), 1)
-		if call := core.Next(c.clock, follow.CopyState{}); call.Kind != follow.Coalesce || call.For != c.pause {
+		if call := core.Next(c.clock, follow.CopyState{}); call.Kind != follow.Coalesce || call.Duration != c.pause {
 			t.Errorf("at %v: %+v, want a pause of %v", c.clock, call, c.pause)
 		}
 		call := core.Next(c.clock+c.pause, follow.CopyState{})
-		if look := call.For <= 10*time.Millisecond; call.Kind != follow.Watch || look != (c.pause != settings.CoalesceDelay) {
+		if look := call.Duration <= 10*time.Millisecond; call.Kind != follow.Watch || look != (c.pause != settings.CoalesceDelay) {
 			t.Errorf("at %v, after the pause: %+v", c.clock, call)
 		}
 	}
@@ -188,7 +188,7 @@
 		core.TakeTurns(nodes*gap, time.Duration(node)*gap)
 		clock := 10*time.Second + time.Duration(node)*37*time.Millisecond
 		for range 3 {
-			clock += core.Next(clock, follow.CopyState{}).For
+			clock += core.Next(clock, follow.CopyState{}).Duration
 			ends = append(ends, clock)
 		}
 	}
@@ -263,7 +263,7 @@
 	for range count {
 		call := core.Next(0, follow.CopyState{})
 		if call.Kind == follow.Pause {
-			lengths = append(lengths, call.For)
+			lengths = append(lengths, call.Duration)
 			call = core.Next(0, follow.CopyState{})
 		}
 		if call.Kind != follow.List {
--- a/internal/gateway/store_reading.go
+++ b/internal/gateway/store_reading.go
@@ -25,9 +25,9 @@
 		}
 		switch call := g.nextCall(); call.Kind {
 		case follow.Pause:
-			pause(ctx, call.For)
+			pause(ctx, call.Duration)
 		case follow.Coalesce:
-			g.coalesce(ctx, call.For)
+			g.coalesce(ctx, call.Duration)
 		case follow.List:
 			g.list(ctx, call)
 		case follow.Watch:
@@ -112,10 +112,10 @@
 
 // watch waits for changes and takes them in.
 func (g *Gateway) watch(ctx context.Context, call follow.Call) {
-	bounded, cancel := context.WithTimeout(ctx, call.For+call.Timeout)
+	bounded, cancel := context.WithTimeout(ctx, call.Duration+call.Timeout)
 	defer cancel()
 	stop := g.endWhenStale(cancel)
-	records, at, err := g.store.Watch(bounded, call.Revision, call.For)
+	records, at, err := g.store.Watch(bounded, call.Revision, call.Duration)
 	if ended := stop(); ended && err != nil && ctx.Err() == nil {
 		g.watchWasSilent(err)
 		return
