--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -174,10 +174,10 @@
 	return call
 }
 
-// Page takes in a page of a listing: its last key, the store's revision, and whether there is more. It reports whether the
+// ApplyPage takes in a page of a listing: its last key, the store's revision, and whether there is more. It reports whether the
 // listing is whole. Pages of two eras make no listing, and one of an era before what is known by now is of no use: another
 // listing begins, after a pause that grows while that goes on.
-func (c *Core) Page(now time.Duration, last string, at history.Revision, more bool) bool {
+func (c *Core) ApplyPage(now time.Duration, last string, at history.Revision, more bool) bool {
 	c.answered(now)
 	if c.after == "" {
 		c.listedAt = at
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -26,7 +26,7 @@
 	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.AfterKey != "" {
 		t.Fatalf("begins with %+v", call)
 	}
-	if !core.Page(0, "k", at(7), false) {
+	if !core.ApplyPage(0, "k", at(7), false) {
 		t.Fatal("one page is not taken for a whole listing")
 	}
 	return core
@@ -36,13 +36,13 @@
 func TestListThenWatch(t *testing.T) {
 	core := follow.New(settings, half)
 	core.Next(0, follow.CopyState{})
-	if core.Page(0, "b", at(7), true) {
+	if core.ApplyPage(0, "b", at(7), true) {
 		t.Error("a first page with more behind it is no whole listing")
 	}
 	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.AfterKey != "b" {
 		t.Errorf("goes on with %+v", call)
 	}
-	if !core.Page(0, "d", at(9), false) {
+	if !core.ApplyPage(0, "d", at(9), false) {
 		t.Error("the last page ends the listing")
 	}
 	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Watch || call.Revision != at(7) || call.Duration != settings.WatchDuration {
@@ -79,7 +79,7 @@
 		core := listed(t)
 		core.Failed(time.Second, follow.HistoryLost)
 		core.Next(0, follow.CopyState{})
-		core.Page(time.Second, "b", at(8), false)
+		core.ApplyPage(time.Second, "b", at(8), false)
 		core.Failed(time.Second, follow.HistoryLost)
 		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Pause || call.Duration != 100*time.Millisecond {
 			t.Errorf("goes on with %+v", call)
@@ -92,7 +92,7 @@
 			t.Errorf("a listing that says so: goes on with %+v", call)
 		}
 		core.Next(0, follow.CopyState{})
-		core.Page(time.Second, "b", at(9), false)
+		core.ApplyPage(time.Second, "b", at(9), false)
 		core.Changes(time.Second, core.Revision(), at(10), 0)
 		core.Failed(time.Second, follow.HistoryLost)
 		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List {
@@ -120,7 +120,7 @@
 	t.Run("within a listing", func(t *testing.T) {
 		core := follow.New(settings, half)
 		core.Next(0, follow.CopyState{})
-		core.Page(0, "b", at(7), true)
+		core.ApplyPage(0, "b", at(7), true)
 		core.Failed(0, follow.Unavailable)
 		core.Next(0, follow.CopyState{})
 		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.AfterKey != "" {
@@ -214,7 +214,7 @@
 		core.Failed(0, follow.Unavailable)
 	}
 	core.Next(0, follow.CopyState{})
-	core.Page(0, "k", at(1), true)
+	core.ApplyPage(0, "k", at(1), true)
 	if call := core.Next(0, follow.CopyState{}); call.Timeout != time.Second {
 		t.Errorf("%+v after an answer", call)
 	}
@@ -230,23 +230,23 @@
 	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.AfterKey != "" {
 		t.Fatalf("goes on with %+v", call)
 	}
-	if core.Page(0, "b", history.At(2, 5), true) {
+	if core.ApplyPage(0, "b", history.At(2, 5), true) {
 		t.Error("a first page with more behind it is no whole listing")
 	}
 	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.AfterKey != "b" || call.Revision != history.At(2, 5) {
 		t.Errorf("the next page is asked for with %+v", call)
 	}
-	if core.Page(0, "d", history.At(3, 4), false) {
+	if core.ApplyPage(0, "d", history.At(3, 4), false) {
 		t.Error("pages of two eras make a listing")
 	}
 	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.AfterKey != "" {
 		t.Fatalf("then goes on with %+v", call)
 	}
-	if !core.Page(0, "d", history.At(3, 4), false) || core.Revision() != history.At(3, 4) {
+	if !core.ApplyPage(0, "d", history.At(3, 4), false) || core.Revision() != history.At(3, 4) {
 		t.Errorf("a listing of a later era ends at %v", core.Revision())
 	}
 	core.Advance(history.At(4, 2))
-	if core.Page(0, "d", history.At(3, 9), false) || core.Revision() != history.At(4, 2) {
+	if core.ApplyPage(0, "d", history.At(3, 9), false) || core.Revision() != history.At(4, 2) {
 		t.Errorf("a listing of an earlier era than others have told ends at %v", core.Revision())
 	}
 	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Pause {
@@ -283,14 +283,14 @@
 	core := follow.New(settings, half)
 	core.Advance(history.At(3, 9))
 	core.Changes(0, history.At(3, 9), history.At(2, 5), 0)
-	got := pauses(core, len(growing), func() { core.Page(0, "k", history.At(2, 7), false) })
+	got := pauses(core, len(growing), func() { core.ApplyPage(0, "k", history.At(2, 7), false) })
 	if want := milliseconds(growing); !slices.Equal(got, want) {
 		t.Errorf("pauses %v, want %v", got, want)
 	}
 	for core.Next(0, follow.CopyState{}).Kind == follow.Pause {
 		continue
 	}
-	if !core.Page(0, "k", history.At(3, 11), false) {
+	if !core.ApplyPage(0, "k", history.At(3, 11), false) {
 		t.Fatal("the era that is known makes no listing")
 	}
 	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Watch {
@@ -303,10 +303,10 @@
 	core := follow.New(settings, half)
 	era := uint64(1)
 	mixed := func() {
-		core.Page(0, "k", history.At(era, 7), true)
+		core.ApplyPage(0, "k", history.At(era, 7), true)
 		core.Next(0, follow.CopyState{})
 		era++
-		core.Page(0, "z", history.At(era, 7), false)
+		core.ApplyPage(0, "z", history.At(era, 7), false)
 	}
 	mixed()
 	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.AfterKey != "" {
--- a/internal/gateway/store_reading.go
+++ b/internal/gateway/store_reading.go
@@ -85,7 +85,7 @@
 		c.listedKeys[record.Key] = true
 		g.take(now, record)
 	}
-	if c.reader.Page(now, page.Last, page.At, page.More) {
+	if c.reader.ApplyPage(now, page.Last, page.At, page.More) {
 		g.listedAll(now)
 	}
 }
