--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -206,10 +206,10 @@
 	return true
 }
 
-// Changes takes in the end of a watch: the revision to go on from, and the number of changes. It reports whether they are all
+// ApplyChanges takes in the end of a watch: the revision to go on from, and the number of changes. It reports whether they are all
 // there were: not where the store tells another era than what it was asked from. It may have a revision of that number again,
 // and what came before it is not known here.
-func (c *Core) Changes(now time.Duration, from, at history.Revision, count int) bool {
+func (c *Core) ApplyChanges(now time.Duration, from, at history.Revision, count int) bool {
 	c.answered(now)
 	if at.Era < from.Era {
 		c.outdated(now)
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -53,14 +53,14 @@
 // TestChangesAreCoalesced: after changes there is a pause that may be cut short; after silence there is none.
 func TestChangesAreCoalesced(t *testing.T) {
 	core := listed(t)
-	core.Changes(0, core.Revision(), at(9), 2)
+	core.ApplyChanges(0, core.Revision(), at(9), 2)
 	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Coalesce || call.Duration != settings.CoalesceDelay {
 		t.Errorf("after changes: %+v", call)
 	}
 	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Watch || call.Revision != at(9) {
 		t.Errorf("then: %+v", call)
 	}
-	core.Changes(0, core.Revision(), at(9), 0)
+	core.ApplyChanges(0, core.Revision(), at(9), 0)
 	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Watch {
 		t.Errorf("after silence: %+v", call)
 	}
@@ -93,7 +93,7 @@
 		}
 		core.Next(0, follow.CopyState{})
 		core.ApplyPage(time.Second, "b", at(9), false)
-		core.Changes(time.Second, core.Revision(), at(10), 0)
+		core.ApplyChanges(time.Second, core.Revision(), at(10), 0)
 		core.Failed(time.Second, follow.HistoryLost)
 		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List {
 			t.Errorf("after a watch: goes on with %+v", call)
@@ -111,7 +111,7 @@
 				t.Errorf("then %+v", call)
 			}
 		}
-		core.Changes(time.Second, core.Revision(), at(8), 0)
+		core.ApplyChanges(time.Second, core.Revision(), at(8), 0)
 		core.Failed(time.Second, follow.Throttled)
 		if call := core.Next(0, follow.CopyState{}); call.Duration != settings.InitialBackoff {
 			t.Errorf("the pause does not begin anew after an answer: %+v", call)
@@ -132,7 +132,7 @@
 // TestRevisionNeverGoesBack, whatever a store that was set back says.
 func TestRevisionNeverGoesBack(t *testing.T) {
 	core := listed(t)
-	core.Changes(0, core.Revision(), at(3), 0)
+	core.ApplyChanges(0, core.Revision(), at(3), 0)
 	if core.Revision() != at(7) {
 		t.Errorf("the revision is %v", core.Revision())
 	}
@@ -168,7 +168,7 @@
 	for _, c := range []struct{ clock, pause time.Duration }{
 		{2 * time.Second, settings.CoalesceDelay}, {9600 * time.Millisecond, 400 * time.Millisecond}, {8900 * time.Millisecond, 1100 * time.Millisecond},
 	} {
-		core.Changes(0, core.Revision(), at(9), 1)
+		core.ApplyChanges(0, core.Revision(), at(9), 1)
 		if call := core.Next(c.clock, follow.CopyState{}); call.Kind != follow.Coalesce || call.Duration != c.pause {
 			t.Errorf("at %v: %+v, want a pause of %v", c.clock, call, c.pause)
 		}
@@ -224,7 +224,7 @@
 // two eras, or of one before what others have told meanwhile, make no listing.
 func TestAnotherEra(t *testing.T) {
 	core := listed(t)
-	if core.Changes(0, at(7), history.At(2, 9), 2) {
+	if core.ApplyChanges(0, at(7), history.At(2, 9), 2) {
 		t.Error("what a store that was asked in another era tells is taken for all changes since")
 	}
 	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.AfterKey != "" {
@@ -282,7 +282,7 @@
 func TestEarlierEraIsAskedWithGrowingPauses(t *testing.T) {
 	core := follow.New(settings, half)
 	core.Advance(history.At(3, 9))
-	core.Changes(0, history.At(3, 9), history.At(2, 5), 0)
+	core.ApplyChanges(0, history.At(3, 9), history.At(2, 5), 0)
 	got := pauses(core, len(growing), func() { core.ApplyPage(0, "k", history.At(2, 7), false) })
 	if want := milliseconds(growing); !slices.Equal(got, want) {
 		t.Errorf("pauses %v, want %v", got, want)
--- a/internal/gateway/store_reading.go
+++ b/internal/gateway/store_reading.go
@@ -128,7 +128,7 @@
 	defer g.mu.Unlock()
 	now, c := g.now(), g.storeCopy
 	g.log.StoreAnswered(c.reader.ContactAge(now))
-	if !c.reader.Changes(now, call.Revision, at, len(records)) {
+	if !c.reader.ApplyChanges(now, call.Revision, at, len(records)) {
 		// The number that the watch went on from is one of another era: what the store had before it there is not known.
 		c.logRevision(call.Revision, at)
 		return
