--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -285,8 +285,8 @@
 	return c.contactAt < 0 || now-c.contactAt < max(c.settings.WatchDuration, c.period)+c.settings.CoalesceDelay+c.settings.MaximumBackoff
 }
 
-// Failed takes in that a call went wrong.
-func (c *Core) Failed(now time.Duration, trouble FailureKind) {
+// RecordFailure takes in that a call went wrong.
+func (c *Core) RecordFailure(now time.Duration, trouble FailureKind) {
 	c.coalescing = false
 	if trouble == HistoryLost {
 		c.relist()
@@ -312,7 +312,7 @@
 // outdated takes in an answer of an earlier era than was known when it was asked for or has become known since.
 func (c *Core) outdated(now time.Duration) {
 	c.relist()
-	c.Failed(now, EarlierEra)
+	c.RecordFailure(now, EarlierEra)
 }
 
 // relist has the next call begin a new listing.
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -70,31 +70,31 @@
 func TestTrouble(t *testing.T) {
 	t.Run("the history is lost", func(t *testing.T) {
 		core := listed(t)
-		core.Failed(time.Second, follow.HistoryLost)
+		core.RecordFailure(time.Second, follow.HistoryLost)
 		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.AfterKey != "" {
 			t.Errorf("goes on with %+v", call)
 		}
 	})
 	t.Run("the history is lost again before a watch has ended well", func(t *testing.T) {
 		core := listed(t)
-		core.Failed(time.Second, follow.HistoryLost)
+		core.RecordFailure(time.Second, follow.HistoryLost)
 		core.Next(0, follow.CopyState{})
 		core.ApplyPage(time.Second, "b", at(8), false)
-		core.Failed(time.Second, follow.HistoryLost)
+		core.RecordFailure(time.Second, follow.HistoryLost)
 		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Pause || call.Duration != 100*time.Millisecond {
 			t.Errorf("goes on with %+v", call)
 		}
 		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.AfterKey != "" {
 			t.Errorf("then %+v", call)
 		}
-		core.Failed(time.Second, follow.HistoryLost)
+		core.RecordFailure(time.Second, follow.HistoryLost)
 		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Pause || call.Duration != 200*time.Millisecond {
 			t.Errorf("a listing that says so: goes on with %+v", call)
 		}
 		core.Next(0, follow.CopyState{})
 		core.ApplyPage(time.Second, "b", at(9), false)
 		core.ApplyChanges(time.Second, core.Revision(), at(10), 0)
-		core.Failed(time.Second, follow.HistoryLost)
+		core.RecordFailure(time.Second, follow.HistoryLost)
 		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List {
 			t.Errorf("after a watch: goes on with %+v", call)
 		}
@@ -103,7 +103,7 @@
 		core := listed(t)
 		want := []time.Duration{100, 200, 400, 800, 1000, 1000}
 		for _, milliseconds := range want {
-			core.Failed(time.Second, follow.Unavailable)
+			core.RecordFailure(time.Second, follow.Unavailable)
 			if call := core.Next(0, follow.CopyState{}); call.Kind != follow.Pause || call.Duration != milliseconds*time.Millisecond {
 				t.Errorf("pauses %+v, want %d ms", call, milliseconds)
 			}
@@ -112,7 +112,7 @@
 			}
 		}
 		core.ApplyChanges(time.Second, core.Revision(), at(8), 0)
-		core.Failed(time.Second, follow.Throttled)
+		core.RecordFailure(time.Second, follow.Throttled)
 		if call := core.Next(0, follow.CopyState{}); call.Duration != settings.InitialBackoff {
 			t.Errorf("the pause does not begin anew after an answer: %+v", call)
 		}
@@ -121,7 +121,7 @@
 		core := follow.New(settings, half)
 		core.Next(0, follow.CopyState{})
 		core.ApplyPage(0, "b", at(7), true)
-		core.Failed(0, follow.Unavailable)
+		core.RecordFailure(0, follow.Unavailable)
 		core.Next(0, follow.CopyState{})
 		if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.AfterKey != "" {
 			t.Errorf("goes on with %+v", call)
@@ -147,7 +147,7 @@
 	if call := core.Next(time.Second, stale); call.Kind != follow.Watch || call.Duration > 10*time.Millisecond || call.Timeout != settings.PollTimeout {
 		t.Errorf("stale: %+v", call)
 	}
-	core.Failed(time.Second, follow.Unavailable)
+	core.RecordFailure(time.Second, follow.Unavailable)
 	core.Next(time.Second, stale)
 	if call := core.Next(time.Second, stale); call.Timeout != 2*settings.PollTimeout {
 		t.Errorf("stale, after a failure: %+v", call)
@@ -211,7 +211,7 @@
 		if call.Kind != follow.List || call.Timeout != want*time.Second {
 			t.Errorf("%+v, want a timeout of %d s", call, want)
 		}
-		core.Failed(0, follow.Unavailable)
+		core.RecordFailure(0, follow.Unavailable)
 	}
 	core.Next(0, follow.CopyState{})
 	core.ApplyPage(0, "k", at(1), true)
--- a/internal/gateway/store_reading.go
+++ b/internal/gateway/store_reading.go
@@ -191,5 +191,5 @@
 	now := g.now()
 	trouble := g.store.Trouble(err)
 	g.log.StoreLost(trouble, failure.From(err), g.storeCopy.reader.ContactAge(now))
-	g.storeCopy.reader.Failed(now, trouble)
+	g.storeCopy.reader.RecordFailure(now, trouble)
 }
