--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -276,9 +276,9 @@
 	return wait
 }
 
-// Served reports whether the store answers this node: it did so of late, and not with trouble since. A node that has just started
+// StoreReachable reports whether the store answers this node: it did so of late, and not with trouble since. A node that has just started
 // and not failed yet counts as served.
-func (c *Core) Served(now time.Duration) bool {
+func (c *Core) StoreReachable(now time.Duration) bool {
 	if c.failures > 0 {
 		return false
 	}
--- a/internal/gateway/watch_assignment.go
+++ b/internal/gateway/watch_assignment.go
@@ -91,7 +91,7 @@
 
 // served reports whether the store's changes come to this node, by its own watch or by those that watch for it.
 func (g *Gateway) served(now time.Duration) bool {
-	return g.storeCopy.reader.Served(now) || g.toldByWatchers(now)
+	return g.storeCopy.reader.StoreReachable(now) || g.toldByWatchers(now)
 }
 
 // storeConfirmed takes in that the store has told all changes after a revision, and tells the group: also the watchers of it,
