--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -246,9 +246,9 @@
 	return timeout
 }
 
-// TakeTurns takes turns with other nodes from now on: this one's watches end at its own phase of a period that all share.
+// SetPollSchedule takes turns with other nodes from now on: this one's watches end at its own phase of a period that all share.
 // Watches that end on the same change would else go on in step, and all miss the next one.
-func (c *Core) TakeTurns(period, phase time.Duration) {
+func (c *Core) SetPollSchedule(period, phase time.Duration) {
 	c.period, c.phase = period, phase
 }
 
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -142,7 +142,7 @@
 // failures; a node that nobody tells anything does not wait for its turn.
 func TestStaleCopyIsLookedAt(t *testing.T) {
 	core := listed(t)
-	core.TakeTurns(time.Minute, 0)
+	core.SetPollSchedule(time.Minute, 0)
 	stale := follow.CopyState{Stale: true}
 	if call := core.Next(time.Second, stale); call.Kind != follow.Watch || call.Duration > 10*time.Millisecond || call.Timeout != settings.PollTimeout {
 		t.Errorf("stale: %+v", call)
@@ -164,7 +164,7 @@
 // says.
 func TestPauseEndsAtTheTurn(t *testing.T) {
 	core := listed(t)
-	core.TakeTurns(10*time.Second, 0)
+	core.SetPollSchedule(10*time.Second, 0)
 	for _, c := range []struct{ clock, pause time.Duration }{
 		{2 * time.Second, settings.CoalesceDelay}, {9600 * time.Millisecond, 400 * time.Millisecond}, {8900 * time.Millisecond, 1100 * time.Millisecond},
 	} {
@@ -185,7 +185,7 @@
 	var ends []time.Duration
 	for node := range nodes {
 		core := listed(t)
-		core.TakeTurns(nodes*gap, time.Duration(node)*gap)
+		core.SetPollSchedule(nodes*gap, time.Duration(node)*gap)
 		clock := 10*time.Second + time.Duration(node)*37*time.Millisecond
 		for range 3 {
 			clock += core.Next(clock, follow.CopyState{}).Duration
--- a/internal/gateway/fleet_share.go
+++ b/internal/gateway/fleet_share.go
@@ -32,10 +32,10 @@
 	settings := g.settings.Load().Fleet
 	g.fleet.watch = assignWatch(&g.fleet, settings.Watchers)
 	if !settings.StoreTurns || !settings.PeerCopies {
-		g.storeCopy.reader.TakeTurns(0, 0)
+		g.storeCopy.reader.SetPollSchedule(0, 0)
 		return
 	}
-	g.storeCopy.reader.TakeTurns(g.fleet.watch.phase(g.storeCopy.waits.TellEvery))
+	g.storeCopy.reader.SetPollSchedule(g.fleet.watch.phase(g.storeCopy.waits.TellEvery))
 }
 
 // shareColdBackEnds has the nodes known divide what cold back ends bear. While this node has not joined the others it has no
