--- a/internal/spread/confirmation_test.go
+++ b/internal/spread/confirmation_test.go
@@ -13,7 +13,7 @@
 
 // TestConfirmation: what a peer says of its copy tells of the own one only once that has all that the peer's had, and ages.
 func TestConfirmation(t *testing.T) {
-	core := spread.New(spread.Settings{Interval: time.Second, Patience: time.Second}, func(int) []string { return nil })
+	core := spread.New(spread.Settings{Interval: time.Second, PeerRequestDelay: time.Second}, func(int) []string { return nil })
 	if core.ConfirmedWithin(0, 3000) {
 		t.Fatal("fresh without a word")
 	}
@@ -76,7 +76,7 @@
 // TestGapIsAskedFor: changes after a revision that is not known do not bring the copy up to theirs; the sender is asked for the
 // rest.
 func TestGapIsAskedFor(t *testing.T) {
-	core := spread.New(spread.Settings{Interval: time.Second, Patience: time.Second}, func(int) []string { return nil })
+	core := spread.New(spread.Settings{Interval: time.Second, PeerRequestDelay: time.Second}, func(int) []string { return nil })
 	core.Advance(0, at(3))
 	received := core.Receive(0, "peer", &message.StoreRecords{
 		Since: at(5), Revision: at(6), Records: []message.StoreRecord{{Key: "k", Revision: at(6)}},
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -25,8 +25,8 @@
 	Interval time.Duration
 	// Fanout is the number of peers told at once when more is known.
 	Fanout int
-	// Patience is how long a node that the store serves waits for its own watch when a peer knows more.
-	Patience time.Duration
+	// PeerRequestDelay is how long a node that the store serves waits for its own watch when a peer knows more.
+	PeerRequestDelay time.Duration
 	// AnswerWithin is how long a node waits for a peer's answer before it asks another.
 	AnswerWithin time.Duration
 	// KeepGone is how long it is remembered that a key is gone.
@@ -207,7 +207,7 @@
 		c.aheadPeer = ""
 		return nil
 	}
-	if now < c.askedUntil || (served && now-c.aheadSince < c.settings.Patience) {
+	if now < c.askedUntil || (served && now-c.aheadSince < c.settings.PeerRequestDelay) {
 		return nil
 	}
 	peer := c.aheadPeer
@@ -295,7 +295,7 @@
 		received.Sends = c.Advance(now, m.Revision)
 	} else if m.Revision.After(c.revision) {
 		// Changes before these are not known: the sender is asked for them.
-		c.aheadPeer, c.aheadRevision, c.aheadSince = from, m.Revision, now-c.settings.Patience
+		c.aheadPeer, c.aheadRevision, c.aheadSince = from, m.Revision, now-c.settings.PeerRequestDelay
 		received.Sends = c.request(now, false)
 	}
 	return received
