--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -170,7 +170,7 @@
 func spreadSettings(s settings.Gateway, waits Waits) spread.Settings {
 	return spread.Settings{
 		Interval: digestInterval, Fanout: digestFanout, KeepGone: keepGone,
-		PeerRequestDelay: waits.Patience.Duration(), AnswerWithin: waits.AnswerWithin.Duration(),
+		PeerRequestDelay: waits.Patience.Duration(), AnswerTimeout: waits.AnswerWithin.Duration(),
 		LapseAfter: clock.Of(lapseIntervals * s.EntryInterval), RewriteWithin: rewriteWithin,
 	}
 }
--- a/internal/spread/era.go
+++ b/internal/spread/era.go
@@ -68,6 +68,6 @@
 		return nil
 	}
 	c.keptTries++
-	c.askedUntil = now + c.settings.AnswerWithin
+	c.askedUntil = now + c.settings.AnswerTimeout
 	return []Send{{peer, &message.StoreRequest{}}}
 }
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -27,8 +27,8 @@
 	Fanout int
 	// PeerRequestDelay is how long a node that the store serves waits for its own watch when a peer knows more.
 	PeerRequestDelay time.Duration
-	// AnswerWithin is how long a node waits for a peer's answer before it asks another.
-	AnswerWithin time.Duration
+	// AnswerTimeout is how long a node waits for a peer's answer before it asks another.
+	AnswerTimeout time.Duration
 	// KeepGone is how long it is remembered that a key is gone.
 	KeepGone time.Duration
 	// LapseAfter is the shortest time for which the store must have been away for entries of sound back ends to be gone by that.
@@ -212,7 +212,7 @@
 	}
 	peer := c.aheadPeer
 	c.aheadPeer = ""
-	c.askedUntil = now + c.settings.AnswerWithin
+	c.askedUntil = now + c.settings.AnswerTimeout
 	return []Send{{peer, &message.StoreRequest{Revision: c.revision}}}
 }
 
