--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -169,7 +169,7 @@
 
 func spreadSettings(s settings.Gateway, waits Waits) spread.Settings {
 	return spread.Settings{
-		Interval: digestInterval, Fanout: digestFanout, KeepGone: keepGone,
+		Interval: digestInterval, Fanout: digestFanout, TombstoneRetention: keepGone,
 		PeerRequestDelay: waits.Patience.Duration(), AnswerTimeout: waits.AnswerWithin.Duration(),
 		LapseAfter: clock.Of(lapseIntervals * s.EntryInterval), RewriteWithin: rewriteWithin,
 	}
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -29,8 +29,8 @@
 	PeerRequestDelay time.Duration
 	// AnswerTimeout is how long a node waits for a peer's answer before it asks another.
 	AnswerTimeout time.Duration
-	// KeepGone is how long it is remembered that a key is gone.
-	KeepGone time.Duration
+	// TombstoneRetention is how long it is remembered that a key is gone.
+	TombstoneRetention time.Duration
 	// LapseAfter is the shortest time for which the store must have been away for entries of sound back ends to be gone by that.
 	LapseAfter clock.Ms
 	// RewriteWithin is how long after the store was away, or was restored, what it lacks by that may still be missing: its owners
@@ -304,7 +304,7 @@
 // forget drops the memory of keys that are gone since long.
 func (c *Core) forget(now time.Duration) {
 	for key, known := range c.records {
-		if known.Deleted && now-known.goneAt >= c.settings.KeepGone {
+		if known.Deleted && now-known.goneAt >= c.settings.TombstoneRetention {
 			c.horizon = history.Latest(c.horizon, known.Revision)
 			delete(c.records, key)
 		}
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -16,7 +16,7 @@
 // at is a revision of the first era.
 func at(number uint64) history.Revision { return history.At(1, number) }
 
-var settings = spread.Settings{Interval: time.Second, Fanout: 2, PeerRequestDelay: time.Second, AnswerTimeout: time.Second, KeepGone: 20 * time.Second}
+var settings = spread.Settings{Interval: time.Second, Fanout: 2, PeerRequestDelay: time.Second, AnswerTimeout: time.Second, TombstoneRetention: 20 * time.Second}
 
 // world is some nodes, the store they follow, and the messages between them.
 type world struct {
