--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -31,8 +31,8 @@
 	AnswerTimeout time.Duration
 	// TombstoneRetention is how long it is remembered that a key is gone.
 	TombstoneRetention time.Duration
-	// LapseAfter is the shortest time for which the store must have been away for entries of sound back ends to be gone by that.
-	LapseAfter clock.Ms
+	// EntryLifetime is the shortest time for which the store must have been away for entries of sound back ends to be gone by that.
+	EntryLifetime clock.Ms
 	// RewriteWithin is how long after the store was away, or was restored, what it lacks by that may still be missing: its owners
 	// write it again.
 	RewriteWithin clock.Ms
