--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -35,7 +35,7 @@
 }
 
 // newStoreCopy returns a copy that knows nothing. Peers picks nodes to be told of changes, random gives numbers from 0 to 1.
-func newStoreCopy(settings *Settings, log DecisionLog, peers spread.Peers, random func() float64) *storeCopy {
+func newStoreCopy(settings *Settings, log DecisionLog, peers spread.PeerPicker, random func() float64) *storeCopy {
 	c := &storeCopy{
 		log: log, records: spread.New(settings.Spread, peers), reader: follow.New(settings.Follow, random),
 		listedKeys: map[string]bool{}, zoneReturns: map[string]time.Duration{},
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -50,13 +50,13 @@
 	Message message.Message
 }
 
-// Peers picks up to count random peers.
-type Peers func(count int) []string
+// PeerPicker picks up to count random peers.
+type PeerPicker func(count int) []string
 
 // Core is a node's copy.
 type Core struct {
 	settings Settings
-	peers    Peers
+	peers    PeerPicker
 	records  map[string]Record
 	// revision up to which all changes are known, unknown while nothing whole is.
 	revision history.Revision
@@ -93,7 +93,7 @@
 }
 
 // New returns a core that knows nothing.
-func New(settings Settings, peers Peers) *Core {
+func New(settings Settings, peers PeerPicker) *Core {
 	return &Core{settings: settings, peers: peers, records: map[string]Record{}, kept: map[string]message.StoreRecord{}}
 }
 
