--- a/internal/gateway/store_reading.go
+++ b/internal/gateway/store_reading.go
@@ -95,7 +95,7 @@
 	c := g.storeCopy
 	revision := c.reader.Revision()
 	g.log.Listed(len(c.listedKeys), revision)
-	gone := c.records.Listed(now, c.listedKeys, revision)
+	gone := c.records.ApplyListing(now, c.listedKeys, revision)
 	age := c.age(now)
 	// Whether the store was restored, which decides what it means that something is gone, is known from here on.
 	sends := c.records.Advance(now, revision)
--- a/internal/spread/era_test.go
+++ b/internal/spread/era_test.go
@@ -45,7 +45,7 @@
 func TestWholeToAnEarlierEra(t *testing.T) {
 	ahead, behind := inEra(68), inEra(70)
 	ahead.Apply(0, message.StoreRecord{Key: "k", Revision: history.At(2, 60)})
-	ahead.Listed(0, map[string]bool{"k": true}, history.At(2, 65))
+	ahead.ApplyListing(0, map[string]bool{"k": true}, history.At(2, 65))
 	ahead.Advance(0, history.At(2, 65))
 	behind.Apply(0, message.StoreRecord{Key: "lost", Revision: at(71)})
 	sends := ahead.Receive(0, "behind", &message.StoreRequest{Revision: behind.Revision()}, true).Sends
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -143,8 +143,8 @@
 	return !same
 }
 
-// Listed takes in that the keys listed are all there were at a revision, and returns the keys that are gone since.
-func (c *Core) Listed(now time.Duration, listed map[string]bool, revision history.Revision) []string {
+// ApplyListing takes in that the keys listed are all there were at a revision, and returns the keys that are gone since.
+func (c *Core) ApplyListing(now time.Duration, listed map[string]bool, revision history.Revision) []string {
 	var gone []string
 	for key, known := range c.records {
 		if listed[key] || known.Deleted || known.Revision.After(revision) {
@@ -287,7 +287,7 @@
 		}
 	}
 	if m.Complete {
-		received.Gone = c.Listed(now, listed, m.Revision)
+		received.Gone = c.ApplyListing(now, listed, m.Revision)
 	}
 	// An answer to a request of an earlier life of this node may still come; what it leaves out is not known in this one.
 	if m.Complete || !m.Since.After(c.revision) {
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -106,7 +106,7 @@
 		}
 	}
 	revision := history.At(w.era, uint64(len(w.history)))
-	n.core.Listed(w.now, listed, revision)
+	n.core.ApplyListing(w.now, listed, revision)
 	w.deliver(n, n.core.Advance(w.now, revision))
 }
 
