--- a/internal/gateway/watch_assignment.go
+++ b/internal/gateway/watch_assignment.go
@@ -104,7 +104,7 @@
 		return
 	}
 	direct, passedOn := treeRoot(watch.receivers, records)
-	g.sendSpread(c.records.Tell(now, direct, since, records))
-	g.sendSpread(c.records.Tell(now, passedOn, since, nil))
-	g.sendSpread(c.records.Tell(now, watch.notified, since, nil))
+	g.sendSpread(c.records.Announce(now, direct, since, records))
+	g.sendSpread(c.records.Announce(now, passedOn, since, nil))
+	g.sendSpread(c.records.Announce(now, watch.notified, since, nil))
 }
--- a/internal/spread/confirmation.go
+++ b/internal/spread/confirmation.go
@@ -90,8 +90,8 @@
 	return message.Confirmation{Confirmed: age < maximumAge, AgeMs: uint32(min(age, maximumAge))}
 }
 
-// Tell sends peers the changes after a revision that the store has just told, or only that there were none.
-func (c *Core) Tell(now time.Duration, peers []string, since history.Revision, records []message.StoreRecord) []Send {
+// Announce sends peers the changes after a revision that the store has just told, or only that there were none.
+func (c *Core) Announce(now time.Duration, peers []string, since history.Revision, records []message.StoreRecord) []Send {
 	var m message.Message = c.digest(now)
 	if len(records) > 0 {
 		m = &message.StoreRecords{
