--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -157,7 +157,7 @@
 // none.
 func (c *storeCopy) keepConfiguration(key string, lost bool) {
 	if lost {
-		c.records.Keep(c.configuration)
+		c.records.Retain(c.configuration)
 		return
 	}
 	c.records.Unkeep(key)
--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -61,7 +61,7 @@
 	},
 	{
 		"nodes that start are not told a configuration that a copy lacks", "internal/gateway/store_copy.go",
-		"	if lost {\n		c.records.Keep(c.configuration)", "	if lost && key == \"\" {\n		c.records.Keep(c.configuration)",
+		"	if lost {\n		c.records.Retain(c.configuration)", "	if lost && key == \"\" {\n		c.records.Retain(c.configuration)",
 		"./platform", "TestLostWithACopy",
 	},
 	{
--- a/internal/spread/era.go
+++ b/internal/spread/era.go
@@ -33,9 +33,9 @@
 // node knows.
 func (c *Core) Era() (era uint64, restored bool) { return c.era, c.restored }
 
-// Keep has nodes that ask be told an item that this node goes by though the restored store says otherwise. A node that starts
+// Retain has nodes that ask be told an item that this node goes by though the restored store says otherwise. A node that starts
 // then has no other way to know it.
-func (c *Core) Keep(record message.StoreRecord) { c.kept[record.Key] = record }
+func (c *Core) Retain(record message.StoreRecord) { c.kept[record.Key] = record }
 
 // Unkeep ends that for a key.
 func (c *Core) Unkeep(key string) { delete(c.kept, key) }
--- a/internal/spread/era_test.go
+++ b/internal/spread/era_test.go
@@ -104,7 +104,7 @@
 func TestKeptConfiguration(t *testing.T) {
 	ahead, starts := inEra(68), inEra(68)
 	ahead.SetConfiguration(21)
-	ahead.Keep(message.StoreRecord{Key: "configuration", Revision: at(60), Value: []byte("21")})
+	ahead.Retain(message.StoreRecord{Key: "configuration", Revision: at(60), Value: []byte("21")})
 	starts.SetConfiguration(12)
 	digest := &message.StoreDigest{Revision: at(68), Configuration: 21}
 	now := time.Duration(0)
