--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -160,7 +160,7 @@
 		c.records.Retain(c.configuration)
 		return
 	}
-	c.records.Unkeep(key)
+	c.records.StopRetaining(key)
 }
 
 // holdZoneReturn reports whether it is not believed yet that the store says nothing of an evacuated zone any more: a restored
--- a/internal/spread/era.go
+++ b/internal/spread/era.go
@@ -37,8 +37,8 @@
 // then has no other way to know it.
 func (c *Core) Retain(record message.StoreRecord) { c.kept[record.Key] = record }
 
-// Unkeep ends that for a key.
-func (c *Core) Unkeep(key string) { delete(c.kept, key) }
+// StopRetaining ends that for a key.
+func (c *Core) StopRetaining(key string) { delete(c.kept, key) }
 
 // SetConfiguration notes the version of the configuration in force, which digests tell.
 func (c *Core) SetConfiguration(version uint64) { c.configuration = version }
--- a/internal/spread/era_test.go
+++ b/internal/spread/era_test.go
@@ -129,7 +129,7 @@
 	if sends := ahead.Receive(now, "starts", &message.StoreDigest{Revision: at(68), Configuration: 12}, true).Sends; len(sends) != 0 {
 		t.Errorf("asks %+v for what it has", sends)
 	}
-	ahead.Unkeep("configuration")
+	ahead.StopRetaining("configuration")
 	reply = ahead.Receive(now, "another", &message.StoreRequest{}, true).Sends
 	if len(reply[0].Message.(*message.StoreRecords).Retained) != 0 {
 		t.Error("what the store says again is told as kept")
