--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -108,7 +108,7 @@
 		longest = max(longest, now+c.records.RewriteLeft(now).Duration())
 	}
 	switch {
-	case !c.records.Settled(now):
+	case !c.records.DeletionsReliable(now):
 		return longest
 	case massVanishing(gone, known):
 		return min(longest, now+(c.waits.Within-age-doubtMargin).Duration())
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -236,7 +236,7 @@
 	},
 	{
 		"trouble of a single node puts entries in doubt", "internal/gateway/store_copy.go",
-		"case !c.records.Settled(now):", "case true:",
+		"case !c.records.DeletionsReliable(now):", "case true:",
 		"./platform", "TestLeavingWithoutAWord",
 	},
 	{
--- a/internal/spread/confirmation.go
+++ b/internal/spread/confirmation.go
@@ -27,10 +27,10 @@
 	c.confirmed = latest
 }
 
-// Settled reports whether an entry that has gone says that its back end leaves. It does unless the store may have been away
+// DeletionsReliable reports whether an entry that has gone says that its back end leaves. It does unless the store may have been away
 // from all for so long, a short while ago, that entries of sound back ends have lapsed. That a call of this node failed says
 // nothing of that: the copies of all nodes are confirmed by whoever reaches the store.
-func (c *Core) Settled(now time.Duration) bool {
+func (c *Core) DeletionsReliable(now time.Duration) bool {
 	at := clock.Of(now)
 	return c.confirmed.known && at-c.confirmed.at < c.settings.EntryLifetime && at-c.reconfirmedAt >= c.settings.RewriteWindow &&
 		c.RewriteLeft(now) == 0
--- a/internal/spread/confirmation_test.go
+++ b/internal/spread/confirmation_test.go
@@ -43,7 +43,7 @@
 	core.Advance(0, at(5))
 	check := func(ms int, want bool) {
 		t.Helper()
-		if got := core.Settled(time.Duration(ms) * time.Millisecond); got != want {
+		if got := core.DeletionsReliable(time.Duration(ms) * time.Millisecond); got != want {
 			t.Errorf("settled %v after %d ms", got, ms)
 		}
 	}
