--- a/internal/gateway/quarantine_evidence.go
+++ b/internal/gateway/quarantine_evidence.go
@@ -140,7 +140,7 @@
 // takeQuarantine takes in what the store says of a request.
 func (g *Gateway) takeQuarantine(at time.Duration, mark quarantine.Mark, record message.StoreRecord) {
 	now := clock.Of(at)
-	if g.storeCopy.records.RewriteLeft(at) > 0 && g.quarantine.Lifted(mark) {
+	if g.storeCopy.records.RewriteRemaining(at) > 0 && g.quarantine.Lifted(mark) {
 		g.quarantineWrites.settle(mark, false)
 		return
 	}
@@ -156,7 +156,7 @@
 
 // dropQuarantine takes in that the store says nothing of a request any more.
 func (g *Gateway) dropQuarantine(at time.Duration, mark quarantine.Mark) {
-	if g.storeCopy.records.RewriteLeft(at) > 0 {
+	if g.storeCopy.records.RewriteRemaining(at) > 0 {
 		g.quarantine.Lost(mark)
 		return
 	}
--- a/internal/gateway/quarantine_writes.go
+++ b/internal/gateway/quarantine_writes.go
@@ -281,7 +281,7 @@
 	if version == "" {
 		length = min(length, otherCallerEvery)
 	}
-	if g.storeCopy.records.RewriteLeft(g.now()) > 0 {
+	if g.storeCopy.records.RewriteRemaining(g.now()) > 0 {
 		// A restored store may have lost that another node was let do it.
 		return length, false
 	}
--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -105,7 +105,7 @@
 func (c *storeCopy) doubtUntil(now time.Duration, age clock.Ms, gone, known int) time.Duration {
 	longest := now + c.doubtFor
 	if c.doubtFor > 0 {
-		longest = max(longest, now+c.records.RewriteLeft(now).Duration())
+		longest = max(longest, now+c.records.RewriteRemaining(now).Duration())
 	}
 	switch {
 	case !c.records.DeletionsReliable(now):
@@ -166,7 +166,7 @@
 // holdZoneReturn reports whether it is not believed yet that the store says nothing of an evacuated zone any more: a restored
 // store may have lost that, and it would be written again.
 func (c *storeCopy) holdZoneReturn(now time.Duration, key string) bool {
-	if left := c.records.RewriteLeft(now); left > 0 {
+	if left := c.records.RewriteRemaining(now); left > 0 {
 		c.zoneReturns[key] = now + left.Duration()
 		return true
 	}
--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -31,12 +31,12 @@
 	},
 	{
 		"what is gone after a copy was said by somebody", "internal/spread/confirmation.go",
-		" &&\n		c.RewriteLeft(now) == 0", "",
+		" &&\n		c.RewriteRemaining(now) == 0", "",
 		"./platform", "TestLostWithACopy",
 	},
 	{
 		"doubt after a copy is as short as after an outage", "internal/gateway/store_copy.go",
-		"		longest = max(longest, now+c.records.RewriteLeft(now).Duration())\n", "",
+		"		longest = max(longest, now+c.records.RewriteRemaining(now).Duration())\n", "",
 		"./internal/gateway", "TestDoubtLastsUntilWritten",
 	},
 	{
@@ -51,7 +51,7 @@
 	},
 	{
 		"a zone whose evacuation a copy lacks is taken back at once", "internal/gateway/store_copy.go",
-		"if left := c.records.RewriteLeft(now); left > 0 {", "if left := c.records.RewriteLeft(now); left > 0 && now < 0 {",
+		"if left := c.records.RewriteRemaining(now); left > 0 {", "if left := c.records.RewriteRemaining(now); left > 0 && now < 0 {",
 		"./platform", "TestLostWithACopy",
 	},
 	{
@@ -81,7 +81,7 @@
 	},
 	{
 		"a quarantine that was lifted comes back with a copy", "internal/gateway/quarantine_evidence.go",
-		"g.storeCopy.records.RewriteLeft(at) > 0 && g.quarantine.Lifted(mark)", "false",
+		"g.storeCopy.records.RewriteRemaining(at) > 0 && g.quarantine.Lifted(mark)", "false",
 		"./internal/gateway", "TestLiftedQuarantineComesBackWithACopy",
 	},
 	{
@@ -91,7 +91,7 @@
 	},
 	{
 		"another node is let do it while the store may lack that one was", "internal/gateway/quarantine_writes.go",
-		"if g.storeCopy.records.RewriteLeft(g.now()) > 0 {", "if false {",
+		"if g.storeCopy.records.RewriteRemaining(g.now()) > 0 {", "if false {",
 		"./internal/gateway", "TestRetrialLostWithACopy",
 	},
 	{
--- a/internal/spread/confirmation.go
+++ b/internal/spread/confirmation.go
@@ -33,7 +33,7 @@
 func (c *Core) DeletionsReliable(now time.Duration) bool {
 	at := clock.Of(now)
 	return c.confirmed.known && at-c.confirmed.at < c.settings.EntryLifetime && at-c.reconfirmedAt >= c.settings.RewriteWindow &&
-		c.RewriteLeft(now) == 0
+		c.RewriteRemaining(now) == 0
 }
 
 // ConfirmedWithin reports whether the copy was complete at some moment within the given time.
--- a/internal/spread/era.go
+++ b/internal/spread/era.go
@@ -20,9 +20,9 @@
 	c.era, c.knowsEra = max(c.era, era), true
 }
 
-// RewriteLeft is how much longer a restored store may lack what it had confirmed before: it is written again by whoever wrote
+// RewriteRemaining is how much longer a restored store may lack what it had confirmed before: it is written again by whoever wrote
 // it. It is 0 where the store was not restored of late, as far as this node knows.
-func (c *Core) RewriteLeft(now time.Duration) clock.Ms {
+func (c *Core) RewriteRemaining(now time.Duration) clock.Ms {
 	if !c.restored {
 		return 0
 	}
--- a/internal/spread/era_test.go
+++ b/internal/spread/era_test.go
@@ -85,13 +85,13 @@
 	for now := time.Duration(0); now < 5*time.Second; now += 500 * time.Millisecond {
 		core.Confirm(now)
 	}
-	if !core.DeletionsReliable(5*time.Second) || core.RewriteLeft(5*time.Second) != 0 {
+	if !core.DeletionsReliable(5*time.Second) || core.RewriteRemaining(5*time.Second) != 0 {
 		t.Fatal("not settled before")
 	}
 	core.Advance(5*time.Second, history.At(2, 65))
 	core.Confirm(5 * time.Second)
-	if core.DeletionsReliable(5*time.Second) || core.RewriteLeft(6*time.Second) != 1500 {
-		t.Errorf("settled at once, for %d ms", core.RewriteLeft(6*time.Second))
+	if core.DeletionsReliable(5*time.Second) || core.RewriteRemaining(6*time.Second) != 1500 {
+		t.Errorf("settled at once, for %d ms", core.RewriteRemaining(6*time.Second))
 	}
 	core.Confirm(7 * time.Second)
 	if !core.DeletionsReliable(7500 * time.Millisecond) {
