--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -53,7 +53,7 @@
 
 // age is how long ago the copy was last known to be complete, by the store itself or another node.
 func (c *storeCopy) age(now time.Duration) clock.Ms {
-	if age, known := c.records.Age(now); known {
+	if age, known := c.records.CopyAge(now); known {
 		return age
 	}
 	return neverConfirmed
--- a/internal/spread/confirmation.go
+++ b/internal/spread/confirmation.go
@@ -41,8 +41,8 @@
 	return c.confirmed.known && clock.Of(now)-c.confirmed.at <= within
 }
 
-// Age is how long ago the copy was last known to be complete; false where it never was.
-func (c *Core) Age(now time.Duration) (age clock.Ms, known bool) {
+// CopyAge is how long ago the copy was last known to be complete; false where it never was.
+func (c *Core) CopyAge(now time.Duration) (age clock.Ms, known bool) {
 	return max(0, clock.Of(now)-c.confirmed.at), c.confirmed.known
 }
 
