--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -191,7 +191,7 @@
 	age := c.age(now)
 	received := c.records.Receive(now, from, m, g.served(now))
 	g.enterRestoredEra(now)
-	doubt := c.doubtUntil(now, age, countGone(received.Records)+len(received.Gone), g.replicas.Len())
+	doubt := c.doubtUntil(now, age, countGone(received.Records)+len(received.Deleted), g.replicas.Len())
 	for _, record := range received.Records {
 		if record.Deleted {
 			g.vanished(now, record.Key, doubt)
@@ -199,14 +199,14 @@
 			g.apply(now, record)
 		}
 	}
-	for _, key := range received.Gone {
+	for _, key := range received.Deleted {
 		g.vanished(now, key, doubt)
 	}
 	g.takeKept(received.Kept)
 	if received.Advanced {
 		c.reader.Advance(c.records.Revision())
 		g.noteListed()
-		g.log.Learned(from, len(received.Records)+len(received.Gone), c.records.Revision())
+		g.log.Learned(from, len(received.Records)+len(received.Deleted), c.records.Revision())
 		if told, ok := m.(*message.StoreRecords); ok {
 			g.passOn(from, told)
 		}
--- a/internal/spread/era_test.go
+++ b/internal/spread/era_test.go
@@ -53,7 +53,7 @@
 		t.Fatalf("answered %+v", sends)
 	}
 	received := behind.Receive(0, "ahead", sends[0].Message, true)
-	if !slices.Equal(received.Gone, []string{"lost"}) || behind.Revision() != history.At(2, 65) {
+	if !slices.Equal(received.Deleted, []string{"lost"}) || behind.Revision() != history.At(2, 65) {
 		t.Errorf("received %+v, revision %v", received, behind.Revision())
 	}
 	// Who is ahead by the era answers a digest of a greater number with its own.
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -221,8 +221,8 @@
 	Sends []Send
 	// Records are those that were newer than what was known.
 	Records []message.StoreRecord
-	// Gone keys were known and are not there any more.
-	Gone []string
+	// Deleted keys were known and are not there any more.
+	Deleted []string
 	// Kept are those that the peer goes by though the restored store says otherwise.
 	Kept []message.StoreRecord
 	// Advanced: all changes up to Revision are known now.
@@ -287,7 +287,7 @@
 		}
 	}
 	if m.Complete {
-		received.Gone = c.ApplyListing(now, listed, m.Revision)
+		received.Deleted = c.ApplyListing(now, listed, m.Revision)
 	}
 	// An answer to a request of an earlier life of this node may still come; what it leaves out is not known in this one.
 	if m.Complete || !m.Since.After(c.revision) {
