--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -202,7 +202,7 @@
 	for _, key := range received.Deleted {
 		g.vanished(now, key, doubt)
 	}
-	g.takeKept(received.Kept)
+	g.takeKept(received.Retained)
 	if received.Advanced {
 		c.reader.Advance(c.records.Revision())
 		g.noteListed()
--- a/internal/spread/era_test.go
+++ b/internal/spread/era_test.go
@@ -116,7 +116,7 @@
 	if len(reply) != 1 {
 		t.Fatalf("answered %+v", reply)
 	}
-	if kept := starts.Receive(now, "ahead", reply[0].Message, true).Kept; len(kept) != 1 || string(kept[0].Value) != "21" {
+	if kept := starts.Receive(now, "ahead", reply[0].Message, true).Retained; len(kept) != 1 || string(kept[0].Value) != "21" {
 		t.Errorf("told %+v", kept)
 	}
 	asked := 1
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -223,8 +223,8 @@
 	Records []message.StoreRecord
 	// Deleted keys were known and are not there any more.
 	Deleted []string
-	// Kept are those that the peer goes by though the restored store says otherwise.
-	Kept []message.StoreRecord
+	// Retained are those that the peer goes by though the restored store says otherwise.
+	Retained []message.StoreRecord
 	// Advanced: all changes up to Revision are known now.
 	Advanced bool
 }
@@ -276,7 +276,7 @@
 }
 
 func (c *Core) receiveRecords(now time.Duration, from string, m *message.StoreRecords) Received {
-	received := Received{Kept: m.Retained}
+	received := Received{Retained: m.Retained}
 	c.receiveConfirmation(now, m.Revision, m.Confirmation)
 	c.askedUntil = 0
 	listed := make(map[string]bool, len(m.Records))
