--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -40,8 +40,8 @@
 	Header http.Header
 	Body   []byte
 	Err    error
-	// Unused: the connection ended before it had carried a single answer, as one over the back end's limit does.
-	Unused bool
+	// ConnectionUnused: the connection ended before it had carried a single answer, as one over the back end's limit does.
+	ConnectionUnused bool
 }
 
 // Request to be sent.
@@ -73,12 +73,12 @@
 	connection, err := p.connect(ctx, request)
 	if err != nil {
 		return Result{
-			Stage: NotSent, Err: failure.Wrap(err, failure.NoReplica, "no connection to the back end"), Unused: errors.Is(err, errTurnedAway),
+			Stage: NotSent, Err: failure.Wrap(err, failure.NoReplica, "no connection to the back end"), ConnectionUnused: errors.Is(err, errTurnedAway),
 		}
 	}
 	stop := context.AfterFunc(ctx, connection.abort)
 	result, reusable := connection.roundTrip(request)
-	result.Unused = connection.answers == 0
+	result.ConnectionUnused = connection.answers == 0
 	if !stop() || !reusable {
 		connection.close()
 		return result
--- a/internal/exchange/proof_test.go
+++ b/internal/exchange/proof_test.go
@@ -23,7 +23,7 @@
 		r := request(s.address())
 		r.Prove = prove
 		result := pool.Do(context.Background(), r)
-		if result.Stage != want || !result.Unused || result.Err == nil {
+		if result.Stage != want || !result.ConnectionUnused || result.Err == nil {
 			t.Errorf("prove %v: %+v", prove, result)
 		}
 	}
@@ -65,7 +65,7 @@
 	if first := pool.Do(context.Background(), r); first.Stage != exchange.Answered || first.Status != http.StatusOK {
 		t.Fatalf("first %+v", first)
 	}
-	if second := pool.Do(context.Background(), r); second.Stage != exchange.Sent || second.Unused {
+	if second := pool.Do(context.Background(), r); second.Stage != exchange.Sent || second.ConnectionUnused {
 		t.Errorf("second %+v", second)
 	}
 	if opened := pool.Opened.Load(); opened != 1 {
