--- a/internal/exchange/dial.go
+++ b/internal/exchange/dial.go
@@ -44,7 +44,7 @@
 		p.Connected(took)
 	}
 	p.Opened.Add(1)
-	if request.Prove && !quiet(socket, took+p.proofSlack) {
+	if request.VerifyConnection && !quiet(socket, took+p.proofSlack) {
 		_ = socket.Close()
 		return nil, errTurnedAway
 	}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -51,8 +51,8 @@
 	Deadline time.Time
 	// ConnectTimeout bounds the opening of a connection.
 	ConnectTimeout time.Duration
-	// Prove has a new connection wait for a way there and back before it is used: a back end at its limit has closed it by then.
-	Prove bool
+	// VerifyConnection has a new connection wait for a way there and back before it is used: a back end at its limit has closed it by then.
+	VerifyConnection bool
 	// Once: the request cannot be sent again if nothing comes back. It goes over a connection that has carried an
 	// answer within provenWithin, or over a new one: a connection that has been idle for longer may have fallen silent.
 	Once bool
--- a/internal/exchange/proof_test.go
+++ b/internal/exchange/proof_test.go
@@ -21,7 +21,7 @@
 		pool := exchange.NewPool()
 		pool.SetProofSlack(time.Minute)
 		r := request(s.address())
-		r.Prove = prove
+		r.VerifyConnection = prove
 		result := pool.Do(context.Background(), r)
 		if result.Stage != want || !result.ConnectionUnused || result.Err == nil {
 			t.Errorf("prove %v: %+v", prove, result)
@@ -61,7 +61,7 @@
 	pool := exchange.NewPool()
 	pool.SetProofSlack(time.Millisecond)
 	r := request(s.address())
-	r.Prove = true
+	r.VerifyConnection = true
 	if first := pool.Do(context.Background(), r); first.Stage != exchange.Answered || first.Status != http.StatusOK {
 		t.Fatalf("first %+v", first)
 	}
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -201,7 +201,7 @@
 	},
 	{
 		"a new connection to a crowded back end is used at once", "internal/exchange/dial.go",
-		"if request.Prove && !quiet(", "if false && !quiet(",
+		"if request.VerifyConnection && !quiet(", "if false && !quiet(",
 		"./internal/exchange", "TestTurnedAway",
 	},
 	{
