--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -213,7 +213,7 @@
 	}{{false, 0, 1}, {true, time.Hour, 1}, {false, 0, 1}, {true, 0, 2}} {
 		pool.SetProvenWithin(c.proven)
 		r := request(s.address())
-		r.Once = c.once
+		r.NonRetryable = c.once
 		if result := pool.Do(context.Background(), r); result.Stage != exchange.Answered {
 			t.Fatalf("%+v", result)
 		}
