--- a/internal/exchange/connection.go
+++ b/internal/exchange/connection.go
@@ -93,7 +93,7 @@
 	}
 	c.answers++
 	result = Result{Stage: Answered, Status: response.StatusCode, Header: response.Header, Body: body}
-	reusable = written() && c.framed(response) && request.Trusted(response.StatusCode, response.Header)
+	reusable = written() && c.framed(response) && request.AnswerMatches(response.StatusCode, response.Header)
 	return result, reusable
 }
 
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -64,8 +64,8 @@
 	MaximumIdle int
 	// IdleFor bounds how long it is idle, beside what the back end says; 0 does not.
 	IdleFor time.Duration
-	// Trusted reports whether an answer belongs to the request; the connection is not used again if it does not.
-	Trusted func(status int, header http.Header) bool
+	// AnswerMatches reports whether an answer belongs to the request; the connection is not used again if it does not.
+	AnswerMatches func(status int, header http.Header) bool
 }
 
 // Do carries out one exchange. When the context ends the connection is closed, so that the back end stops working.
