--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -62,8 +62,8 @@
 	MaximumBody int64
 	// MaximumIdle is how many connections to the endpoint may be kept idle for later requests; one more is closed after its answer.
 	MaximumIdle int
-	// IdleFor bounds how long it is idle, beside what the back end says; 0 does not.
-	IdleFor time.Duration
+	// IdleTimeout bounds how long it is idle, beside what the back end says; 0 does not.
+	IdleTimeout time.Duration
 	// AnswerMatches reports whether an answer belongs to the request; the connection is not used again if it does not.
 	AnswerMatches func(status int, header http.Header) bool
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -232,7 +232,7 @@
 		})
 		pool := exchange.NewPool()
 		bounded := request(s.address())
-		bounded.IdleFor = restFor
+		bounded.IdleTimeout = restFor
 		pool.Do(context.Background(), bounded)
 		pool.Do(context.Background(), bounded)
 		if got := s.connections.Load(); got != connections {
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -73,8 +73,8 @@
 func (p *Pool) put(request Request, c *connection) {
 	c.idleSince = p.clock.Elapsed()
 	_ = c.socket.SetDeadline(time.Time{})
-	if request.IdleFor > 0 {
-		c.idleFor = min(c.idleFor, request.IdleFor)
+	if request.IdleTimeout > 0 {
+		c.idleFor = min(c.idleFor, request.IdleTimeout)
 	}
 	p.mutex.Lock()
 	kept := len(p.idle[request.Endpoint]) < request.MaximumIdle
