--- a/internal/exchange/dial.go
+++ b/internal/exchange/dial.go
@@ -43,7 +43,7 @@
 	if p.Connected != nil {
 		p.Connected(took)
 	}
-	p.Opened.Add(1)
+	p.OpenedTotal.Add(1)
 	if request.VerifyConnection && !quiet(socket, took+p.proofSlack) {
 		_ = socket.Close()
 		return nil, errTurnedAway
@@ -63,7 +63,7 @@
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	p.Opened.Add(1)
+	p.OpenedTotal.Add(1)
 	defer func() { _ = socket.Close() }()
 	return !full && !quiet(socket, time.Since(started)+p.proofSlack)
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -272,8 +272,8 @@
 		if result := pool.Do(context.Background(), r); result.Stage != exchange.Answered {
 			t.Fatalf("%v", result.Err)
 		}
-		if want := int64(max(opened, 1)); pool.Opened.Load() != want {
-			t.Errorf("%d connections opened after a request to %s, want %d", pool.Opened.Load(), process, want)
+		if want := int64(max(opened, 1)); pool.OpenedTotal.Load() != want {
+			t.Errorf("%d connections opened after a request to %s, want %d", pool.OpenedTotal.Load(), process, want)
 		}
 	}
 	pool.Prune(func(e exchange.Endpoint) bool { return e.Process == "x@2" })
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -26,9 +26,9 @@
 	clock clock.Clock
 	mutex sync.Mutex
 	idle  map[Endpoint][]*connection
-	// Opened counts connections opened since the start; Open is how many there are.
-	Opened atomic.Int64
-	Open   atomic.Int64
+	// OpenedTotal counts connections opened since the start; Open is how many there are.
+	OpenedTotal atomic.Int64
+	Open        atomic.Int64
 	// Connected, where set, is told how long each opening of a connection took.
 	Connected func(time.Duration)
 	// proofSlack is waited beyond a way there and back where a new connection must prove itself.
--- a/internal/exchange/proof_test.go
+++ b/internal/exchange/proof_test.go
@@ -68,7 +68,7 @@
 	if second := pool.Do(context.Background(), r); second.Stage != exchange.Sent || second.ConnectionUnused {
 		t.Errorf("second %+v", second)
 	}
-	if opened := pool.Opened.Load(); opened != 1 {
+	if opened := pool.OpenedTotal.Load(); opened != 1 {
 		t.Errorf("%d connections opened", opened)
 	}
 }
--- a/internal/exchange/suspended_test.go
+++ b/internal/exchange/suspended_test.go
@@ -30,7 +30,7 @@
 			t.Fatalf("%+v", result)
 		}
 	}
-	if opened := pool.Opened.Load(); opened != 2 {
+	if opened := pool.OpenedTotal.Load(); opened != 2 {
 		t.Errorf("%d connections were opened for three requests, the last one after a suspension", opened)
 	}
 }
