--- a/cmd/stiletrail-gateway/main.go
+++ b/cmd/stiletrail-gateway/main.go
@@ -83,7 +83,7 @@
 	}
 	defer closePeers()
 	measured.Observe(telemetry.Source{
-		Gateway: node, BackEndConnections: pool.Open.Load, BackEndConnectionsOpened: pool.OpenedTotal.Load,
+		Gateway: node, BackEndConnections: pool.OpenCount.Load, BackEndConnectionsOpened: pool.OpenedTotal.Load,
 		LogLinesDropped: writer.Dropped, MalformedLoads: backEnds.MalformedLoads, PeerFrames: frames,
 	})
 	log.Started(loaded, loaded.WithoutEffect())
--- a/internal/exchange/dial.go
+++ b/internal/exchange/dial.go
@@ -48,8 +48,8 @@
 		_ = socket.Close()
 		return nil, errTurnedAway
 	}
-	p.Open.Add(1)
-	return newConnection(socket, func() { p.Open.Add(-1) }), nil
+	p.OpenCount.Add(1)
+	return newConnection(socket, func() { p.OpenCount.Add(-1) }), nil
 }
 
 // Ended reports whether nobody serves at an address any more, as after the end of a process, whether its connections
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -192,7 +192,7 @@
 		if result := pool.Do(context.Background(), limited); result.Stage != exchange.Answered {
 			t.Errorf("%+v", result)
 		}
-		if got := pool.Open.Load(); got != resting {
+		if got := pool.OpenCount.Load(); got != resting {
 			t.Errorf("%d connections rest, %d may", got, resting)
 		}
 	}
@@ -250,11 +250,11 @@
 	pool := exchange.NewPool()
 	pool.Do(context.Background(), request(s.address()))
 	pool.Prune(func(exchange.Endpoint) bool { return true })
-	if pool.Open.Load() != 1 {
+	if pool.OpenCount.Load() != 1 {
 		t.Error("a connection in use was closed")
 	}
 	pool.Prune(func(exchange.Endpoint) bool { return false })
-	if pool.Open.Load() != 0 {
+	if pool.OpenCount.Load() != 0 {
 		t.Error("a connection out of use was kept")
 	}
 }
@@ -277,8 +277,8 @@
 		}
 	}
 	pool.Prune(func(e exchange.Endpoint) bool { return e.Process == "x@2" })
-	if pool.Open.Load() != 1 {
-		t.Errorf("%d connections are open, want that to the process in use", pool.Open.Load())
+	if pool.OpenCount.Load() != 1 {
+		t.Errorf("%d connections are open, want that to the process in use", pool.OpenCount.Load())
 	}
 }
 
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -28,7 +28,7 @@
 	idle  map[Endpoint][]*connection
 	// OpenedTotal counts connections opened since the start; Open is how many there are.
 	OpenedTotal atomic.Int64
-	Open        atomic.Int64
+	OpenCount   atomic.Int64
 	// Connected, where set, is told how long each opening of a connection took.
 	Connected func(time.Duration)
 	// proofSlack is waited beyond a way there and back where a new connection must prove itself.
