--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -11,7 +11,7 @@
 	},
 	{
 		"a connection that was reset is taken for the end of a back end", "platform/backend.go",
-		"outcome.BackEndEnded = b.pool.Ended(ctx, send.Entry.Address, endTimeout, outcome.ConnectionTurnedAway)", "outcome.BackEndEnded = true",
+		"outcome.BackEndEnded = b.pool.BackEndEnded(ctx, send.Entry.Address, endTimeout, outcome.ConnectionTurnedAway)", "outcome.BackEndEnded = true",
 		"./platform", "TestEndOfABackEndIsTold",
 	},
 	{
