--- a/internal/exchange/dial.go
+++ b/internal/exchange/dial.go
@@ -40,8 +40,8 @@
 		return nil, err
 	}
 	took := time.Since(started)
-	if p.Connected != nil {
-		p.Connected(took)
+	if p.OnConnected != nil {
+		p.OnConnected(took)
 	}
 	p.OpenedTotal.Add(1)
 	if request.VerifyConnection && !quiet(socket, took+p.proofSlack) {
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -29,8 +29,8 @@
 	// OpenedTotal counts connections opened since the start; Open is how many there are.
 	OpenedTotal atomic.Int64
 	OpenCount   atomic.Int64
-	// Connected, where set, is told how long each opening of a connection took.
-	Connected func(time.Duration)
+	// OnConnected, where set, is told how long each opening of a connection took.
+	OnConnected func(time.Duration)
 	// proofSlack is waited beyond a way there and back where a new connection must prove itself.
 	proofSlack time.Duration
 	// provenWithin is how long after an answer a connection counts as sound for a request that cannot be sent again.
