--- a/internal/exchange/proof_test.go
+++ b/internal/exchange/proof_test.go
@@ -19,7 +19,7 @@
 			s = turnAway(t)
 		}
 		pool := exchange.NewPool()
-		pool.SetProofSlack(time.Minute)
+		pool.SetVerificationMargin(time.Minute)
 		r := request(s.address())
 		r.VerifyConnection = prove
 		result := pool.Do(context.Background(), r)
@@ -59,7 +59,7 @@
 		return true
 	})
 	pool := exchange.NewPool()
-	pool.SetProofSlack(time.Millisecond)
+	pool.SetVerificationMargin(time.Millisecond)
 	r := request(s.address())
 	r.VerifyConnection = true
 	if first := pool.Do(context.Background(), r); first.Stage != exchange.Answered || first.Status != http.StatusOK {
