--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -211,7 +211,7 @@
 		proven      time.Duration
 		connections int64
 	}{{false, 0, 1}, {true, time.Hour, 1}, {false, 0, 1}, {true, 0, 2}} {
-		pool.SetProvenWithin(c.proven)
+		pool.SetRecentAnswerWithin(c.proven)
 		r := request(s.address())
 		r.NonRetryable = c.once
 		if result := pool.Do(context.Background(), r); result.Stage != exchange.Answered {
--- a/internal/exchange/export_test.go
+++ b/internal/exchange/export_test.go
@@ -5,5 +5,5 @@
 // SetVerificationMargin sets how long beyond a way there and back a new connection is watched for its end.
 func (p *Pool) SetVerificationMargin(slack time.Duration) { p.proofSlack = slack }
 
-// SetProvenWithin sets how long after an answer a connection counts as sound for a request that cannot be sent again.
-func (p *Pool) SetProvenWithin(within time.Duration) { p.provenWithin = within }
+// SetRecentAnswerWithin sets how long after an answer a connection counts as sound for a request that cannot be sent again.
+func (p *Pool) SetRecentAnswerWithin(within time.Duration) { p.provenWithin = within }
--- a/internal/exchange/suspended_test.go
+++ b/internal/exchange/suspended_test.go
@@ -21,7 +21,7 @@
 		return true
 	})
 	pool := exchange.NewPool()
-	pool.SetProvenWithin(time.Hour)
+	pool.SetRecentAnswerWithin(time.Hour)
 	r := request(s.address())
 	r.NonRetryable, r.MaximumIdle = true, 1
 	for _, suspended := range []time.Duration{0, 0, 2 * time.Hour} {
