--- a/internal/engine/forward.go
+++ b/internal/engine/forward.go
@@ -37,7 +37,7 @@
 	e.forwards[sequence] = f
 	if _, known := e.members.Lookup(to); !known {
 		for _, peer := range e.members.Pick(introducers, membership.Member.Usable) {
-			e.sendAll(e.members.Sync(peer))
+			e.sendAll(e.members.RequestView(peer))
 		}
 	}
 	e.sendForward(sequence, f)
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -39,8 +39,8 @@
 	return []Send{{To: peer, Message: &message.MemberSync{Reply: true, Hash: c.hash(), Updates: updates}}}
 }
 
-// Sync returns messages that ask the given peer for its whole view.
-func (c *Core) Sync(peer string) []Send {
+// RequestView returns messages that ask the given peer for its whole view.
+func (c *Core) RequestView(peer string) []Send {
 	return []Send{{To: peer, Message: &message.MemberSync{Reply: true, Updates: []message.MemberUpdate{toUpdate(c.self)}}}}
 }
 
