--- a/cmd/stiletrail-gateway/main.go
+++ b/cmd/stiletrail-gateway/main.go
@@ -66,7 +66,7 @@
 	log := decisionlog.New(writer, level, loaded.Node)
 	pool := exchange.NewPool()
 	measured := telemetry.New(log)
-	pool.Connected = measured.Connected
+	pool.OnConnected = measured.Connected
 	store := platform.NewStoreClient(loaded.StoreAddress)
 	backEnds := platform.NewBackEnds(pool)
 	node := gateway.New(gateway.FromSettings(loaded), backEnds, store, measured)
@@ -83,7 +83,7 @@
 	}
 	defer closePeers()
 	measured.Observe(telemetry.Source{
-		Gateway: node, BackEndConnections: pool.Open.Load, BackEndConnectionsOpened: pool.Opened.Load,
+		Gateway: node, BackEndConnections: pool.OpenCount.Load, BackEndConnectionsOpened: pool.OpenedTotal.Load,
 		LogLinesDropped: writer.Dropped, MalformedLoads: backEnds.MalformedLoads, PeerFrames: frames,
 	})
 	log.Started(loaded, loaded.WithoutEffect())
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -40,8 +40,8 @@
 	Header http.Header
 	Body   []byte
 	Err    error
-	// Unused: the connection ended before it had carried a single answer, as one over the back end's limit does.
-	Unused bool
+	// ConnectionUnused: the connection ended before it had carried a single answer, as one over the back end's limit does.
+	ConnectionUnused bool
 }
 
 // Request to be sent.
@@ -51,21 +51,21 @@
 	Deadline time.Time
 	// ConnectTimeout bounds the opening of a connection.
 	ConnectTimeout time.Duration
-	// Prove has a new connection wait for a way there and back before it is used: a back end at its limit has closed it by then.
-	Prove bool
-	// Once: the request cannot be sent again if nothing comes back. It goes over a connection that has carried an
+	// VerifyConnection has a new connection wait for a way there and back before it is used: a back end at its limit has closed it by then.
+	VerifyConnection bool
+	// NonRetryable: the request cannot be sent again if nothing comes back. It goes over a connection that has carried an
 	// answer within provenWithin, or over a new one: a connection that has been idle for longer may have fallen silent.
-	Once bool
+	NonRetryable bool
 	// Prepare builds the message at the moment at which it is written, when the connection is there.
 	Prepare func() (*http.Request, error)
 	// MaximumBody bounds the answer in bytes.
 	MaximumBody int64
 	// MaximumIdle is how many connections to the endpoint may be kept idle for later requests; one more is closed after its answer.
 	MaximumIdle int
-	// IdleFor bounds how long it is idle, beside what the back end says; 0 does not.
-	IdleFor time.Duration
-	// Trusted reports whether an answer belongs to the request; the connection is not used again if it does not.
-	Trusted func(status int, header http.Header) bool
+	// IdleTimeout bounds how long it is idle, beside what the back end says; 0 does not.
+	IdleTimeout time.Duration
+	// AnswerMatches reports whether an answer belongs to the request; the connection is not used again if it does not.
+	AnswerMatches func(status int, header http.Header) bool
 }
 
 // Do carries out one exchange. When the context ends the connection is closed, so that the back end stops working.
@@ -73,12 +73,12 @@
 	connection, err := p.connect(ctx, request)
 	if err != nil {
 		return Result{
-			Stage: NotSent, Err: failure.Wrap(err, failure.NoReplica, "no connection to the back end"), Unused: errors.Is(err, errTurnedAway),
+			Stage: NotSent, Err: failure.Wrap(err, failure.NoReplica, "no connection to the back end"), ConnectionUnused: errors.Is(err, errTurnedAway),
 		}
 	}
 	stop := context.AfterFunc(ctx, connection.abort)
 	result, reusable := connection.roundTrip(request)
-	result.Unused = connection.answers == 0
+	result.ConnectionUnused = connection.answers == 0
 	if !stop() || !reusable {
 		connection.close()
 		return result
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -64,7 +64,7 @@
 		Prepare: func() (*http.Request, error) {
 			return &http.Request{Method: http.MethodGet, URL: &url.URL{Opaque: "/x"}, Host: "h", Header: http.Header{}}, nil
 		},
-		Trusted: func(int, http.Header) bool { return true },
+		AnswerMatches: func(int, http.Header) bool { return true },
 	}
 }
 
@@ -192,7 +192,7 @@
 		if result := pool.Do(context.Background(), limited); result.Stage != exchange.Answered {
 			t.Errorf("%+v", result)
 		}
-		if got := pool.Open.Load(); got != resting {
+		if got := pool.OpenCount.Load(); got != resting {
 			t.Errorf("%d connections rest, %d may", got, resting)
 		}
 	}
@@ -211,9 +211,9 @@
 		proven      time.Duration
 		connections int64
 	}{{false, 0, 1}, {true, time.Hour, 1}, {false, 0, 1}, {true, 0, 2}} {
-		pool.SetProvenWithin(c.proven)
+		pool.SetRecentAnswerWithin(c.proven)
 		r := request(s.address())
-		r.Once = c.once
+		r.NonRetryable = c.once
 		if result := pool.Do(context.Background(), r); result.Stage != exchange.Answered {
 			t.Fatalf("%+v", result)
 		}
@@ -232,7 +232,7 @@
 		})
 		pool := exchange.NewPool()
 		bounded := request(s.address())
-		bounded.IdleFor = restFor
+		bounded.IdleTimeout = restFor
 		pool.Do(context.Background(), bounded)
 		pool.Do(context.Background(), bounded)
 		if got := s.connections.Load(); got != connections {
@@ -250,11 +250,11 @@
 	pool := exchange.NewPool()
 	pool.Do(context.Background(), request(s.address()))
 	pool.Prune(func(exchange.Endpoint) bool { return true })
-	if pool.Open.Load() != 1 {
+	if pool.OpenCount.Load() != 1 {
 		t.Error("a connection in use was closed")
 	}
 	pool.Prune(func(exchange.Endpoint) bool { return false })
-	if pool.Open.Load() != 0 {
+	if pool.OpenCount.Load() != 0 {
 		t.Error("a connection out of use was kept")
 	}
 }
@@ -272,13 +272,13 @@
 		if result := pool.Do(context.Background(), r); result.Stage != exchange.Answered {
 			t.Fatalf("%v", result.Err)
 		}
-		if want := int64(max(opened, 1)); pool.Opened.Load() != want {
-			t.Errorf("%d connections opened after a request to %s, want %d", pool.Opened.Load(), process, want)
+		if want := int64(max(opened, 1)); pool.OpenedTotal.Load() != want {
+			t.Errorf("%d connections opened after a request to %s, want %d", pool.OpenedTotal.Load(), process, want)
 		}
 	}
 	pool.Prune(func(e exchange.Endpoint) bool { return e.Process == "x@2" })
-	if pool.Open.Load() != 1 {
-		t.Errorf("%d connections are open, want that to the process in use", pool.Open.Load())
+	if pool.OpenCount.Load() != 1 {
+		t.Errorf("%d connections are open, want that to the process in use", pool.OpenCount.Load())
 	}
 }
 
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -26,11 +26,11 @@
 	clock clock.Clock
 	mutex sync.Mutex
 	idle  map[Endpoint][]*connection
-	// Opened counts connections opened since the start; Open is how many there are.
-	Opened atomic.Int64
-	Open   atomic.Int64
-	// Connected, where set, is told how long each opening of a connection took.
-	Connected func(time.Duration)
+	// OpenedTotal counts connections opened since the start; Open is how many there are.
+	OpenedTotal atomic.Int64
+	OpenCount   atomic.Int64
+	// OnConnected, where set, is told how long each opening of a connection took.
+	OnConnected func(time.Duration)
 	// proofSlack is waited beyond a way there and back where a new connection must prove itself.
 	proofSlack time.Duration
 	// provenWithin is how long after an answer a connection counts as sound for a request that cannot be sent again.
@@ -50,7 +50,7 @@
 			return p.open(ctx, request)
 		}
 		now := p.clock.Elapsed()
-		if kept.sound(now) && !(request.Once && now-kept.idleSince > p.provenWithin) {
+		if kept.sound(now) && !(request.NonRetryable && now-kept.idleSince > p.provenWithin) {
 			return kept, nil
 		}
 		kept.close()
@@ -73,8 +73,8 @@
 func (p *Pool) put(request Request, c *connection) {
 	c.idleSince = p.clock.Elapsed()
 	_ = c.socket.SetDeadline(time.Time{})
-	if request.IdleFor > 0 {
-		c.idleFor = min(c.idleFor, request.IdleFor)
+	if request.IdleTimeout > 0 {
+		c.idleFor = min(c.idleFor, request.IdleTimeout)
 	}
 	p.mutex.Lock()
 	kept := len(p.idle[request.Endpoint]) < request.MaximumIdle
--- a/internal/exchange/proof_test.go
+++ b/internal/exchange/proof_test.go
@@ -19,11 +19,11 @@
 			s = turnAway(t)
 		}
 		pool := exchange.NewPool()
-		pool.SetProofSlack(time.Minute)
+		pool.SetVerificationMargin(time.Minute)
 		r := request(s.address())
-		r.Prove = prove
+		r.VerifyConnection = prove
 		result := pool.Do(context.Background(), r)
-		if result.Stage != want || !result.Unused || result.Err == nil {
+		if result.Stage != want || !result.ConnectionUnused || result.Err == nil {
 			t.Errorf("prove %v: %+v", prove, result)
 		}
 	}
@@ -59,16 +59,16 @@
 		return true
 	})
 	pool := exchange.NewPool()
-	pool.SetProofSlack(time.Millisecond)
+	pool.SetVerificationMargin(time.Millisecond)
 	r := request(s.address())
-	r.Prove = true
+	r.VerifyConnection = true
 	if first := pool.Do(context.Background(), r); first.Stage != exchange.Answered || first.Status != http.StatusOK {
 		t.Fatalf("first %+v", first)
 	}
-	if second := pool.Do(context.Background(), r); second.Stage != exchange.Sent || second.Unused {
+	if second := pool.Do(context.Background(), r); second.Stage != exchange.Sent || second.ConnectionUnused {
 		t.Errorf("second %+v", second)
 	}
-	if opened := pool.Opened.Load(); opened != 1 {
+	if opened := pool.OpenedTotal.Load(); opened != 1 {
 		t.Errorf("%d connections opened", opened)
 	}
 }
--- a/internal/exchange/suspended_test.go
+++ b/internal/exchange/suspended_test.go
@@ -21,16 +21,16 @@
 		return true
 	})
 	pool := exchange.NewPool()
-	pool.SetProvenWithin(time.Hour)
+	pool.SetRecentAnswerWithin(time.Hour)
 	r := request(s.address())
-	r.Once, r.MaximumIdle = true, 1
+	r.NonRetryable, r.MaximumIdle = true, 1
 	for _, suspended := range []time.Duration{0, 0, 2 * time.Hour} {
 		behind.Add(int64(suspended))
 		if result := pool.Do(context.Background(), r); result.Stage != exchange.Answered {
 			t.Fatalf("%+v", result)
 		}
 	}
-	if opened := pool.Opened.Load(); opened != 2 {
+	if opened := pool.OpenedTotal.Load(); opened != 2 {
 		t.Errorf("%d connections were opened for three requests, the last one after a suspension", opened)
 	}
 }
