--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -41,7 +41,7 @@
 	},
 	{
 		"back ends that had left come back with a copy", "internal/gateway/store_changes.go",
-		"	g.replicas.DistrustDeparted(now + g.settings.Load().Copy.DistrustDepartedFor)\n", "",
+		"	g.replicas.DistrustDeparted(now + g.settings.Load().StoreCopy.DistrustDepartedFor)\n", "",
 		"./platform", "TestLostWithACopy",
 	},
 	{
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -116,7 +116,7 @@
 	},
 	{
 		"entries of other writers are used", "platform/entry.go",
-		"	if wrong := document.wrong(); wrong != \"\" {", "	if wrong := \"\"; wrong != \"\" {",
+		"	if wrong := document.invalidField(); wrong != \"\" {", "	if wrong := \"\"; wrong != \"\" {",
 		"./platform", "TestBrokenEntryNamesNoBackEnd",
 	},
 	{
@@ -241,7 +241,7 @@
 	},
 	{
 		"many entries that go at once are in doubt for longer than a leaving back end is given", "internal/gateway/store_copy.go",
-		"return min(longest, now+(c.waits.Within-age-doubtMargin).Duration())", "return longest",
+		"return min(longest, now+(c.waits.Bound-age-doubtMargin).Duration())", "return longest",
 		"./platform", "TestLeavingWithoutAWord",
 	},
 	{
@@ -338,7 +338,7 @@
 	},
 	{
 		"a young node uses its whole share of connections", "internal/gateway/fleet_share.go",
-		"		part = settings.Fleet.YoungPart\n", "		part = 1\n",
+		"		part = settings.Fleet.StartupConnectionDivisor\n", "		part = 1\n",
 		"./internal/gateway", "TestYoungShare",
 	},
 	{
@@ -368,7 +368,7 @@
 	},
 	{
 		"a request refused by itself leaves no line", "platform/ingress.go",
-		"		i.gateway.Refuse(&gateway.Call{ID: r.Header.Get(headerRequestID)}, refusal.Failure)\n", "",
+		"		i.gateway.LogRefusal(&gateway.Call{ID: r.Header.Get(headerRequestID)}, refusal.Failure)\n", "",
 		"./platform", "TestEachCodeIsLogged",
 	},
 	{
--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -6,12 +6,12 @@
 var quarantineMutations = []mutation{
 	{
 		"the end of a back end is not told from the end of a connection", "platform/backend.go",
-		"outcome.Kind == forward.Lost && ended(result.Err) && ctx.Err() == nil", "false",
+		"outcome.Kind == forward.Lost && closedByBackEnd(result.Err) && ctx.Err() == nil", "false",
 		"./platform", "TestQuarantine",
 	},
 	{
 		"a connection that was reset is taken for the end of a back end", "platform/backend.go",
-		"outcome.BackEndCrashed = b.pool.BackEndEnded(ctx, send.Entry.Address, endTimeout, outcome.ConnectionRejected)", "outcome.BackEndCrashed = true",
+		"outcome.BackEndCrashed = b.pool.BackEndEnded(ctx, send.Entry.Address, crashProbeTimeout, outcome.ConnectionRejected)", "outcome.BackEndCrashed = true",
 		"./platform", "TestEndOfABackEndIsTold",
 	},
 	{
