--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -42,7 +42,7 @@
 		return
 	}
 	answer := Answer{TotalShards: len(r.shards), MissingShards: len(r.shards) - r.answered, Reason: reason}
-	merger := newMerger(r.route.TopK)
+	merger := newMerger(r.route.MaximumRecords)
 	for i := range r.shards {
 		response := r.shards[i].response()
 		if response == nil {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -307,7 +307,7 @@
 		parts := rapid.SliceOfN(rapid.SliceOfN(rapid.ByteRange(0, 2), 0, 100), 1, 4).Draw(rt, "parts")
 		route := fanOut("a", "b", "c", "d")
 		route.Shards = route.Shards[:len(parts)]
-		route.TopK = top
+		route.MaximumRecords = top
 		s := start(t, route, newNode(0, "a", "b", "c", "d"))
 		var all [][]byte
 		for i, body := range parts {
--- a/internal/forward/scene_test.go
+++ b/internal/forward/scene_test.go
@@ -111,7 +111,7 @@
 func fanOut(shards ...string) *routing.Route {
 	return &routing.Route{
 		Name: "all", Repeatable: true, Timeout: time.Second, TargetLatency: 200 * millisecond, MaximumAttempts: 2,
-		Shards: shards, MinimumCoverage: 0.5, TopK: 3,
+		Shards: shards, MinimumCoverage: 0.5, MaximumRecords: 3,
 	}
 }
 
--- a/internal/gateway/crashing_fleet_test.go
+++ b/internal/gateway/crashing_fleet_test.go
@@ -79,7 +79,7 @@
 	}
 	route := routing.Route{Host: "h", Repeatable: true, Timeout: 4 * time.Second, TargetLatency: 250 * time.Millisecond, MaximumAttempts: frailAttempts}
 	all, one := route, route
-	all.Name, all.Prefix, all.Shards, all.MinimumCoverage, all.TopK = "all", "/all/", names, 0.89, 5
+	all.Name, all.Prefix, all.Shards, all.MinimumCoverage, all.MaximumRecords = "all", "/all/", names, 0.89, 5
 	one.Name, one.Prefix, one.Targets = "one", "/one/", []routing.Target{{Service: frailShard(0), Weight: 1}}
 	once := one
 	once.Name, once.Prefix, once.Repeatable = "once", "/once/", false
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -278,7 +278,7 @@
 	}
 	return configurationItem(&routing.Configuration{Version: version, Routes: []routing.Route{
 		{Name: "all", Host: "h", Prefix: "/all/", Repeatable: true, Timeout: 4 * time.Second, TargetLatency: 250 * time.Millisecond,
-			MaximumAttempts: 2, Shards: names, MinimumCoverage: 0.75, TopK: 5},
+			MaximumAttempts: 2, Shards: names, MinimumCoverage: 0.75, MaximumRecords: 5},
 		{Name: "one", Host: "h", Prefix: "/one/", Repeatable: true, Timeout: 4 * time.Second, TargetLatency: time.Second,
 			MaximumAttempts: 2, Targets: []routing.Target{{Service: "s0", Weight: 1}}},
 	}})
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -71,8 +71,8 @@
 	Shards []string
 	// MinimumCoverage is the smallest share of the shards an answer may be made of.
 	MinimumCoverage float64
-	// TopK is the number of records in a gathered answer.
-	TopK int
+	// MaximumRecords is the number of records in a gathered answer.
+	MaximumRecords int
 	// Targets share the requests of a route without Shards by their weights.
 	Targets []Target
 	// Regions in which its requests may be served, cached and kept.
