--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -2,11 +2,12 @@
 
 import "stiletrail/internal/failure"
 
-// Answer is what the caller gets. One of Passed, Records with Signatures, and Failure is set.
+// Answer is what the caller gets. Exactly one of BackEndResponse, Records with Signatures, and Failure is set.
 type Answer struct {
-	// BackEndResponse is the answer of a single back end, passed back as it is.
+	// BackEndResponse is the answer of a single back end, returned to the caller unchanged.
 	BackEndResponse *Response
-	// Records are the greatest records of the parts that are in, greatest first; Signatures are those parts' own.
+	// Records are the greatest records of all shards that have answered, greatest first. Signatures are those of
+	// these shards' answers.
 	Records       []byte
 	Signatures    []string
 	TotalShards   int
@@ -15,27 +16,38 @@
 	Reason        Reason
 }
 
-// Reason says why a request was answered when it was.
+// Reason is why a request was answered when it was.
 type Reason string
 
-// The reasons.
+// Reasons why a request was answered.
 const (
-	Complete        Reason = "complete"
-	TargetReached   Reason = "target_reached"
+	// Complete means that all shards have answered.
+	Complete Reason = "complete"
+	// TargetReached means that enough shards have answered at the target latency.
+	TargetReached Reason = "target_reached"
+	// DeadlineReached means that the deadline came.
 	DeadlineReached Reason = "deadline"
-	ShardsFailed    Reason = "shards_failed"
-	BackEndFailed   Reason = "back_end_failed"
-	NoRoom          Reason = "no_room"
-	NoBackEnd       Reason = "no_back_end"
-	AllRefused      Reason = "all_refused"
-	GivenUp         Reason = "given_up"
-	// TurnedAway: the node gets more requests than back ends can answer in time.
+	// ShardsFailed means that too few shards can still answer, or that enough have and the others cannot answer in
+	// time.
+	ShardsFailed Reason = "shards_failed"
+	// BackEndFailed means that the only back end asked gave a failure of its own.
+	BackEndFailed Reason = "back_end_failed"
+	// NoRoom means that every replica was at its limit, so that nothing was sent.
+	NoRoom Reason = "no_room"
+	// NoBackEnd means that too few shards have a back end that can be asked.
+	NoBackEnd Reason = "no_back_end"
+	// AllRefused means that no back end accepted the request.
+	AllRefused Reason = "all_refused"
+	// GivenUp means that the node is stopping.
+	GivenUp Reason = "given_up"
+	// TurnedAway means that the node refused the request on arrival, since it gets more requests than back ends can
+	// answer in time.
 	TurnedAway Reason = "turned_away"
-	// Quarantined: the request ends the back ends that run it.
+	// Quarantined means that the request crashes the back ends that run it.
 	Quarantined Reason = "quarantined"
 )
 
-// succeed answers with the parts that are in.
+// succeed answers with the shards that have answered.
 func (r *Request) succeed(reason Reason) {
 	if !r.route.FansOut() {
 		r.finish(Answer{BackEndResponse: r.shards[0].response(), TotalShards: 1, Reason: reason})
@@ -55,7 +67,7 @@
 	r.finish(answer)
 }
 
-// withFailure is the answer of a request over all its shards that failed.
-func (r *Request) withFailure(reason Reason, f *failure.Failure) Answer {
+// failureAnswer returns the answer of a failed request, with how many of its shards are missing.
+func (r *Request) failureAnswer(reason Reason, f *failure.Failure) Answer {
 	return Answer{Reason: reason, TotalShards: len(r.shards), MissingShards: len(r.shards) - r.answered, Failure: f}
 }
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -6,58 +6,62 @@
 	"stiletrail/internal/replica"
 )
 
-// Attempt is one request to one back end.
+// Attempt is one request sent to one back end.
 type Attempt struct {
-	// Number counts the attempts of a request from 0.
+	// Number is the attempt's index among the attempts of its request, from 0.
 	Number  int
 	Shard   int
 	Service string
 	Replica *replica.Replica
 	Purpose Purpose
-	// StartedAt is when it was decided.
+	// StartedAt is when the request decided to send the attempt.
 	StartedAt time.Duration
-	// Outcome and EndedAt are set when the attempt ends before the request does.
+	// Outcome and EndedAt are set if the attempt ends before its request does.
 	Outcome Outcome
 	EndedAt time.Duration
-	// live until an outcome came or it was cancelled.
-	live bool
+	// inFlight is set until the attempt has an outcome or is cancelled.
+	inFlight bool
 }
 
-// Purpose of an attempt.
+// Purpose is why an attempt is sent.
 type Purpose string
 
-// The purposes.
+// Purposes of attempts: the first at a shard, one sent while another is in flight, and one sent after a failure.
 const (
 	First Purpose = "first"
 	Hedge Purpose = "hedge"
 	Retry Purpose = "retry"
 )
 
-// DenialReason says why an attempt that was due was not sent.
+// DenialReason is why an attempt that was due was not sent.
 type DenialReason string
 
-// The reasons.
+// Reasons why an attempt that was due was not sent.
 const (
-	DeniedNoBudget       DenialReason = "no_budget"
-	DeniedReplicasBusy   DenialReason = "replicas_busy"
+	// DeniedNoBudget means that the service's budget allowed no extra attempt.
+	DeniedNoBudget DenialReason = "no_budget"
+	// DeniedReplicasBusy means that the replicas that could be asked were all at their limit.
+	DeniedReplicasBusy DenialReason = "replicas_busy"
+	// DeniedNoOtherReplica means that no replica was left that could be asked.
 	DeniedNoOtherReplica DenialReason = "no_other_replica"
-	// DeniedTooLate: no answer could come by the deadline any more.
+	// DeniedTooLate means that no answer could arrive by the deadline.
 	DeniedTooLate DenialReason = "too_late"
-	// DeniedQuarantined: the request ends the back ends that run it, here or at this shard.
+	// DeniedQuarantined means that the request is under quarantine, or that it crashes the back ends of this shard.
 	DeniedQuarantined DenialReason = "quarantined"
 )
 
-// Denied returns why the last attempt that was due for an attempt's shard was not sent, empty if none was.
+// Denied returns why the last attempt that was due at the attempt's shard was not sent, or empty if none was denied.
 func (r *Request) Denied(attempt *Attempt) DenialReason { return r.shards[attempt.Shard].denied }
 
-// UnaskedShard is a shard without an attempt.
+// UnaskedShard is a shard at which no attempt was started.
 type UnaskedShard struct {
 	Service string
-	// Reason it was not asked, empty where its turn had not come.
+	// Reason is why the shard was not asked, empty if its turn had not come.
 	Reason DenialReason
 }
 
-// Unasked are the shards at which no attempt was begun, in their order. Those of a request that was refused at its start are all.
+// Unasked returns the shards at which no attempt was started, in order. For a request that was refused at its start
+// it returns all shards.
 func (r *Request) Unasked() (unasked []UnaskedShard) {
 	begun := make([]bool, len(r.shards))
 	for _, attempt := range r.attempts {
@@ -71,49 +75,50 @@
 	return unasked
 }
 
-func noReplica(busy bool) DenialReason {
+// denialWithoutReplica returns the reason to record if Pick returned no replica.
+func denialWithoutReplica(busy bool) DenialReason {
 	if busy {
 		return DeniedReplicasBusy
 	}
 	return DeniedNoOtherReplica
 }
 
-// send begins an attempt at a shard.
-func (r *Request) send(now time.Duration, number int, chosen *replica.Replica, purpose Purpose) {
+// startAttempt sends an attempt to the chosen replica of a shard.
+func (r *Request) startAttempt(now time.Duration, number int, chosen *replica.Replica, purpose Purpose) {
 	s := &r.shards[number]
 	attempt := &Attempt{
-		Number: len(r.attempts), Shard: number, Service: s.service, Replica: chosen, Purpose: purpose, StartedAt: now, live: true,
+		Number: len(r.attempts), Shard: number, Service: s.service, Replica: chosen, Purpose: purpose, StartedAt: now, inFlight: true,
 	}
 	r.attempts = append(r.attempts, attempt)
 	s.tried = append(s.tried, chosen)
 	s.asked = append(s.asked, chosen)
-	s.sent++
+	s.delivered++
 	r.anySent = true
-	s.become(underWay{attempts: s.live() + 1, hedgeAt: now + r.hedgeDelay()})
+	s.setState(inFlight{attempts: s.attemptsInFlight() + 1, hedgeAt: now + r.hedgeDelay()})
 	r.actions = append(r.actions, StartAttempt{attempt})
 }
 
-// choice of replicas for the next attempt at a shard: none that was tried since the last pause, and none that was not asked yet
-// where as many were asked as the route allows.
-func (r *Request) choice(s *shard) replica.PickOptions {
-	choice := replica.PickOptions{Excluded: s.tried, Versions: r.versions, Regions: r.route.Regions, TargetLatency: r.route.TargetLatency}
-	if distinct(s.asked) >= r.route.MaximumAttempts {
-		choice.Only = s.asked
+// pickOptions returns which replicas the next attempt at a shard may go to. It excludes those tried since the last
+// pause. Once the shard's request has gone to as many back ends as the route allows, it admits only those.
+func (r *Request) pickOptions(s *shard) replica.PickOptions {
+	options := replica.PickOptions{Excluded: s.tried, Versions: r.versions, Regions: r.route.Regions, TargetLatency: r.route.TargetLatency}
+	if countDistinct(s.asked) >= r.route.MaximumAttempts {
+		options.Only = s.asked
 	}
-	return choice
+	return options
 }
 
-// tooLate reports whether an answer of a replica cannot come by the deadline, by the least that any of its answers takes.
-// Such an attempt would only take a slot.
-func (r *Request) tooLate(now time.Duration, chosen *replica.Replica) bool {
+// answersTooLate reports whether an answer of a replica cannot arrive by the deadline, even with the lowest latency
+// that is expected of the replica. Such an attempt would only occupy a slot of the back end.
+func (r *Request) answersTooLate(now time.Duration, chosen *replica.Replica) bool {
 	return now+chosen.ExpectedMinimum(now) > r.deadline
 }
 
-// cancelAttempts withdraws all that is under way at a shard. What the shard's state is then is for the caller to say.
+// cancelAttempts cancels all attempts in flight at a shard. The caller sets the shard's next state.
 func (r *Request) cancelAttempts(number int) {
 	for _, attempt := range r.attempts {
-		if attempt.Shard == number && attempt.live {
-			attempt.live = false
+		if attempt.Shard == number && attempt.inFlight {
+			attempt.inFlight = false
 			r.actions = append(r.actions, CancelAttempt{attempt})
 		}
 	}
--- a/internal/forward/caution.go
+++ b/internal/forward/caution.go
@@ -6,88 +6,91 @@
 	"stiletrail/internal/quarantine"
 )
 
-// The rule of caution: how a request is sent on under which back ends end, so that it ends no more of them than it takes
-// to know it.
-//   - A shard whose back end ended is held until another shard has answered, or nothing is under way.
-//   - With two ends and no answer (quarantine.WithdrawOthers), all attempts under way are withdrawn, their shards held,
-//     and the request is suspected.
-//   - A request that is suspected, also when it comes, is tried at one back end at a time: once nothing is under way, or
-//     trialPatience after the last trial began.
-//   - The first answer clears it: all shards that are held are asked.
-//   - Put under quarantine, or tried in vain as one that is, it ends with what is there.
+// Trials: how a request that has crashed back ends is sent on, so that it crashes no more of them than are needed to
+// recognise it.
+//   - A shard whose back end crashed is held until another shard has answered, or no attempt is in flight.
+//   - After two crashes and no answer (quarantine.CancelOthers), all attempts in flight are cancelled, their
+//     shards are held, and the request is suspected.
+//   - A suspected request is tried at one back end at a time, also if it was suspected when it arrived. The next
+//     trial begins once no attempt is in flight, or trialIntervalShare of the target latency after the last trial
+//     began.
+//   - The first answer clears the request: all held shards are asked.
+//   - A request that is put under quarantine, or whose one attempt under quarantine is not answered, is answered at
+//     once with what is there.
 //
-// trialPatience is the share of the target latency after which another trial begins beside one that was not answered. It
-// is twice what a hedge waits for: a back end that is about to end takes its time too, and one more trial may end one
-// more.
-const trialPatience = 0.9
+// trialIntervalShare is the share of the target latency after which the next trial begins although the last one is
+// unanswered. It is twice the wait before a hedge: a back end that is about to crash also takes its time, and each
+// further trial may crash one more back end.
+const trialIntervalShare = 0.9
 
-// caution is what is known of the back ends that have ended under a request, none of which has answered it.
-type caution struct {
-	// suspect: no more than one attempt is begun at a time.
-	suspect bool
-	// ends of back ends under this request.
-	ends int
-	// retrial: the request is under quarantine, and may reach one back end all the same.
+// trials is what is known of the back ends that a request has crashed, while none has answered it.
+type trials struct {
+	// suspected is set while only one attempt may be started at a time.
+	suspected bool
+	// crashes counts the back ends that crashed while they ran this request.
+	crashes int
+	// retrial is set if the request is under quarantine but may be sent to one back end.
 	retrial bool
-	// quarantined: the request was put under quarantine while it was under way.
+	// quarantined is set once the request was put under quarantine while in flight, or once its one attempt under
+	// quarantine got no answer.
 	quarantined bool
-	// from is the shard from which on the next trial's is looked for.
-	from int
-	// trialAt is when the last trial began.
-	trialAt time.Duration
+	// nextShard is the index of the shard at which the search for the next shard to try begins.
+	nextShard int
+	// lastStartedAt is when the last trial began.
+	lastStartedAt time.Duration
 }
 
-// backEndEnded decides what becomes of a request under which a back end has ended. Once a shard has answered, the end
-// says nothing of the request.
-func (r *Request) backEndEnded(now time.Duration, attempt *Attempt) {
+// handleCrash decides what follows after a back end crashed during an attempt. Once a shard has answered, a crash
+// does not count against the request.
+func (r *Request) handleCrash(now time.Duration, attempt *Attempt) {
 	s := &r.shards[attempt.Shard]
 	verdict := r.node.RecordCrash(attempt)
 	if r.answered > 0 {
 		r.retryOrGiveUp(now, attempt.Shard)
 		return
 	}
-	r.caution.ends++
+	r.trials.crashes++
 	if verdict == quarantine.Quarantined {
 		r.giveUpAllShards()
 		return
 	}
-	if !r.mayRepeat(now, s) {
-		if s.live() == 0 {
-			s.become(failed{})
+	if !r.repeatAllowed(now, s) {
+		if s.attemptsInFlight() == 0 {
+			s.setState(failed{})
 		}
 		return
 	}
-	if s.live() == 0 {
-		s.become(held{})
+	if s.attemptsInFlight() == 0 {
+		s.setState(held{})
 	}
-	if quarantine.CancelOthers(r.caution.suspect, r.caution.ends) {
-		r.caution.suspect = true
-		r.withdrawAll()
+	if quarantine.CancelOthers(r.trials.suspected, r.trials.crashes) {
+		r.trials.suspected = true
+		r.cancelAndHoldAll()
 	}
 }
 
-// withdrawAll takes back all attempts under way, whose shards are asked again later. They may have run. Shards that pause
-// go on to.
-func (r *Request) withdrawAll() {
+// cancelAndHoldAll cancels all attempts in flight, which may have run, and holds their shards, to be asked again
+// later. Paused shards stay paused.
+func (r *Request) cancelAndHoldAll() {
 	r.mayHaveRun = true
 	for i := range r.shards {
-		if s := &r.shards[i]; s.live() > 0 {
+		if s := &r.shards[i]; s.attemptsInFlight() > 0 {
 			r.cancelAttempts(i)
-			s.become(held{})
+			s.setState(held{})
 		}
 	}
 }
 
-// holdAll has all shards wait for the first one's answer.
+// holdAll holds all shards; they are asked by trials until one has answered.
 func (r *Request) holdAll() {
 	for i := range r.shards {
-		r.shards[i].become(held{})
+		r.shards[i].setState(held{})
 	}
 }
 
-// giveUpAllShards ends all attempts, and all shards without an answer.
+// giveUpAllShards cancels all attempts and gives up all shards without an answer.
 func (r *Request) giveUpAllShards() {
-	r.caution.quarantined = true
+	r.trials.quarantined = true
 	r.cancelAllAttempts()
 	for i := range r.shards {
 		if s := &r.shards[i]; s.response() == nil {
@@ -96,81 +99,83 @@
 	}
 }
 
-// clearSuspicion has all shards that are held asked: a back end has answered the request, so that it does not end what runs it.
-func (r *Request) clearSuspicion(now time.Duration) {
-	r.caution = caution{from: r.caution.from}
+// askHeldShards ends the suspicion of the request and asks all held shards. A back end has answered the request, so
+// the request does not crash back ends.
+func (r *Request) askHeldShards(now time.Duration) {
+	r.trials = trials{nextShard: r.trials.nextShard}
 	for i := range r.shards {
-		if r.shards[i].held() {
-			r.askHeld(now, i)
+		if r.shards[i].isHeld() {
+			r.askHeldShard(now, i)
 		}
 	}
 }
 
-// askHeld asks a shard that was held.
-func (r *Request) askHeld(now time.Duration, number int) {
+// askHeldShard asks a shard that was held.
+func (r *Request) askHeldShard(now time.Duration, number int) {
 	s := &r.shards[number]
 	switch {
 	case len(s.asked) == 0:
-		r.askFirst(now, number)
-	case !r.mayRepeat(now, s):
-		s.become(failed{})
-	case !r.retry(now, number):
+		r.startFirstAttempt(now, number)
+	case !r.repeatAllowed(now, s):
+		s.setState(failed{})
+	case !r.startRetry(now, number):
 		r.pauseOrGiveUp(now, number)
 	}
 }
 
-// beginTrial begins the next trial, if it is due, at the first shard from which on one is looked for that is held and can
-// be asked.
-func (r *Request) beginTrial(now time.Duration) {
+// startTrialIfDue starts the next trial if it is due. It asks the first held shard, beginning with nextShard, to
+// which an attempt can be sent.
+func (r *Request) startTrialIfDue(now time.Duration) {
 	if r.done {
 		return
 	}
-	if at, due := r.nextTrial(); !due || now < at {
+	if at, due := r.nextTrialAt(); !due || now < at {
 		return
 	}
-	if r.caution.ends > 0 && r.node.Verdict() == quarantine.Quarantined {
+	if r.trials.crashes > 0 && r.node.Verdict() == quarantine.Quarantined {
 		r.giveUpAllShards()
 		return
 	}
 	for step := range r.shards {
-		i := (r.caution.from + step) % len(r.shards)
+		i := (r.trials.nextShard + step) % len(r.shards)
 		s := &r.shards[i]
-		if !s.held() {
+		if !s.isHeld() {
 			continue
 		}
-		r.caution.trialAt = now
-		if r.askHeld(now, i); s.live() > 0 {
-			r.caution.from = i + 1
+		r.trials.lastStartedAt = now
+		if r.askHeldShard(now, i); s.attemptsInFlight() > 0 {
+			r.trials.nextShard = i + 1
 			return
 		}
 	}
 }
 
-// nextTrial is when the next trial is due; false if none is.
-func (r *Request) nextTrial() (at time.Duration, due bool) {
+// nextTrialAt returns when the next trial is due, and false if none is.
+func (r *Request) nextTrialAt() (at time.Duration, due bool) {
 	switch {
 	case !r.anyHeld():
 		return 0, false
-	case !r.anyUnderWay():
+	case !r.anyInFlight():
 		return 0, true
-	case !r.caution.suspect:
-		// Others of the first attempts may still answer.
+	case !r.trials.suspected:
+		// Attempts that were sent before the crash may still be answered.
 		return 0, false
 	}
-	patience := time.Duration(trialPatience * float64(r.route.TargetLatency))
-	return r.caution.trialAt + patience, !r.caution.retrial
+	patience := time.Duration(trialIntervalShare * float64(r.route.TargetLatency))
+	return r.trials.lastStartedAt + patience, !r.trials.retrial
 }
 
 func (r *Request) anyHeld() bool {
 	for i := range r.shards {
-		if r.shards[i].held() {
+		if r.shards[i].isHeld() {
 			return true
 		}
 	}
 	return false
 }
 
-// retrialOver: a request under quarantine is not sent on once its one attempt has reached a back end.
-func (r *Request) retrialOver(outcome Outcome) bool {
-	return r.caution.retrial && outcome.Kind != NotSent
+// endsRetrial reports whether an outcome ends the request because it is under quarantine and its one allowed attempt
+// may have reached a back end.
+func (r *Request) endsRetrial(outcome Outcome) bool {
+	return r.trials.retrial && outcome.Kind != NotSent
 }
--- a/internal/forward/finish.go
+++ b/internal/forward/finish.go
@@ -7,114 +7,114 @@
 	"stiletrail/internal/failure"
 )
 
-// finishIfDue is the rule of when a request is answered: as soon as
-//   - all shards have answered;
-//   - too few can answer any more;
-//   - enough have at the target latency, or after it;
-//   - enough have, and the others cannot by the moment at which the answer goes out;
-//   - the deadline has come;
-//   - nothing of it has run for a part of the target latency.
+// finishIfDue answers the request as soon as one of these holds:
+//   - All shards have answered.
+//   - Too few shards can still answer.
+//   - The target latency is reached or passed, and enough shards have answered.
+//   - Enough shards have answered, and no other can answer by the time at which the answer would go out.
+//   - The deadline has come.
+//   - No back end has run any of the request for a fixed part of the target latency (acceptanceDeadline).
 func (r *Request) finishIfDue(now time.Duration) {
 	if r.done {
 		return
 	}
 	if now >= r.target {
-		r.sampleOnce()
+		r.reportSampleOnce()
 	}
-	enough := r.answered >= r.required()
+	enough := r.answered >= r.requiredShards()
 	switch {
 	case r.answered == len(r.shards):
 		r.succeed(Complete)
-	case r.answered+r.open() < r.required():
+	case r.answered+r.openShards() < r.requiredShards():
 		r.fail(now)
 	case now >= r.target && enough && r.settings.EarlyFinish && r.route.FansOut():
 		r.succeed(TargetReached)
-	case enough && !r.worthWaiting():
+	case enough && !r.openShardMayAnswerInTime():
 		r.succeed(ShardsFailed)
 	case now >= r.deadline && enough:
 		r.succeed(DeadlineReached)
 	case now >= r.deadline:
-		r.finish(r.timedOut())
-	case r.nothingRan() && now >= r.roomUntil():
-		r.finish(r.noRoom())
+		r.finish(r.deadlineAnswer())
+	case r.nothingRan() && now >= r.acceptanceDeadline():
+		r.finish(r.overloadedAnswer())
 	}
 }
 
-// fail answers a request that can't succeed any more.
+// fail answers a request that can no longer succeed.
 func (r *Request) fail(now time.Duration) {
-	response := r.shards[0].last.Response
+	response := r.shards[0].lastFailure.Response
 	switch {
 	case !r.route.FansOut() && response != nil:
 		r.finish(Answer{BackEndResponse: response, TotalShards: 1, Reason: BackEndFailed})
 	case now >= r.deadline:
-		r.finish(r.timedOut())
-	case r.caution.quarantined:
-		r.finish(r.endedBackEnds())
+		r.finish(r.deadlineAnswer())
+	case r.trials.quarantined:
+		r.finish(r.quarantinedAnswer())
 	case !r.nothingRan():
-		r.finish(r.withFailure(ShardsFailed, r.outcomeFailure()))
+		r.finish(r.failureAnswer(ShardsFailed, r.outcomeFailure()))
 	case !r.anySent:
-		r.finish(r.noneCouldBeAsked())
+		r.finish(r.noBackEndAnswer())
 	default:
-		r.finish(r.noRoom())
+		r.finish(r.overloadedAnswer())
 	}
 }
 
-// outcomeFailure is the failure of a request that ran, or may have run, on some back end.
+// outcomeFailure returns the failure of a request that a back end has run or may have run.
 func (r *Request) outcomeFailure() *failure.Failure {
 	if r.route.FansOut() {
 		return failure.New(failure.CoverageTooLow, "fewer shards can answer than the route's minimum coverage")
 	}
-	return failure.New(failure.OutcomeUnknown, "the back end gave no whole answer")
+	return failure.New(failure.OutcomeUnknown, "the back end gave no complete answer")
 }
 
-// GiveUp answers the request at once with what is there.
+// GiveUp answers the request at once: with the shards that have answered, or with a failure if they are too few.
 func (r *Request) GiveUp(time.Duration) []Action {
 	if r.done {
 		return nil
 	}
-	if r.answered >= r.required() {
+	if r.answered >= r.requiredShards() {
 		r.succeed(GivenUp)
 	} else {
-		r.finish(r.nodeStops())
+		r.finish(r.nodeStoppingAnswer())
 	}
 	return r.takeActions()
 }
 
-// required is how many shards an answer needs.
-func (r *Request) required() int {
+// requiredShards returns how many shards must answer for the request to succeed.
+func (r *Request) requiredShards() int {
 	if r.route.FansOut() {
 		return r.route.RequiredShards()
 	}
 	return 1
 }
 
-// open counts the shards that may still be answered.
-func (r *Request) open() (open int) {
+// openShards returns how many shards may still be answered.
+func (r *Request) openShards() (open int) {
 	for i := range r.shards {
-		if r.shards[i].open() {
+		if r.shards[i].isOpen() {
 			open++
 		}
 	}
 	return open
 }
 
-func (r *Request) anyUnderWay() bool {
+func (r *Request) anyInFlight() bool {
 	for i := range r.shards {
-		if r.shards[i].live() > 0 {
+		if r.shards[i].attemptsInFlight() > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// sampleOnce tells the node what the request lacks: at its target, or before when it succeeds.
-func (r *Request) sampleOnce() {
-	if r.sampled || !r.route.FansOut() {
+// reportSampleOnce tells the node what the request is missing: at its target, or earlier if it succeeds before.
+func (r *Request) reportSampleOnce() {
+	if r.sampleReported || !r.route.FansOut() {
 		return
 	}
-	r.sampled = true
+	r.sampleReported = true
 	sample := admit.Sample{
-		Missing: len(r.shards) - r.answered, AllowedMissing: len(r.shards) - r.required(), Attempts: len(r.attempts),
+		Missing: len(r.shards) - r.answered, AllowedMissing: len(r.shards) - r.requiredShards(), Attempts: len(r.attempts),
 	}
 	for _, attempt := range r.attempts {
 		if attempt.Outcome.Kind == Refused && !attempt.Outcome.Load.HasFreeSlot() {
@@ -124,10 +124,10 @@
 	r.node.RecordSample(sample)
 }
 
-// finish gives the answer, which is the last action.
+// finish answers the request and cancels its attempts. The answer is the last action.
 func (r *Request) finish(answer Answer) {
 	if answer.Failure == nil {
-		r.sampleOnce()
+		r.reportSampleOnce()
 	}
 	r.done = true
 	r.cancelAllAttempts()
--- a/internal/forward/first.go
+++ b/internal/forward/first.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// Waits for room, which double, so that many requests that wait do not take the time of those that are served.
+// Waits before a replica is picked again if all replicas were at their limit. The wait doubles each time up to the
+// longest one, so that many waiting requests do not use up the processor time of those that are being served.
 const (
-	firstWait   = 4 * time.Millisecond
-	longestWait = 64 * time.Millisecond
+	firstCapacityWait   = 4 * time.Millisecond
+	longestCapacityWait = 64 * time.Millisecond
 )
 
-// askFirst sends the first attempt at a shard to the best replica:
-//   - a shard whose back ends the request ends is left out of it;
-//   - one without a replica that can be asked, or that could answer by the deadline, has failed;
-//   - one whose replicas all have their attempts waits for room.
-func (r *Request) askFirst(now time.Duration, number int) {
+// startFirstAttempt sends the first attempt at a shard to the best replica, with these exceptions:
+//   - A shard whose back ends the request crashes has failed; nothing is sent to it.
+//   - A shard has failed if no replica can be asked, or if the best one cannot answer by the deadline.
+//   - A shard whose replicas are all at their limit waits for capacity.
+func (r *Request) startFirstAttempt(now time.Duration, number int) {
 	s := &r.shards[number]
 	if r.node.ShardExcluded(s.service) {
 		s.fail(DeniedQuarantined)
 		return
 	}
-	chosen, busy := r.node.Pick(s.service, r.choice(s))
+	chosen, busy := r.node.Pick(s.service, r.pickOptions(s))
 	switch {
-	case chosen != nil && r.tooLate(now, chosen):
+	case chosen != nil && r.answersTooLate(now, chosen):
 		s.fail(DeniedTooLate)
 	case chosen != nil:
-		r.send(now, number, chosen, First)
+		r.startAttempt(now, number, chosen, First)
 	case busy:
-		s.wait = min(max(2*s.wait, firstWait), longestWait)
-		s.become(waiting{until: now + s.wait})
+		s.capacityWait = min(max(2*s.capacityWait, firstCapacityWait), longestCapacityWait)
+		s.setState(waitingForCapacity{until: now + s.capacityWait})
 	default:
 		s.fail(DeniedNoOtherReplica)
 	}
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,30 +1,31 @@
-// Package forward decides how one request is served by back ends that this node asks itself. A request to a single back
-// end is a request over one shard.
+// Package forward decides how one request is served by back ends that this node calls directly. A request to a single
+// back end is treated as a request over one shard.
 //
-// It decides which replica of which shard is asked when (the choice among replicas is package replica's), when another is
-// asked as well or instead, and when and how the request is answered. Each rule has its file:
+// The package decides when an attempt is sent to a shard, when a hedge or a retry is sent to another replica, and
+// when and how the request is answered. Package replica chooses the replica of each attempt. Each rule has its file:
 //
-//	first.go    the first attempt at a shard, and the wait for room
-//	hedge.go    when another replica is asked beside one that is under way
-//	retry.go    when another one is asked after a failure
-//	pause.go    when a shard without an attempt is asked again later, and when it is given up
-//	caution.go  how a request is sent on under which back ends end
+//	first.go    the first attempt at a shard, and the wait while all replicas are at their limit
+//	hedge.go    when a second replica is asked while an attempt is still in flight
+//	retry.go    when another replica is asked at once after a failed attempt
+//	pause.go    when a shard is asked again after a pause, and when it is given up
+//	caution.go  how a request is sent on after it has crashed back ends
 //	finish.go   when the request is answered
-//	refusal.go  when it is refused as not run, and with which time to come back
+//	refusal.go  when it is refused as not run, and after which time the caller may retry
 //
-// It owns a Request: its attempts, and the state of each of its shards (state.go):
+// The package owns a Request: its attempts, and the state of each of its shards (state.go):
 //
-//	state      what it means                                   what may follow
-//	unasked    nothing was decided yet (only within Start)     under way, waiting, held, failed
-//	waiting    no replica has room; looked for again later     under way, waiting, held, failed
-//	under way  attempts may be answered; hedged at a moment    under way, paused, held, answered, failed
-//	paused     all attempts have failed; asked again later     under way, paused, held, failed
-//	held       until another shard answers, or the next trial  under way, waiting, paused, failed
-//	answered   a back end has answered                         nothing
-//	failed     given up                                        nothing
+//	state                 meaning                                                    possible next states
+//	unasked               nothing is decided yet (only within Start)                 inFlight, waitingForCapacity, held, failed
+//	waitingForCapacity    every replica is at its limit; Pick is called again later  inFlight, waitingForCapacity, held, failed
+//	inFlight              attempts may still be answered; a hedge may be due         inFlight, paused, held, answered, failed
+//	paused                all attempts have failed; the shard is asked again later   inFlight, paused, held, failed
+//	held                  waits for another shard's answer, or for the next trial    inFlight, waitingForCapacity, paused, failed
+//	answered              a back end has answered                                    none
+//	failed                the shard is given up                                      failed
 //
-// It relies on a Node for replicas, budgets and the verdict on the request. It does no I/O, takes no lock and reads no
-// clock: outcomes of attempts and the passing of time go in, actions come out. Times are of the caller's monotonic clock.
+// It relies on a Node for replicas, budgets and the quarantine verdict on the request. It does no I/O, takes no lock
+// and reads no clock. The caller passes in outcomes of attempts and the passing of time, and gets actions back. All
+// times are readings of the caller's monotonic clock.
 package forward
 
 import (
@@ -35,15 +36,15 @@
 	"stiletrail/internal/routing"
 )
 
-// Request is one request under way.
+// Request is one request in flight.
 type Request struct {
 	node     Node
 	settings Settings
 	route    *routing.Route
-	// versions of software that may get the request, if any are named.
+	// versions are the software versions of the back ends that may get the request. Empty allows every version.
 	versions []string
-	// arrivedAt is what target, the moment at which an answer is worth most, and deadline, that of the final answer, count
-	// from.
+	// target and deadline count from arrivedAt. At target, an answer with enough shards may go out. At deadline, the
+	// final answer goes out.
 	arrivedAt time.Duration
 	target    time.Duration
 	deadline  time.Duration
@@ -52,34 +53,34 @@
 	attempts []*Attempt
 	// answered counts the shards that have answered.
 	answered int
-	// siblingLatency is how long the request took at the shards that answered first, beyond their replicas' floors; 0 while
-	// unknown.
+	// siblingLatency is the latency of the answer that completed half of the shards, less the minimum latency of its
+	// replica. It is 0 while unknown.
 	siblingLatency time.Duration
-	caution        caution
-	// anySent: an attempt was begun. mayHaveRun: one has run, or may have.
+	trials         trials
+	// anySent is set once an attempt was started. mayHaveRun is set once an attempt has run or may have run.
 	anySent    bool
 	mayHaveRun bool
-	// retryAfter is the longest time to come back that back ends named.
+	// retryAfter is the longest retry-after time that a back end named.
 	retryAfter time.Duration
-	// sampled: the node knows what the request lacked at its target.
-	sampled bool
+	// sampleReported is set once Node.RecordSample has been called.
+	sampleReported bool
 
 	actions []Action
 	done    bool
 }
 
-// Start takes a request in and returns it with its first actions.
+// Start begins a request and returns it with its first actions.
 func Start(now time.Duration, parameters Parameters, settings Settings, node Node) (*Request, []Action) {
 	r := newRequest(now, parameters, settings, node)
-	if r.caution.suspect = node.Verdict() != quarantine.Clear; r.caution.suspect {
+	if r.trials.suspected = node.Verdict() != quarantine.Clear; r.trials.suspected {
 		r.holdAll()
-		r.beginTrial(now)
+		r.startTrialIfDue(now)
 	} else {
 		for i := range r.shards {
-			r.askFirst(now, i)
+			r.startFirstAttempt(now, i)
 		}
 	}
-	r.refuseTooFew()
+	r.refuseIfTooFewShards()
 	r.finishIfDue(now)
 	return r, r.takeActions()
 }
@@ -93,7 +94,7 @@
 	r := &Request{
 		node: node, settings: settings, route: route, versions: parameters.Versions, arrivedAt: arrived,
 		deadline: arrived + route.Timeout, target: arrived + route.TargetLatency - settings.AnswerMargin,
-		caution: caution{from: parameters.FirstTrialShard, retrial: parameters.Retrial},
+		trials: trials{nextShard: parameters.FirstTrialShard, retrial: parameters.Retrial},
 	}
 	if parameters.Deadline > 0 {
 		r.deadline = min(r.deadline, parameters.Deadline-settings.AnswerMargin)
@@ -102,70 +103,71 @@
 	return r
 }
 
-// SetNode gives the request its node as it is now; it is called before each step.
+// SetNode replaces the node by its present view. The caller does this before each step.
 func (r *Request) SetNode(node Node) { r.node = node }
 
-// Done reports whether the request was answered.
+// Done reports whether the request was answered, or its caller has gone.
 func (r *Request) Done() bool { return r.done }
 
-// Deadline is when the request gets its final answer at the latest; back ends are told what is left until then.
+// Deadline is when the request gets its final answer at the latest. Back ends are told the time left until then.
 func (r *Request) Deadline() time.Duration { return r.deadline }
 
-// Attempts are all attempts so far.
+// Attempts returns all attempts so far.
 func (r *Request) Attempts() []*Attempt { return r.attempts }
 
-// HandleOutcome takes in the outcome of an attempt.
+// HandleOutcome processes the outcome of an attempt and returns the actions that follow.
 func (r *Request) HandleOutcome(now time.Duration, attempt *Attempt, outcome Outcome) []Action {
-	if r.done || !attempt.live {
+	if r.done || !attempt.inFlight {
 		return nil
 	}
-	r.note(now, attempt, outcome)
+	r.recordOutcome(now, attempt, outcome)
 	s := &r.shards[attempt.Shard]
 	switch {
 	case r.isAnswer(outcome):
-		s.become(answered{outcome.Response})
+		s.setState(answered{outcome.Response})
 		r.answered++
 		r.cancelAttempts(attempt.Shard)
 		r.node.RecordAnswer(attempt)
-		r.clearSuspicion(now)
-		r.hedgeLateSiblings(now, attempt)
+		r.askHeldShards(now)
+		r.scheduleSiblingHedges(now, attempt)
 	case outcome.BackEndCrashed && r.settings.SerialTrials:
-		s.last = outcome
-		r.backEndEnded(now, attempt)
-	case r.retrialOver(outcome):
-		s.last = outcome
+		s.lastFailure = outcome
+		r.handleCrash(now, attempt)
+	case r.endsRetrial(outcome):
+		s.lastFailure = outcome
 		r.giveUpAllShards()
 	default:
-		s.last = outcome
+		s.lastFailure = outcome
 		r.retryOrGiveUp(now, attempt.Shard)
 	}
-	r.beginTrial(now)
+	r.startTrialIfDue(now)
 	r.finishIfDue(now)
 	return r.takeActions()
 }
 
-// note keeps what an outcome says of its attempt and of whether the request may have run.
-func (r *Request) note(now time.Duration, attempt *Attempt, outcome Outcome) {
-	attempt.live = false
+// recordOutcome stores the outcome with its attempt, and updates its shard and whether the request may have run.
+func (r *Request) recordOutcome(now time.Duration, attempt *Attempt, outcome Outcome) {
+	attempt.inFlight = false
 	attempt.Outcome = outcome
 	attempt.EndedAt = now
 	s := &r.shards[attempt.Shard]
-	s.attemptEnded()
+	s.removeAttempt()
 	if !outcome.Kind.NotRun() {
 		r.mayHaveRun = true
 	}
 	if outcome.Kind == NotSent || outcome.Kind == Expired {
-		s.unsent(attempt.Replica)
+		s.recordUndelivered(attempt.Replica)
 	}
 	r.retryAfter = max(r.retryAfter, outcome.RetryAfter)
 }
 
-// isAnswer reports whether an outcome answers its shard. A part of a gathered answer must be signed.
+// isAnswer reports whether an outcome answers its shard. On a route that fans out, an answer without a signature does
+// not count.
 func (r *Request) isAnswer(outcome Outcome) bool {
 	return outcome.Kind == Answered && (!r.route.FansOut() || outcome.Response.Signature != "")
 }
 
-// Tick takes in the passing of time.
+// Tick processes the passing of time and returns the actions that are due.
 func (r *Request) Tick(now time.Duration) []Action {
 	if r.done {
 		return nil
@@ -173,49 +175,49 @@
 	for i := range r.shards {
 		r.tickShard(now, i)
 	}
-	r.beginTrial(now)
+	r.startTrialIfDue(now)
 	r.finishIfDue(now)
 	return r.takeActions()
 }
 
-// tickShard does what is due at a shard.
+// tickShard does what is due at a shard at this time.
 func (r *Request) tickShard(now time.Duration, number int) {
 	s := &r.shards[number]
 	if at, due := r.shardDue(s); !due || now < at {
 		return
 	}
-	if r.caution.suspect {
-		// Its turn comes with the next trial; hedges are not due.
-		s.become(held{})
+	if r.trials.suspected {
+		// A suspected request sends no hedges. The shard is asked by the next trial.
+		s.setState(held{})
 		return
 	}
 	switch s.state.(type) {
-	case underWay:
-		r.hedge(now, number)
-	case waiting:
-		r.askFirst(now, number)
+	case inFlight:
+		r.startHedge(now, number)
+	case waitingForCapacity:
+		r.startFirstAttempt(now, number)
 	case paused:
-		r.resume(now, number)
+		r.retryAfterPause(now, number)
 	}
 }
 
-// shardDue is when something is to be done at a shard by itself; false if nothing is.
+// shardDue returns when a shard needs action without an outcome, and false if it needs none.
 func (r *Request) shardDue(s *shard) (at time.Duration, due bool) {
 	switch state := s.state.(type) {
-	case underWay:
-		return state.hedgeAt, r.mayHedge(s)
-	case waiting:
+	case inFlight:
+		return state.hedgeAt, r.hedgeAllowed(s)
+	case waitingForCapacity:
 		return state.until, true
 	case paused:
 		return state.until, true
 	case unasked, held, answered, failed:
 		return 0, false
 	default:
-		panic(fmt.Sprintf("a shard in state %T", state))
+		panic(fmt.Sprintf("forward: unknown shard state %T", state))
 	}
 }
 
-// CallerGone withdraws everything; there is nobody to answer.
+// CallerGone cancels all attempts. No answer is given, since the caller has gone.
 func (r *Request) CallerGone() []Action {
 	if r.done {
 		return nil
@@ -225,16 +227,16 @@
 	return r.takeActions()
 }
 
-// NextWake returns when Tick must be called at the latest.
+// NextWake returns the latest time at which Tick must be called.
 func (r *Request) NextWake(now time.Duration) time.Duration {
 	wake := r.deadline
 	if r.settings.EarlyFinish && r.route.FansOut() && now < r.target {
 		wake = min(wake, r.target)
 	}
 	if r.nothingRan() {
-		wake = min(wake, max(now, r.roomUntil()))
+		wake = min(wake, max(now, r.acceptanceDeadline()))
 	}
-	if at, due := r.nextTrial(); due {
+	if at, due := r.nextTrialAt(); due {
 		wake = min(wake, at)
 	}
 	for i := range r.shards {
--- a/internal/forward/scene_test.go
+++ b/internal/forward/harness_test.go
@@ -14,25 +14,29 @@
 
 const millisecond = time.Millisecond
 
-// fakeNode has replicas by service, in the order in which they are picked.
+// fakeNode is a forward.Node with three replicas for each service, which Pick returns in their order.
 type fakeNode struct {
 	replicas map[string][]*replica.Replica
-	full     map[string]bool
-	budget   int
-	// recovers has the moment at which the replicas of a service are no longer ejected.
-	recovers map[string]time.Duration
-	// samples has what requests have told.
+	// fullServices are the services whose replicas are all at their limit.
+	fullServices map[string]bool
+	// budget is the number of extra attempts that may still be sent.
+	budget int
+	// recoverAt has the earliest time at which a replica of a service is not ejected.
+	recoverAt map[string]time.Duration
+	// samples are the samples that requests have recorded.
 	samples []admit.Sample
-	// few: the budget allows hardly any more extra attempts.
-	few bool
-	// verdict on the request, leftOut are the services that it is kept from, ends the back ends that ended under it.
+	// fewExtrasLeft makes ExtraAttemptsLeft return 1 instead of 100.
+	fewExtrasLeft bool
+	// verdict is the quarantine verdict on the request.
 	verdict quarantine.Verdict
-	leftOut map[string]bool
-	ends    []string
+	// excluded are the services that the request must not be sent to.
+	excluded map[string]bool
+	// crashedBackEnds are the IDs of the back ends that crashed while they ran the request.
+	crashedBackEnds []string
 }
 
 func newNode(budget int, services ...string) *fakeNode {
-	w := &fakeNode{replicas: map[string][]*replica.Replica{}, full: map[string]bool{}, budget: budget}
+	w := &fakeNode{replicas: map[string][]*replica.Replica{}, fullServices: map[string]bool{}, budget: budget}
 	for _, service := range services {
 		for _, suffix := range []string{"-1", "-2", "-3"} {
 			w.replicas[service] = append(w.replicas[service], &replica.Replica{Entry: replica.Entry{ID: service + suffix, Service: service}})
@@ -42,12 +46,12 @@
 }
 
 // Pick implements forward.Node.
-func (w *fakeNode) Pick(service string, choice replica.PickOptions) (*replica.Replica, bool) {
-	if w.full[service] {
+func (w *fakeNode) Pick(service string, options replica.PickOptions) (*replica.Replica, bool) {
+	if w.fullServices[service] {
 		return nil, true
 	}
 	for _, candidate := range w.replicas[service] {
-		if !slices.Contains(choice.Excluded, candidate) && (len(choice.Only) == 0 || slices.Contains(choice.Only, candidate)) {
+		if !slices.Contains(options.Excluded, candidate) && (len(options.Only) == 0 || slices.Contains(options.Only, candidate)) {
 			return candidate, false
 		}
 	}
@@ -56,7 +60,7 @@
 
 // EarliestRecovery implements forward.Node.
 func (w *fakeNode) EarliestRecovery(service string, _ replica.PickOptions) (time.Duration, bool) {
-	return w.recovers[service], len(w.replicas[service]) > 0
+	return w.recoverAt[service], len(w.replicas[service]) > 0
 }
 
 func (w *fakeNode) spend() bool {
@@ -66,7 +70,7 @@
 
 // ExtraAttemptsLeft implements forward.Node.
 func (w *fakeNode) ExtraAttemptsLeft(string) float64 {
-	if w.few {
+	if w.fewExtrasLeft {
 		return 1
 	}
 	return 100
@@ -80,7 +84,7 @@
 
 // RecordCrash implements forward.Node.
 func (w *fakeNode) RecordCrash(attempt *forward.Attempt) quarantine.Verdict {
-	w.ends = append(w.ends, attempt.Replica.ID)
+	w.crashedBackEnds = append(w.crashedBackEnds, attempt.Replica.ID)
 	return w.verdict
 }
 
@@ -91,19 +95,19 @@
 func (w *fakeNode) RecordAnswer(*forward.Attempt) { w.verdict = quarantine.Clear }
 
 // ShardExcluded implements forward.Node.
-func (w *fakeNode) ShardExcluded(service string) bool { return w.leftOut[service] }
+func (w *fakeNode) ShardExcluded(service string) bool { return w.excluded[service] }
 
 // RecordSample implements forward.Node.
 func (w *fakeNode) RecordSample(sample admit.Sample) { w.samples = append(w.samples, sample) }
 
-// scene is a request with what it has done so far.
-type scene struct {
-	t       *testing.T
-	request *forward.Request
-	sent    []*forward.Attempt
-	cancels []*forward.Attempt
-	answer  *forward.Answer
-	now     time.Duration
+// harness drives a request and collects its actions.
+type harness struct {
+	t         *testing.T
+	request   *forward.Request
+	sent      []*forward.Attempt
+	cancelled []*forward.Attempt
+	answer    *forward.Answer
+	now       time.Duration
 }
 
 var settings = forward.Settings{HedgeShare: 0.25, SiblingHedges: true, LastExtras: 2, EarlyFinish: true, AnswerMargin: 10 * millisecond, SerialTrials: true, RetryAfter: 600 * millisecond}
@@ -122,42 +126,42 @@
 	}
 }
 
-func start(t *testing.T, route *routing.Route, node forward.Node) *scene {
-	s := &scene{t: t}
+func start(t *testing.T, route *routing.Route, node forward.Node) *harness {
+	s := &harness{t: t}
 	request, actions := forward.Start(0, forward.Parameters{Route: route, Service: "a"}, settings, node)
 	s.request = request
-	s.take(actions)
+	s.collect(actions)
 	return s
 }
 
-func (s *scene) take(actions []forward.Action) {
+func (s *harness) collect(actions []forward.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case forward.StartAttempt:
 			s.sent = append(s.sent, action.Attempt)
 		case forward.CancelAttempt:
-			s.cancels = append(s.cancels, action.Attempt)
+			s.cancelled = append(s.cancelled, action.Attempt)
 		case forward.Finish:
 			if s.answer != nil {
-				s.t.Fatal("answered twice")
+				s.t.Fatal("the request was answered twice, want one answer")
 			}
 			s.answer = &action.Answer
 		}
 	}
 }
 
-func (s *scene) at(now time.Duration) *scene {
+func (s *harness) tickAt(now time.Duration) *harness {
 	s.now = now
-	s.take(s.request.Tick(now))
+	s.collect(s.request.Tick(now))
 	return s
 }
 
-func (s *scene) end(attempt int, outcome forward.Outcome) *scene {
-	s.take(s.request.HandleOutcome(s.now, s.sent[attempt], outcome))
+func (s *harness) endAttempt(attempt int, outcome forward.Outcome) *harness {
+	s.collect(s.request.HandleOutcome(s.now, s.sent[attempt], outcome))
 	return s
 }
 
-func (s *scene) sends() []string {
+func (s *harness) sentTo() []string {
 	var ids []string
 	for _, attempt := range s.sent {
 		ids = append(ids, attempt.Replica.ID)
@@ -165,8 +169,8 @@
 	return ids
 }
 
-func part(signature, body string) forward.Outcome {
+func answerOf(signature, body string) forward.Outcome {
 	return forward.Outcome{Kind: forward.Answered, Response: &forward.Response{Status: 200, Signature: signature, Body: []byte(body)}}
 }
 
-func ended(kind forward.OutcomeKind) forward.Outcome { return forward.Outcome{Kind: kind} }
+func outcomeOf(kind forward.OutcomeKind) forward.Outcome { return forward.Outcome{Kind: kind} }
--- a/internal/forward/left_out_test.go
+++ b/internal/forward/left_out_test.go
@@ -2,18 +2,19 @@
 
 import "testing"
 
-// TestLeftOutWhileItWaits: a shard that waits for room and is then left out has failed, and is not looked for any more.
-func TestLeftOutWhileItWaits(t *testing.T) {
+// TestShardExcludedWhileWaiting checks that a shard fails if it becomes excluded while it waits for capacity. It must
+// not stay due at a time that has passed: the request would then run without a pause until it is answered.
+func TestShardExcludedWhileWaiting(t *testing.T) {
 	w := newNode(9, "a", "b", "c")
-	w.full["b"] = true
-	s := start(t, fanOut("a", "b", "c"), w).end(0, part("a-1", ""))
-	w.leftOut = map[string]bool{"b": true}
-	s.at(s.request.NextWake(s.now)).wantSends(2)
+	w.fullServices["b"] = true
+	s := start(t, fanOut("a", "b", "c"), w).endAttempt(0, answerOf("a-1", ""))
+	w.excluded = map[string]bool{"b": true}
+	s.tickAt(s.request.NextWake(s.now)).wantAttempts(2)
 	if wake := s.request.NextWake(s.now); wake <= s.now {
-		t.Errorf("wakes at %v, and it is %v", wake, s.now)
+		t.Errorf("next wake at %v, want a time after %v", wake, s.now)
 	}
-	s.end(1, part("c-1", ""))
+	s.endAttempt(1, answerOf("c-1", ""))
 	if s.answer == nil || s.answer.MissingShards != 1 || s.answer.Failure != nil {
-		t.Errorf("answered %+v", s.answer)
+		t.Errorf("got answer %+v, want success with 1 missing shard", s.answer)
 	}
 }
--- a/internal/forward/merge.go
+++ b/internal/forward/merge.go
@@ -6,12 +6,13 @@
 	"sort"
 )
 
-// RecordSize is the size of a record in bytes. What is left of a part after its last whole record is no record.
+// RecordSize is the size of a record in bytes. Bytes of an answer after its last complete record are ignored.
 const RecordSize = 16
 
 type record [RecordSize]byte
 
-// merger keeps the greatest records it has seen, greatest first, equal ones as often as they came.
+// merger keeps the greatest records that it was given, greatest first, at most top of them. Equal records are all
+// kept.
 type merger struct {
 	top     int
 	records []record
--- a/internal/forward/node.go
+++ b/internal/forward/node.go
@@ -8,27 +8,33 @@
 	"stiletrail/internal/replica"
 )
 
-// Node is what a request needs of the node that it runs on, at one moment.
+// Node is what a request needs of the node that it runs on, as it is at one time.
 type Node interface {
-	// Pick returns a replica of the service that the choice allows, or nil; busy is set where each has its attempts.
-	Pick(service string, choice replica.PickOptions) (chosen *replica.Replica, busy bool)
-	// EarliestRecovery returns the first moment at which one of the replicas that the choice allows is not ejected; false if there
-	// is none.
-	EarliestRecovery(service string, choice replica.PickOptions) (at time.Duration, known bool)
-	// SpendHedge takes an extra attempt that only saves time out of the service's budget.
+	// Pick returns a replica of the service that the options allow, or nil. busy is set if replicas are allowed but
+	// all are at their limit of attempts.
+	Pick(service string, options replica.PickOptions) (chosen *replica.Replica, busy bool)
+	// EarliestRecovery returns the earliest time at which one of the replicas that the options allow is not ejected.
+	// known is false if the options allow none.
+	EarliestRecovery(service string, options replica.PickOptions) (at time.Duration, known bool)
+	// SpendHedge takes a hedge out of the service's budget of extra attempts, and reports whether the budget allowed
+	// it.
 	SpendHedge(service string) bool
-	// ExtraAttemptsLeft is how many extra attempts the service's budget allows now.
+	// ExtraAttemptsLeft returns how many extra attempts the service's budget allows now.
 	ExtraAttemptsLeft(service string) float64
-	// SpendRetry takes an extra attempt after a failure out of the service's budget.
+	// SpendRetry takes an extra attempt after a failure out of the service's budget, and reports whether the budget
+	// allowed it.
 	SpendRetry(service string) bool
-	// RecordCrash takes in that a back end ended under an attempt, and gives the verdict on the request.
+	// RecordCrash records that a back end crashed during an attempt, and returns the quarantine verdict on the
+	// request.
 	RecordCrash(attempt *Attempt) quarantine.Verdict
-	// RecordAnswer takes in that a back end answered an attempt.
+	// RecordAnswer records that a back end answered an attempt.
 	RecordAnswer(attempt *Attempt)
-	// Verdict on the request as it is known by now.
+	// Verdict returns the present quarantine verdict on the request.
 	Verdict() quarantine.Verdict
-	// ShardExcluded reports whether the request is to be kept from a service, whose back ends it ends.
+	// ShardExcluded reports whether the request must not be sent to a service, because it crashes the back ends of
+	// that service.
 	ShardExcluded(service string) bool
-	// RecordSample takes in what a request over many shards lacks at its target, once.
+	// RecordSample records what a request that fans out was missing at its target. It is called at most once for a
+	// request.
 	RecordSample(sample admit.Sample)
 }
--- a/internal/forward/outcome.go
+++ b/internal/forward/outcome.go
@@ -6,26 +6,26 @@
 	"stiletrail/internal/replica"
 )
 
-// OutcomeKind of an outcome.
+// OutcomeKind is how an attempt ended. The zero value stands for an attempt that has not ended.
 type OutcomeKind int
 
 // The outcomes of an attempt.
 const (
-	// Answered: the back end ran the request and gave a good, whole answer.
+	// Answered means that the back end ran the request and gave a complete, successful answer.
 	Answered OutcomeKind = iota + 1
-	// Failed: the back end ran the request, or may have, and answered with a failure.
+	// Failed means that the back end ran the request, or may have run it, and answered with a failure.
 	Failed
-	// Refused: the back end said that it did not run the request.
+	// Refused means that the back end said that it did not run the request.
 	Refused
-	// Misdirected: the address belongs to another back end, which did not run the request.
+	// Misdirected means that the address belongs to another back end, which did not run the request.
 	Misdirected
-	// NotSent: no byte of the request was written.
+	// NotSent means that no byte of the request was written.
 	NotSent
-	// Lost: the request may have run; no whole answer came.
+	// Lost means that the request may have run, but no complete answer arrived.
 	Lost
-	// Invalid: what came is not an answer to the request.
+	// Invalid means that the answer that arrived does not belong to the request or cannot be used.
 	Invalid
-	// Expired: the time was over before the request was written.
+	// Expired means that the deadline passed before the request was written.
 	Expired
 )
 
@@ -34,27 +34,29 @@
 	return k == Refused || k == Misdirected || k == NotSent || k == Expired
 }
 
-// String names the outcome in logs.
+// String returns the name of the outcome in logs.
 func (k OutcomeKind) String() string {
 	names := [...]string{"none", "answered", "failed", "refused", "misdirected", "not_sent", "lost", "invalid", "expired"}
 	return names[k]
 }
 
-// Outcome of an attempt.
+// Outcome is the result of an attempt.
 type Outcome struct {
 	Kind OutcomeKind
-	// RetryAfter is what a refusal says of when to come back.
+	// RetryAfter is the retry-after time that a refusal names; 0 if it names none.
 	RetryAfter time.Duration
-	// Response is the back end's answer, with Answered and Failed.
+	// Response is the back end's answer, set with Answered and Failed.
 	Response *Response
-	// BlamesRequest, with Failed: the back end says that the request is at fault. It is believed unless another one answers it.
+	// BlamesRequest is set with Failed if the back end says that the request is at fault. It is believed unless
+	// another back end answers the same request.
 	BlamesRequest bool
-	// ConnectionRejected: the back end ended a connection that had carried no answer yet, as it does with those over its
-	// limit.
+	// ConnectionRejected is set if the back end closed a connection before its first answer, as a back end does with
+	// connections over its limit.
 	ConnectionRejected bool
-	// BackEndCrashed: the back end itself ended, and not just the connection: it takes no connections any more.
+	// BackEndCrashed is set if the back end itself has ended and accepts no connections any more. A connection that
+	// breaks while the back end lives does not count.
 	BackEndCrashed bool
-	// Load is what the back end told of itself with the answer.
+	// Load is the load that the back end reported with its answer.
 	Load replica.Load
 	// Detail says what happened, for logs.
 	Detail string
@@ -64,8 +66,8 @@
 type Response struct {
 	Status int
 	Body   []byte
-	// Signature proves who answered; a part without one does not count.
+	// Signature proves which back end answered. On a route that fans out, an answer without one does not count.
 	Signature string
-	// Transport is the answer as the adapter holds it, passed back untouched.
+	// Transport is the transport's own form of the answer. This package passes it back unchanged.
 	Transport any
 }
--- a/internal/forward/parameters.go
+++ b/internal/forward/parameters.go
@@ -6,25 +6,27 @@
 	"stiletrail/internal/routing"
 )
 
-// Parameters of a request.
+// Parameters describe one request.
 type Parameters struct {
 	Route *routing.Route
-	// Service a request to a single back end goes to.
+	// Service is the one that a request to a single back end goes to.
 	Service string
-	// ArrivedAt is when the request came, zero if it starts as it comes. Target and timeout count from then.
+	// ArrivedAt is when the request arrived; target latency and timeout count from then. Zero stands for the time of
+	// Start.
 	ArrivedAt time.Duration
-	// Deadline is when the caller stops waiting, zero if it did not say.
+	// Deadline is when the caller stops waiting; zero if the caller did not say.
 	Deadline time.Duration
-	// Versions of software that may get the request, if any are named.
+	// Versions are the software versions of the back ends that may get the request. Empty allows every version.
 	Versions []string
-	// FirstTrialShard is the shard from which on one is looked for that a trial goes to. It differs among requests, so that trials
-	// that end back ends do not end all of one shard: a request over ten shards may lack one.
+	// FirstTrialShard is the index of the shard at which the search for a held shard to try begins. It differs
+	// between requests: if the trials of all requests began at the same shard, the back ends that they crash would
+	// all belong to that shard. A request over ten shards may do without one of them.
 	FirstTrialShard int
-	// Retrial: the request is under quarantine, and one back end may get it.
+	// Retrial marks a request under quarantine that may be sent to one back end.
 	Retrial bool
 }
 
-// Services are those that a request asks, one a shard.
+// Services returns the services that the request asks, one for each shard.
 func (p Parameters) Services() []string {
 	if p.Route.FansOut() {
 		return p.Route.Shards
--- a/internal/forward/pause.go
+++ b/internal/forward/pause.go
@@ -2,53 +2,58 @@
 
 import "time"
 
-// The rule of pauses and of giving up. A shard whose attempts have failed, and that can't be asked again at once (retry.go),
-// is asked again after Settings.RetryPause, and each time after twice as long, and not before one of its replicas is
-// expected to be out of its ejection (Node.Recovers): a late answer is worth more than none, and what the shard lacks now, a
-// replica, room or budget, it has often a little later. It is given up
-//   - where that moment is not before the deadline, or pauses are off;
-//   - where the only back end asked gave a failure of its own, which is the caller's answer;
-//   - where the request is kept from its service, whose back ends it ends.
+// Pauses and giving up. A shard whose attempts have failed, and that cannot be asked again at once (retry.go), is
+// asked again after Settings.RetryPause. Each further pause is twice as long as the last one, up to longestPause. A
+// pause also lasts until one of the shard's replicas is expected to return from its ejection (Node.EarliestRecovery).
+// A late answer is better than none, and a replica, capacity or budget that the shard lacks now is often available a
+// little later. The shard is given up
+//   - if the pause would end at or after the deadline, or pauses are off;
+//   - if the only back end asked gave a failure of its own, which is then the caller's answer;
+//   - if the request must not be sent to the shard's service, because it crashes the back ends there.
 //
-// A request with enough answers doesn't wait for a shard that pauses beyond the moment at which the answer goes out
-// (worthWaiting).
+// A request with enough answers does not wait for a shard whose pause ends after the time at which the answer goes
+// out (openShardMayAnswerInTime).
 //
 // longestPause bounds the pauses.
 const longestPause = 200 * time.Millisecond
 
-// pauseOrGiveUp pauses a shard with no attempt under way, or gives it up.
+// pauseOrGiveUp pauses a shard that has no attempt in flight, or gives it up.
 func (r *Request) pauseOrGiveUp(now time.Duration, number int) {
 	s := &r.shards[number]
-	s.pause = min(max(2*s.pause, r.settings.RetryPause), longestPause)
+	s.pauseLength = min(max(2*s.pauseLength, r.settings.RetryPause), longestPause)
 	s.tried = nil
-	recovery, known := r.node.EarliestRecovery(s.service, r.choice(s))
-	until := max(now+s.pause, recovery)
-	if r.settings.RetryPause > 0 && known && until < r.deadline && !r.ownFailure(s) && !r.node.ShardExcluded(s.service) {
-		s.become(paused{until: until})
+	recovery, known := r.node.EarliestRecovery(s.service, r.pickOptions(s))
+	until := max(now+s.pauseLength, recovery)
+	if r.settings.RetryPause > 0 && known && until < r.deadline && !r.isSingleBackEndFailure(s) && !r.node.ShardExcluded(s.service) {
+		s.setState(paused{until: until})
 	} else {
-		s.become(failed{})
+		s.setState(failed{})
 	}
 }
 
-// ownFailure reports whether the only back end asked gave a failure of its own, which is the caller's answer.
-func (r *Request) ownFailure(s *shard) bool { return !r.route.FansOut() && s.last.Response != nil }
+// isSingleBackEndFailure reports whether the only back end asked gave a failure of its own, which is the caller's
+// answer.
+func (r *Request) isSingleBackEndFailure(s *shard) bool {
+	return !r.route.FansOut() && s.lastFailure.Response != nil
+}
 
-// resume asks a shard again after its pause.
-func (r *Request) resume(now time.Duration, number int) {
-	if !r.retry(now, number) {
+// retryAfterPause asks a shard again after its pause, or pauses it again.
+func (r *Request) retryAfterPause(now time.Duration, number int) {
+	if !r.startRetry(now, number) {
 		r.pauseOrGiveUp(now, number)
 	}
 }
 
-// worthWaiting reports whether a shard may still be answered by the moment at which the answer goes out with what is there.
-func (r *Request) worthWaiting() bool {
+// openShardMayAnswerInTime reports whether a shard may still answer by the time at which the answer goes out with the
+// shards that have answered: the target latency with EarlyFinish, otherwise the deadline.
+func (r *Request) openShardMayAnswerInTime() bool {
 	until := r.deadline
 	if r.settings.EarlyFinish {
 		until = r.target
 	}
 	for i := range r.shards {
 		s := &r.shards[i]
-		if pause, ok := s.state.(paused); s.open() && (!ok || pause.until < until) {
+		if pause, ok := s.state.(paused); s.isOpen() && (!ok || pause.until < until) {
 			return true
 		}
 	}
--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -6,88 +6,92 @@
 	"stiletrail/internal/failure"
 )
 
-// A refusal promises that the request did not run and never will. It is given only where nothing was sent, or each
-// attempt is proved not to have run and none is under way (nothingRan). These are all that this package gives; the
-// gateway has others, given before a request starts.
+// A refusal promises that the request did not run and never will. It is given only if nothing was sent, or if every
+// attempt provably did not run and none is in flight (nothingRan). These are all refusals of this package; the
+// gateway gives others before a request starts.
 //
-//	when                                                       code               reason                  time to come back
-//	at the start, fewer shards than required can be asked      NO_REPLICA         no_back_end             Settings.RetryAfter
-//	later, nothing was sent and no shard can be asked          NO_REPLICA         no_back_end             Settings.RetryAfter
-//	no back end took it for a part of the target (roomUntil)   OVERLOADED         no_room, all_refused    retryAfterOverloaded
-//	no shard is left to ask, and all attempts were refused     OVERLOADED         all_refused             retryAfterOverloaded
-//	under quarantine                                           QUARANTINED        quarantined             Settings.RetryAfter
-//	at the deadline                                            DEADLINE_EXCEEDED  deadline                retryAfterOverloaded
-//	the node stops                                             LEAVING            given_up                retryAfterOverloaded
+//	when                                                            code               reason               retry-after time
+//	at the start, too few shards have a back end to ask             NO_REPLICA         no_back_end          Settings.RetryAfter
+//	later, nothing was sent and no shard can be asked               NO_REPLICA         no_back_end          Settings.RetryAfter
+//	no back end ran any of the request until acceptanceDeadline     OVERLOADED         no_room, all_refused retryAfterOverloaded
+//	no shard is left to ask, and all attempts were refused          OVERLOADED         all_refused          retryAfterOverloaded
+//	the request is under quarantine                                 QUARANTINED        quarantined          Settings.RetryAfter
+//	the deadline came                                               DEADLINE_EXCEEDED  deadline             retryAfterOverloaded
+//	the node stops                                                  LEAVING            given_up             retryAfterOverloaded
 //
-// Where back ends that refused named a time, the longest of theirs goes before these.
+// If back ends that refused named a retry-after time, the longest of theirs is given instead.
 const (
-	// roomShare of the target latency is how long a request is held that no back end has room for.
-	roomShare = 5
-	// retryAfterOverloaded is said where a back end may have room at any moment.
+	// A request is refused if no back end has run any of it within the target latency divided by acceptanceDivisor.
+	acceptanceDivisor = 5
+	// retryAfterOverloaded is the retry-after time if a back end may have a free slot again at any time.
 	retryAfterOverloaded = 60 * time.Millisecond
 )
 
-// refusal says that the request did not run.
-func (r *Request) refusal(code failure.Code, retryAfter time.Duration) *failure.Failure {
+// refusalFailure returns the failure that says that the request did not run.
+func (r *Request) refusalFailure(code failure.Code, retryAfter time.Duration) *failure.Failure {
 	if r.retryAfter > 0 {
 		retryAfter = r.retryAfter
 	}
-	return failure.Refused(code, "no back end took the request", retryAfter)
+	return failure.Refused(code, "no back end accepted the request", retryAfter)
 }
 
-// nothingRan reports whether nothing of the request has run and no attempt is under way, so that its caller can be told
-// to come back.
-func (r *Request) nothingRan() bool { return !r.mayHaveRun && !r.anyUnderWay() }
+// nothingRan reports whether no back end has run any of the request and no attempt is in flight. Only then may the
+// caller be told that the request did not run.
+func (r *Request) nothingRan() bool { return !r.mayHaveRun && !r.anyInFlight() }
 
-// roomUntil is how long back ends are looked for that take a request of which nothing has run.
-func (r *Request) roomUntil() time.Duration { return r.arrivedAt + r.route.TargetLatency/roomShare }
+// acceptanceDeadline returns until when the request tries to find a back end that runs it, while none has.
+func (r *Request) acceptanceDeadline() time.Duration {
+	return r.arrivedAt + r.route.TargetLatency/acceptanceDivisor
+}
 
-// refuseTooFew refuses a request at its start where too few shards have a back end that can be asked: nothing was sent yet, so
-// it can still be promised that it did not run, and the caller comes back when there may be more.
-func (r *Request) refuseTooFew() {
-	if r.open() >= r.required() {
+// refuseIfTooFewShards refuses a request at its start if too few shards have a back end that can be asked. No attempt
+// has gone out yet, so the request provably did not run, and the caller may retry once there are more back ends.
+func (r *Request) refuseIfTooFewShards() {
+	if r.openShards() >= r.requiredShards() {
 		return
 	}
 	r.actions = nil
 	r.attempts = nil
 	r.anySent = false
-	r.finish(r.withFailure(NoBackEnd, r.refusal(failure.NoReplica, r.settings.RetryAfter)))
+	r.finish(r.failureAnswer(NoBackEnd, r.refusalFailure(failure.NoReplica, r.settings.RetryAfter)))
 }
 
-// noneCouldBeAsked is the answer where nothing was sent and nothing can be.
-func (r *Request) noneCouldBeAsked() Answer {
-	return Answer{Reason: NoBackEnd, Failure: r.refusal(failure.NoReplica, r.settings.RetryAfter)}
+// noBackEndAnswer returns the refusal of a request that could be sent to no back end.
+func (r *Request) noBackEndAnswer() Answer {
+	return Answer{Reason: NoBackEnd, Failure: r.refusalFailure(failure.NoReplica, r.settings.RetryAfter)}
 }
 
-// noRoom is the answer where no back end took the request.
-func (r *Request) noRoom() Answer {
-	answer := Answer{Reason: AllRefused, Failure: r.refusal(failure.Overloaded, retryAfterOverloaded)}
+// overloadedAnswer returns the refusal of a request that no back end accepted.
+func (r *Request) overloadedAnswer() Answer {
+	answer := Answer{Reason: AllRefused, Failure: r.refusalFailure(failure.Overloaded, retryAfterOverloaded)}
 	if !r.anySent {
 		answer.Reason = NoRoom
 	}
 	return answer
 }
 
-// endedBackEnds is the answer to a request under which back ends have ended, or that is under quarantine and was tried in vain.
-func (r *Request) endedBackEnds() Answer {
+// quarantinedAnswer returns the answer to a request that has crashed back ends, or that is under quarantine and whose
+// one attempt was not answered.
+func (r *Request) quarantinedAnswer() Answer {
 	if r.mayHaveRun {
-		return r.withFailure(Quarantined, failure.New(failure.Quarantined, "back ends ended while they ran the request"))
+		return r.failureAnswer(Quarantined, failure.New(failure.Quarantined, "back ends crashed while they ran the request"))
 	}
-	return r.withFailure(Quarantined, r.refusal(failure.Quarantined, r.settings.RetryAfter))
+	return r.failureAnswer(Quarantined, r.refusalFailure(failure.Quarantined, r.settings.RetryAfter))
 }
 
-// timedOut is the answer at the deadline. An attempt under way may have run.
-func (r *Request) timedOut() Answer {
+// deadlineAnswer returns the answer at the deadline. It says that the request did not run only if no attempt is in
+// flight.
+func (r *Request) deadlineAnswer() Answer {
 	if !r.nothingRan() {
-		return r.withFailure(DeadlineReached, failure.New(failure.DeadlineExceeded, "the time of the request is over"))
+		return r.failureAnswer(DeadlineReached, failure.New(failure.DeadlineExceeded, "the deadline of the request has passed"))
 	}
-	return r.withFailure(DeadlineReached, r.refusal(failure.DeadlineExceeded, retryAfterOverloaded))
+	return r.failureAnswer(DeadlineReached, r.refusalFailure(failure.DeadlineExceeded, retryAfterOverloaded))
 }
 
-// nodeStops is the answer that a request gets as the node stops.
-func (r *Request) nodeStops() Answer {
+// nodeStoppingAnswer returns the answer of a request that has too few answers as the node stops.
+func (r *Request) nodeStoppingAnswer() Answer {
 	if !r.nothingRan() {
-		return r.withFailure(GivenUp, failure.New(failure.OutcomeUnknown, "the node stops before the request has ended"))
+		return r.failureAnswer(GivenUp, failure.New(failure.OutcomeUnknown, "the node stops before the request has ended"))
 	}
-	return r.withFailure(GivenUp, r.refusal(failure.Leaving, retryAfterOverloaded))
+	return r.failureAnswer(GivenUp, r.refusalFailure(failure.Leaving, retryAfterOverloaded))
 }
--- a/internal/forward/retry.go
+++ b/internal/forward/retry.go
@@ -2,58 +2,61 @@
 
 import "time"
 
-// The rule of retries. A shard with no attempt under way any more is asked again if the request is repeatable, or its
-// last attempt is proved not to have run, and the deadline has not come:
-//   - at once, at a replica that was not tried since the last pause, if there is one with room that can answer by the
-//     deadline and the service's budget allows it; an attempt in the place of one of which no byte was written costs
-//     none;
-//   - else after a pause (pause.go), if there are pauses and one may help;
-//   - else it has failed.
+// Retries are attempts after a failure. A shard that has no attempt left in flight is asked again if the deadline has
+// not come, and the request is repeatable or its last attempt provably did not run:
+//   - at once, if a replica that was not tried since the last pause is below its limit and can answer by the
+//     deadline, and the service's budget allows the attempt (an attempt that replaces one of which no byte was
+//     written is not charged to the budget);
+//   - otherwise after a pause (pause.go), if pauses are on and another attempt may help.
+//
+// In all other cases the shard has failed.
 
-// mostWithoutPause: a shard that has been tried at more replicas than that since its last pause is asked again only after
-// another pause.
-const mostWithoutPause = 3
+// maximumTriedWithoutPause bounds the attempts without a pause. A shard that has tried more replicas than this since
+// its last pause is asked again only after another pause.
+const maximumTriedWithoutPause = 3
 
-// retryOrGiveUp decides what becomes of a shard whose attempt failed. Another attempt under way may still answer it.
+// retryOrGiveUp decides what follows after an attempt at a shard failed. While another attempt is in flight at the
+// shard, nothing does.
 func (r *Request) retryOrGiveUp(now time.Duration, number int) {
 	s := &r.shards[number]
-	if s.live() > 0 {
+	if s.attemptsInFlight() > 0 {
 		return
 	}
-	if !r.mayRepeat(now, s) {
-		s.become(failed{})
+	if !r.repeatAllowed(now, s) {
+		s.setState(failed{})
 		return
 	}
-	if !r.retry(now, number) {
+	if !r.startRetry(now, number) {
 		r.pauseOrGiveUp(now, number)
 	}
 }
 
-// mayRepeat: a request that is not repeatable goes out again only with proof that it did not run.
-func (r *Request) mayRepeat(now time.Duration, s *shard) bool {
-	kind := s.last.Kind
+// repeatAllowed reports whether a shard may be asked again. A request that is not repeatable is sent again only if
+// its last attempt provably did not run.
+func (r *Request) repeatAllowed(now time.Duration, s *shard) bool {
+	kind := s.lastFailure.Kind
 	if kind == Expired || now >= r.deadline {
 		return false
 	}
 	return r.route.Repeatable || kind.NotRun()
 }
 
-// retry asks another replica at once, and reports whether it did.
-func (r *Request) retry(now time.Duration, number int) bool {
+// startRetry asks another replica at once, and reports whether an attempt was sent.
+func (r *Request) startRetry(now time.Duration, number int) bool {
 	s := &r.shards[number]
 	if r.node.ShardExcluded(s.service) {
 		s.denied = DeniedQuarantined
 		return false
 	}
-	if len(s.tried) > mostWithoutPause || (r.settings.RetryPause == 0 && s.sent >= r.route.MaximumAttempts) {
+	if len(s.tried) > maximumTriedWithoutPause || (r.settings.RetryPause == 0 && s.delivered >= r.route.MaximumAttempts) {
 		return false
 	}
-	chosen, busy := r.node.Pick(s.service, r.choice(s))
+	chosen, busy := r.node.Pick(s.service, r.pickOptions(s))
 	if chosen == nil {
-		s.denied = noReplica(busy)
+		s.denied = denialWithoutReplica(busy)
 		return false
 	}
-	if r.tooLate(now, chosen) {
+	if r.answersTooLate(now, chosen) {
 		s.denied = DeniedTooLate
 		return false
 	}
@@ -61,19 +64,20 @@
 		s.denied = DeniedNoBudget
 		return false
 	}
-	r.send(now, number, chosen, Retry)
+	r.startAttempt(now, number, chosen, Retry)
 	return true
 }
 
-// spendRetry takes an attempt out of the budget. The first to arrive is no extra one, and neither is one in the place of
-// another that was paid for and never arrived.
+// spendRetry takes an attempt out of the budget, and reports whether the budget allowed it. Two kinds of attempts are
+// free: the first that is delivered to the shard, and one that replaces an extra attempt that was charged but never
+// delivered.
 func (r *Request) spendRetry(s *shard) bool {
-	if s.sent <= s.paid {
+	if s.delivered <= s.extrasSpent {
 		return true
 	}
 	if !r.node.SpendRetry(s.service) {
 		return false
 	}
-	s.paid++
+	s.extrasSpent++
 	return true
 }
--- a/internal/forward/schedule_test.go
+++ b/internal/forward/schedule_test.go
@@ -10,9 +10,9 @@
 	"stiletrail/internal/quarantine"
 )
 
-// TestAnySchedule: whatever back ends, budgets and verdicts do, each shard keeps to the table of states, a step never
-// asks for another one at a moment that has passed, and the request is answered by its deadline.
-func TestAnySchedule(t *testing.T) {
+// TestRandomSchedule checks over random outcomes, budgets and verdicts that each shard keeps to the table of states,
+// that NextWake never returns a time that has passed, and that the request is answered by its deadline.
+func TestRandomSchedule(t *testing.T) {
 	verdicts := []quarantine.Verdict{quarantine.Clear, quarantine.Suspect, quarantine.Quarantined}
 	kinds := []forward.OutcomeKind{
 		forward.Answered, forward.Failed, forward.Refused, forward.Misdirected, forward.NotSent, forward.Lost, forward.Invalid, forward.Expired,
@@ -22,19 +22,19 @@
 		route := fanOut(services...)
 		route.MaximumAttempts = rapid.IntRange(1, 3).Draw(rt, "most")
 		node := newNode(rapid.IntRange(0, 9).Draw(rt, "budget"), services...)
-		node.leftOut = map[string]bool{}
+		node.excluded = map[string]bool{}
 		node.verdict = rapid.SampledFrom(verdicts).Draw(rt, "verdict at the start")
 		with := settings
 		with.RetryPause = time.Duration(rapid.SampledFrom([]int{0, 25}).Draw(rt, "pause")) * millisecond
 		parameters := forward.Parameters{Route: route, Retrial: node.verdict == quarantine.Quarantined}
-		s := &scene{t: t}
+		s := &harness{t: t}
 		request, actions := forward.Start(0, parameters, with, node)
 		s.request = request
-		s.take(actions)
+		s.collect(actions)
 		for step := 0; s.answer == nil && step < 300; step++ {
 			service := rapid.SampledFrom(services).Draw(rt, "service")
-			node.full[service] = rapid.Bool().Draw(rt, "full")
-			node.leftOut[service] = rapid.IntRange(0, 9).Draw(rt, "left out") == 0
+			node.fullServices[service] = rapid.Bool().Draw(rt, "full")
+			node.excluded[service] = rapid.IntRange(0, 9).Draw(rt, "left out") == 0
 			if len(s.sent) > 0 && rapid.Bool().Draw(rt, "an attempt ends") {
 				outcome := forward.Outcome{Kind: rapid.SampledFrom(kinds).Draw(rt, "kind")}
 				if outcome.Kind == forward.Answered || outcome.Kind == forward.Failed {
@@ -44,16 +44,16 @@
 					outcome.BackEndCrashed = true
 					node.verdict = rapid.SampledFrom(verdicts).Draw(rt, "verdict")
 				}
-				s.end(rapid.IntRange(0, len(s.sent)-1).Draw(rt, "attempt"), outcome)
+				s.endAttempt(rapid.IntRange(0, len(s.sent)-1).Draw(rt, "attempt"), outcome)
 				continue
 			}
-			s.at(max(s.now, s.request.NextWake(s.now)))
+			s.tickAt(max(s.now, s.request.NextWake(s.now)))
 			if wake := s.request.NextWake(s.now); s.answer == nil && wake <= s.now {
-				rt.Fatalf("at %v it asks to be woken at %v", s.now, wake)
+				rt.Fatalf("at %v the next wake is at %v, want a later time", s.now, wake)
 			}
 		}
-		if s.at(route.Timeout); s.answer == nil {
-			rt.Fatal("not answered at the deadline")
+		if s.tickAt(route.Timeout); s.answer == nil {
+			rt.Fatal("no answer at the deadline")
 		}
 	})
 }
--- a/internal/forward/settings.go
+++ b/internal/forward/settings.go
@@ -2,24 +2,27 @@
 
 import "time"
 
-// Settings of how requests are served.
+// Settings control how requests are served.
 type Settings struct {
-	// HedgeShare of the target latency is waited at most for an answer before another replica is asked too; 0 turns hedging off.
+	// HedgeShare is the share of the target latency after which an unanswered shard is hedged at the latest. 0 turns
+	// hedging off.
 	HedgeShare float64
-	// SiblingHedges has a shard hedged that takes much longer than the others of its request.
+	// SiblingHedges hedges a shard that takes much longer than the shards of the same request that have answered.
 	SiblingHedges bool
-	// LastExtras that the budget of a service allows are not spent on shards that are just late.
+	// LastExtras is a number of extra attempts. While the budget of a service allows fewer than that, sibling hedges
+	// are sent later.
 	LastExtras int
-	// EarlyFinish answers at the target latency with what is there, where that is enough.
+	// EarlyFinish answers at the target latency with the shards that have answered, if they are enough.
 	EarlyFinish bool
-	// RetryPause is the first pause before a shard whose attempts have failed is asked again, while there is time; 0 gives
-	// it up at once.
+	// RetryPause is the first pause before a shard whose attempts have failed is asked again. 0 gives the shard up at
+	// once.
 	RetryPause time.Duration
-	// AnswerMargin is kept before the target latency and the caller's deadline, for the way back to the caller.
+	// AnswerMargin is subtracted from the target latency and from the caller's deadline. It is the time in which an
+	// answer travels back to the caller.
 	AnswerMargin time.Duration
-	// SerialTrials has a request under which back ends have ended tried at one at a time, until one answers.
+	// SerialTrials sends a request that has crashed back ends to one back end at a time, until one answers it.
 	SerialTrials bool
-	// RetryAfter is when a caller may come back that was refused because too few back ends can be asked, or because its
-	// request ends them.
+	// RetryAfter is the retry-after time of a refusal because too few shards have back ends, or because the request
+	// is under quarantine.
 	RetryAfter time.Duration
 }
--- a/internal/forward/shard.go
+++ b/internal/forward/shard.go
@@ -8,21 +8,24 @@
 	"stiletrail/internal/replica"
 )
 
-// shard is one service that a request asks, and what has come of it.
+// shard is one service that a request asks, with its attempts and its state.
 type shard struct {
 	service string
 	state   state
-	// last is the latest outcome that was no answer.
-	last Outcome
-	// tried replicas are not asked again before the next pause. asked has the replica of each attempt that may have arrived.
+	// lastFailure is the latest outcome that was not an answer.
+	lastFailure Outcome
+	// tried are the replicas asked since the last pause; they are not asked again before the next pause. asked has
+	// the replica of each attempt that was delivered or may have been.
 	tried []*replica.Replica
 	asked []*replica.Replica
-	// sent counts the attempts that may have arrived, paid those beyond the first that the budget has allowed.
-	sent int
-	paid int
-	// wait and pause are the lengths of the last wait for room and of the last pause after a failure.
-	wait  time.Duration
-	pause time.Duration
+	// delivered counts the attempts that were delivered or may have been. extrasSpent counts the extra attempts taken
+	// out of the budget.
+	delivered   int
+	extrasSpent int
+	// capacityWait is the length of the last wait for a replica below its limit. pauseLength is the length of the
+	// last pause after a failure.
+	capacityWait time.Duration
+	pauseLength  time.Duration
 	// denied is why the last attempt that was due was not sent.
 	denied DenialReason
 }
@@ -35,35 +38,36 @@
 	return shards
 }
 
-// become puts the shard in its next state. One that may not follow is a fault of this package.
-func (s *shard) become(next state) {
-	if !mayFollow(s.state, next) {
-		panic(fmt.Sprintf("a shard goes from %T to %T", s.state, next))
+// setState puts the shard into its next state. It panics if the table of states does not allow the transition, which
+// is a bug in this package.
+func (s *shard) setState(next state) {
+	if !validTransition(s.state, next) {
+		panic(fmt.Sprintf("forward: a shard must not go from state %T to %T", s.state, next))
 	}
 	s.state = next
 }
 
-// fail gives the shard up.
+// fail gives the shard up and records why.
 func (s *shard) fail(why DenialReason) {
 	s.denied = why
-	s.become(failed{})
+	s.setState(failed{})
 }
 
-// live is how many attempts may still be answered.
-func (s *shard) live() int {
-	if state, ok := s.state.(underWay); ok {
+// attemptsInFlight returns how many attempts may still be answered.
+func (s *shard) attemptsInFlight() int {
+	if state, ok := s.state.(inFlight); ok {
 		return state.attempts
 	}
 	return 0
 }
 
-// held reports whether the shard waits for another one.
-func (s *shard) held() bool {
+// isHeld reports whether the shard is in state held.
+func (s *shard) isHeld() bool {
 	_, ok := s.state.(held)
 	return ok
 }
 
-// response is the answer, nil before there is one.
+// response returns the shard's answer, or nil if there is none.
 func (s *shard) response() *Response {
 	if state, ok := s.state.(answered); ok {
 		return state.response
@@ -71,8 +75,8 @@
 	return nil
 }
 
-// open reports whether the shard may still be answered.
-func (s *shard) open() bool {
+// isOpen reports whether the shard may still be answered.
+func (s *shard) isOpen() bool {
 	switch s.state.(type) {
 	case answered, failed:
 		return false
@@ -80,28 +84,29 @@
 	return true
 }
 
-// hedgeBy has another replica asked at a moment at the latest.
-func (s *shard) hedgeBy(at time.Duration) {
-	state := s.state.(underWay)
+// hedgeNoLaterThan moves the time of the shard's hedge forward to at, unless it is due earlier.
+func (s *shard) hedgeNoLaterThan(at time.Duration) {
+	state := s.state.(inFlight)
 	state.hedgeAt = min(state.hedgeAt, at)
-	s.become(state)
+	s.setState(state)
 }
 
-// attemptEnded takes one off the attempts under way.
-func (s *shard) attemptEnded() {
-	state := s.state.(underWay)
+// removeAttempt subtracts an attempt that has ended from those in flight.
+func (s *shard) removeAttempt() {
+	state := s.state.(inFlight)
 	state.attempts--
-	s.become(state)
+	s.setState(state)
 }
 
-// unsent notes that an attempt at a replica did not arrive.
-func (s *shard) unsent(unreached *replica.Replica) {
-	s.sent--
+// recordUndelivered takes an attempt that did not reach its replica out of the delivered ones.
+func (s *shard) recordUndelivered(unreached *replica.Replica) {
+	s.delivered--
 	i := slices.Index(s.asked, unreached)
 	s.asked = slices.Delete(s.asked, i, i+1)
 }
 
-func distinct(replicas []*replica.Replica) int {
+// countDistinct returns the number of different replicas.
+func countDistinct(replicas []*replica.Replica) int {
 	count := 0
 	for i, r := range replicas {
 		if !slices.Contains(replicas[:i], r) {
--- a/internal/forward/state.go
+++ b/internal/forward/state.go
@@ -5,64 +5,66 @@
 	"time"
 )
 
-// state of a shard: one of the types below. Moments are of the caller's clock.
+// state is the state of a shard: one of the types below. Their times are readings of the caller's clock.
 type state interface{ isState() }
 
-// unasked: nothing was decided for the shard yet, which is so only within Start.
+// unasked means that nothing is decided for the shard yet. This is so only within Start.
 type unasked struct{}
 
-// underWay: attempts may still be answered. There are none left only until Receive has dealt with the outcome of the last one.
-type underWay struct {
+// inFlight means that attempts may still be answered. Their number is 0 only within HandleOutcome, between the end of
+// the last attempt and the decision on what follows.
+type inFlight struct {
 	attempts int
-	// hedgeAt is when another replica is asked too.
+	// hedgeAt is when a hedge is due.
 	hedgeAt time.Duration
 }
 
-// waiting: no replica has room; one is looked for again at until. Nothing has been sent since the wait began.
-type waiting struct{ until time.Duration }
+// waitingForCapacity means that every replica is at its limit. Pick is called again at until. No attempt has been
+// sent since the wait began.
+type waitingForCapacity struct{ until time.Duration }
 
-// paused: all attempts have failed, and the shard is asked again at until.
+// paused means that all attempts have failed. The shard is asked again at until.
 type paused struct{ until time.Duration }
 
-// held: the shard waits for another one's answer, or for its turn as the next trial. Its attempts are lost or withdrawn,
-// or none was sent.
+// held means that the shard waits for an answer of another shard, or for its turn as the next trial. It has no
+// attempt in flight: its attempts have failed or were cancelled, or none was sent.
 type held struct{}
 
-// answered by a back end.
+// answered means that a back end has answered with response.
 type answered struct{ response *Response }
 
-// failed: no answer is looked for any more.
+// failed means that the shard is given up.
 type failed struct{}
 
-func (unasked) isState()  {}
-func (underWay) isState() {}
-func (waiting) isState()  {}
-func (paused) isState()   {}
-func (held) isState()     {}
-func (answered) isState() {}
-func (failed) isState()   {}
+func (unasked) isState()            {}
+func (inFlight) isState()           {}
+func (waitingForCapacity) isState() {}
+func (paused) isState()             {}
+func (held) isState()               {}
+func (answered) isState()           {}
+func (failed) isState()             {}
 
-// mayFollow reports whether a shard may go from one state to the next.
-func mayFollow(from, next state) bool {
+// validTransition reports whether a shard may go from one state to another.
+func validTransition(from, next state) bool {
 	switch from.(type) {
-	case unasked, waiting:
+	case unasked, waitingForCapacity:
 		switch next.(type) {
-		case underWay, waiting, held, failed:
+		case inFlight, waitingForCapacity, held, failed:
 			return true
 		}
-	case underWay:
+	case inFlight:
 		switch next.(type) {
-		case underWay, paused, held, answered, failed:
+		case inFlight, paused, held, answered, failed:
 			return true
 		}
 	case paused:
 		switch next.(type) {
-		case underWay, paused, held, failed:
+		case inFlight, paused, held, failed:
 			return true
 		}
 	case held:
 		switch next.(type) {
-		case underWay, waiting, paused, failed:
+		case inFlight, waitingForCapacity, paused, failed:
 			return true
 		}
 	case failed:
@@ -70,7 +72,7 @@
 		return again
 	case answered:
 	default:
-		panic(fmt.Sprintf("a shard in state %T", from))
+		panic(fmt.Sprintf("forward: unknown shard state %T", from))
 	}
 	return false
 }
--- a/internal/forward/state_test.go
+++ b/internal/forward/state_test.go
@@ -5,18 +5,18 @@
 	"testing"
 )
 
-// TestWhichStateMayFollow: the table of the package comment, each pair of states.
-func TestWhichStateMayFollow(t *testing.T) {
-	all := []state{unasked{}, waiting{}, underWay{}, paused{}, held{}, answered{}, failed{}}
+// TestStateTransitions checks each pair of states against the table of the package comment.
+func TestStateTransitions(t *testing.T) {
+	all := []state{unasked{}, waitingForCapacity{}, inFlight{}, paused{}, held{}, answered{}, failed{}}
 	rows := []struct {
 		from state
 		next []state
 	}{
-		{unasked{}, []state{underWay{}, waiting{}, held{}, failed{}}},
-		{waiting{}, []state{underWay{}, waiting{}, held{}, failed{}}},
-		{underWay{}, []state{underWay{}, paused{}, held{}, answered{}, failed{}}},
-		{paused{}, []state{underWay{}, paused{}, held{}, failed{}}},
-		{held{}, []state{underWay{}, waiting{}, paused{}, failed{}}},
+		{unasked{}, []state{inFlight{}, waitingForCapacity{}, held{}, failed{}}},
+		{waitingForCapacity{}, []state{inFlight{}, waitingForCapacity{}, held{}, failed{}}},
+		{inFlight{}, []state{inFlight{}, paused{}, held{}, answered{}, failed{}}},
+		{paused{}, []state{inFlight{}, paused{}, held{}, failed{}}},
+		{held{}, []state{inFlight{}, waitingForCapacity{}, paused{}, failed{}}},
 		{answered{}, nil},
 		{failed{}, []state{failed{}}},
 	}
@@ -26,20 +26,20 @@
 			allowed[fmt.Sprintf("%T", next)] = true
 		}
 		for _, next := range all {
-			if got, want := mayFollow(row.from, next), allowed[fmt.Sprintf("%T", next)]; got != want {
-				t.Errorf("from %T to %T: %v, want %v", row.from, next, got, want)
+			if got, want := validTransition(row.from, next), allowed[fmt.Sprintf("%T", next)]; got != want {
+				t.Errorf("transition from %T to %T allowed: got %v, want %v", row.from, next, got, want)
 			}
 		}
 	}
 }
 
-// TestStateThatMayNotFollow: a shard keeps to the table.
-func TestStateThatMayNotFollow(t *testing.T) {
+// TestInvalidTransitionPanics checks that a shard that was answered cannot be asked again.
+func TestInvalidTransitionPanics(t *testing.T) {
 	s := shard{state: answered{&Response{}}}
 	defer func() {
 		if recover() == nil || s.response() == nil {
-			t.Error("an answered shard is asked again")
+			t.Error("an answered shard could be asked again")
 		}
 	}()
-	s.become(underWay{attempts: 1})
+	s.setState(inFlight{attempts: 1})
 }
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -21,12 +21,12 @@
 	},
 	{
 		"hedges beyond the attempts allowed", "internal/forward/hedge.go",
-		"s.live() == 1 && s.sent < r.route.MaximumAttempts", "s.live() == 1",
-		"./internal/forward", "TestOneAttemptIsNotHedged",
+		"s.attemptsInFlight() == 1 && s.delivered < r.route.MaximumAttempts", "s.attemptsInFlight() == 1",
+		"./internal/forward", "TestNoHedgeBeyondMaximumAttempts",
 	},
 	{
 		"no bound on extra attempts", "internal/limit/sliding.go",
-		"if float64(b.spent()+1) > (1-keptBack)*(b.share*float64(b.asked())+slack) {", "if false {",
+		"if float64(b.extrasInWindow()+1) > (1-reserved)*(b.share*float64(b.requestsInWindow())+slack) {", "if false {",
 		"./internal/gateway", "TestRandomFaults",
 	},
 	{
@@ -171,33 +171,33 @@
 	},
 	{
 		"a request is sent though too few shards are known", "internal/forward/refusal.go",
-		"if r.open() >= r.required() {", "if true {",
+		"if r.openShards() >= r.requiredShards() {", "if true {",
 		"./platform", "TestRefusedBeforeAnythingIsSent",
 	},
 	{
 		"a shard goes to more back ends than the route allows", "internal/forward/attempt.go",
-		"if distinct(s.asked) >= r.route.MaximumAttempts {", "if false {",
-		"./internal/forward", "TestPacedTries",
+		"if countDistinct(s.asked) >= r.route.MaximumAttempts {", "if false {",
+		"./internal/forward", "TestRetryPauseBounds",
 	},
 	{
 		"a further try after a pause is not paid for", "internal/forward/retry.go",
-		"if s.sent <= s.paid {", "if true {",
-		"./internal/forward", "TestPacedTries",
+		"if s.delivered <= s.extrasSpent {", "if true {",
+		"./internal/forward", "TestRetryPauseBounds",
 	},
 	{
 		"a shard is given up while there is time", "internal/forward/pause.go",
 		"if r.settings.RetryPause > 0 && known", "if false && known",
-		"./internal/forward", "TestTriedAgainAfterAPause",
+		"./internal/forward", "TestRetryAfterPause",
 	},
 	{
 		"a request waits for a shard that cannot come", "internal/forward/pause.go",
-		"until := max(now+s.pause, recovery)", "until := max(now+s.pause, min(recovery, 0))",
-		"./internal/forward", "TestNothingCanCome",
+		"until := max(now+s.pauseLength, recovery)", "until := max(now+s.pauseLength, min(recovery, 0))",
+		"./internal/forward", "TestAnsweredOnceNothingMoreCanArrive",
 	},
 	{
 		"a request of which nothing has run is held", "internal/forward/finish.go",
-		"case r.nothingRan() && now >= r.roomUntil():", "case false:",
-		"./internal/forward", "TestNothingCanCome",
+		"case r.nothingRan() && now >= r.acceptanceDeadline():", "case false:",
+		"./internal/forward", "TestAnsweredOnceNothingMoreCanArrive",
 	},
 	{
 		"a new connection to a crowded back end is used at once", "internal/exchange/dial.go",
@@ -212,7 +212,7 @@
 	{
 		"an attempt goes out that cannot be answered in time", "internal/forward/attempt.go",
 		"return now+chosen.ExpectedMinimum(now) > r.deadline", "return false",
-		"./internal/forward", "TestNoSendThatCannotBeAnswered",
+		"./internal/forward", "TestNoAttemptThatCannotMeetDeadline",
 	},
 	{
 		"a watch that has fallen silent is waited for", "internal/gateway/store_reading.go",
@@ -276,9 +276,9 @@
 	},
 	{
 		"what was spent early in a window is forgotten before its end", "internal/limit/sliding.go",
-		"func (b *SlidingBudget) spent() int { return sum(b.extras) }",
-		"func (b *SlidingBudget) spent() int { return sum(b.extras) - b.extras[(b.newest+1)%partsKept] }",
-		"./internal/limit", "TestSpentEarlyInAWindow",
+		"func (b *SlidingBudget) extrasInWindow() int { return sum(b.extras) }",
+		"func (b *SlidingBudget) extrasInWindow() int { return sum(b.extras) - b.extras[(b.newestPart+1)%partsHeld] }",
+		"./internal/limit", "TestExtrasCountForWholeWindow",
 	},
 	{
 		"each life of a node has its whole slack at once", "internal/gateway/fleet_share.go",
@@ -303,17 +303,17 @@
 	},
 	{
 		"no request is turned away", "internal/admit/admit.go",
-		"level.TurnedAwayShare = min(1-wantedLack/level.MissingShare, mostTurnedAway)", "level.TurnedAwayShare = 0",
+		"level.TurnedAwayShare = min(1-targetMissingShare/level.MissingShare, maximumTurnedAwayShare)", "level.TurnedAwayShare = 0",
 		"./internal/gateway", "TestTurnedAwayUnderOverload",
 	},
 	{
 		"requests are turned away where no back end sheds", "internal/admit/admit.go",
-		"if level.ShedShare >= shedShare && level.MissingShare > wantedLack {", "if level.MissingShare > wantedLack {",
+		"if level.ShedShare >= minimumShedShare && level.MissingShare > targetMissingShare {", "if level.MissingShare > targetMissingShare {",
 		"./internal/admit", "TestTurnedAway",
 	},
 	{
 		"a caller is turned away twice", "internal/admit/admit.go",
-		"if patience < g.longest[route]-returning || draw()", "if draw()",
+		"if callerTimeout < c.longestTimeout[route]-waitedMargin || draw()", "if draw()",
 		"./internal/gateway", "TestTurnedAwayUnderOverload",
 	},
 	{
@@ -364,7 +364,7 @@
 	{
 		"the last extra attempts go to shards that are just late", "internal/forward/hedge.go",
 		"r.node.ExtraAttemptsLeft(s.service) < float64(r.settings.LastExtras)", "false",
-		"./internal/forward", "TestLateAgainstSiblings",
+		"./internal/forward", "TestSiblingHedge",
 	},
 	{
 		"a request refused by itself leaves no line", "platform/ingress.go",
--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -51,8 +51,8 @@
 	},
 	{
 		"attempts go on after two back ends have ended", "internal/forward/caution.go",
-		"if quarantine.CancelOthers(r.caution.suspect, r.caution.ends) {", "if r.caution.suspect {",
-		"./internal/forward", "TestTwoEndsWithdrawTheOthers",
+		"if quarantine.CancelOthers(r.trials.suspected, r.trials.crashes) {", "if r.trials.suspected {",
+		"./internal/forward", "TestTwoCrashesCancelOthers",
 	},
 	{
 		"a request under quarantine goes on at other back ends", "internal/forward/caution.go",
@@ -61,12 +61,12 @@
 	},
 	{
 		"a suspected request goes to all shards at once", "internal/forward/forward.go",
-		"r.caution.suspect = node.Verdict() != quarantine.Clear; r.caution.suspect", "r.caution.suspect = node.Verdict() != quarantine.Clear; false",
-		"./internal/forward", "TestSuspectIsTried",
+		"r.trials.suspected = node.Verdict() != quarantine.Clear; r.trials.suspected", "r.trials.suspected = node.Verdict() != quarantine.Clear; false",
+		"./internal/forward", "TestSuspectedRequestIsTriedSerially",
 	},
 	{
 		"a retrial reaches several back ends", "internal/forward/caution.go",
-		"return r.caution.retrial && outcome.Kind != NotSent", "return false",
+		"return r.trials.retrial && outcome.Kind != NotSent", "return false",
 		"./internal/forward", "TestRetrialReachesOneBackEnd",
 	},
 	{
