--- a/internal/routing/check.go
+++ b/internal/routing/check.go
@@ -6,10 +6,10 @@
 	"stiletrail/internal/failure"
 )
 
-// check finds the first fault of a configuration.
+// check returns the first fault of a configuration, or nil.
 func check(configuration *Configuration) error {
 	if configuration.Version == 0 {
-		return invalid("the configuration has no version")
+		return invalid("the configuration has version 0, want a positive version")
 	}
 	for i := range configuration.Routes {
 		if err := checkRoute(&configuration.Routes[i]); err != nil {
@@ -18,14 +18,15 @@
 	}
 	for _, service := range configuration.Services {
 		if service.WarmupTime < 0 || service.WarmupRate < 0 {
-			return invalid("service %q has a negative time or rate for cold back ends", service.Name)
+			return invalid("service %q has a negative warm-up time or rate", service.Name)
 		}
 	}
 	return nil
 }
 
-// CheckRegions finds the first route that names a region which is not known. The failure is of code INVALID_ARGUMENT:
-// whoever goes by such a configuration would keep requests from all back ends, or not know where they may not go.
+// CheckRegions returns an error for the first route that names an unknown region. Its code is INVALID_ARGUMENT. A
+// node that used such a configuration would keep the route's requests from all back ends, or would not know where
+// they must not go.
 func (t *Table) CheckRegions(known func(name string) bool) error {
 	for i := range t.configuration.Routes {
 		route := &t.configuration.Routes[i]
@@ -39,13 +40,13 @@
 func checkRoute(route *Route) error {
 	switch {
 	case route.Host == "" || route.Prefix == "" || route.Prefix[0] != '/':
-		return invalid("route %q has no host or path prefix", route.Name)
+		return invalid("route %q must have a host, and a path prefix that starts with /", route.Name)
 	case route.MaximumAttempts < 1:
-		return invalid("route %q allows no attempt", route.Name)
+		return invalid("route %q must allow at least 1 attempt", route.Name)
 	case route.Timeout <= 0:
-		return invalid("route %q has no timeout", route.Name)
+		return invalid("route %q must have a positive timeout", route.Name)
 	case !route.FansOut() && len(route.Targets) == 0:
-		return invalid("route %q names no service", route.Name)
+		return invalid("route %q has neither shards nor targets", route.Name)
 	case route.FansOut() && !route.Repeatable:
 		return invalid("route %q fans out requests that are not repeatable", route.Name)
 	case route.MinimumCoverage < 0 || route.MinimumCoverage > 1:
@@ -63,12 +64,12 @@
 		total += target.Weight
 	}
 	if !route.FansOut() && total <= 0 {
-		return invalid("route %q has no target with a weight", route.Name)
+		return invalid("route %q has no target with a positive weight", route.Name)
 	}
 	seen := map[string]bool{}
 	for _, shard := range route.Shards {
 		if shard == "" || seen[shard] {
-			return invalid("route %q has a shard without a name or named twice", route.Name)
+			return invalid("route %q has a shard with an empty or duplicate name", route.Name)
 		}
 		seen[shard] = true
 	}
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,9 +1,9 @@
-// Package routing decides which route a request takes and, where that splits its requests, to which service each goes;
-// and whether a configuration may be put in force at all.
+// Package routing decides which route a request takes and to which service it goes if the route splits its traffic.
+// It also decides whether a configuration may be put in force at all.
 //
-// It owns a Table, an immutable version of the configuration: a request takes one when it arrives and keeps it to its
-// end, so that nothing it does mixes two versions. A Splitter has the state of the splits over all versions. It relies on
-// nothing: no I/O, clock or lock.
+// It owns a Table, which is an immutable version of the configuration. A request takes a Table when it arrives and
+// uses it until it ends, so that no request mixes two versions. A Splitter holds the state of the traffic splits
+// across versions. The package does no I/O, reads no clock and takes no lock.
 package routing
 
 import (
@@ -16,7 +16,7 @@
 	"stiletrail/internal/region"
 )
 
-// Configuration is everything an operator states, as one version. It is never changed after it was compiled.
+// Configuration is one version of what an operator configures. It does not change after Compile.
 type Configuration struct {
 	Version  uint64
 	Routes   []Route
@@ -35,14 +35,15 @@
 // Service is a set of interchangeable back ends.
 type Service struct {
 	Name string
-	// MaximumConnections a back end of the service takes from all nodes together.
+	// MaximumConnections is the number of connections that one back end of the service accepts from all nodes
+	// together.
 	MaximumConnections int
-	// HealthPath answers whether a back end is well.
+	// HealthPath is the path at which a back end reports its health.
 	HealthPath string
-	// WarmupTime is how long a back end is cold after its start, or when it has got nothing for long.
+	// WarmupTime is how long a back end is cold after its start, or after a long time without requests.
 	WarmupTime clock.Ms
-	// WarmupRate is the number of requests a second that a cold back end bears from all nodes together; 0 where that is not
-	// bounded.
+	// WarmupRate is the number of requests per second that a cold back end may get from all nodes together; 0 means
+	// no bound.
 	WarmupRate float64
 }
 
@@ -52,39 +53,39 @@
 	Weight  float64
 }
 
-// Route says where the requests of a host and path prefix go, and with what tolerance.
+// Route says where the requests of a host and path prefix go, and how they are served.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
-	// Repeatable requests may run more than once.
+	// Repeatable is set if the requests of the route may run more than once.
 	Repeatable bool
-	// Timeout is the longest a request is held, whatever its caller allows.
+	// Timeout is how long a request is held at most, even if its caller allows more.
 	Timeout time.Duration
-	// TargetLatency is the time within which an answer is worth most.
+	// TargetLatency is the time within which a request should be answered.
 	TargetLatency time.Duration
-	// MaximumAttempts is the largest number of back ends a request is sent to, per shard.
+	// MaximumAttempts is the largest number of back ends that a request is sent to at each shard.
 	MaximumAttempts int
-	// Priority is the rank, 0 being the highest.
+	// Priority is the rank of the route's requests; 0 is the highest.
 	Priority int
-	// Shards are the services a request fans out to; empty for a request to a single back end.
+	// Shards are the services that a request fans out to. It is empty for a route to a single back end.
 	Shards []string
-	// MinimumCoverage is the smallest share of the shards an answer may be made of.
+	// MinimumCoverage is the smallest share of the shards, from 0 to 1, that must answer.
 	MinimumCoverage float64
-	// MaximumRecords is the number of records in a gathered answer.
+	// MaximumRecords is the largest number of records in the merged answer of the shards.
 	MaximumRecords int
-	// Targets share the requests of a route without Shards by their weights.
+	// Targets divide the requests of a route without Shards by their weights.
 	Targets []Target
-	// Regions in which its requests may be served, cached and kept.
+	// Regions are those in which the route's requests may be served, cached and stored.
 	Regions region.Set
 }
 
 // FansOut reports whether requests go to all shards and not to a single back end.
 func (r *Route) FansOut() bool { return len(r.Shards) > 0 }
 
-// RequiredShards is the smallest number of shards an answer may be made of.
+// RequiredShards returns the smallest number of shards that must answer.
 func (r *Route) RequiredShards() int {
-	// The tolerance keeps a product such as 0.9 × 10 from being rounded up.
+	// The tolerance prevents a product such as 0.9 × 10 from being rounded up.
 	const tolerance = 1e-9
 	required := int(r.MinimumCoverage * float64(len(r.Shards)))
 	if float64(required) < r.MinimumCoverage*float64(len(r.Shards))-tolerance {
@@ -96,11 +97,11 @@
 // Table finds routes in a compiled Configuration. It is safe for concurrent use.
 type Table struct {
 	configuration Configuration
-	// byHost has the routes of a host, longest prefix first.
+	// byHost has the routes of each host, longest prefix first.
 	byHost map[string][]*Route
 }
 
-// Compile checks a configuration and builds its table. The failure, of code INVALID_ARGUMENT, names the first fault.
+// Compile checks a configuration and builds its table. The error has code INVALID_ARGUMENT and names the first fault.
 func Compile(configuration Configuration) (*Table, error) {
 	if err := check(&configuration); err != nil {
 		return nil, err
@@ -117,24 +118,24 @@
 	return table, nil
 }
 
-// Version of the configuration.
+// Version returns the version of the configuration.
 func (t *Table) Version() uint64 { return t.configuration.Version }
 
-// Limits of the configuration.
+// Limits returns the limits of the configuration.
 func (t *Table) Limits() Limits { return t.configuration.Limits }
 
-// HasRoute reports whether there is a route of a name.
+// HasRoute reports whether there is a route with this name.
 func (t *Table) HasRoute(name string) bool {
 	return slices.ContainsFunc(t.configuration.Routes, func(r Route) bool { return r.Name == name })
 }
 
-// RouteCount is the number of routes.
+// RouteCount returns the number of routes.
 func (t *Table) RouteCount() int { return len(t.configuration.Routes) }
 
-// Services of the configuration.
+// Services returns the services of the configuration.
 func (t *Table) Services() []Service { return t.configuration.Services }
 
-// Match returns the route with the longest prefix of the path on a host, or nil. A port in the host is ignored.
+// Match returns the route on a host with the longest prefix of the path, or nil. A port in the host is ignored.
 func (t *Table) Match(host, path string) *Route {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
 		host = host[:colon]
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -15,7 +15,8 @@
 	return routing.Route{Name: name, Host: "Host.example", Prefix: prefix, Timeout: time.Second, MaximumAttempts: 1, Targets: targets}
 }
 
-// TestMatch: the longest prefix of the host's routes, a port and the case of the host being of no matter.
+// TestMatch checks that a path gets the route with the longest prefix on its host, whatever the case of the host and
+// whether it has a port.
 func TestMatch(t *testing.T) {
 	to := routing.Target{Service: "s", Weight: 1}
 	table, err := routing.Compile(routing.Configuration{Version: 1, Routes: []routing.Route{
@@ -34,12 +35,12 @@
 			got = found.Name
 		}
 		if got != c.want {
-			t.Errorf("%s%s matches %q, want %q", c.host, c.path, got, c.want)
+			t.Errorf("%s%s matches route %q, want %q", c.host, c.path, got, c.want)
 		}
 	}
 }
 
-// TestCompileRejects: what no configuration may hold.
+// TestCompileRejects checks that Compile rejects each invalid configuration with INVALID_ARGUMENT.
 func TestCompileRejects(t *testing.T) {
 	to := routing.Target{Service: "s", Weight: 1}
 	change := func(edit func(*routing.Route)) routing.Configuration {
@@ -48,27 +49,28 @@
 		return routing.Configuration{Version: 1, Routes: []routing.Route{r}}
 	}
 	cases := map[string]routing.Configuration{
-		"no version":            {},
-		"no host":               change(func(r *routing.Route) { r.Host = "" }),
-		"no prefix":             change(func(r *routing.Route) { r.Prefix = "x" }),
-		"no attempt":            change(func(r *routing.Route) { r.MaximumAttempts = 0 }),
-		"no timeout":            change(func(r *routing.Route) { r.Timeout = 0 }),
-		"no service":            change(func(r *routing.Route) { r.Targets = nil }),
-		"a target without name": change(func(r *routing.Route) { r.Targets[0].Service = "" }),
-		"a negative weight":     change(func(r *routing.Route) { r.Targets[0].Weight = -1 }),
-		"no weight":             change(func(r *routing.Route) { r.Targets[0].Weight = 0 }),
-		"fans out once":         change(func(r *routing.Route) { r.Shards = []string{"a"} }),
-		"a shard twice":         change(func(r *routing.Route) { r.Shards, r.Repeatable = []string{"a", "a"}, true }),
-		"coverage over 1":       change(func(r *routing.Route) { r.MinimumCoverage = 1.1 }),
+		"no version":               {},
+		"no host":                  change(func(r *routing.Route) { r.Host = "" }),
+		"invalid prefix":           change(func(r *routing.Route) { r.Prefix = "x" }),
+		"no attempts":              change(func(r *routing.Route) { r.MaximumAttempts = 0 }),
+		"no timeout":               change(func(r *routing.Route) { r.Timeout = 0 }),
+		"no service":               change(func(r *routing.Route) { r.Targets = nil }),
+		"a target without name":    change(func(r *routing.Route) { r.Targets[0].Service = "" }),
+		"a negative weight":        change(func(r *routing.Route) { r.Targets[0].Weight = -1 }),
+		"no positive weight":       change(func(r *routing.Route) { r.Targets[0].Weight = 0 }),
+		"fans out, not repeatable": change(func(r *routing.Route) { r.Shards = []string{"a"} }),
+		"duplicate shard":          change(func(r *routing.Route) { r.Shards, r.Repeatable = []string{"a", "a"}, true }),
+		"coverage over 1":          change(func(r *routing.Route) { r.MinimumCoverage = 1.1 }),
 	}
 	for name, configuration := range cases {
 		if _, err := routing.Compile(configuration); failure.CodeOf(err) != failure.InvalidArgument {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want INVALID_ARGUMENT", name, err)
 		}
 	}
 }
 
-// TestRequiredShards: the smallest number of shards that is no less than the minimum share.
+// TestRequiredShards checks the smallest number of shards that is not below the minimum coverage. Products that are
+// exact in decimal, such as 0.9 of 10 shards, must not be rounded up.
 func TestRequiredShards(t *testing.T) {
 	cases := []struct {
 		share    float64
@@ -78,12 +80,13 @@
 	for _, c := range cases {
 		r := routing.Route{Shards: make([]string, c.shards), MinimumCoverage: c.share}
 		if got := r.RequiredShards(); got != c.required {
-			t.Errorf("%v of %d shards: %d, want %d", c.share, c.shards, got, c.required)
+			t.Errorf("minimum coverage %v of %d shards: %d required, want %d", c.share, c.shards, got, c.required)
 		}
 	}
 }
 
-// TestSplitKeepsWeights: over any number of requests each target's share is within a request or so of its weight.
+// TestSplitKeepsWeights checks that after any number of requests the share of each target differs from its weight by
+// no more than one request for each target.
 func TestSplitKeepsWeights(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 20), 1, 4).Draw(rt, "weights")
@@ -106,7 +109,7 @@
 		for _, target := range targets {
 			want := target.Weight / float64(total) * float64(requests)
 			if len(targets) > 1 && math.Abs(float64(counts[target.Service])-want) > float64(len(targets)) {
-				rt.Fatalf("%s got %d of %d, its share is %.1f", target.Service, counts[target.Service], requests, want)
+				rt.Fatalf("target %s got %d of %d requests, want %.1f within one request for each target", target.Service, counts[target.Service], requests, want)
 			}
 		}
 	})
--- a/internal/routing/split.go
+++ b/internal/routing/split.go
@@ -1,16 +1,17 @@
 package routing
 
-// Splitter shares the requests of routes among their targets by smooth weighted round robin: over any run of requests
-// each target's share is within one request of its weight. It is not safe for concurrent use.
+// Splitter divides the requests of routes among their targets by smooth weighted round robin: over any run of
+// requests, each target's share is within one request of its weight. It is not safe for concurrent use.
 type Splitter struct {
-	// credits by route name; kept over versions so that frequent changes of a configuration don't restart the cycle.
+	// credits are the accumulated weights by route name and service. They are kept across versions, so that frequent
+	// changes of a configuration do not restart the cycle.
 	credits map[string]map[string]float64
 }
 
 // NewSplitter returns a Splitter that has seen no requests.
 func NewSplitter() *Splitter { return &Splitter{credits: map[string]map[string]float64{}} }
 
-// Next returns the service of the route's next request.
+// Next returns the service that the route's next request goes to.
 func (s *Splitter) Next(route *Route) string {
 	if len(route.Targets) == 1 {
 		return route.Targets[0].Service
@@ -35,7 +36,7 @@
 	return best
 }
 
-// Retain forgets routes that a configuration no longer has.
+// Retain drops the state of routes that a configuration no longer has.
 func (s *Splitter) Retain(table *Table) {
 	names := map[string]bool{}
 	for i := range table.configuration.Routes {
