--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -1,12 +1,13 @@
-// Package admit decides which requests a node turns away at once, as not run, while back ends cannot answer all that they
-// are asked by the target. Who has been turned away, or has waited elsewhere, is admitted.
+// Package admit decides which requests a node refuses on arrival, as not run, while back ends cannot answer all
+// requests by the target latency. A request is always admitted if it was refused before or has waited elsewhere.
 //
-// It goes by what the node's own requests over many shards lacked of late: how many parts at their target, and how many
-// of their attempts were shed by full back ends. Of one back end a node with a request or two a second knows little; of
-// all of them together its requests tell within a second.
+// The decision uses what the node's own recent requests over many shards were missing: how many shards had not
+// answered at the target latency, and how many attempts full back ends refused. A node with one or two requests per
+// second knows little about a single back end, but its requests to all back ends together show an overload within a
+// second.
 //
-// It owns a Gate, and relies on samples of requests and on random numbers, which its caller gives. It does no I/O, takes
-// no lock and reads no clock; moments are on the caller's clock.
+// The package owns a Controller. It relies on samples of requests and on random numbers from its caller. It does no
+// I/O, takes no lock and reads no clock. All times are readings of the caller's clock.
 package admit
 
 import (
@@ -16,107 +17,116 @@
 )
 
 const (
-	// memory is the time in which a sample loses two thirds of its weight: a few requests of a node that gets two a second.
-	memory = clock.Second
-	// calmWeight stands for requests before the first, which lacked nothing.
-	calmWeight = 0.5
-	// shedShare of the attempts of late must have been refused by full back ends; below it parts lack for other reasons,
-	// such as back ends that are slow, which fewer requests would not mend.
-	shedShare = 0.04
-	// wantedLack is which part of the shards that may lack shall lack at the target in the mean. At one part half of the
-	// requests are late.
-	wantedLack = 0.5
-	// mostTurnedAway is the largest share of requests that is turned away: the others show when there is room again.
-	mostTurnedAway = 0.7
-	// returning: a request that has so much less time than others of its route has waited elsewhere before.
-	returning = 200 * clock.Ms(1)
-	// retryAfterFrom and retryAfterTo bound the share of the caller's time after which it may come back: callers heed no
-	// more than a third, and those turned away together shall not come back together.
-	retryAfterFrom = 0.15
-	retryAfterTo   = 0.32
+	// sampleDecay is the time in which a sample loses two thirds of its weight. A node with two requests per second
+	// then decides by its last few requests.
+	sampleDecay = clock.Second
+	// priorWeight is the weight, in requests, of an assumed history in which nothing was missing. It stands in for
+	// requests before the first one.
+	priorWeight = 0.5
+	// minimumShedShare is the share of recent attempts that full back ends must have refused before requests are
+	// turned away. Below it, shards are missing for other reasons, such as slow back ends, and fewer requests would
+	// not help.
+	minimumShedShare = 0.04
+	// targetMissingShare is the mean share of the allowed missing shards that may be missing at the target latency.
+	// At a share of 1, half of the requests are late.
+	targetMissingShare = 0.5
+	// maximumTurnedAwayShare is the largest share of requests that is turned away. The others show when back ends
+	// have capacity again.
+	maximumTurnedAwayShare = 0.7
+	// waitedMargin is how much less time than other requests of its route a request must have left to count as one
+	// that has waited elsewhere.
+	waitedMargin = 200 * clock.Ms(1)
+	// minimumRetryAfterShare and maximumRetryAfterShare bound the retry-after time, as a share of the caller's
+	// timeout. Callers ignore retry-after times of more than a third of it. The time is drawn at random between the
+	// two, so that requests turned away together do not return together.
+	minimumRetryAfterShare = 0.15
+	maximumRetryAfterShare = 0.32
 )
 
-// Sample is what one request over many shards lacked at its target, or when it was answered before.
+// Sample is what one request over many shards was missing at its target latency, or when it was answered earlier.
 type Sample struct {
-	// Missing shards at the target, of those that the route lets lack.
+	// Missing is the number of shards without an answer. AllowedMissing is how many shards the route lets an answer
+	// lack.
 	Missing, AllowedMissing int
-	// ShedAttempts attempts, refused by full back ends, of all attempts.
+	// ShedAttempts is the number of attempts that full back ends refused, out of Attempts.
 	ShedAttempts, Attempts int
 }
 
-// Controller holds the samples of late, weighted by their age. The zero value has none. It is not safe for concurrent use.
+// Controller holds recent samples, weighted by their age. The zero value has none. It is not safe for concurrent use.
 type Controller struct {
-	lack, shed, weight float64
-	at                 clock.Ms
-	// longest time that callers of a route gave, by route.
-	longest map[string]clock.Ms
+	missing, shed, weight float64
+	decayedAt             clock.Ms
+	// longestTimeout is the longest timeout that a caller gave, by route.
+	longestTimeout map[string]clock.Ms
 }
 
-// Record takes in a sample.
-func (g *Controller) Record(now clock.Ms, sample Sample) {
-	g.age(now)
-	g.lack += float64(sample.Missing) / float64(max(sample.AllowedMissing, 1))
-	g.shed += float64(sample.ShedAttempts) / float64(max(sample.Attempts, 1))
-	g.weight++
+// Record adds a sample.
+func (c *Controller) Record(now clock.Ms, sample Sample) {
+	c.decay(now)
+	c.missing += float64(sample.Missing) / float64(max(sample.AllowedMissing, 1))
+	c.shed += float64(sample.ShedAttempts) / float64(max(sample.Attempts, 1))
+	c.weight++
 }
 
-// OverloadLevel is what requests lacked of late, and what follows from it.
+// OverloadLevel is what recent requests were missing, and the share of requests that is turned away because of it.
 type OverloadLevel struct {
-	// MissingShare shards at the target, as a share of those that may lack, and ShedShare attempts, as a share of all.
+	// MissingShare is the number of shards missing at the target latency, as a share of those allowed to be missing;
+	// it may exceed 1. ShedShare is the share of attempts that full back ends refused.
 	MissingShare, ShedShare float64
-	// TurnedAwayShare is the share of fresh requests that is turned away.
+	// TurnedAwayShare is the share of new requests that is turned away.
 	TurnedAwayShare float64
 }
 
-// OverloadLevel returns what it is now.
-func (g *Controller) OverloadLevel(now clock.Ms) OverloadLevel {
-	g.age(now)
-	weight := g.weight + calmWeight
-	level := OverloadLevel{MissingShare: g.lack / weight, ShedShare: g.shed / weight}
-	if level.ShedShare >= shedShare && level.MissingShare > wantedLack {
-		level.TurnedAwayShare = min(1-wantedLack/level.MissingShare, mostTurnedAway)
+// OverloadLevel returns the present level.
+func (c *Controller) OverloadLevel(now clock.Ms) OverloadLevel {
+	c.decay(now)
+	weight := c.weight + priorWeight
+	level := OverloadLevel{MissingShare: c.missing / weight, ShedShare: c.shed / weight}
+	if level.ShedShare >= minimumShedShare && level.MissingShare > targetMissingShare {
+		level.TurnedAwayShare = min(1-targetMissingShare/level.MissingShare, maximumTurnedAwayShare)
 	}
 	return level
 }
 
-// Decision on a request.
+// Decision says whether a request is admitted.
 type Decision struct {
 	Admitted bool
-	// RetryAfter is after what time a request that is not admitted may come back.
+	// RetryAfter is the time after which the caller of a refused request may retry.
 	RetryAfter clock.Ms
-	// Overload by which it was decided.
+	// Overload is the level that the decision was based on.
 	Overload OverloadLevel
 }
 
-// Admit decides on a request of a route whose caller waits for so long. Draw returns random numbers from 0 to 1. One that
-// has been turned away or has waited before is always admitted.
-func (g *Controller) Admit(now clock.Ms, route string, patience clock.Ms, draw func() float64) Decision {
-	if g.longest == nil {
-		g.longest = map[string]clock.Ms{}
+// Admit decides on a request of a route whose caller waits for callerTimeout. draw returns random numbers from 0 to
+// 1. A request with much less time left than others of its route has been turned away or has waited before, and is
+// always admitted.
+func (c *Controller) Admit(now clock.Ms, route string, callerTimeout clock.Ms, draw func() float64) Decision {
+	if c.longestTimeout == nil {
+		c.longestTimeout = map[string]clock.Ms{}
 	}
-	g.longest[route] = max(g.longest[route], patience)
-	level := g.OverloadLevel(now)
-	if patience < g.longest[route]-returning || draw() >= level.TurnedAwayShare {
+	c.longestTimeout[route] = max(c.longestTimeout[route], callerTimeout)
+	level := c.OverloadLevel(now)
+	if callerTimeout < c.longestTimeout[route]-waitedMargin || draw() >= level.TurnedAwayShare {
 		return Decision{Admitted: true, Overload: level}
 	}
-	share := retryAfterFrom + (retryAfterTo-retryAfterFrom)*draw()
-	return Decision{RetryAfter: clock.Ms(share * float64(patience)), Overload: level}
+	share := minimumRetryAfterShare + (maximumRetryAfterShare-minimumRetryAfterShare)*draw()
+	return Decision{RetryAfter: clock.Ms(share * float64(callerTimeout)), Overload: level}
 }
 
-// Retain forgets routes that are not served any more.
-func (g *Controller) Retain(served func(route string) bool) {
-	for route := range g.longest {
+// Retain drops the state of routes that are no longer served.
+func (c *Controller) Retain(served func(route string) bool) {
+	for route := range c.longestTimeout {
 		if !served(route) {
-			delete(g.longest, route)
+			delete(c.longestTimeout, route)
 		}
 	}
 }
 
-// age weighs the samples down by the time since it was done last.
-func (g *Controller) age(now clock.Ms) {
-	kept := math.Exp(-float64(now-g.at) / float64(memory))
-	g.lack *= kept
-	g.shed *= kept
-	g.weight *= kept
-	g.at = now
+// decay reduces the weight of the samples by the time since the last call.
+func (c *Controller) decay(now clock.Ms) {
+	kept := math.Exp(-float64(now-c.decayedAt) / float64(sampleDecay))
+	c.missing *= kept
+	c.shed *= kept
+	c.weight *= kept
+	c.decayedAt = now
 }
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -10,117 +10,120 @@
 )
 
 const (
-	patience = 4 * clock.Second
-	route    = "all"
+	callerTimeout = 4 * clock.Second
+	route         = "all"
 )
 
-// Requests of 30 shards, of which 3 may lack.
+// Samples of requests over 30 shards, of which 3 may be missing.
 var (
-	calm     = admit.Sample{Missing: 0, AllowedMissing: 3, ShedAttempts: 0, Attempts: 31}
+	complete = admit.Sample{Missing: 0, AllowedMissing: 3, ShedAttempts: 0, Attempts: 31}
 	slow     = admit.Sample{Missing: 3, AllowedMissing: 3, ShedAttempts: 0, Attempts: 33}
 	overload = admit.Sample{Missing: 6, AllowedMissing: 3, ShedAttempts: 5, Attempts: 36}
 )
 
-// met notes the same for so many requests, one each 400 ms, and returns the time.
-func met(gate *admit.Controller, now clock.Ms, sample admit.Sample, count int) clock.Ms {
+// recordSamples records the same sample count times, one every 400 ms, and returns the time of the last.
+func recordSamples(controller *admit.Controller, now clock.Ms, sample admit.Sample, count int) clock.Ms {
 	for range count {
 		now += 400 * clock.Ms(1)
-		gate.Record(now, sample)
+		controller.Record(now, sample)
 	}
 	return now
 }
 
-// TestTurnedAway: which share is turned away by what requests met.
+// TestTurnedAway checks which share of requests is turned away after different samples.
 func TestTurnedAway(t *testing.T) {
 	for name, c := range map[string]struct {
-		seen        admit.Sample
+		sample      admit.Sample
 		count       int
 		least, most float64
 	}{
-		"nothing was met":                     {calm, 0, 0, 0},
-		"all is well":                         {calm, 10, 0, 0},
-		"one request in trouble is too few":   {overload, 1, 0, 0.65},
-		"slow back ends, and none sheds":      {slow, 10, 0, 0},
-		"overload":                            {overload, 10, 0.5, 0.75},
-		"back ends shed, and parts are there": {admit.Sample{Missing: 1, AllowedMissing: 3, ShedAttempts: 5, Attempts: 36}, 10, 0, 0},
-		"nothing may lack":                    {admit.Sample{Missing: 4, ShedAttempts: 5, Attempts: 36}, 10, 0.7, 0.7},
+		"no samples":                         {complete, 0, 0, 0},
+		"nothing missing":                    {complete, 10, 0, 0},
+		"one overloaded request is too few":  {overload, 1, 0, 0.65},
+		"slow back ends, none sheds":         {slow, 10, 0, 0},
+		"overload":                           {overload, 10, 0.5, 0.75},
+		"back ends shed, few shards missing": {admit.Sample{Missing: 1, AllowedMissing: 3, ShedAttempts: 5, Attempts: 36}, 10, 0, 0},
+		"no shard may be missing":            {admit.Sample{Missing: 4, ShedAttempts: 5, Attempts: 36}, 10, 0.7, 0.7},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var gate admit.Controller
-			now := met(&gate, 0, c.seen, c.count)
-			if share := gate.OverloadLevel(now).TurnedAwayShare; share < c.least || share > c.most {
-				t.Errorf("turns away %v, want %v to %v", share, c.least, c.most)
+			var controller admit.Controller
+			now := recordSamples(&controller, 0, c.sample, c.count)
+			if share := controller.OverloadLevel(now).TurnedAwayShare; share < c.least || share > c.most {
+				t.Errorf("turned-away share is %v, want %v to %v", share, c.least, c.most)
 			}
 		})
 	}
 }
 
-// TestRoomAgain: once requests find room, all are admitted after four of them, and without any after some seconds.
-func TestRoomAgain(t *testing.T) {
-	var gate admit.Controller
-	now := met(&gate, 0, overload, 10)
-	if share := gate.OverloadLevel(met(&gate, now, calm, 4)).TurnedAwayShare; share > 0 {
-		t.Errorf("turns away %v after four requests that found room", share)
+// TestAdmitsAfterOverload checks that all requests are admitted again after four requests that missed nothing, and
+// after five seconds without any request.
+func TestAdmitsAfterOverload(t *testing.T) {
+	var controller admit.Controller
+	now := recordSamples(&controller, 0, overload, 10)
+	if share := controller.OverloadLevel(recordSamples(&controller, now, complete, 4)).TurnedAwayShare; share > 0 {
+		t.Errorf("turned-away share is %v after four requests that missed nothing, want 0", share)
 	}
-	gate = admit.Controller{}
-	now = met(&gate, 0, overload, 10)
-	if share := gate.OverloadLevel(now + 5*clock.Second).TurnedAwayShare; share > 0 {
-		t.Errorf("turns away %v after five seconds without a request", share)
+	controller = admit.Controller{}
+	now = recordSamples(&controller, 0, overload, 10)
+	if share := controller.OverloadLevel(now + 5*clock.Second).TurnedAwayShare; share > 0 {
+		t.Errorf("turned-away share is %v after five seconds without a request, want 0", share)
 	}
 }
 
-// TestAgesBetweenManyDecisions: what was met is forgotten in the same time however often the gate is asked meanwhile.
-func TestAgesBetweenManyDecisions(t *testing.T) {
-	var gate admit.Controller
-	now := met(&gate, 0, overload, 10)
+// TestDecayWithFrequentCalls checks that samples lose their weight in the same time however often the level is read
+// in between.
+func TestDecayWithFrequentCalls(t *testing.T) {
+	var controller admit.Controller
+	now := recordSamples(&controller, 0, overload, 10)
 	elapsed := now.Duration()
 	for range 20000 {
 		elapsed += 250 * time.Microsecond
-		gate.OverloadLevel(clock.FromDuration(elapsed))
+		controller.OverloadLevel(clock.FromDuration(elapsed))
 	}
-	if level := gate.OverloadLevel(clock.FromDuration(elapsed)); level.TurnedAwayShare > 0 {
-		t.Errorf("turns away %v after five seconds of four thousand decisions each", level.TurnedAwayShare)
+	if level := controller.OverloadLevel(clock.FromDuration(elapsed)); level.TurnedAwayShare > 0 {
+		t.Errorf("turned-away share is %v after five seconds with four thousand calls each, want 0", level.TurnedAwayShare)
 	}
 }
 
-// TestAdmit: about the share is turned away, each with a time to come back that its caller heeds; who has waited before is admitted.
+// TestAdmit checks that about the wanted share of requests is turned away, each with a retry-after time that its
+// caller accepts, and that a request that has waited before is admitted.
 func TestAdmit(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	var gate admit.Controller
-	now := met(&gate, 0, overload, 10)
-	share := gate.OverloadLevel(now).TurnedAwayShare
+	var controller admit.Controller
+	now := recordSamples(&controller, 0, overload, 10)
+	share := controller.OverloadLevel(now).TurnedAwayShare
 	const requests = 2000
-	away := 0
+	turnedAway := 0
 	for range requests {
-		decision := gate.Admit(now, route, patience, random.Float64)
+		decision := controller.Admit(now, route, callerTimeout, random.Float64)
 		if decision.Admitted {
 			continue
 		}
-		away++
+		turnedAway++
 		retryAfter := decision.RetryAfter
-		if retryAfter < patience/10 || retryAfter > patience/3 {
-			t.Fatalf("may come back after %d ms of %d", retryAfter, patience)
+		if retryAfter < callerTimeout/10 || retryAfter > callerTimeout/3 {
+			t.Fatalf("retry-after time is %d ms for a timeout of %d ms, want a tenth to a third of it", retryAfter, callerTimeout)
 		}
-		if !gate.Admit(now, route, patience-retryAfter, random.Float64).Admitted {
-			t.Fatal("turned away twice")
+		if !controller.Admit(now, route, callerTimeout-retryAfter, random.Float64).Admitted {
+			t.Fatal("a request that had waited was turned away again")
 		}
 	}
-	if got := float64(away) / requests; got < share-0.05 || got > share+0.05 {
-		t.Errorf("%v of the requests turned away, want %v", got, share)
+	if got := float64(turnedAway) / requests; got < share-0.05 || got > share+0.05 {
+		t.Errorf("%v of the requests were turned away, want %v within 0.05", got, share)
 	}
 }
 
-// TestRetain: what callers of a route waited for is forgotten with the route.
+// TestRetain checks that the longest timeout of a route's callers is dropped with the route.
 func TestRetain(t *testing.T) {
-	var gate admit.Controller
-	now := met(&gate, 0, overload, 20)
-	first := func() float64 { return 0 }
-	gate.Admit(now, route, 100*clock.Second, first)
-	if !gate.Admit(now, route, patience, first).Admitted {
-		t.Error("a caller with less time than another was turned away")
+	var controller admit.Controller
+	now := recordSamples(&controller, 0, overload, 20)
+	zero := func() float64 { return 0 }
+	controller.Admit(now, route, 100*clock.Second, zero)
+	if !controller.Admit(now, route, callerTimeout, zero).Admitted {
+		t.Error("a request with a shorter timeout than another was turned away, want it admitted")
 	}
-	gate.Retain(func(string) bool { return false })
-	if gate.Admit(now, route, patience, first).Admitted {
-		t.Error("admitted by what callers of an earlier route waited for")
+	controller.Retain(func(string) bool { return false })
+	if controller.Admit(now, route, callerTimeout, zero).Admitted {
+		t.Error("a request was admitted by the longest timeout of a dropped route, want it turned away")
 	}
 }
