--- a/internal/limit/latencies.go
+++ b/internal/limit/latencies.go
@@ -9,12 +9,13 @@
 	bucketsPerDoubling = 4
 	buckets            = 80
 	smallestLatency    = 50 * time.Microsecond
-	// decayAfter samples all counts are halved, so that the histogram follows the last few hundred.
-	decayAfter = 512
+	// halveAt is the total weight at which all counts are halved, so that the histogram follows the last few hundred
+	// samples.
+	halveAt = 512
 )
 
-// LatencyHistogram is a decaying histogram of latencies with logarithmic buckets (a quarter of a doubling each, from
-// 50 microseconds to about 50 seconds); 336 bytes.
+// LatencyHistogram is a decaying histogram of latencies with logarithmic buckets. A bucket covers a quarter of a
+// doubling; together they reach from 50 microseconds to about 50 seconds. The histogram takes 336 bytes.
 type LatencyHistogram struct {
 	counts [buckets]float32
 	total  float32
@@ -32,7 +33,7 @@
 func (l *LatencyHistogram) Record(latency time.Duration) {
 	l.counts[bucketOf(latency)]++
 	l.total++
-	if l.total < decayAfter {
+	if l.total < halveAt {
 		return
 	}
 	for i := range l.counts {
@@ -41,11 +42,11 @@
 	l.total /= 2
 }
 
-// Samples is the weight of what was recorded, after decay.
+// Samples returns the decayed weight of the recorded samples.
 func (l *LatencyHistogram) Samples() int { return int(l.total) }
 
-// Quantile returns the upper edge of the bucket that holds the quantile, or otherwise while there are too few
-// samples (fewer than minimum) to say.
+// Quantile returns the upper edge of the bucket that holds the quantile. It returns otherwise if Samples is below
+// minimum.
 func (l *LatencyHistogram) Quantile(quantile float64, minimum int, otherwise time.Duration) time.Duration {
 	if l.Samples() < minimum {
 		return otherwise
--- a/internal/limit/sliding_test.go
+++ b/internal/limit/sliding_test.go
@@ -9,8 +9,8 @@
 	"stiletrail/internal/limit"
 )
 
-// TestSlidingBudgetSumsOverNodes: over any window, what all nodes spend is within the share of what all nodes were asked,
-// counted in that window and the one before it, also when nodes are restarted with empty budgets.
+// TestSlidingBudgetSumsOverNodes checks that in any window the extra attempts of all nodes stay within the share of
+// the requests of that window and the one before, also when nodes restart with empty budgets.
 func TestSlidingBudgetSumsOverNodes(t *testing.T) {
 	const share, window = 0.2, 10 * time.Second
 	rapid.Check(t, func(rt *rapid.T) {
@@ -50,14 +50,14 @@
 				}
 			}
 			if float64(extras) > share*float64(requests) {
-				rt.Fatalf("%d extra attempts for %d requests in the window up to %v", extras, requests, last.at)
+				rt.Fatalf("%d extra attempts for %d requests in the window up to %v, want at most a share of 0.2", extras, requests, last.at)
 			}
 		}
 	})
 }
 
-// TestSlidingBudgetWithinOneWindow: whenever a node spends, what it has spent in the window up to then is within the share of what it was asked
-// in that same window, however uneven the course.
+// TestSlidingBudgetWithinOneWindow checks that whenever one node spends, its extra attempts in the window up to then
+// are within the share of its requests in the same window, however unevenly requests arrive.
 func TestSlidingBudgetWithinOneWindow(t *testing.T) {
 	const share, window = 0.2, 10 * time.Second
 	rapid.Check(t, func(rt *rapid.T) {
@@ -75,16 +75,17 @@
 					break
 				}
 				extras = append(extras, now)
-				if spent, asked := since(extras, now-window), since(requests, now-window); float64(spent) > share*float64(asked) {
-					rt.Fatalf("%d extra attempts for %d requests in the window up to %v", spent, asked, now)
+				if spent, asked := countAfter(extras, now-window), countAfter(requests, now-window); float64(spent) > share*float64(asked) {
+					rt.Fatalf("%d extra attempts for %d requests in the window up to %v, want at most a share of 0.2", spent, asked, now)
 				}
 			}
 		}
 	})
 }
 
-// TestSpentEarlyInAWindow: what was spent at once stays counted for the whole window, and not only until its part of the window is over.
-func TestSpentEarlyInAWindow(t *testing.T) {
+// TestExtrasCountForWholeWindow checks that extra attempts stay counted for a whole window. They were once dropped as
+// soon as the part of the window in which they were sent had ended, which allowed twice the budget in one window.
+func TestExtrasCountForWholeWindow(t *testing.T) {
 	budget := limit.NewSlidingBudget(0.2, 10*time.Second)
 	for at := range 10 {
 		budget.CountRequests(time.Duration(at)*time.Second, 10)
@@ -97,14 +98,14 @@
 		budget.CountRequests(time.Duration(at)*time.Second, 10)
 	}
 	if budget.Spend(spentAt+9500*time.Millisecond, 0, 0) {
-		t.Error("20 of 100 were spent 9.5 s ago, and one more is allowed")
+		t.Error("20 extra attempts for 100 requests were spent 9.5 s ago, and one more was allowed, want none")
 	}
 	if !budget.Spend(spentAt+11*time.Second, 0, 0) {
-		t.Error("20 of 100 were spent 11 s ago, and none is allowed")
+		t.Error("20 extra attempts for 100 requests were spent 11 s ago, and none was allowed, want one")
 	}
 }
 
-func since(moments []time.Duration, after time.Duration) int {
+func countAfter(moments []time.Duration, after time.Duration) int {
 	count := 0
 	for _, moment := range moments {
 		if moment > after {
@@ -114,30 +115,31 @@
 	return count
 }
 
-// TestSlidingBudget: empty at the start, a part kept back for urgent uses, and free again when the window has passed.
+// TestSlidingBudget checks that a budget is empty at the start, leaves the reserved part, and is free again once a
+// window has passed.
 func TestSlidingBudget(t *testing.T) {
 	budget := limit.NewSlidingBudget(0.2, 10*time.Second)
 	if budget.Spend(0, 0, 0) {
-		t.Error("spent before any request")
+		t.Error("an extra attempt was allowed before any request, want none")
 	}
 	budget.CountRequests(0, 50)
 	for budget.Spend(0, 0.5, 0) {
 		continue
 	}
 	if left := budget.Remaining(0, 0); left != 5 {
-		t.Errorf("%v left, 5 were kept back of 10", left)
+		t.Errorf("%v extra attempts left, want the 5 reserved of 10", left)
 	}
 	for budget.Spend(0, 0, 0) {
 		continue
 	}
 	budget.CountRequests(9*time.Second, 10)
 	if budget.Remaining(9*time.Second, 0) != 2 {
-		t.Errorf("%v left of 12 with 10 spent", budget.Remaining(9*time.Second, 0))
+		t.Errorf("%v extra attempts left, want 2 of 12 with 10 spent", budget.Remaining(9*time.Second, 0))
 	}
 	if budget.Remaining(10*time.Second, 0) != 0 {
-		t.Errorf("%v left while what was spent may still be in the window", budget.Remaining(10*time.Second, 0))
+		t.Errorf("%v extra attempts left, want 0 while the spent ones may still be in the window", budget.Remaining(10*time.Second, 0))
 	}
 	if budget.Remaining(11*time.Second, 0) != 2 {
-		t.Errorf("%v left after all of it left the window", budget.Remaining(11*time.Second, 0))
+		t.Errorf("%v extra attempts left, want 2 after the spent ones left the window", budget.Remaining(11*time.Second, 0))
 	}
 }
--- a/internal/limit/window.go
+++ b/internal/limit/window.go
@@ -5,52 +5,53 @@
 	"time"
 )
 
-// ConcurrencyWindow bounds the attempts in flight at one back end. It never exceeds its ceiling, the node's part of the
-// back end's slots; it is halved when the back end sheds and grows by one slot per window of good answers.
+// ConcurrencyWindow bounds the attempts in flight at one back end. It never exceeds its ceiling, which is the node's
+// part of the back end's slots. It is halved when the back end refuses for lack of slots, and grows by one for each
+// window of successful answers.
 type ConcurrencyWindow struct {
 	ceiling  float64
 	size     float64
 	inFlight int
-	// lastCut limits cuts to one per round trip.
+	// lastCut is when the window was last halved. It is halved at most once per round trip.
 	lastCut time.Duration
 }
 
-// minimumWindow keeps one attempt going, by which recovery is noticed.
-const minimumWindow = 1
+// minimumConcurrency keeps one attempt possible, so that the recovery of a back end is noticed.
+const minimumConcurrency = 1
 
-// NewConcurrencyWindow returns a window that starts at one and may grow to the ceiling.
+// NewConcurrencyWindow returns a window of size 1 that may grow to the ceiling.
 func NewConcurrencyWindow(ceiling int) ConcurrencyWindow {
-	return ConcurrencyWindow{ceiling: float64(ceiling), size: math.Min(minimumWindow, float64(ceiling))}
+	return ConcurrencyWindow{ceiling: float64(ceiling), size: math.Min(minimumConcurrency, float64(ceiling))}
 }
 
-// Restart puts the window back to one attempt, for a back end that comes back from an ejection.
-func (w *ConcurrencyWindow) Restart() { w.size = math.Min(minimumWindow, w.ceiling) }
+// Restart sets the window back to one attempt, for a back end that returns from an ejection.
+func (w *ConcurrencyWindow) Restart() { w.size = math.Min(minimumConcurrency, w.ceiling) }
 
-// SetCold keeps a back end that says it is cold at one attempt.
+// SetCold limits a back end that reports that it is cold to one attempt.
 func (w *ConcurrencyWindow) SetCold() { w.Restart() }
 
-// SetCeiling changes the part of the slots; attempts in flight stay counted.
+// SetCeiling changes the ceiling. Attempts in flight stay counted.
 func (w *ConcurrencyWindow) SetCeiling(ceiling int) {
 	w.ceiling = float64(ceiling)
-	w.size = math.Min(math.Max(w.size, minimumWindow), w.ceiling)
+	w.size = math.Min(math.Max(w.size, minimumConcurrency), w.ceiling)
 }
 
-// Ceiling is the largest size.
+// Ceiling returns the largest size.
 func (w *ConcurrencyWindow) Ceiling() int { return int(w.ceiling) }
 
-// Size is the number of attempts allowed at once.
+// Size returns the number of attempts allowed at once.
 func (w *ConcurrencyWindow) Size() int { return int(w.size) }
 
-// InFlight is the number of attempts under way.
+// InFlight returns the number of attempts in flight.
 func (w *ConcurrencyWindow) InFlight() int { return w.inFlight }
 
 // HasRoom reports whether another attempt may start.
 func (w *ConcurrencyWindow) HasRoom() bool { return w.inFlight < int(w.size) }
 
-// Start counts an attempt in.
+// Start counts an attempt that begins.
 func (w *ConcurrencyWindow) Start() { w.inFlight++ }
 
-// Finish counts an attempt out.
+// Finish counts an attempt that ends.
 func (w *ConcurrencyWindow) Finish() {
 	if w.inFlight == 0 {
 		panic("limit: attempt finished that was not started")
@@ -58,7 +59,7 @@
 	w.inFlight--
 }
 
-// Succeeded grows the window after an answer.
+// Succeeded grows the window after a successful answer.
 func (w *ConcurrencyWindow) Succeeded() {
 	w.size = math.Min(w.ceiling, w.size+1/math.Max(w.size, 1))
 }
@@ -69,5 +70,5 @@
 		return
 	}
 	w.lastCut = now
-	w.size = math.Max(math.Min(minimumWindow, w.ceiling), w.size/2)
+	w.size = math.Max(math.Min(minimumConcurrency, w.ceiling), w.size/2)
 }
