--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,8 @@
-// Package clock has the one type in which time is counted, whole milliseconds, and a clock that also goes on while the
-// machine is suspended.
+// Package clock has the type Ms, in which times are counted in whole milliseconds, and a clock that also advances
+// while the machine is suspended.
 //
-// It reads the machine's clocks and owns how far the monotonic one is behind, for the whole process.
+// It reads the machine's clocks. It owns, for the whole process, the value of how long the machine has been
+// suspended.
 package clock
 
 import (
@@ -11,105 +12,109 @@
 	"golang.org/x/sys/unix"
 )
 
-// Ms is a moment on a Clock, or a length of time, in milliseconds.
+// Ms is a reading of a Clock, or a duration, in milliseconds.
 type Ms int64
 
-// Second is a thousand milliseconds.
+// Second is 1000 milliseconds.
 const Second Ms = 1000
 
-// FromDuration returns a duration in whole milliseconds, rounded down.
+// FromDuration returns a duration in whole milliseconds, rounded towards zero.
 func FromDuration(d time.Duration) Ms { return Ms(d.Milliseconds()) }
 
-// Duration returns m as the standard library counts time.
+// Duration returns m as a time.Duration.
 func (m Ms) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// Clock tells the time since it was started. It does not follow jumps of the time of day, and goes on while the machine
-// is suspended, unlike the clock on which the standard library counts: what passes for a second old after a machine was
-// suspended for ten may be eleven.
+// Clock measures the time since it was started. It ignores changes of the time of day. Unlike the monotonic clock of
+// the standard library, it advances while the machine is suspended: something that seems to be 1 s old after a
+// suspension of 10 s may be 11 s old.
 type Clock struct {
 	started time.Time
-	// behindThen is by how much the monotonic clock was behind at the start.
-	behindThen time.Duration
+	// suspendedAtStart is how long the machine had been suspended when the clock was started.
+	suspendedAtStart time.Duration
 }
 
-// Start returns a clock that stands at 0.
-func Start() Clock { return Clock{started: time.Now(), behindThen: (*behind.Load())()} }
+// Start returns a clock that reads 0.
+func Start() Clock {
+	return Clock{started: time.Now(), suspendedAtStart: (*suspendedTimeSource.Load())()}
+}
 
 // Now returns the time since the start.
 func (c Clock) Now() Ms { return FromDuration(c.Elapsed()) }
 
-// Elapsed is Now as the standard library counts time.
+// Elapsed returns the time since the start as a time.Duration.
 func (c Clock) Elapsed() time.Duration { return time.Since(c.started) + c.Suspended() }
 
-// Suspended is for how long the machine has been suspended since the start.
-func (c Clock) Suspended() time.Duration { return (*behind.Load())() - c.behindThen }
+// Suspended returns how long the machine has been suspended since the start.
+func (c Clock) Suspended() time.Duration { return (*suspendedTimeSource.Load())() - c.suspendedAtStart }
 
-// ToTime gives a moment on the clock as the standard library's timers and deadlines understand it, unless the machine is
-// suspended before it comes.
+// ToTime converts a reading of the clock to a time for timers and deadlines of the standard library. The result is
+// wrong if the machine is suspended before that time comes.
 func (c Clock) ToTime(moment time.Duration) time.Time { return c.started.Add(moment - c.Suspended()) }
 
-// FromTime gives a time of the standard library as a moment on the clock.
+// FromTime converts a time of the standard library to a reading of the clock.
 func (c Clock) FromTime(t time.Time) time.Duration { return t.Sub(c.started) + c.Suspended() }
 
-// behind is by how much the monotonic clock, on which the standard library counts, is behind the machine's clock that
-// also counts while the machine is suspended.
-var behind atomic.Pointer[func() time.Duration]
+// suspendedTimeSource returns how long the machine has been suspended: by how much the monotonic clock, which the
+// standard library uses, is behind the machine's clock that also counts suspensions.
+var suspendedTimeSource atomic.Pointer[func() time.Duration]
 
-func init() { ReplaceSuspendedTime((&gauge{began: time.Now()}).read) }
+func init() { ReplaceSuspendedTime((&suspendedTimeReader{startedAt: time.Now()}).read) }
 
-// ReplaceSuspendedTime has another function tell by how much the monotonic clock is behind, for tests on a virtual clock. The
-// function returned undoes that.
+// ReplaceSuspendedTime replaces the function that returns how long the machine has been suspended, for tests with a
+// virtual clock. The returned function undoes the replacement.
 func ReplaceSuspendedTime(with func() time.Duration) (undo func()) {
-	before := behind.Swap(&with)
-	return func() { behind.Store(before) }
+	before := suspendedTimeSource.Swap(&with)
+	return func() { suspendedTimeSource.Store(before) }
 }
 
-// readEvery bounds how often the machine's clocks are read: it costs three system calls, and what happens this soon
-// after a suspension can be taken for what happened before it.
-const readEvery = 10 * time.Millisecond
+// readInterval is the shortest time between two readings of the machine's clocks, which cost three system calls. An
+// event so soon after a suspension can be treated as if it had happened before it.
+const readInterval = 10 * time.Millisecond
 
-// smallest difference that is a suspension: the two clocks are read one after the other.
-const smallest = 5 * time.Millisecond
+// minimumSuspension is the smallest difference between the two clocks that counts as a suspension. They are read one
+// after the other, so smaller differences occur without one.
+const minimumSuspension = 5 * time.Millisecond
 
-// gauge reads by how much the monotonic clock is behind.
-type gauge struct {
-	began time.Time
-	// readAt is when it was last read, since it began; last is what was read.
-	readAt atomic.Int64
-	last   atomic.Int64
+// suspendedTimeReader reads how long the machine has been suspended.
+type suspendedTimeReader struct {
+	startedAt time.Time
+	// readAt is the time of the last reading, since startedAt. lastRead is the last value that was read.
+	readAt   atomic.Int64
+	lastRead atomic.Int64
 }
 
-func (g *gauge) read() time.Duration {
-	now := int64(time.Since(g.began)) + 1
+func (g *suspendedTimeReader) read() time.Duration {
+	now := int64(time.Since(g.startedAt)) + 1
 	before := g.readAt.Load()
-	if before > 0 && now >= before && now-before < int64(readEvery) || !g.readAt.CompareAndSwap(before, now) {
-		return time.Duration(g.last.Load())
+	if before > 0 && now >= before && now-before < int64(readInterval) || !g.readAt.CompareAndSwap(before, now) {
+		return time.Duration(g.lastRead.Load())
 	}
-	found := difference()
-	if last := time.Duration(g.last.Load()); before == 0 || found-last >= smallest {
-		g.last.Store(int64(found))
+	found := readSuspendedTime()
+	if last := time.Duration(g.lastRead.Load()); before == 0 || found-last >= minimumSuspension {
+		g.lastRead.Store(int64(found))
 	}
-	return time.Duration(g.last.Load())
+	return time.Duration(g.lastRead.Load())
 }
 
-// Reading two clocks takes less than a microsecond, unless the thread has to wait in between; then they are read again,
-// a few times.
+// Reading the two clocks takes less than a microsecond, unless the thread is descheduled in between. If it takes
+// longer than maximumReadTime, the clocks are read again, at most readAttempts times in all.
 const (
-	readWithin = time.Millisecond
-	readTries  = 5
+	maximumReadTime = time.Millisecond
+	readAttempts    = 5
 )
 
-// difference is the machine's clock that counts suspensions less the one that does not, rather too small than too large.
-func difference() (found time.Duration) {
-	for range readTries {
+// readSuspendedTime returns the machine's clock that counts suspensions less the one that does not. The result is too
+// small rather than too large.
+func readSuspendedTime() (found time.Duration) {
+	for range readAttempts {
 		var before, whole, after unix.Timespec
 		if unix.ClockGettime(unix.CLOCK_MONOTONIC, &before) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &whole) != nil ||
 			unix.ClockGettime(unix.CLOCK_MONOTONIC, &after) != nil {
-			// Without the clock nothing is known of suspensions, as on a machine that has none.
+			// Without this clock nothing is known of suspensions, as on a machine that is never suspended.
 			return 0
 		}
 		found = time.Duration(whole.Nano() - after.Nano())
-		if after.Nano()-before.Nano() < int64(readWithin) {
+		if after.Nano()-before.Nano() < int64(maximumReadTime) {
 			return found
 		}
 	}
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -8,49 +8,52 @@
 	"stiletrail/internal/clock"
 )
 
+// TestClock checks that a clock reads whole milliseconds, rounded down.
 func TestClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := clock.Start()
 		time.Sleep(1500*time.Millisecond + 900*time.Microsecond)
 		if got := c.Now(); got != clock.Second+500 {
-			t.Errorf("got %d ms", got)
+			t.Errorf("Now is %d ms, want 1500", got)
 		}
 		if got := c.Now().Duration(); got != 1500*time.Millisecond {
-			t.Errorf("got %s", got)
+			t.Errorf("Now is %s, want 1.5s", got)
 		}
 	})
 }
 
-// TestSuspension: a clock goes on while the machine is suspended, and says of times of the standard library, which does not, what they mean then.
+// TestSuspension checks that a clock advances while the machine is suspended, and that it converts times of the
+// standard library, whose clock does not advance, to its own readings and back.
 func TestSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		behind := 3 * time.Hour
-		defer clock.ReplaceSuspendedTime(func() time.Duration { return behind })()
+		suspended := 3 * time.Hour
+		defer clock.ReplaceSuspendedTime(func() time.Duration { return suspended })()
 		c := clock.Start()
 		deadline := time.Now().Add(2 * time.Second)
 		if got := c.FromTime(deadline); got != 2*time.Second {
-			t.Errorf("before the suspension the deadline is at %v", got)
+			t.Errorf("before the suspension the deadline is at %v, want 2s", got)
 		}
 		time.Sleep(time.Second)
-		behind += 10 * time.Second
+		suspended += 10 * time.Second
 		if got := c.Now(); got != 11*clock.Second {
-			t.Errorf("after a second and ten of suspension it is %d ms", got)
+			t.Errorf("after 1 s and a suspension of 10 s Now is %d ms, want 11000", got)
 		}
 		if got := c.Suspended(); got != 10*time.Second {
-			t.Errorf("suspended for %v", got)
+			t.Errorf("Suspended is %v, want 10s", got)
 		}
 		if got := c.ToTime(12 * time.Second); !got.Equal(deadline) {
-			t.Errorf("a second from now is %v before the deadline", deadline.Sub(got))
+			t.Errorf("the time of reading 12s is %v before the deadline, want the deadline", deadline.Sub(got))
 		}
 	})
 }
 
-// TestNoSuspension: without one the machine's clocks do not drift apart by what it takes to read them.
+// TestNoSuspension checks that on a machine that is not suspended, the time that it takes to read the clocks is not
+// taken for a suspension.
 func TestNoSuspension(t *testing.T) {
 	c := clock.Start()
 	for range 100 {
 		if got := c.Suspended(); got != 0 {
-			t.Fatalf("suspended for %v", got)
+			t.Fatalf("Suspended is %v on a machine that was not suspended, want 0", got)
 		}
 		time.Sleep(100 * time.Microsecond)
 	}
--- a/internal/clock/played.go
+++ b/internal/clock/played.go
@@ -9,12 +9,13 @@
 	"time"
 )
 
-// playedIn names the variable with the file that says for how many milliseconds the machine is to pass for suspended. A
-// process cannot be suspended without its machine, so the soak pauses it and has this clock say so.
-const playedIn = "STILETRAIL_SUSPENDED"
+// suspendedTimeFileVariable is the environment variable that names a file. The file has the number of milliseconds
+// for which the machine counts as suspended. A process cannot be suspended without its machine, so the soak test
+// pauses the process and reports the suspension through this file.
+const suspendedTimeFileVariable = "STILETRAIL_SUSPENDED"
 
 func init() {
-	path := os.Getenv(playedIn)
+	path := os.Getenv(suspendedTimeFileVariable)
 	if path == "" {
 		return
 	}
