--- a/internal/region/region.go
+++ b/internal/region/region.go
@@ -1,26 +1,27 @@
-// Package region decides whether a region belongs to a set, such as that in which the requests of a route may be served.
-// It owns nothing and relies on nothing.
+// Package region decides whether a region belongs to a set, such as the regions in which the requests of a route may
+// be served. It owns no state and relies on no other package.
 package region
 
 import "slices"
 
-// Set of regions, which is not changed once it is made. The zero value binds nothing: it allows every region.
+// Set is an immutable set of regions. The zero value is unrestricted: it allows every region.
 type Set struct {
 	names []string
 }
 
-// NewSet returns the set of some regions; without any it allows all.
+// NewSet returns the set of the named regions. Without names, the set allows every region.
 func NewSet(names ...string) Set { return Set{names: slices.Clone(names)} }
 
-// Restricted reports whether the set leaves any region out.
+// Restricted reports whether the set excludes any region.
 func (s Set) Restricted() bool { return len(s.names) > 0 }
 
-// Allows reports whether a region is in the set. A place whose region is not known is in none.
+// Allows reports whether a region is in the set. An empty name stands for an unknown region, which only an
+// unrestricted set allows.
 func (s Set) Allows(name string) bool {
 	return !s.Restricted() || slices.Contains(s.names, name)
 }
 
-// Unknown returns the regions of the set that are not known.
+// Unknown returns the regions of the set for which known returns false.
 func (s Set) Unknown(known func(name string) bool) (unknown []string) {
 	for _, name := range s.names {
 		if !known(name) {
