--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -55,7 +55,7 @@
 
 // hasRoomNow reports whether an attempt would start at once.
 func (b *backEnd) hasRoomNow(now time.Duration) bool {
-	return b.window.HasRoom() && len(b.queue) == 0 && now >= b.notBefore
+	return b.window.HasCapacity() && len(b.queue) == 0 && now >= b.notBefore
 }
 
 // assumedLatency of a back end that has answered nothing yet. Zero would draw all work to it, and no queue would ever look long.
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -9,7 +9,7 @@
 
 // pump starts what waits at a back end while it has room.
 func (c *Core) pump(now time.Duration, g *group, b *backEnd) {
-	for b.window.HasRoom() {
+	for b.window.HasCapacity() {
 		it := c.hedgeOverdue(now, g, b)
 		if it == nil {
 			it = c.nextQueued(now, g, b)
--- a/internal/limit/window.go
+++ b/internal/limit/window.go
@@ -45,8 +45,8 @@
 // InFlight returns the number of attempts in flight.
 func (w *ConcurrencyWindow) InFlight() int { return w.inFlight }
 
-// HasRoom reports whether another attempt may start.
-func (w *ConcurrencyWindow) HasRoom() bool { return w.inFlight < int(w.size) }
+// HasCapacity reports whether another attempt may start.
+func (w *ConcurrencyWindow) HasCapacity() bool { return w.inFlight < int(w.size) }
 
 // Start counts an attempt that begins.
 func (w *ConcurrencyWindow) Start() { w.inFlight++ }
