--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -124,6 +124,7 @@
 	}
 }
 
+// cancelAllAttempts cancels the attempts in flight at all shards.
 func (r *Request) cancelAllAttempts() {
 	for i := range r.shards {
 		r.cancelAttempts(i)
--- a/internal/forward/caution.go
+++ b/internal/forward/caution.go
@@ -99,9 +99,9 @@
 	}
 }
 
-// askHeldShards ends the suspicion of the request and asks all held shards. A back end has answered the request, so
-// the request does not crash back ends.
-func (r *Request) askHeldShards(now time.Duration) {
+// endTrials ends the suspicion of the request and asks all held shards: a back end has answered the request, so the
+// request does not crash back ends.
+func (r *Request) endTrials(now time.Duration) {
 	r.trials = trials{nextShard: r.trials.nextShard}
 	for i := range r.shards {
 		if r.shards[i].isHeld() {
@@ -110,7 +110,7 @@
 	}
 }
 
-// askHeldShard asks a shard that was held.
+// askHeldShard sends an attempt to a held shard. If it cannot, the shard waits for capacity, pauses or fails.
 func (r *Request) askHeldShard(now time.Duration, number int) {
 	s := &r.shards[number]
 	switch {
@@ -161,10 +161,11 @@
 		// Attempts that were sent before the crash may still be answered.
 		return 0, false
 	}
-	patience := time.Duration(trialIntervalShare * float64(r.route.TargetLatency))
-	return r.trials.lastStartedAt + patience, !r.trials.retrial
+	interval := time.Duration(trialIntervalShare * float64(r.route.TargetLatency))
+	return r.trials.lastStartedAt + interval, !r.trials.retrial
 }
 
+// anyHeld reports whether a shard is held.
 func (r *Request) anyHeld() bool {
 	for i := range r.shards {
 		if r.shards[i].isHeld() {
--- a/internal/forward/finish.go
+++ b/internal/forward/finish.go
@@ -98,6 +98,7 @@
 	return open
 }
 
+// anyInFlight reports whether an attempt is in flight.
 func (r *Request) anyInFlight() bool {
 	for i := range r.shards {
 		if r.shards[i].attemptsInFlight() > 0 {
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -14,14 +14,14 @@
 //
 // The package owns a Request: its attempts, and the state of each of its shards (state.go):
 //
-//	state                 meaning                                                    possible next states
-//	unasked               nothing is decided yet (only within Start)                 inFlight, waitingForCapacity, held, failed
-//	waitingForCapacity    every replica is at its limit; Pick is called again later  inFlight, waitingForCapacity, held, failed
-//	inFlight              attempts may still be answered; a hedge may be due         inFlight, paused, held, answered, failed
-//	paused                all attempts have failed; the shard is asked again later   inFlight, paused, held, failed
-//	held                  waits for another shard's answer, or for the next trial    inFlight, waitingForCapacity, paused, failed
-//	answered              a back end has answered                                    none
-//	failed                the shard is given up                                      failed
+//	state               meaning                                             possible next states
+//	unasked             nothing is decided yet (only within Start)          inFlight, waitingForCapacity, held, failed
+//	waitingForCapacity  every replica is at its limit; picked again later   inFlight, waitingForCapacity, held, failed
+//	inFlight            attempts may still be answered; may be hedged       inFlight, paused, held, answered, failed
+//	paused              all attempts have failed; asked again later         inFlight, paused, held, failed
+//	held                waits for another shard's answer or the next trial  inFlight, waitingForCapacity, paused, failed
+//	answered            a back end has answered                             none
+//	failed              the shard is given up                               failed
 //
 // It relies on a Node for replicas, budgets and the quarantine verdict on the request. It does no I/O, takes no lock
 // and reads no clock. The caller passes in outcomes of attempts and the passing of time, and gets actions back. All
@@ -103,10 +103,10 @@
 	return r
 }
 
-// SetNode replaces the node by its present view. The caller does this before each step.
+// SetNode replaces the request's view of its node. The caller does this before each step.
 func (r *Request) SetNode(node Node) { r.node = node }
 
-// Done reports whether the request was answered, or its caller has gone.
+// Done reports whether the request was answered or its caller has disconnected.
 func (r *Request) Done() bool { return r.done }
 
 // Deadline is when the request gets its final answer at the latest. Back ends are told the time left until then.
@@ -128,7 +128,7 @@
 		r.answered++
 		r.cancelAttempts(attempt.Shard)
 		r.node.RecordAnswer(attempt)
-		r.askHeldShards(now)
+		r.endTrials(now)
 		r.scheduleSiblingHedges(now, attempt)
 	case outcome.BackEndCrashed && r.settings.SerialTrials:
 		s.lastFailure = outcome
@@ -187,7 +187,7 @@
 		return
 	}
 	if r.trials.suspected {
-		// A suspected request sends no hedges. The shard is asked by the next trial.
+		// A suspected request sends no hedges. The shard waits for its turn as the next trial.
 		s.setState(held{})
 		return
 	}
@@ -217,7 +217,7 @@
 	}
 }
 
-// CallerGone cancels all attempts. No answer is given, since the caller has gone.
+// CallerGone cancels all attempts after the caller has disconnected. No answer is given.
 func (r *Request) CallerGone() []Action {
 	if r.done {
 		return nil
--- a/internal/forward/hedge.go
+++ b/internal/forward/hedge.go
@@ -17,9 +17,8 @@
 	siblingFactor = 2
 	siblingSlack  = 12 * time.Millisecond
 	// hedgeRoundTrip is the time allowed for a hedge over a new connection to another region and back. While few
-	// extra attempts are left, a sibling hedge is delayed further. The delay is fewExtrasWaitShare of the time
-	// between the moment at which the shard is late and the last one at which a hedge can still be answered by the
-	// target.
+	// extra attempts are left, a sibling hedge is delayed by fewExtrasWaitShare of the time between when the shard is
+	// late and the last time at which a hedge can still be answered by the target.
 	hedgeRoundTrip     = 30 * time.Millisecond
 	fewExtrasWaitShare = 0.5
 )
--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -10,14 +10,14 @@
 // attempt provably did not run and none is in flight (nothingRan). These are all refusals of this package; the
 // gateway gives others before a request starts.
 //
-//	when                                                            code               reason               retry-after time
-//	at the start, too few shards have a back end to ask             NO_REPLICA         no_back_end          Settings.RetryAfter
-//	later, nothing was sent and no shard can be asked               NO_REPLICA         no_back_end          Settings.RetryAfter
-//	no back end ran any of the request until acceptanceDeadline     OVERLOADED         no_room, all_refused retryAfterOverloaded
-//	no shard is left to ask, and all attempts were refused          OVERLOADED         all_refused          retryAfterOverloaded
-//	the request is under quarantine                                 QUARANTINED        quarantined          Settings.RetryAfter
-//	the deadline came                                               DEADLINE_EXCEEDED  deadline             retryAfterOverloaded
-//	the node stops                                                  LEAVING            given_up             retryAfterOverloaded
+//	when                                              code               reason               retry-after time
+//	at the start, too few shards have a back end      NO_REPLICA         no_back_end          Settings.RetryAfter
+//	later, nothing was sent and no shard can be asked NO_REPLICA         no_back_end          Settings.RetryAfter
+//	no back end ran any of it by acceptanceDeadline   OVERLOADED         no_room, all_refused retryAfterOverloaded
+//	no shard is left to ask, all attempts refused     OVERLOADED         all_refused          retryAfterOverloaded
+//	the request is under quarantine                   QUARANTINED        quarantined          Settings.RetryAfter
+//	the deadline came                                 DEADLINE_EXCEEDED  deadline             retryAfterOverloaded
+//	the node stops                                    LEAVING            given_up             retryAfterOverloaded
 //
 // If back ends that refused named a retry-after time, the longest of theirs is given instead.
 const (
--- a/internal/forward/retry_test.go
+++ b/internal/forward/retry_test.go
@@ -161,34 +161,34 @@
 // TestNoAttemptThatCannotMeetDeadline checks that no first attempt, retry or hedge is sent whose answer cannot arrive
 // by the deadline. A request of which nothing has run is then refused as not run.
 func TestNoAttemptThatCannotMeetDeadline(t *testing.T) {
-	const floor = 60 * millisecond
-	far := func(services ...string) *fakeNode {
+	const minimumLatency = 60 * millisecond
+	newDistantNode := func(services ...string) *fakeNode {
 		w := newNode(9, services...)
 		for _, replicas := range w.replicas {
 			for _, r := range replicas {
 				r.StartAttempt(0)
-				r.FinishAttempt(floor, 0, replica.Answered)
+				r.FinishAttempt(minimumLatency, 0, replica.Answered)
 			}
 		}
 		return w
 	}
-	begin := func(route *routing.Route, deadline time.Duration) *harness {
+	startWithDeadline := func(route *routing.Route, deadline time.Duration) *harness {
 		s := &harness{t: t}
 		paced := settings
 		paced.RetryPause = 25 * millisecond
-		request, actions := forward.Start(0, forward.Parameters{Route: route, Service: "a", Deadline: deadline}, paced, far("a", "b", "c"))
+		request, actions := forward.Start(0, forward.Parameters{Route: route, Service: "a", Deadline: deadline}, paced, newDistantNode("a", "b", "c"))
 		s.request = request
 		s.collect(actions)
 		return s
 	}
 	t.Run("first", func(t *testing.T) {
-		s := begin(fanOut("a", "b", "c"), floor)
+		s := startWithDeadline(fanOut("a", "b", "c"), minimumLatency)
 		if len(s.sent) > 0 || s.answer == nil || s.answer.Failure == nil || !s.answer.Failure.NotRun {
 			t.Errorf("sent to %v with answer %+v, want no attempt and a refusal as not run", s.sentTo(), s.answer)
 		}
 	})
 	t.Run("retry", func(t *testing.T) {
-		s := begin(single(true), 100*millisecond)
+		s := startWithDeadline(single(true), 100*millisecond)
 		s.now = 50 * millisecond
 		s.endAttempt(0, outcomeOf(forward.Refused))
 		if s.tickAt(90 * millisecond); len(s.sent) != 1 || s.answer == nil || !s.answer.Failure.NotRun {
@@ -196,13 +196,13 @@
 		}
 	})
 	t.Run("hedge", func(t *testing.T) {
-		s := begin(single(true), 115*millisecond)
+		s := startWithDeadline(single(true), 115*millisecond)
 		if s.tickAt(52 * millisecond); len(s.sent) != 1 || s.request.Denied(s.sent[0]) != forward.DeniedTooLate {
 			t.Errorf("sent to %v, denied %q, want one attempt and too_late", s.sentTo(), s.request.Denied(s.sent[0]))
 		}
 	})
 	t.Run("in time", func(t *testing.T) {
-		if s := begin(single(true), 115*millisecond).tickAt(5 * millisecond); len(s.sent) != 1 || s.answer != nil {
+		if s := startWithDeadline(single(true), 115*millisecond).tickAt(5 * millisecond); len(s.sent) != 1 || s.answer != nil {
 			t.Errorf("sent to %v with answer %+v, want one attempt and no answer yet", s.sentTo(), s.answer)
 		}
 	})
