--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -123,7 +123,7 @@
 	},
 	{
 		"hedges go into full windows", "internal/dispatch/backend.go",
-		"	return b.window.HasRoom() && len(b.queue) == 0 && now >= b.notBefore", "	return now >= b.notBefore",
+		"	return b.window.HasCapacity() && len(b.queue) == 0 && now >= b.notBefore", "	return now >= b.notBefore",
 		"./internal/dispatch", "TestHedgesStopWhenWindowsAreFull",
 	},
 	{
