--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -54,6 +54,8 @@
 
 // Controller holds recent samples, weighted by their age. The zero value has none. It is not safe for concurrent use.
 type Controller struct {
+	// missing and shed are the weighted sums of the shares that the samples were missing and that were shed. weight
+	// is the sum of the samples' weights.
 	missing, shed, weight float64
 	decayedAt             clock.Ms
 	// longestTimeout is the longest timeout that a caller gave, by route.
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock has the type Ms, in which times are counted in whole milliseconds, and a clock that also advances
+// Package clock has the type Ms, in which times are counted in boottime milliseconds, and a clock that also advances
 // while the machine is suspended.
 //
-// It reads the machine's clocks. It owns, for the whole process, the value of how long the machine has been
+// It reads the machine's clocks. It owns, for the boottime process, the value of how long the machine has been
 // suspended.
 package clock
 
@@ -18,7 +18,7 @@
 // Second is 1000 milliseconds.
 const Second Ms = 1000
 
-// FromDuration returns a duration in whole milliseconds, rounded towards zero.
+// FromDuration returns a duration in boottime milliseconds, rounded towards zero.
 func FromDuration(d time.Duration) Ms { return Ms(d.Milliseconds()) }
 
 // Duration returns m as a time.Duration.
@@ -49,7 +49,7 @@
 
 // ToTime converts a reading of the clock to a time for timers and deadlines of the standard library. The result is
 // wrong if the machine is suspended before that time comes.
-func (c Clock) ToTime(moment time.Duration) time.Time { return c.started.Add(moment - c.Suspended()) }
+func (c Clock) ToTime(reading time.Duration) time.Time { return c.started.Add(reading - c.Suspended()) }
 
 // FromTime converts a time of the standard library to a reading of the clock.
 func (c Clock) FromTime(t time.Time) time.Duration { return t.Sub(c.started) + c.Suspended() }
@@ -62,8 +62,8 @@
 
 // ReplaceSuspendedTime replaces the function that returns how long the machine has been suspended, for tests with a
 // virtual clock. The returned function undoes the replacement.
-func ReplaceSuspendedTime(with func() time.Duration) (undo func()) {
-	before := suspendedTimeSource.Swap(&with)
+func ReplaceSuspendedTime(source func() time.Duration) (undo func()) {
+	before := suspendedTimeSource.Swap(&source)
 	return func() { suspendedTimeSource.Store(before) }
 }
 
@@ -83,17 +83,19 @@
 	lastRead atomic.Int64
 }
 
-func (g *suspendedTimeReader) read() time.Duration {
-	now := int64(time.Since(g.startedAt)) + 1
-	before := g.readAt.Load()
-	if before > 0 && now >= before && now-before < int64(readInterval) || !g.readAt.CompareAndSwap(before, now) {
-		return time.Duration(g.lastRead.Load())
+// read returns how long the machine has been suspended. It reads the machine's clocks at most once per readInterval
+// and otherwise returns the last value.
+func (r *suspendedTimeReader) read() time.Duration {
+	now := int64(time.Since(r.startedAt)) + 1
+	before := r.readAt.Load()
+	if before > 0 && now >= before && now-before < int64(readInterval) || !r.readAt.CompareAndSwap(before, now) {
+		return time.Duration(r.lastRead.Load())
 	}
 	found := readSuspendedTime()
-	if last := time.Duration(g.lastRead.Load()); before == 0 || found-last >= minimumSuspension {
-		g.lastRead.Store(int64(found))
+	if last := time.Duration(r.lastRead.Load()); before == 0 || found-last >= minimumSuspension {
+		r.lastRead.Store(int64(found))
 	}
-	return time.Duration(g.lastRead.Load())
+	return time.Duration(r.lastRead.Load())
 }
 
 // Reading the two clocks takes less than a microsecond, unless the thread is descheduled in between. If it takes
@@ -107,13 +109,13 @@
 // small rather than too large.
 func readSuspendedTime() (found time.Duration) {
 	for range readAttempts {
-		var before, whole, after unix.Timespec
-		if unix.ClockGettime(unix.CLOCK_MONOTONIC, &before) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &whole) != nil ||
+		var before, boottime, after unix.Timespec
+		if unix.ClockGettime(unix.CLOCK_MONOTONIC, &before) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boottime) != nil ||
 			unix.ClockGettime(unix.CLOCK_MONOTONIC, &after) != nil {
 			// Without this clock nothing is known of suspensions, as on a machine that is never suspended.
 			return 0
 		}
-		found = time.Duration(whole.Nano() - after.Nano())
+		found = time.Duration(boottime.Nano() - after.Nano())
 		if after.Nano()-before.Nano() < int64(maximumReadTime) {
 			return found
 		}
--- a/internal/limit/latencies.go
+++ b/internal/limit/latencies.go
@@ -21,6 +21,7 @@
 	total  float32
 }
 
+// bucketOf returns the index of the bucket that a latency falls into.
 func bucketOf(latency time.Duration) int {
 	if latency <= smallestLatency {
 		return 0
--- a/internal/routing/check.go
+++ b/internal/routing/check.go
@@ -37,6 +37,7 @@
 	return nil
 }
 
+// checkRoute returns the first fault of a route, or nil.
 func checkRoute(route *Route) error {
 	switch {
 	case route.Host == "" || route.Prefix == "" || route.Prefix[0] != '/':
@@ -55,6 +56,7 @@
 	return checkTargets(route)
 }
 
+// checkTargets returns the first fault of a route's targets or shards, or nil.
 func checkTargets(route *Route) error {
 	total := 0.0
 	for _, target := range route.Targets {
