--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -53,9 +53,9 @@
 	ConnectTimeout time.Duration
 	// VerifyConnection has a new connection wait for a way there and back before it is used: a back end at its limit has closed it by then.
 	VerifyConnection bool
-	// NonRetryable: the request cannot be sent again if nothing comes back. It goes over a connection that has carried an
+	// NotRepeatable: the request cannot be sent again if nothing comes back. It goes over a connection that has carried an
 	// answer within provenWithin, or over a new one: a connection that has been idle for longer may have fallen silent.
-	NonRetryable bool
+	NotRepeatable bool
 	// Prepare builds the message at the moment at which it is written, when the connection is there.
 	Prepare func() (*http.Request, error)
 	// MaximumBody bounds the answer in bytes.
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -213,7 +213,7 @@
 	}{{false, 0, 1}, {true, time.Hour, 1}, {false, 0, 1}, {true, 0, 2}} {
 		pool.SetRecentAnswerWithin(c.proven)
 		r := request(s.address())
-		r.NonRetryable = c.once
+		r.NotRepeatable = c.once
 		if result := pool.Do(context.Background(), r); result.Stage != exchange.Answered {
 			t.Fatalf("%+v", result)
 		}
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -50,7 +50,7 @@
 			return p.open(ctx, request)
 		}
 		now := p.clock.Elapsed()
-		if kept.sound(now) && !(request.NonRetryable && now-kept.idleSince > p.provenWithin) {
+		if kept.sound(now) && !(request.NotRepeatable && now-kept.idleSince > p.provenWithin) {
 			return kept, nil
 		}
 		kept.close()
--- a/internal/exchange/suspended_test.go
+++ b/internal/exchange/suspended_test.go
@@ -23,7 +23,7 @@
 	pool := exchange.NewPool()
 	pool.SetRecentAnswerWithin(time.Hour)
 	r := request(s.address())
-	r.NonRetryable, r.MaximumIdle = true, 1
+	r.NotRepeatable, r.MaximumIdle = true, 1
 	for _, suspended := range []time.Duration{0, 0, 2 * time.Hour} {
 		behind.Add(int64(suspended))
 		if result := pool.Do(context.Background(), r); result.Stage != exchange.Answered {
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -251,7 +251,7 @@
 	},
 	{
 		"a request that cannot be sent again goes over a connection that may have fallen silent", "internal/exchange/pool.go",
-		"kept.sound(now) && !(request.NonRetryable && now-kept.idleSince > p.provenWithin)", "kept.sound(now)",
+		"kept.sound(now) && !(request.NotRepeatable && now-kept.idleSince > p.provenWithin)", "kept.sound(now)",
 		"./internal/exchange", "TestIdleConnectionIsNotTrustedOnce",
 	},
 	{
