--- a/internal/exchange/dial.go
+++ b/internal/exchange/dial.go
@@ -52,11 +52,11 @@
 	return newConnection(socket, func() { p.OpenCount.Add(-1) }), nil
 }
 
-// BackEndEnded reports whether nobody serves at an address any more, as after the end of a process, whether its connections
+// BackEndCrashed reports whether nobody serves at an address any more, as after the end of a process, whether its connections
 // are refused or closed at once by what stands in front of it. It takes one or two ways there and back, and costs a
 // connection where somebody does. Full says that a back end which is at its limit of connections, and closes new ones,
 // counts as serving.
-func (p *Pool) BackEndEnded(ctx context.Context, address string, timeout time.Duration, full bool) bool {
+func (p *Pool) BackEndCrashed(ctx context.Context, address string, timeout time.Duration, full bool) bool {
 	started := time.Now()
 	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	socket, err := dialer.DialContext(ctx, "tcp4", address)
--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -11,7 +11,7 @@
 	},
 	{
 		"a connection that was reset is taken for the end of a back end", "platform/backend.go",
-		"outcome.BackEndCrashed = b.pool.BackEndEnded(ctx, send.Entry.Address, crashProbeTimeout, outcome.ConnectionRejected)", "outcome.BackEndCrashed = true",
+		"outcome.BackEndCrashed = b.pool.BackEndCrashed(ctx, send.Entry.Address, crashProbeTimeout, outcome.ConnectionRejected)", "outcome.BackEndCrashed = true",
 		"./platform", "TestEndOfABackEndIsTold",
 	},
 	{
