--- a/internal/message/evidence.go
+++ b/internal/message/evidence.go
@@ -14,7 +14,7 @@
 	// Shared: the mark is one of many different requests, such as those of a caller.
 	Shared bool
 	// Runs whose back ends ended, none of which was answered since.
-	Runs []EndedRun
+	Runs []Crash
 	// Answered: a back end has answered the request, AnsweredMs ago.
 	Answered      bool
 	AnsweredAgoMs uint32
@@ -28,8 +28,8 @@
 	CallerMarks [][16]byte
 }
 
-// EndedRun is a run of a request at a back end that ended meanwhile.
-type EndedRun struct {
+// Crash is a run of a request at a back end that ended meanwhile.
+type Crash struct {
 	Service      string
 	BackEnd      string
 	Version      string
@@ -43,7 +43,7 @@
 	list(c, &m.Requests, func(c *codec, r *RequestEvidence) {
 		c.fixed(&r.Mark)
 		c.bool(&r.Shared)
-		list(c, &r.Runs, func(c *codec, run *EndedRun) {
+		list(c, &r.Runs, func(c *codec, run *Crash) {
 			c.string(&run.Service)
 			c.string(&run.BackEnd)
 			c.string(&run.Version)
@@ -65,7 +65,7 @@
 	later := uint32(waited)
 	older := &Evidence{Requests: make([]RequestEvidence, len(m.Requests))}
 	for i, r := range m.Requests {
-		runs := make([]EndedRun, len(r.Runs))
+		runs := make([]Crash, len(r.Runs))
 		for n, run := range r.Runs {
 			run.StartedAgoMs += later
 			run.EndedAgoMs += later
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -73,7 +73,7 @@
 		sent.AnsweredAgoMs = age(now - r.answeredAt)
 	}
 	for _, run := range r.runs[max(0, len(r.runs)-mostRunsSent):] {
-		sent.Runs = append(sent.Runs, message.EndedRun{
+		sent.Runs = append(sent.Runs, message.Crash{
 			Service: run.Service, BackEnd: run.BackEnd, Version: run.Version, StartedAgoMs: age(now - run.Began), EndedAgoMs: age(now - run.Ended),
 		})
 	}
