--- a/internal/message/evidence.go
+++ b/internal/message/evidence.go
@@ -9,8 +9,8 @@
 
 // RequestEvidence is what is known of one request.
 type RequestEvidence struct {
-	// Mark of the request; 16 bytes.
-	Mark [16]byte
+	// Fingerprint of the request; 16 bytes.
+	Fingerprint [16]byte
 	// Shared: the mark is one of many different requests, such as those of a caller.
 	Shared bool
 	// Runs whose back ends ended, none of which was answered since.
@@ -41,7 +41,7 @@
 func (*Evidence) Kind() Kind { return KindEvidence }
 func (m *Evidence) fields(c *codec) {
 	list(c, &m.Requests, func(c *codec, r *RequestEvidence) {
-		c.fixed(&r.Mark)
+		c.fixed(&r.Fingerprint)
 		c.bool(&r.Shared)
 		list(c, &r.Runs, func(c *codec, run *Crash) {
 			c.string(&run.Service)
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -61,7 +61,7 @@
 
 func (r *record) evidence(now clock.Ms) message.RequestEvidence {
 	sent := message.RequestEvidence{
-		Mark: r.mark, QuarantineRemainingMs: age(r.until - now), EndedVersions: r.versions, SoundVersions: r.sound, Answered: r.answered, Shared: r.wide,
+		Fingerprint: r.mark, QuarantineRemainingMs: age(r.until - now), EndedVersions: r.versions, SoundVersions: r.sound, Answered: r.answered, Shared: r.wide,
 	}
 	for _, asker := range r.askers {
 		sent.CallerMarks = append(sent.CallerMarks, asker)
@@ -92,7 +92,7 @@
 }
 
 func (c *Core) receive(now clock.Ms, sent *message.RequestEvidence, change *Change) {
-	mark := Fingerprint(sent.Mark)
+	mark := Fingerprint(sent.Fingerprint)
 	if c.records[mark] == nil && len(sent.Runs) == 0 && sent.QuarantineRemainingMs == 0 {
 		return
 	}
