--- a/internal/message/evidence.go
+++ b/internal/message/evidence.go
@@ -24,8 +24,8 @@
 	// EndedVersions of the back ends' software that the request ended, sound ones that answer it.
 	EndedVersions []string
 	SoundVersions []string
-	// CallerMarks are the marks of those who asked when it ended back ends.
-	CallerMarks [][16]byte
+	// CallerFingerprints are the marks of those who asked when it ended back ends.
+	CallerFingerprints [][16]byte
 }
 
 // Crash is a run of a request at a back end that ended meanwhile.
@@ -56,7 +56,7 @@
 		c.uint32(&r.QuarantinedForMs)
 		list(c, &r.EndedVersions, (*codec).string)
 		list(c, &r.SoundVersions, (*codec).string)
-		list(c, &r.CallerMarks, func(c *codec, asker *[16]byte) { c.fixed(asker) })
+		list(c, &r.CallerFingerprints, func(c *codec, asker *[16]byte) { c.fixed(asker) })
 	})
 }
 
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -64,7 +64,7 @@
 		Fingerprint: r.mark, QuarantineRemainingMs: age(r.until - now), EndedVersions: r.versions, SoundVersions: r.sound, Answered: r.answered, Shared: r.wide,
 	}
 	for _, asker := range r.askers {
-		sent.CallerMarks = append(sent.CallerMarks, asker)
+		sent.CallerFingerprints = append(sent.CallerFingerprints, asker)
 	}
 	if sent.QuarantineRemainingMs > 0 {
 		sent.QuarantinedForMs = age(now - r.quarantinedAt)
@@ -146,7 +146,7 @@
 
 // receiveDetails takes in who asked the request, and which versions it ended.
 func (r *record) receiveDetails(sent *message.RequestEvidence) {
-	for _, asker := range sent.CallerMarks[:min(len(sent.CallerMarks), mostAskers)] {
+	for _, asker := range sent.CallerFingerprints[:min(len(sent.CallerFingerprints), mostAskers)] {
 		r.addAskers(asker)
 	}
 	r.versions = appendAll(r.versions, sent.EndedVersions)
