--- a/internal/message/evidence.go
+++ b/internal/message/evidence.go
@@ -23,7 +23,7 @@
 	QuarantinedForMs      uint32
 	// EndedVersions of the back ends' software that the request ended, sound ones that answer it.
 	EndedVersions []string
-	SoundVersions []string
+	SafeVersions  []string
 	// CallerFingerprints are the marks of those who asked when it ended back ends.
 	CallerFingerprints [][16]byte
 }
@@ -55,7 +55,7 @@
 		c.uint32(&r.QuarantineRemainingMs)
 		c.uint32(&r.QuarantinedForMs)
 		list(c, &r.EndedVersions, (*codec).string)
-		list(c, &r.SoundVersions, (*codec).string)
+		list(c, &r.SafeVersions, (*codec).string)
 		list(c, &r.CallerFingerprints, func(c *codec, asker *[16]byte) { c.fixed(asker) })
 	})
 }
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -61,7 +61,7 @@
 
 func (r *record) evidence(now clock.Ms) message.RequestEvidence {
 	sent := message.RequestEvidence{
-		Fingerprint: r.mark, QuarantineRemainingMs: age(r.until - now), EndedVersions: r.versions, SoundVersions: r.sound, Answered: r.answered, Shared: r.wide,
+		Fingerprint: r.mark, QuarantineRemainingMs: age(r.until - now), EndedVersions: r.versions, SafeVersions: r.sound, Answered: r.answered, Shared: r.wide,
 	}
 	for _, asker := range r.askers {
 		sent.CallerFingerprints = append(sent.CallerFingerprints, asker)
@@ -166,7 +166,7 @@
 
 // receiveSound takes in which versions answer the request, and reports whether one of them is new here.
 func (r *record) receiveSound(sent *message.RequestEvidence) (news bool) {
-	for _, version := range sent.SoundVersions {
+	for _, version := range sent.SafeVersions {
 		if !slices.Contains(r.sound, version) {
 			r.sound = appendNew(r.sound, version, mostVersions)
 			news = true
