--- a/internal/message/evidence.go
+++ b/internal/message/evidence.go
@@ -21,9 +21,9 @@
 	// QuarantineRemainingMs is how much longer the request is kept from back ends, 0 where it is not; HeldMs for how long it has been.
 	QuarantineRemainingMs uint32
 	QuarantinedForMs      uint32
-	// EndedVersions of the back ends' software that the request ended, sound ones that answer it.
-	EndedVersions []string
-	SafeVersions  []string
+	// CrashedVersions of the back ends' software that the request ended, sound ones that answer it.
+	CrashedVersions []string
+	SafeVersions    []string
 	// CallerFingerprints are the marks of those who asked when it ended back ends.
 	CallerFingerprints [][16]byte
 }
@@ -54,7 +54,7 @@
 		c.uint32(&r.AnsweredAgoMs)
 		c.uint32(&r.QuarantineRemainingMs)
 		c.uint32(&r.QuarantinedForMs)
-		list(c, &r.EndedVersions, (*codec).string)
+		list(c, &r.CrashedVersions, (*codec).string)
 		list(c, &r.SafeVersions, (*codec).string)
 		list(c, &r.CallerFingerprints, func(c *codec, asker *[16]byte) { c.fixed(asker) })
 	})
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -61,7 +61,7 @@
 
 func (r *record) evidence(now clock.Ms) message.RequestEvidence {
 	sent := message.RequestEvidence{
-		Fingerprint: r.mark, QuarantineRemainingMs: age(r.until - now), EndedVersions: r.versions, SafeVersions: r.sound, Answered: r.answered, Shared: r.wide,
+		Fingerprint: r.mark, QuarantineRemainingMs: age(r.until - now), CrashedVersions: r.versions, SafeVersions: r.sound, Answered: r.answered, Shared: r.wide,
 	}
 	for _, asker := range r.askers {
 		sent.CallerFingerprints = append(sent.CallerFingerprints, asker)
@@ -149,7 +149,7 @@
 	for _, asker := range sent.CallerFingerprints[:min(len(sent.CallerFingerprints), mostAskers)] {
 		r.addAskers(asker)
 	}
-	r.versions = appendAll(r.versions, sent.EndedVersions)
+	r.versions = appendAll(r.versions, sent.CrashedVersions)
 }
 
 // receiveQuarantine takes in that the request is under quarantine elsewhere, and reports whether it was not so here.
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -289,7 +289,7 @@
 		drawn := rapid.Custom(func(t *rapid.T) message.RequestEvidence {
 			evidence := message.RequestEvidence{
 				Fingerprint: [16]byte{rapid.Byte().Draw(t, "mark")}, Shared: rapid.Bool().Draw(t, "wide"), Answered: rapid.Bool().Draw(t, "answered"),
-				AnsweredAgoMs: ms.Draw(t, "answered ago"), QuarantineRemainingMs: ms.Draw(t, "left"), EndedVersions: rapid.SliceOf(text).Draw(t, "versions"),
+				AnsweredAgoMs: ms.Draw(t, "answered ago"), QuarantineRemainingMs: ms.Draw(t, "left"), CrashedVersions: rapid.SliceOf(text).Draw(t, "versions"),
 			}
 			for range rapid.IntRange(0, 30).Draw(t, "runs") {
 				evidence.Runs = append(evidence.Runs, message.Crash{
