--- a/internal/message/evidence.go
+++ b/internal/message/evidence.go
@@ -13,8 +13,8 @@
 	Fingerprint [16]byte
 	// Shared: the mark is one of many different requests, such as those of a caller.
 	Shared bool
-	// Runs whose back ends ended, none of which was answered since.
-	Runs []Crash
+	// Crashes whose back ends ended, none of which was answered since.
+	Crashes []Crash
 	// Answered: a back end has answered the request, AnsweredMs ago.
 	Answered      bool
 	AnsweredAgoMs uint32
@@ -43,7 +43,7 @@
 	list(c, &m.Requests, func(c *codec, r *RequestEvidence) {
 		c.fixed(&r.Fingerprint)
 		c.bool(&r.Shared)
-		list(c, &r.Runs, func(c *codec, run *Crash) {
+		list(c, &r.Crashes, func(c *codec, run *Crash) {
 			c.string(&run.Service)
 			c.string(&run.BackEnd)
 			c.string(&run.Version)
@@ -65,13 +65,13 @@
 	later := uint32(waited)
 	older := &Evidence{Requests: make([]RequestEvidence, len(m.Requests))}
 	for i, r := range m.Requests {
-		runs := make([]Crash, len(r.Runs))
-		for n, run := range r.Runs {
+		runs := make([]Crash, len(r.Crashes))
+		for n, run := range r.Crashes {
 			run.StartedAgoMs += later
 			run.EndedAgoMs += later
 			runs[n] = run
 		}
-		r.Runs = runs
+		r.Crashes = runs
 		r.AnsweredAgoMs += later
 		r.QuarantinedForMs += later
 		r.QuarantineRemainingMs -= min(r.QuarantineRemainingMs, later)
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -73,7 +73,7 @@
 		sent.AnsweredAgoMs = age(now - r.answeredAt)
 	}
 	for _, run := range r.runs[max(0, len(r.runs)-mostRunsSent):] {
-		sent.Runs = append(sent.Runs, message.Crash{
+		sent.Crashes = append(sent.Crashes, message.Crash{
 			Service: run.Service, BackEnd: run.BackEnd, Version: run.Version, StartedAgoMs: age(now - run.Began), EndedAgoMs: age(now - run.Ended),
 		})
 	}
@@ -93,7 +93,7 @@
 
 func (c *Core) receive(now clock.Ms, sent *message.RequestEvidence, change *Change) {
 	mark := Fingerprint(sent.Fingerprint)
-	if c.records[mark] == nil && len(sent.Runs) == 0 && sent.QuarantineRemainingMs == 0 {
+	if c.records[mark] == nil && len(sent.Crashes) == 0 && sent.QuarantineRemainingMs == 0 {
 		return
 	}
 	r := c.recordOf(now, mark)
@@ -134,7 +134,7 @@
 
 // receiveRuns takes in runs that ended their back ends, and reports whether there are more rounds by them.
 func (c *Core) receiveRuns(now clock.Ms, r *record, sent *message.RequestEvidence) (news bool) {
-	for _, run := range sent.Runs[:min(len(sent.Runs), mostRunsSent)] {
+	for _, run := range sent.Crashes[:min(len(sent.Crashes), mostRunsSent)] {
 		grew := c.addRun(now, r, Crash{
 			Service: run.Service, BackEnd: run.BackEnd, Version: run.Version,
 			Began: now - clock.Ms(run.StartedAgoMs), Ended: now - clock.Ms(run.EndedAgoMs),
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -292,7 +292,7 @@
 				AnsweredAgoMs: ms.Draw(t, "answered ago"), QuarantineRemainingMs: ms.Draw(t, "left"), CrashedVersions: rapid.SliceOf(text).Draw(t, "versions"),
 			}
 			for range rapid.IntRange(0, 30).Draw(t, "runs") {
-				evidence.Runs = append(evidence.Runs, message.Crash{
+				evidence.Crashes = append(evidence.Crashes, message.Crash{
 					Service: text.Draw(t, "service"), BackEnd: text.Draw(t, "back end"), StartedAgoMs: ms.Draw(t, "began"), EndedAgoMs: ms.Draw(t, "ended"),
 				})
 			}
