--- a/internal/message/evidence.go
+++ b/internal/message/evidence.go
@@ -34,7 +34,7 @@
 	BackEnd      string
 	Version      string
 	StartedAgoMs uint32
-	EndedAgoMs   uint32
+	CrashedAgoMs uint32
 }
 
 // Kind implements Message.
@@ -48,7 +48,7 @@
 			c.string(&run.BackEnd)
 			c.string(&run.Version)
 			c.uint32(&run.StartedAgoMs)
-			c.uint32(&run.EndedAgoMs)
+			c.uint32(&run.CrashedAgoMs)
 		})
 		c.bool(&r.Answered)
 		c.uint32(&r.AnsweredAgoMs)
@@ -68,7 +68,7 @@
 		runs := make([]Crash, len(r.Crashes))
 		for n, run := range r.Crashes {
 			run.StartedAgoMs += later
-			run.EndedAgoMs += later
+			run.CrashedAgoMs += later
 			runs[n] = run
 		}
 		r.Crashes = runs
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -293,7 +293,7 @@
 			}
 			for range rapid.IntRange(0, 30).Draw(t, "runs") {
 				evidence.Crashes = append(evidence.Crashes, message.Crash{
-					Service: text.Draw(t, "service"), BackEnd: text.Draw(t, "back end"), StartedAgoMs: ms.Draw(t, "began"), EndedAgoMs: ms.Draw(t, "ended"),
+					Service: text.Draw(t, "service"), BackEnd: text.Draw(t, "back end"), StartedAgoMs: ms.Draw(t, "began"), CrashedAgoMs: ms.Draw(t, "ended"),
 				})
 			}
 			return evidence
