--- a/internal/healthreport/healthreport.go
+++ b/internal/healthreport/healthreport.go
@@ -102,7 +102,7 @@
 		r := Report{
 			BackEnd:  received.BackEnd,
 			Slowdown: float64(received.SlowdownSixteenths) / slowdownUnit,
-			Faults:   float64(received.FailurePercent) / faultUnit,
+			Faults:   float64(received.FaultPercent) / faultUnit,
 			SeenAt:   now - age,
 		}
 		if age > maximumAge || r.Faults > 1 || r.Slowdown > maximumSlowdown || !c.isNews(r) {
@@ -145,7 +145,7 @@
 		m.Reports = append(m.Reports, message.BackEndReport{
 			BackEnd:            id,
 			SlowdownSixteenths: uint16(math.Round(slowdownUnit * min(max(r.Slowdown, 0), maximumSlowdown))),
-			FailurePercent:     uint8(math.Round(faultUnit * r.Faults)),
+			FaultPercent:       uint8(math.Round(faultUnit * r.Faults)),
 			AgeMs:              uint16(min(max(now-r.SeenAt, 0), maximumAge)),
 		})
 	}
--- a/internal/healthreport/healthreport_test.go
+++ b/internal/healthreport/healthreport_test.go
@@ -122,7 +122,7 @@
 	for why, bad := range map[string]message.BackEndReport{
 		"older":      {BackEnd: 1, SlowdownSixteenths: 16, AgeMs: 500},
 		"very old":   {BackEnd: 2, SlowdownSixteenths: 136, AgeMs: 2500},
-		"impossible": {BackEnd: 3, SlowdownSixteenths: 136, FailurePercent: 200},
+		"impossible": {BackEnd: 3, SlowdownSixteenths: 136, FaultPercent: 200},
 		"too slow":   {BackEnd: 4, SlowdownSixteenths: 60000},
 	} {
 		if hear(bad) {
--- a/internal/message/message_test.go
+++ b/internal/message/message_test.go
@@ -38,7 +38,7 @@
 			Fingerprint: [16]byte{1, 15: 2}, Shared: true, Crashes: []Crash{{Service: "s", BackEnd: "b", Version: "v", StartedAgoMs: 3, CrashedAgoMs: 4}}, Answered: true, AnsweredAgoMs: 5,
 			QuarantineRemainingMs: 6, QuarantinedForMs: 7, CrashedVersions: []string{"v"}, SafeVersions: []string{"w"}, CallerFingerprints: [][16]byte{{3}},
 		}}},
-		&BackEndReports{Reports: []BackEndReport{{BackEnd: 1 << 60, SlowdownSixteenths: 136, FailurePercent: 45, AgeMs: 200}}},
+		&BackEndReports{Reports: []BackEndReport{{BackEnd: 1 << 60, SlowdownSixteenths: 136, FaultPercent: 45, AgeMs: 200}}},
 	}
 }
 
--- a/internal/message/reports.go
+++ b/internal/message/reports.go
@@ -17,8 +17,8 @@
 	BackEnd uint64
 	// SlowdownSixteenths is how long work takes there, in sixteenths of the usual.
 	SlowdownSixteenths uint16
-	// FailurePercent is the share of attempts that failed, in hundredths.
-	FailurePercent uint8
+	// FaultPercent is the share of attempts that failed, in hundredths.
+	FaultPercent uint8
 	// AgeMs is how long ago that was met, in milliseconds.
 	AgeMs uint16
 }
