--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -61,10 +61,10 @@
 
 func (r *record) evidence(now clock.Ms) message.RequestEvidence {
 	sent := message.RequestEvidence{
-		Mark: r.mark, QuarantineRemainingMs: age(r.until - now), EndedVersions: r.versions, SoundVersions: r.sound, Answered: r.answered, Shared: r.wide,
+		Fingerprint: r.mark, QuarantineRemainingMs: age(r.until - now), CrashedVersions: r.versions, SafeVersions: r.sound, Answered: r.answered, Shared: r.wide,
 	}
 	for _, asker := range r.askers {
-		sent.CallerMarks = append(sent.CallerMarks, asker)
+		sent.CallerFingerprints = append(sent.CallerFingerprints, asker)
 	}
 	if sent.QuarantineRemainingMs > 0 {
 		sent.QuarantinedForMs = age(now - r.quarantinedAt)
@@ -73,8 +73,8 @@
 		sent.AnsweredAgoMs = age(now - r.answeredAt)
 	}
 	for _, run := range r.runs[max(0, len(r.runs)-mostRunsSent):] {
-		sent.Runs = append(sent.Runs, message.EndedRun{
-			Service: run.Service, BackEnd: run.BackEnd, Version: run.Version, StartedAgoMs: age(now - run.Began), EndedAgoMs: age(now - run.Ended),
+		sent.Crashes = append(sent.Crashes, message.Crash{
+			Service: run.Service, BackEnd: run.BackEnd, Version: run.Version, StartedAgoMs: age(now - run.Began), CrashedAgoMs: age(now - run.Ended),
 		})
 	}
 	return sent
@@ -92,8 +92,8 @@
 }
 
 func (c *Core) receive(now clock.Ms, sent *message.RequestEvidence, change *Change) {
-	mark := Fingerprint(sent.Mark)
-	if c.records[mark] == nil && len(sent.Runs) == 0 && sent.QuarantineRemainingMs == 0 {
+	mark := Fingerprint(sent.Fingerprint)
+	if c.records[mark] == nil && len(sent.Crashes) == 0 && sent.QuarantineRemainingMs == 0 {
 		return
 	}
 	r := c.recordOf(now, mark)
@@ -134,10 +134,10 @@
 
 // receiveRuns takes in runs that ended their back ends, and reports whether there are more rounds by them.
 func (c *Core) receiveRuns(now clock.Ms, r *record, sent *message.RequestEvidence) (news bool) {
-	for _, run := range sent.Runs[:min(len(sent.Runs), mostRunsSent)] {
+	for _, run := range sent.Crashes[:min(len(sent.Crashes), mostRunsSent)] {
 		grew := c.addRun(now, r, Crash{
 			Service: run.Service, BackEnd: run.BackEnd, Version: run.Version,
-			Began: now - clock.Ms(run.StartedAgoMs), Ended: now - clock.Ms(run.EndedAgoMs),
+			Began: now - clock.Ms(run.StartedAgoMs), Ended: now - clock.Ms(run.CrashedAgoMs),
 		})
 		news = news || grew
 	}
@@ -146,10 +146,10 @@
 
 // receiveDetails takes in who asked the request, and which versions it ended.
 func (r *record) receiveDetails(sent *message.RequestEvidence) {
-	for _, asker := range sent.CallerMarks[:min(len(sent.CallerMarks), mostAskers)] {
+	for _, asker := range sent.CallerFingerprints[:min(len(sent.CallerFingerprints), mostAskers)] {
 		r.addAskers(asker)
 	}
-	r.versions = appendAll(r.versions, sent.EndedVersions)
+	r.versions = appendAll(r.versions, sent.CrashedVersions)
 }
 
 // receiveQuarantine takes in that the request is under quarantine elsewhere, and reports whether it was not so here.
@@ -166,7 +166,7 @@
 
 // receiveSound takes in which versions answer the request, and reports whether one of them is new here.
 func (r *record) receiveSound(sent *message.RequestEvidence) (news bool) {
-	for _, version := range sent.SoundVersions {
+	for _, version := range sent.SafeVersions {
 		if !slices.Contains(r.sound, version) {
 			r.sound = appendNew(r.sound, version, mostVersions)
 			news = true
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -288,12 +288,12 @@
 		ms := rapid.Uint32()
 		drawn := rapid.Custom(func(t *rapid.T) message.RequestEvidence {
 			evidence := message.RequestEvidence{
-				Mark: [16]byte{rapid.Byte().Draw(t, "mark")}, Shared: rapid.Bool().Draw(t, "wide"), Answered: rapid.Bool().Draw(t, "answered"),
-				AnsweredAgoMs: ms.Draw(t, "answered ago"), QuarantineRemainingMs: ms.Draw(t, "left"), EndedVersions: rapid.SliceOf(text).Draw(t, "versions"),
+				Fingerprint: [16]byte{rapid.Byte().Draw(t, "mark")}, Shared: rapid.Bool().Draw(t, "wide"), Answered: rapid.Bool().Draw(t, "answered"),
+				AnsweredAgoMs: ms.Draw(t, "answered ago"), QuarantineRemainingMs: ms.Draw(t, "left"), CrashedVersions: rapid.SliceOf(text).Draw(t, "versions"),
 			}
 			for range rapid.IntRange(0, 30).Draw(t, "runs") {
-				evidence.Runs = append(evidence.Runs, message.EndedRun{
-					Service: text.Draw(t, "service"), BackEnd: text.Draw(t, "back end"), StartedAgoMs: ms.Draw(t, "began"), EndedAgoMs: ms.Draw(t, "ended"),
+				evidence.Crashes = append(evidence.Crashes, message.Crash{
+					Service: text.Draw(t, "service"), BackEnd: text.Draw(t, "back end"), StartedAgoMs: ms.Draw(t, "began"), CrashedAgoMs: ms.Draw(t, "ended"),
 				})
 			}
 			return evidence
