--- a/internal/gateway/store_waits.go
+++ b/internal/gateway/store_waits.go
@@ -17,8 +17,8 @@
 	StaleAfter clock.Ms
 	// NotifyInterval is how often one of the watchers of a group hears from the store at the latest, and tells the others.
 	NotifyInterval clock.Ms
-	// Patience is how long a node that the store serves waits for its own watch when a peer knows more.
-	Patience clock.Ms
+	// PeerRequestDelay is how long a node that the store serves waits for its own watch when a peer knows more.
+	PeerRequestDelay clock.Ms
 	// AnswerWithin is how long a node waits for a peer's answer before it asks another.
 	AnswerWithin clock.Ms
 	// PollTimeout is the wait for the store's answer to a node whose copy is stale.
@@ -47,11 +47,11 @@
 func PropagationTimesWithin(bound clock.Ms) PropagationTimes {
 	part := func(of float64, longest clock.Ms) clock.Ms { return min(clock.Ms(of*float64(bound)), longest) }
 	return PropagationTimes{
-		Bound:          bound,
-		StaleAfter:     part(stalePart, longestStale),
-		NotifyInterval: part(tellPart, longestTell),
-		Patience:       part(patiencePart, longestPatience),
-		AnswerWithin:   part(answerPart, longestAnswer),
-		PollTimeout:    part(pollPart, longestPoll),
+		Bound:            bound,
+		StaleAfter:       part(stalePart, longestStale),
+		NotifyInterval:   part(tellPart, longestTell),
+		PeerRequestDelay: part(patiencePart, longestPatience),
+		AnswerWithin:     part(answerPart, longestAnswer),
+		PollTimeout:      part(pollPart, longestPoll),
 	}
 }
--- a/internal/gateway/store_waits_test.go
+++ b/internal/gateway/store_waits_test.go
@@ -25,7 +25,7 @@
 	for bound := 2 * clock.Second; bound <= 20*clock.Second; bound += 100 {
 		w := gateway.PropagationTimesWithin(bound)
 		for way, takes := range map[string]clock.Ms{
-			"told by a peer":             w.NotifyInterval + noticed + w.Patience + answered + inFlight,
+			"told by a peer":             w.NotifyInterval + noticed + w.PeerRequestDelay + answered + inFlight,
 			"by itself":                  w.StaleAfter + noticed + answered + inFlight,
 			"by itself, one answer lost": w.StaleAfter + noticed + w.PollTimeout + backedOff + answered + inFlight,
 		} {
