--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -170,7 +170,7 @@
 func spreadSettings(s settings.Gateway, waits PropagationTimes) spread.Settings {
 	return spread.Settings{
 		Interval: digestInterval, Fanout: digestFanout, TombstoneRetention: keepGone,
-		PeerRequestDelay: waits.PeerRequestDelay.Duration(), AnswerTimeout: waits.AnswerWithin.Duration(),
+		PeerRequestDelay: waits.PeerRequestDelay.Duration(), AnswerTimeout: waits.AnswerTimeout.Duration(),
 		EntryLifetime: clock.FromDuration(lapseIntervals * s.EntryInterval), RewriteWindow: rewriteWithin,
 	}
 }
--- a/internal/gateway/store_waits.go
+++ b/internal/gateway/store_waits.go
@@ -19,8 +19,8 @@
 	NotifyInterval clock.Ms
 	// PeerRequestDelay is how long a node that the store serves waits for its own watch when a peer knows more.
 	PeerRequestDelay clock.Ms
-	// AnswerWithin is how long a node waits for a peer's answer before it asks another.
-	AnswerWithin clock.Ms
+	// AnswerTimeout is how long a node waits for a peer's answer before it asks another.
+	AnswerTimeout clock.Ms
 	// PollTimeout is the wait for the store's answer to a node whose copy is stale.
 	PollTimeout clock.Ms
 }
@@ -51,7 +51,7 @@
 		StaleAfter:       part(stalePart, longestStale),
 		NotifyInterval:   part(tellPart, longestTell),
 		PeerRequestDelay: part(patiencePart, longestPatience),
-		AnswerWithin:     part(answerPart, longestAnswer),
+		AnswerTimeout:    part(answerPart, longestAnswer),
 		PollTimeout:      part(pollPart, longestPoll),
 	}
 }
