--- a/internal/gateway/fleet_share.go
+++ b/internal/gateway/fleet_share.go
@@ -35,7 +35,7 @@
 		g.storeCopy.reader.SetPollSchedule(0, 0)
 		return
 	}
-	g.storeCopy.reader.SetPollSchedule(g.fleet.watch.phase(g.storeCopy.waits.NotifyInterval))
+	g.storeCopy.reader.SetPollSchedule(g.fleet.watch.phase(g.storeCopy.waits.AnnounceInterval))
 }
 
 // shareColdBackEnds has the nodes known divide what cold back ends bear. While this node has not joined the others it has no
--- a/internal/gateway/store_waits.go
+++ b/internal/gateway/store_waits.go
@@ -15,8 +15,8 @@
 	// StaleAfter is how long a node goes by a copy of the store that nobody has confirmed to be complete, before it asks the
 	// store itself.
 	StaleAfter clock.Ms
-	// NotifyInterval is how often one of the watchers of a group hears from the store at the latest, and tells the others.
-	NotifyInterval clock.Ms
+	// AnnounceInterval is how often one of the watchers of a group hears from the store at the latest, and tells the others.
+	AnnounceInterval clock.Ms
 	// PeerRequestDelay is how long a node that the store serves waits for its own watch when a peer knows more.
 	PeerRequestDelay clock.Ms
 	// AnswerTimeout is how long a node waits for a peer's answer before it asks another.
@@ -49,7 +49,7 @@
 	return PropagationTimes{
 		Bound:            bound,
 		StaleAfter:       part(stalePart, longestStale),
-		NotifyInterval:   part(tellPart, longestTell),
+		AnnounceInterval: part(tellPart, longestTell),
 		PeerRequestDelay: part(patiencePart, longestPatience),
 		AnswerTimeout:    part(answerPart, longestAnswer),
 		PollTimeout:      part(pollPart, longestPoll),
--- a/internal/gateway/store_waits_test.go
+++ b/internal/gateway/store_waits_test.go
@@ -25,7 +25,7 @@
 	for bound := 2 * clock.Second; bound <= 20*clock.Second; bound += 100 {
 		w := gateway.PropagationTimesWithin(bound)
 		for way, takes := range map[string]clock.Ms{
-			"told by a peer":             w.NotifyInterval + noticed + w.PeerRequestDelay + answered + inFlight,
+			"told by a peer":             w.AnnounceInterval + noticed + w.PeerRequestDelay + answered + inFlight,
 			"by itself":                  w.StaleAfter + noticed + answered + inFlight,
 			"by itself, one answer lost": w.StaleAfter + noticed + w.PollTimeout + backedOff + answered + inFlight,
 		} {
@@ -33,8 +33,8 @@
 				t.Errorf("%s: news within %d ms takes %d", way, w.Bound, takes)
 			}
 		}
-		if w.NotifyInterval+answered > w.StaleAfter {
-			t.Errorf("within %d ms: a copy is stale after %d ms, and confirmed every %d", bound, w.StaleAfter, w.NotifyInterval)
+		if w.AnnounceInterval+answered > w.StaleAfter {
+			t.Errorf("within %d ms: a copy is stale after %d ms, and confirmed every %d", bound, w.StaleAfter, w.AnnounceInterval)
 		}
 	}
 }
