--- a/internal/gateway/crashing_fleet_test.go
+++ b/internal/gateway/crashing_fleet_test.go
@@ -139,7 +139,7 @@
 	}
 	b.over = true
 	close(b.ended)
-	time.AfterFunc(entryLapses, func() { f.store.put(gateway.Item{Key: "back ends/" + b.entry.ID, Gone: true}) })
+	time.AfterFunc(entryLapses, func() { f.store.put(gateway.Item{Key: "back ends/" + b.entry.ID, Deleted: true}) })
 	time.AfterFunc(backAfter, func() { f.begin(b.entry.Service, b.entry.Zone) })
 	return true
 }
--- a/internal/gateway/disturbed_test.go
+++ b/internal/gateway/disturbed_test.go
@@ -20,7 +20,7 @@
 			item.Content.(gateway.BackEnd).Entry.Draining = true
 			s.store.put(item)
 		},
-		"gone": func(s *scene) { s.store.put(gateway.Item{Key: "back ends/s0-near", Gone: true}) },
+		"gone": func(s *scene) { s.store.put(gateway.Item{Key: "back ends/s0-near", Deleted: true}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			play(t, func(t *testing.T, s *scene) {
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -15,7 +15,7 @@
 }
 
 func takenBack(zone string) gateway.Item {
-	return gateway.Item{Key: "evacuated/" + zone, Gone: true}
+	return gateway.Item{Key: "evacuated/" + zone, Deleted: true}
 }
 
 // toZone counts the attempts at a zone's back ends.
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -65,8 +65,8 @@
 func (s *fakeStore) put(item gateway.Item) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	record := message.StoreRecord{Key: item.Key, Deleted: item.Gone}
-	if !item.Gone {
+	record := message.StoreRecord{Key: item.Key, Deleted: item.Deleted}
+	if !item.Deleted {
 		record.Value = fmt.Appendf(nil, "value %d%*s", len(s.meanings)+1, s.padding, "")
 		s.meanings[string(record.Value)] = item
 	}
@@ -79,7 +79,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	item := s.meanings[string(record.Value)]
-	item.Key, item.Revision, item.Gone = record.Key, record.Revision, record.Deleted
+	item.Key, item.Revision, item.Deleted = record.Key, record.Revision, record.Deleted
 	if id, found := strings.CutPrefix(record.Key, "back ends/"); found {
 		known, _ := item.Content.(gateway.BackEnd)
 		item.Content = gateway.BackEnd{ID: id, Entry: known.Entry}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -69,9 +69,9 @@
 		time.Sleep(4 * time.Second)
 		for i := range shards {
 			gone := backEnd(fmt.Sprint("s", i), "-near", "zone")
-			s.store.put(gateway.Item{Key: gone.Key, Gone: true})
+			s.store.put(gateway.Item{Key: gone.Key, Deleted: true})
 			gone = backEnd(fmt.Sprint("s", i), "-far", "other")
-			s.store.put(gateway.Item{Key: gone.Key, Gone: true})
+			s.store.put(gateway.Item{Key: gone.Key, Deleted: true})
 		}
 		s.store.put(configuration(2))
 		s.store.set(func(s *fakeStore) { s.err = nil })
@@ -99,7 +99,7 @@
 func TestDrainIsFast(t *testing.T) {
 	play(t, func(t *testing.T, s *scene) {
 		time.Sleep(10 * time.Second)
-		s.store.put(gateway.Item{Key: "back ends/s0-near", Gone: true})
+		s.store.put(gateway.Item{Key: "back ends/s0-near", Deleted: true})
 		time.Sleep(time.Second)
 		s.search()
 		for _, send := range s.backEnds.sent() {
--- a/internal/gateway/large_change_test.go
+++ b/internal/gateway/large_change_test.go
@@ -114,7 +114,7 @@
 				c.store.put(configuration(2))
 				gone := backEnd("s0", "-near", "zone-0")
 				c.store.put(gone)
-				c.store.put(gateway.Item{Key: gone.Key, Gone: true})
+				c.store.put(gateway.Item{Key: gone.Key, Deleted: true})
 				time.Sleep(3 * time.Second)
 				for _, number := range others {
 					if g := c.gateways[number]; g.Version() != 2 || g.BackEndsKnown() != 0 {
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -222,7 +222,7 @@
 			}
 		}
 		gone := backEnd("s0", "-near", "zone")
-		c.store.put(gateway.Item{Key: gone.Key, Gone: true})
+		c.store.put(gateway.Item{Key: gone.Key, Deleted: true})
 		time.Sleep(3 * time.Second)
 		if known := c.gateways[3].BackEndsKnown(); known != shards-1 {
 			t.Errorf("%d back ends are known three seconds after one left", known)
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -91,7 +91,7 @@
 func TestNoBackEndInTheRegions(t *testing.T) {
 	play(t, func(t *testing.T, s *scene) {
 		for i := range shards {
-			s.store.put(gateway.Item{Key: fmt.Sprint("back ends/s", i, "-far"), Gone: true})
+			s.store.put(gateway.Item{Key: fmt.Sprint("back ends/s", i, "-far"), Deleted: true})
 		}
 		s.store.put(bound(2, "b"))
 		time.Sleep(6 * time.Second)
--- a/internal/gateway/simulation_ends_test.go
+++ b/internal/gateway/simulation_ends_test.go
@@ -40,7 +40,7 @@
 				b.goneSince = time.Now()
 			}
 		})
-		s.cluster.store.put(gateway.Item{Key: "back ends/" + b.entry.ID, Gone: true})
+		s.cluster.store.put(gateway.Item{Key: "back ends/" + b.entry.ID, Deleted: true})
 	})
 	time.AfterFunc(backAfter, func() {
 		var number int
--- a/internal/gateway/simulation_faults_test.go
+++ b/internal/gateway/simulation_faults_test.go
@@ -148,5 +148,5 @@
 	}
 	s.addBackEnd(b.entry.Service, s.random.IntN(simulatedReplicas))
 	s.locked(func() { b.goneSince = time.Now() })
-	s.cluster.store.put(gateway.Item{Key: "back ends/" + b.entry.ID, Gone: true})
+	s.cluster.store.put(gateway.Item{Key: "back ends/" + b.entry.ID, Deleted: true})
 }
--- a/internal/gateway/store_item.go
+++ b/internal/gateway/store_item.go
@@ -12,7 +12,7 @@
 	Key string
 	// Revision of the item's last change.
 	Revision history.Revision
-	Gone     bool
+	Deleted  bool
 	// Content is what the item says; nil where that is of no interest.
 	Content Content
 	// Err says why an item could not be read. A configuration that was known before stays in force; a back end gets nothing more.
--- a/internal/gateway/watchers_test.go
+++ b/internal/gateway/watchers_test.go
@@ -46,7 +46,7 @@
 				}
 				c.store.put(configuration(2))
 				gone := backEnd("s0", "-near", "zone")
-				c.store.put(gateway.Item{Key: gone.Key, Gone: true})
+				c.store.put(gateway.Item{Key: gone.Key, Deleted: true})
 				time.Sleep(3 * time.Second)
 				for _, number := range others {
 					if g := c.gateways[number]; g.Version() != 2 || g.BackEndsKnown() != shards-1 {
