--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -86,7 +86,7 @@
 		firstListing:     firstListing{complete: make(chan struct{})},
 		givenUp:          make(chan struct{}),
 		storeWanted:      make(chan struct{}, 1),
-		replicas:         replica.NewSet(settings.Replica, settings.Places, random),
+		replicas:         replica.NewSet(settings.Replica, settings.Topology, random),
 		budgets:          map[string]*limit.SlidingBudget{},
 		splitter:         routing.NewSplitter(),
 		quarantine:       quarantine.New(settings.Quarantine),
@@ -106,7 +106,7 @@
 	defer g.mu.Unlock()
 	g.settings.Store(&settings)
 	g.storeCopy.configure(&settings)
-	g.replicas.Reconfigure(settings.Replica, settings.Places)
+	g.replicas.Reconfigure(settings.Replica, settings.Topology)
 	g.quarantine.Reconfigure(settings.Quarantine)
 	for _, budget := range g.budgets {
 		budget.SetShare(settings.Retries.Share)
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -17,7 +17,7 @@
 type Settings struct {
 	Forward    forward.Settings
 	Replica    replica.Settings
-	Places     replica.Topology
+	Topology   replica.Topology
 	Follow     follow.Settings
 	Spread     spread.Settings
 	Quarantine quarantine.Settings
@@ -123,7 +123,7 @@
 	return Settings{
 		Forward:    forwardSettings(s),
 		Replica:    replicaSettings(s),
-		Places:     replica.Topology{Node: s.Node, Zone: s.Zone, Regions: s.Regions},
+		Topology:   replica.Topology{Node: s.Node, Zone: s.Zone, Regions: s.Regions},
 		Follow:     followSettings(waits),
 		Spread:     spreadSettings(s, waits),
 		Quarantine: quarantine.Settings{Rounds: s.QuarantineRounds, Duration: clock.FromDuration(s.QuarantineFor)},
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -165,7 +165,7 @@
 func (g *Gateway) compile(configuration Configuration) (*routing.Table, error) {
 	table, err := routing.Compile(*configuration.Configuration)
 	if err == nil {
-		err = table.CheckRegions(g.settings.Load().Places.KnowsRegion)
+		err = table.CheckRegions(g.settings.Load().Topology.KnowsRegion)
 	}
 	return table, err
 }
