--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -123,7 +123,7 @@
 	lines := logged(func(log *decisionlog.Log) {
 		log.Request(&gateway.Call{ID: "request"}, &gateway.Result{
 			Answer:    forward.Answer{Failure: failure.New(failure.CoverageTooLow, ""), Reason: forward.ShardsFailed},
-			TimeLimit: 31 * time.Millisecond, ReadDelay: 12 * time.Millisecond, Unasked: unasked,
+			TimeLimit: 31 * time.Millisecond, UnreadFor: 12 * time.Millisecond, Unasked: unasked,
 		})
 	})
 	if len(lines) != 1 {
--- a/internal/decisionlog/request.go
+++ b/internal/decisionlog/request.go
@@ -32,7 +32,7 @@
 	if result.Route != nil {
 		fields[fieldRoute] = result.Route.Name
 	}
-	if unread := result.ReadDelay.Milliseconds(); unread > 0 {
+	if unread := result.UnreadFor.Milliseconds(); unread > 0 {
 		fields[fieldUnread] = unread
 	}
 	if result.TotalShards > 0 {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -77,8 +77,8 @@
 	Attempts []*forward.Attempt
 	Arrived  time.Duration
 	Elapsed  time.Duration
-	// ReadDelay is how long the call lay in the machine before this node read it, a part of Elapsed.
-	ReadDelay time.Duration
+	// UnreadFor is how long the call lay in the machine before this node read it, a part of Elapsed.
+	UnreadFor time.Duration
 	// Denied says, for the shard of an attempt, why an extra attempt that was due was not sent.
 	Denied func(*forward.Attempt) forward.DenialReason
 	// Unasked gives the shards at which no attempt was begun; nil where the call was refused before any was looked at.
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -27,7 +27,7 @@
 	g.mu.Unlock()
 	arrived := g.arrival(call, read)
 	result := g.answer(ctx, call, arrived)
-	result.Arrived, result.CopyAge, result.ReadDelay = arrived, age, read-arrived
+	result.Arrived, result.CopyAge, result.UnreadFor = arrived, age, read-arrived
 	result.Elapsed = g.now() - arrived
 	g.log.Request(call, &result)
 	return result
--- a/internal/gateway/unread_test.go
+++ b/internal/gateway/unread_test.go
@@ -17,8 +17,8 @@
 		arrived := time.Now()
 		time.Sleep(unread)
 		result := s.gateway.Serve(context.Background(), &gateway.Call{ID: "id", Host: "h", Path: "/all/x", Arrived: arrived, Deadline: arrived.Add(patience)})
-		if result.Failure != nil || result.ReadDelay != unread || result.Elapsed < unread {
-			t.Errorf("unread %v of %v: %v", result.ReadDelay, result.Elapsed, result.Failure)
+		if result.Failure != nil || result.UnreadFor != unread || result.Elapsed < unread {
+			t.Errorf("unread %v of %v: %v", result.UnreadFor, result.Elapsed, result.Failure)
 		}
 		for _, send := range s.backEnds.sent() {
 			if left := send.Deadline.Sub(arrived); left > patience {
