--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -54,8 +54,8 @@
 	errHistoryLost = errors.New("history lost")
 )
 
-// Trouble implements gateway.Store.
-func (s *fakeStore) Trouble(err error) follow.FailureKind {
+// FailureKind implements gateway.Store.
+func (s *fakeStore) FailureKind(err error) follow.FailureKind {
 	if errors.Is(err, errHistoryLost) {
 		return follow.HistoryLost
 	}
--- a/internal/gateway/store.go
+++ b/internal/gateway/store.go
@@ -31,7 +31,7 @@
 }
 
 // Store is read for the configuration, the back ends and evacuated zones; nodes keep quarantines and claims of retrials there.
-// Failures have the code STORE_UNAVAILABLE or, where an answer cannot be read, MALFORMED; Trouble tells their kind.
+// Failures have the code STORE_UNAVAILABLE or, where an answer cannot be read, MALFORMED; FailureKind tells their kind.
 type Store interface {
 	// List reads the page of keys after one. Known is the revision that the node knows, by which the answer is told from one of an
 	// earlier era.
@@ -45,6 +45,6 @@
 	Write(ctx context.Context, w StoreWrite) (written bool, err error)
 	// Remove takes something away that nodes keep there.
 	Remove(ctx context.Context, key string) error
-	// Trouble is the kind of a failure of this store.
-	Trouble(err error) follow.FailureKind
+	// FailureKind is the kind of a failure of this store.
+	FailureKind(err error) follow.FailureKind
 }
--- a/internal/gateway/store_reading.go
+++ b/internal/gateway/store_reading.go
@@ -189,7 +189,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	trouble := g.store.Trouble(err)
+	trouble := g.store.FailureKind(err)
 	g.log.StoreCallFailed(trouble, failure.From(err), g.storeCopy.reader.ContactAge(now))
 	g.storeCopy.reader.RecordFailure(now, trouble)
 }
