--- a/internal/forward/caution.go
+++ b/internal/forward/caution.go
@@ -9,7 +9,7 @@
 // The rule of caution: how a request is sent on under which back ends end, so that it ends no more of them than it takes
 // to know it.
 //   - A shard whose back end ended is held until another shard has answered, or nothing is under way.
-//   - With two ends and no answer (quarantine.WithdrawOthers), all attempts under way are withdrawn, their shards held,
+//   - With two ends and no answer (quarantine.CancelOthers), all attempts under way are withdrawn, their shards held,
 //     and the request is suspected.
 //   - A request that is suspected, also when it comes, is tried at one back end at a time: once nothing is under way, or
 //     trialPatience after the last trial began.
