--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -36,12 +36,12 @@
 	},
 	{
 		"vanished entries are used for ever", "internal/replica/doubt.go",
-		"	if until <= now {\n		s.noteDeparted(now, known)\n		s.forget(known)\n		return true\n	}\n", "",
+		"	if until <= now {\n		s.recordDeparture(now, known)\n		s.forget(known)\n		return true\n	}\n", "",
 		"./internal/replica", "TestVanished",
 	},
 	{
 		"an entry that lapsed in an outage is gone at once", "internal/replica/doubt.go",
-		"	if until <= now {\n		s.noteDeparted(now, known)", "	if true {\n		s.noteDeparted(now, known)",
+		"	if until <= now {\n		s.recordDeparture(now, known)", "	if true {\n		s.recordDeparture(now, known)",
 		"./internal/gateway", "TestLapsedEntries",
 	},
 	{
@@ -51,7 +51,7 @@
 	},
 	{
 		"an earlier start of one that left comes back", "internal/replica/departed.go",
-		"	case entry.startedBefore(known.last):\n		return entry, false\n", "",
+		"	case entry.startedBefore(known.lastEntry):\n		return entry, false\n", "",
 		"./internal/replica", "TestEarlierStartIsOld",
 	},
 	{
@@ -61,7 +61,7 @@
 	},
 	{
 		"a start that leaves comes back as ready", "internal/replica/departed.go",
-		"	entry.Draining = entry.Draining || known.last.Draining && entry.StartedAt != 0\n", "",
+		"	entry.Draining = entry.Draining || known.lastEntry.Draining && entry.StartedAt != 0\n", "",
 		"./internal/replica", "TestLeavingIsFinalWithinAStart",
 	},
 	{
@@ -206,7 +206,7 @@
 	},
 	{
 		"a back end that is full counts as failing", "internal/replica/replica.go",
-		"		r.connectionsDoubtedUntil = now + connectionsDoubtedFor\n", "		r.ejection.failures += failuresToEject\n		r.ejection.extend(now)\n",
+		"		r.verifyConnectionsUntil = now + verifyConnectionsFor\n", "		r.ejection.consecutiveFailures += failuresToEject\n		r.ejection.extend(now)\n",
 		"./internal/replica", "TestTurnedAway",
 	},
 	{
@@ -298,7 +298,7 @@
 	},
 	{
 		"a withdrawn attempt counts as quick as it was old", "internal/replica/replica.go",
-		"time.Duration(r.withdrawnFactor*float64(elapsed))", "elapsed",
+		"time.Duration(r.cancelledFactor*float64(elapsed))", "elapsed",
 		"./internal/replica", "TestWithdrawnAttempt",
 	},
 	{
@@ -348,7 +348,7 @@
 	},
 	{
 		"connections to far back ends rest like others", "internal/replica/connections.go",
-		"return IdleLimit{MaximumIdle: 1, IdleTimeout: farIdleFor}", "return IdleLimit{MaximumIdle: 1}",
+		"return IdleLimit{MaximumIdle: 1, IdleTimeout: otherRegionIdleTimeout}", "return IdleLimit{MaximumIdle: 1}",
 		"./internal/replica", "TestIdleLimit",
 	},
 	{
@@ -388,7 +388,7 @@
 	},
 	{
 		"cold back ends get what anybody asks", "internal/replica/pick.go",
-		" && s.withinWarmup(now, r)", "",
+		" && s.withinColdQuota(now, r)", "",
 		"./internal/replica", "TestColdBackEndsGetNoMoreThanTheyBear",
 	},
 	{
@@ -408,7 +408,7 @@
 	},
 	{
 		"hearsay goes before what a node met itself", "internal/replica/report.go",
-		"if seenAt > r.slowdown.at && (r.load.at == 0 || now-r.load.at > firstHandFor) {", "if seenAt > r.slowdown.at {",
+		"if seenAt > r.slowdown.at && (r.load.at == 0 || now-r.load.at > ownObservationPrecedence) {", "if seenAt > r.slowdown.at {",
 		"./internal/replica", "TestHeardToBeSlow",
 	},
 	{
--- a/internal/replica/connections.go
+++ b/internal/replica/connections.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// ampleShare of a back end's connections for each node leaves some to keep anywhere for the next request.
-	ampleShare = 2
-	// farPart of a back end's connections, one in so many, is left to nodes of other regions where there is no ample share.
-	farPart = 8
-	// farIdleFor is how long a connection to a far replica is idle where the share is not ample.
-	farIdleFor = clock.Second
-	// connectionsDoubtedFor is how long new connections must prove themselves after one was turned away: back ends
+	// ampleConnections of a back end's connections for each node leaves some to keep anywhere for the next request.
+	ampleConnections = 2
+	// otherRegionsDivisor of a back end's connections, one in so many, is left to nodes of other regions where there is no ample share.
+	otherRegionsDivisor = 8
+	// otherRegionIdleTimeout is how long a connection to a far replica is idle where the share is not ample.
+	otherRegionIdleTimeout = clock.Second
+	// verifyConnectionsFor is how long new connections must prove themselves after one was turned away: back ends
 	// count those of lives that ended for some seconds.
-	connectionsDoubtedFor = 4 * time.Second
+	verifyConnectionsFor = 4 * time.Second
 )
 
 // ConnectionShare is what one node may have of the connections of each back end of a service.
@@ -30,17 +30,17 @@
 // its requests, get what the others need only now and then.
 func NewConnectionShare(connections, nodes, nearNodes, most int) ConnectionShare {
 	each := min(max(connections/nodes, 1), most)
-	if each >= ampleShare {
+	if each >= ampleConnections {
 		return ConnectionShare{SameRegion: each, OtherRegions: each}
 	}
-	near := (connections - connections/farPart) / max(nearNodes, 1)
+	near := (connections - connections/otherRegionsDivisor) / max(nearNodes, 1)
 	return ConnectionShare{SameRegion: min(max(near, each), most), OtherRegions: each}
 }
 
 // SetConnectionShares sets what this node may have of the connections, by service.
 func (s *Set) SetConnectionShares(shares map[string]ConnectionShare) {
 	s.shares = shares
-	s.preferSubsets()
+	s.selectSubsets()
 }
 
 // connectionShare of a service; without one the settings bound all.
@@ -51,9 +51,9 @@
 	return ConnectionShare{SameRegion: s.settings.Connections, OtherRegions: s.settings.Connections}
 }
 
-// connectionsTo bounds the attempts under way at a replica.
-func (s *Set) connectionsTo(r *Replica) int {
-	if s.near(r) {
+// connectionLimit bounds the attempts under way at a replica.
+func (s *Set) connectionLimit(r *Replica) int {
+	if s.inOwnRegion(r) {
 		return s.connectionShare(r.Service).SameRegion
 	}
 	return s.connectionShare(r.Service).OtherRegions
@@ -74,19 +74,19 @@
 func (s *Set) IdleLimit(r *Replica) IdleLimit {
 	share := s.connectionShare(r.Service)
 	switch {
-	case share.OtherRegions >= ampleShare || !s.settings.LimitIdle:
+	case share.OtherRegions >= ampleConnections || !s.settings.LimitIdle:
 		return IdleLimit{MaximumIdle: share.SameRegion}
-	case s.near(r):
+	case s.inOwnRegion(r):
 		return IdleLimit{MaximumIdle: 1}
 	}
-	return IdleLimit{MaximumIdle: 1, IdleTimeout: farIdleFor}
+	return IdleLimit{MaximumIdle: 1, IdleTimeout: otherRegionIdleTimeout}
 }
 
 // MustVerify reports whether a new connection to the replica must prove itself before it is used, since the replica may
 // be at the limit of the connections that it takes.
 func (s *Set) MustVerify(now time.Duration, r *Replica) bool {
-	return s.settings.VerifyConnections && (s.manyStarting || now < r.connectionsDoubtedUntil)
+	return s.settings.VerifyConnections && (s.manyNodesStarting || now < r.verifyConnectionsUntil)
 }
 
 // SetManyNodesStarting says whether back ends may still count connections of earlier lives of many nodes.
-func (s *Set) SetManyNodesStarting(many bool) { s.manyStarting = many }
+func (s *Set) SetManyNodesStarting(many bool) { s.manyNodesStarting = many }
--- a/internal/replica/doubt.go
+++ b/internal/replica/doubt.go
@@ -15,11 +15,11 @@
 func (s *Set) Remove(now time.Duration, id string, until time.Duration) bool {
 	known := s.byID[id]
 	if known == nil {
-		s.dropPutAside(id)
+		s.dropHeldEntry(id)
 		return false
 	}
 	if until <= now {
-		s.noteDeparted(now, known)
+		s.recordDeparture(now, known)
 		s.forget(known)
 		return true
 	}
@@ -36,7 +36,7 @@
 	for id, known := range s.byID {
 		if known.doubt.doubtful && now >= known.doubt.until {
 			expired = append(expired, id)
-			s.noteDeparted(now, known)
+			s.recordDeparture(now, known)
 			s.forget(known)
 		}
 	}
--- a/internal/replica/latency.go
+++ b/internal/replica/latency.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// latencyGain is the weight of a new sample in the moving average, floorGain that of one above the floor.
-	latencyGain = 0.3
-	floorGain   = 0.01
+	// latencyWeight is the weight of a new sample in the moving average, floorGain that of one above the floor.
+	latencyWeight = 0.3
+	minimumWeight = 0.01
 	// latencyHalfLife is the time in which the latency of an unused replica halves, so that it is tried again.
 	latencyHalfLife = 2 * time.Second
 	// unknownLatency stands for the latency of a replica without a sample. Nothing decays to less.
@@ -16,8 +16,8 @@
 type latency struct {
 	// average moves with each sample; 0 before the first one.
 	average time.Duration
-	// floor is the least that they take of late; 0 before the first answer.
-	floor     time.Duration
+	// minimum is the least that they take of late; 0 before the first answer.
+	minimum   time.Duration
 	sampledAt time.Duration
 }
 
@@ -37,21 +37,21 @@
 	return learned
 }
 
-func (l *latency) sample(now, elapsed time.Duration) {
+func (l *latency) addSample(now, elapsed time.Duration) {
 	if l.average == 0 {
 		l.average = elapsed
 	} else {
 		average := l.expected(now)
-		l.average = average + time.Duration(latencyGain*float64(elapsed-average))
+		l.average = average + time.Duration(latencyWeight*float64(elapsed-average))
 	}
 	l.sampledAt = now
 }
 
-// lowerFloor follows the least latencies down at once and up slowly.
-func (l *latency) lowerFloor(elapsed time.Duration) {
-	if l.floor == 0 || elapsed < l.floor {
-		l.floor = elapsed
+// recordMinimum follows the least latencies down at once and up slowly.
+func (l *latency) recordMinimum(elapsed time.Duration) {
+	if l.minimum == 0 || elapsed < l.minimum {
+		l.minimum = elapsed
 		return
 	}
-	l.floor += time.Duration(floorGain * float64(elapsed-l.floor))
+	l.minimum += time.Duration(minimumWeight * float64(elapsed-l.minimum))
 }
--- a/internal/replica/pick.go
+++ b/internal/replica/pick.go
@@ -34,11 +34,11 @@
 	jitter = 0.1
 	// coldFactor is the slowdown expected of a back end that has just started.
 	coldFactor = 1.6
-	// unstatedTarget stands for the target latency of a route that states none.
-	unstatedTarget = 250 * time.Millisecond
-	// otherZonePart of the price of another region is that of another zone of the own one, which takes less time, and
+	// defaultTargetLatency stands for the target latency of a route that states none.
+	defaultTargetLatency = 250 * time.Millisecond
+	// otherZoneFraction of the price of another region is that of another zone of the own one, which takes less time, and
 	// whose traffic costs less.
-	otherZonePart = 0.08
+	otherZoneFraction = 0.08
 )
 
 // PickOptions says which replicas of a service may be picked: of those in Only, if there are any, all but those excluded.
@@ -68,7 +68,7 @@
 func (s *Set) Pick(now time.Duration, service string, choice PickOptions) (best *Replica, busy bool) {
 	target := choice.TargetLatency
 	if target == 0 {
-		target = unstatedTarget
+		target = defaultTargetLatency
 	}
 	var bestScore float64
 	var bestRank rank
@@ -76,7 +76,7 @@
 		if !member.candidate() || !choice.allows(member) {
 			continue
 		}
-		if !s.hasRoom(now, member) {
+		if !s.hasCapacity(now, member) {
 			busy = true
 			continue
 		}
@@ -93,9 +93,9 @@
 	return !r.Draining && !r.misdirected && !r.evacuated
 }
 
-// hasRoom reports whether this node may begin another attempt at a replica.
-func (s *Set) hasRoom(now time.Duration, r *Replica) bool {
-	return len(r.inFlight) < s.connectionsTo(r) && s.withinWarmup(now, r)
+// hasCapacity reports whether this node may begin another attempt at a replica.
+func (s *Set) hasCapacity(now time.Duration, r *Replica) bool {
+	return len(r.inFlight) < s.connectionLimit(r) && s.withinColdQuota(now, r)
 }
 
 // rank orders replicas before their scores are compared.
@@ -124,33 +124,33 @@
 func (s *Set) score(now time.Duration, r *Replica, target time.Duration) float64 {
 	expected := float64(r.ExpectedLatency(now)) * float64(1+len(r.inFlight))
 	if s.settings.UseSlowdown {
-		expected *= r.slowdown.now(now, r.affinity)
+		expected *= r.slowdown.current(now, r.affinity)
 	}
 	if r.Cold(now) {
 		expected *= coldFactor
 	}
 	expected *= 1 + jitter*(2*s.random.Float64()-1)
 	if r.outsideSubset {
-		expected += float64(outsidePenalty)
+		expected += float64(outsideSubsetPenalty)
 	}
 	faults := r.faults.odds(now) * s.settings.FaultPenalty * float64(target)
-	return expected + faults + float64(s.distance(r, target))
+	return expected + faults + float64(s.distancePenalty(r, target))
 }
 
-// distance is the price of a replica that is farther than the own zone.
-func (s *Set) distance(r *Replica, target time.Duration) time.Duration {
+// distancePenalty is the price of a replica that is farther than the own zone.
+func (s *Set) distancePenalty(r *Replica, target time.Duration) time.Duration {
 	if r.Zone == s.places.Zone {
 		return 0
 	}
 	price := s.settings.OtherRegionPenalty * float64(target)
-	if s.near(r) {
-		price *= otherZonePart
+	if s.inOwnRegion(r) {
+		price *= otherZoneFraction
 	}
 	return time.Duration(price)
 }
 
-// near reports whether a replica is in the region of the node.
-func (s *Set) near(r *Replica) bool {
+// inOwnRegion reports whether a replica is in the region of the node.
+func (s *Set) inOwnRegion(r *Replica) bool {
 	return r.Zone == s.places.Zone || r.region == s.places.Regions[s.places.Zone]
 }
 
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -75,10 +75,10 @@
 	ejection ejection
 	doubt    doubt
 	cold     coldPhase
-	// connectionsDoubtedUntil: it has turned connections away of late.
-	connectionsDoubtedUntil time.Duration
-	// withdrawnFactor and useSlowdown are of the settings.
-	withdrawnFactor float64
+	// verifyConnectionsUntil: it has turned connections away of late.
+	verifyConnectionsUntil time.Duration
+	// cancelledFactor and useSlowdown are of the settings.
+	cancelledFactor float64
 	useSlowdown     bool
 }
 
@@ -89,13 +89,13 @@
 func (r *Replica) AverageLatency() time.Duration { return r.latency.average }
 
 // MinimumLatency is the least that an answer of the replica takes: the way there and back.
-func (r *Replica) MinimumLatency() time.Duration { return r.latency.floor }
+func (r *Replica) MinimumLatency() time.Duration { return r.latency.minimum }
 
 // ExpectedMinimum is the least that an answer takes by what is known now. Answers that came while this node stood still say that
 // it takes seconds, and who goes by that for good makes no attempt that would show otherwise; so what was learned
 // decays.
 func (r *Replica) ExpectedMinimum(now time.Duration) time.Duration {
-	return r.latency.decay(now, r.latency.floor)
+	return r.latency.decay(now, r.latency.minimum)
 }
 
 // ExpectedLatency is the latency expected of an attempt: the average, decayed while the replica is unused, and no less than
@@ -124,7 +124,7 @@
 func (r *Replica) StartAttempt(now time.Duration) {
 	r.inFlight = append(r.inFlight, now)
 	if r.Cold(now) {
-		r.cold.note(now)
+		r.cold.recordStart(now)
 	}
 }
 
@@ -140,26 +140,26 @@
 	switch verdict {
 	case Answered:
 		r.ejection = ejection{}
-		r.faults.note(now, 0)
-		r.latency.lowerFloor(elapsed)
-		r.latency.sample(now, r.withoutSlowdown(now, elapsed))
+		r.faults.record(now, 0)
+		r.latency.recordMinimum(elapsed)
+		r.latency.addSample(now, r.withoutSlowdown(now, elapsed))
 	case Cancelled:
 		// Its latency is more than its age, by an unknown time.
 		if elapsed > r.latency.expected(now) {
-			r.latency.sample(now, time.Duration(r.withdrawnFactor*float64(elapsed)))
+			r.latency.addSample(now, time.Duration(r.cancelledFactor*float64(elapsed)))
 		}
 	case Refused:
-		r.latency.sample(now, max(elapsed, 2*r.latency.expected(now)))
+		r.latency.addSample(now, max(elapsed, 2*r.latency.expected(now)))
 	case RefusedWithFreeSlots:
-		r.faults.note(now, 1)
+		r.faults.record(now, 1)
 	case Failed:
-		r.faults.note(now, 1)
-		return r.ejection.failed(now)
+		r.faults.record(now, 1)
+		return r.ejection.recordFailure(now)
 	case Unreachable:
-		return r.ejection.unreachable(now)
+		return r.ejection.recordUnreachable(now)
 	case ConnectionRejected:
-		r.connectionsDoubtedUntil = now + connectionsDoubtedFor
-		return r.ejection.pause(now, turnedAwayPause)
+		r.verifyConnectionsUntil = now + verifyConnectionsFor
+		return r.ejection.pause(now, rejectedConnectionPause)
 	case Misdirected:
 		r.misdirected = true
 	}
@@ -169,6 +169,6 @@
 // RecordContradiction takes in that another replica has answered what this one said is the request's fault. It reports whether the
 // replica was ejected by it.
 func (r *Replica) RecordContradiction(now time.Duration) (ejected bool) {
-	r.faults.note(now, 1)
-	return r.ejection.failed(now)
+	r.faults.record(now, 1)
+	return r.ejection.recordFailure(now)
 }
--- a/internal/replica/set.go
+++ b/internal/replica/set.go
@@ -27,15 +27,15 @@
 	byService map[string][]*Replica
 	// shares of the connections by service, where they differ from the settings'.
 	shares map[string]ConnectionShare
-	// manyStarting: back ends may still count connections of earlier lives of many nodes.
-	manyStarting bool
+	// manyNodesStarting: back ends may still count connections of earlier lives of many nodes.
+	manyNodesStarting bool
 	// evacuated zones, whose back ends get nothing.
 	evacuated map[string]bool
 	// warmups by service, and the nodes that divide what cold back ends bear.
 	warmups map[string]Warmup
 	nodes   nodeList
 	// departed are back ends that have left; until distrustedUntil entries that name them are put aside.
-	departed        map[string]departed
+	departed        map[string]departedBackEnd
 	distrustedUntil time.Duration
 }
 
@@ -43,7 +43,7 @@
 func NewSet(settings Settings, places Topology, random *rand.Rand) *Set {
 	return &Set{
 		settings: settings, places: places, random: random, byID: map[string]*Replica{}, byKey: map[uint64]*Replica{},
-		byService: map[string][]*Replica{}, evacuated: map[string]bool{}, departed: map[string]departed{},
+		byService: map[string][]*Replica{}, evacuated: map[string]bool{}, departed: map[string]departedBackEnd{},
 	}
 }
 
@@ -51,10 +51,10 @@
 func (s *Set) Reconfigure(settings Settings, places Topology) {
 	s.settings, s.places = settings, places
 	for _, known := range s.byID {
-		known.withdrawnFactor, known.useSlowdown = settings.CancelledFactor, settings.UseSlowdown
-		s.locate(known)
+		known.cancelledFactor, known.useSlowdown = settings.CancelledFactor, settings.UseSlowdown
+		s.refreshZone(known)
 	}
-	s.preferSubsets()
+	s.selectSubsets()
 }
 
 // Len is the number of back ends, vanished ones in doubt included.
@@ -79,7 +79,7 @@
 func (s *Set) Put(now time.Duration, entry Entry) bool {
 	known := s.byID[entry.ID]
 	if known == nil {
-		return s.putUnknown(now, entry)
+		return s.putNew(now, entry)
 	}
 	switch {
 	case entry.startedBefore(known.Entry):
@@ -89,21 +89,21 @@
 		s.add(now, entry)
 		return true
 	}
-	return s.update(now, known, entry)
+	return s.updateKnown(now, known, entry)
 }
 
-// putUnknown takes in an entry whose id no replica has, unless it is an old one of a back end that has left.
-func (s *Set) putUnknown(now time.Duration, entry Entry) bool {
-	entry, current := s.sinceDeparture(now, entry)
+// putNew takes in an entry whose id no replica has, unless it is an old one of a back end that has left.
+func (s *Set) putNew(now time.Duration, entry Entry) bool {
+	entry, current := s.reconcileDeparted(now, entry)
 	if current {
 		s.add(now, entry)
 	}
 	return current
 }
 
-// update takes in another entry of a replica, and reports whether anything changed that a choice goes by. A back end that
+// updateKnown takes in another entry of a replica, and reports whether anything changed that a choice goes by. A back end that
 // leaves does not change its mind, and what answered for it at another address says nothing of this one.
-func (s *Set) update(now time.Duration, known *Replica, entry Entry) bool {
+func (s *Set) updateKnown(now time.Duration, known *Replica, entry Entry) bool {
 	entry.Draining = entry.Draining || known.Draining
 	entry.StartedAt = known.StartedAt
 	moved := known.Address != entry.Address
@@ -112,9 +112,9 @@
 	known.doubt.doubtful = false
 	known.misdirected = known.misdirected && !moved
 	known.cold.until = now + entry.WarmupLeft
-	s.locate(known)
+	s.refreshZone(known)
 	if changed {
-		s.preferSubset(entry.Service)
+		s.selectSubset(entry.Service)
 	}
 	return changed
 }
@@ -123,13 +123,13 @@
 	added := &Replica{
 		Entry: entry, key: xxhash.Sum64String(entry.Incarnation()), affinity: affinity(s.places.Node, entry.ID),
 		latency: latency{sampledAt: now}, cold: coldPhase{until: now + entry.WarmupLeft},
-		withdrawnFactor: s.settings.CancelledFactor, useSlowdown: s.settings.UseSlowdown,
+		cancelledFactor: s.settings.CancelledFactor, useSlowdown: s.settings.UseSlowdown,
 	}
-	s.locate(added)
+	s.refreshZone(added)
 	s.byID[entry.ID] = added
 	s.byKey[added.key] = added
 	s.byService[entry.Service] = append(s.byService[entry.Service], added)
-	s.preferSubset(entry.Service)
+	s.selectSubset(entry.Service)
 }
 
 func (s *Set) forget(known *Replica) {
@@ -143,7 +143,7 @@
 		members[i] = members[len(members)-1]
 		members[len(members)-1] = nil
 		s.byService[known.Service] = members[:len(members)-1]
-		s.preferSubset(known.Service)
+		s.selectSubset(known.Service)
 		return
 	}
 }
--- a/internal/replica/slowdown.go
+++ b/internal/replica/slowdown.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// slowdownFor is how long a slowdown counts that nobody tells again. Each node has a time of its own up to twice that,
+// slowdownLifetime is how long a slowdown counts that nobody tells again. Each node has a time of its own up to twice that,
 // so that one tries a slow back end first and tells the others.
-const slowdownFor = 2 * time.Second
+const slowdownLifetime = 2 * time.Second
 
 // slowdown is how long work takes at a replica as a multiple of the usual, as the replica told it, or another node that asked it.
 type slowdown struct {
@@ -13,9 +13,9 @@
 	at     time.Duration
 }
 
-// now is the factor that is expected, at least 1. The affinity spreads the nodes' times.
-func (s *slowdown) now(now time.Duration, affinity uint64) float64 {
-	lasts := time.Duration(float64(slowdownFor) * (1 + float64(affinity>>32)/(1<<32)))
+// current is the factor that is expected, at least 1. The affinity spreads the nodes' times.
+func (s *slowdown) current(now time.Duration, affinity uint64) float64 {
+	lasts := time.Duration(float64(slowdownLifetime) * (1 + float64(affinity>>32)/(1<<32)))
 	if s.factor == 0 || now-s.at > lasts {
 		return 1
 	}
@@ -24,7 +24,7 @@
 
 // withoutSlowdown is how long an answer would have taken at the usual speed, where the load came with that answer.
 func (r *Replica) withoutSlowdown(now, elapsed time.Duration) time.Duration {
-	floor := r.latency.floor
+	floor := r.latency.minimum
 	if !r.useSlowdown || r.load.at != now || !r.load.Reported || r.load.Slowdown <= 1 || elapsed <= floor {
 		return elapsed
 	}
--- a/internal/replica/warmup.go
+++ b/internal/replica/warmup.go
@@ -23,27 +23,27 @@
 // coldPhase is the time after its start, or after its zone was taken back, in which a replica is cold.
 type coldPhase struct {
 	until time.Duration
-	// starts are the moments at which this node has begun attempts within the last window, oldest first.
-	starts []time.Duration
-	// grant is how many this node may begin in a window, as worked out for a version of the list of nodes.
-	grant    int
-	grantFor uint64
+	// recentStarts are the moments at which this node has begun attempts within the last window, oldest first.
+	recentStarts []time.Duration
+	// quota is how many this node may begin in a window, as worked out for a version of the list of nodes.
+	quota        int
+	quotaVersion uint64
 }
 
 func (c *coldPhase) active(now time.Duration) bool { return now < c.until }
 
-func (c *coldPhase) note(now time.Duration) {
-	c.forget(now)
-	c.starts = append(c.starts, now)
+func (c *coldPhase) recordStart(now time.Duration) {
+	c.dropOldStarts(now)
+	c.recentStarts = append(c.recentStarts, now)
 }
 
-func (c *coldPhase) forget(now time.Duration) {
-	recent := slices.IndexFunc(c.starts, func(at time.Duration) bool { return now-at < coldWindow })
+func (c *coldPhase) dropOldStarts(now time.Duration) {
+	recent := slices.IndexFunc(c.recentStarts, func(at time.Duration) bool { return now-at < coldWindow })
 	if recent < 0 {
-		c.starts = c.starts[:0]
+		c.recentStarts = c.recentStarts[:0]
 		return
 	}
-	c.starts = slices.Delete(c.starts, 0, recent)
+	c.recentStarts = slices.Delete(c.recentStarts, 0, recent)
 }
 
 // nodeList is the nodes that divide what cold back ends bear.
@@ -70,11 +70,11 @@
 	s.nodes = nodeList{self: self, names: slices.Clone(nodes), version: s.nodes.version + 1}
 }
 
-// withinWarmup reports whether an attempt at a replica may begin now as far as its being cold goes. The nodes divide
+// withinColdQuota reports whether an attempt at a replica may begin now as far as its being cold goes. The nodes divide
 // what a cold back end bears without an exchange: each has the whole part, and the rest of the division goes to those
 // whose hash with the back end is greatest, so that 20 requests a second are 20 nodes' with one each and not 65 nodes'
 // with a third. Nodes whose lists differ by a few give a few more or less.
-func (s *Set) withinWarmup(now time.Duration, r *Replica) bool {
+func (s *Set) withinColdQuota(now time.Duration, r *Replica) bool {
 	warmup := s.warmups[r.Service]
 	if !r.Cold(now) || warmup.Rate == 0 {
 		return true
@@ -83,15 +83,15 @@
 		// An earlier life of this node may just have had its part.
 		return false
 	}
-	if r.cold.grantFor != s.nodes.version {
-		r.cold.grant, r.cold.grantFor = s.nodes.grant(r.ID, warmup.Rate), s.nodes.version
+	if r.cold.quotaVersion != s.nodes.version {
+		r.cold.quota, r.cold.quotaVersion = s.nodes.quota(r.ID, warmup.Rate), s.nodes.version
 	}
-	r.cold.forget(now)
-	return len(r.cold.starts) < r.cold.grant
+	r.cold.dropOldStarts(now)
+	return len(r.cold.recentStarts) < r.cold.quota
 }
 
-// grant is this node's part of a rate at a back end, in whole requests.
-func (l *nodeList) grant(id string, rate float64) int {
+// quota is this node's part of a rate at a back end, in whole requests.
+func (l *nodeList) quota(id string, rate float64) int {
 	if len(l.names) == 0 {
 		return 0
 	}
--- a/internal/replica/zones.go
+++ b/internal/replica/zones.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// locate brings up to date what follows from the zone of a replica.
-func (s *Set) locate(r *Replica) {
+// refreshZone brings up to date what follows from the zone of a replica.
+func (s *Set) refreshZone(r *Replica) {
 	r.region = s.places.Regions[r.Zone]
 	r.evacuated = s.evacuated[r.Zone]
 }
@@ -15,7 +15,7 @@
 		return false
 	}
 	s.evacuated[zone] = true
-	s.locateZone(zone)
+	s.refreshReplicasOfZone(zone)
 	return true
 }
 
@@ -26,7 +26,7 @@
 		return false
 	}
 	delete(s.evacuated, zone)
-	s.locateZone(zone)
+	s.refreshReplicasOfZone(zone)
 	for _, known := range s.byID {
 		if known.Zone == zone {
 			known.cold.until = max(known.cold.until, now+s.warmups[known.Service].Duration.Duration())
@@ -38,11 +38,11 @@
 // EvacuatedZones is the number of zones that get nothing.
 func (s *Set) EvacuatedZones() int { return len(s.evacuated) }
 
-func (s *Set) locateZone(zone string) {
+func (s *Set) refreshReplicasOfZone(zone string) {
 	for _, known := range s.byID {
 		if known.Zone == zone {
-			s.locate(known)
+			s.refreshZone(known)
 		}
 	}
-	s.preferSubsets()
+	s.selectSubsets()
 }
