--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -32,12 +32,12 @@
 	{
 		"draining back ends are picked", "internal/replica/pick.go",
 		"return !r.Draining && !r.misdirected", "return !r.misdirected",
-		"./internal/replica", "TestNeverPicked",
+		"./internal/replica", "TestDrainingAndMisdirectedAreNeverPicked",
 	},
 	{
 		"vanished entries are used for ever", "internal/replica/doubt.go",
 		"	if until <= now {\n		s.recordDeparture(now, known)\n		s.forget(known)\n		return true\n	}\n", "",
-		"./internal/replica", "TestVanished",
+		"./internal/replica", "TestVanishedEntry",
 	},
 	{
 		"an entry that lapsed in an outage is gone at once", "internal/replica/doubt.go",
@@ -47,22 +47,22 @@
 	{
 		"an entry of an earlier start counts", "internal/replica/set.go",
 		"	case entry.startedBefore(known.Entry):\n		return false\n", "",
-		"./internal/replica", "TestEarlierStartIsOld",
+		"./internal/replica", "TestEntryOfEarlierIncarnationIsIgnored",
 	},
 	{
 		"an earlier start of one that left comes back", "internal/replica/departed.go",
 		"	case entry.startedBefore(known.lastEntry):\n		return entry, false\n", "",
-		"./internal/replica", "TestEarlierStartIsOld",
+		"./internal/replica", "TestEntryOfEarlierIncarnationIsIgnored",
 	},
 	{
 		"a back end that starts again is the one before", "internal/replica/set.go",
 		"	case entry.startedAfter(known.Entry), entry.Service", "	case entry.Service",
-		"./internal/replica", "TestStartedAgain",
+		"./internal/replica", "TestRestartAfterDraining",
 	},
 	{
 		"a start that leaves comes back as ready", "internal/replica/departed.go",
 		"	entry.Draining = entry.Draining || known.lastEntry.Draining && entry.StartedAt != 0\n", "",
-		"./internal/replica", "TestLeavingIsFinalWithinAStart",
+		"./internal/replica", "TestDrainingIsFinalForAnIncarnation",
 	},
 	{
 		"connections to an earlier start are used", "internal/exchange/pool.go",
@@ -207,7 +207,7 @@
 	{
 		"a back end that is full counts as failing", "internal/replica/replica.go",
 		"		r.verifyConnectionsUntil = now + verifyConnectionsFor\n", "		r.ejection.consecutiveFailures += failuresToEject\n		r.ejection.extend(now)\n",
-		"./internal/replica", "TestTurnedAway",
+		"./internal/replica", "TestRejectedConnection",
 	},
 	{
 		"an attempt goes out that cannot be answered in time", "internal/forward/attempt.go",
@@ -299,7 +299,7 @@
 	{
 		"a withdrawn attempt counts as quick as it was old", "internal/replica/replica.go",
 		"time.Duration(r.cancelledFactor*float64(elapsed))", "elapsed",
-		"./internal/replica", "TestWithdrawnAttempt",
+		"./internal/replica", "TestCancelledAttempt",
 	},
 	{
 		"no request is turned away", "internal/admit/admit.go",
@@ -343,7 +343,7 @@
 	},
 	{
 		"near back ends get no larger share", "internal/replica/connections.go",
-		"SameRegion: min(max(near, each), most)", "SameRegion: min(max(near, each), each)",
+		"SameRegion: min(max(inRegion, each), maximum)", "SameRegion: min(max(inRegion, each), each)",
 		"./internal/replica", "TestConnectionShare",
 	},
 	{
@@ -359,7 +359,7 @@
 	{
 		"a node spreads over all near replicas", "internal/replica/subset.go",
 		"		r.outsideSubset = true\n", "		r.outsideSubset = false\n",
-		"./internal/replica", "TestSubset",
+		"./internal/replica", "TestSubsetSelection",
 	},
 	{
 		"the last extra attempts go to shards that are just late", "internal/forward/hedge.go",
@@ -373,7 +373,7 @@
 	},
 	{
 		"back ends of any region are picked", "internal/replica/pick.go",
-		"	if !c.Regions.Allows(r.region) {", "	if false {",
+		"	if !o.Regions.Allows(r.region) {", "	if false {",
 		"./internal/gateway", "TestRequestsStayInTheirRegions",
 	},
 	{
@@ -389,17 +389,17 @@
 	{
 		"cold back ends get what anybody asks", "internal/replica/pick.go",
 		" && s.withinColdQuota(now, r)", "",
-		"./internal/replica", "TestColdBackEndsGetNoMoreThanTheyBear",
+		"./internal/replica", "TestColdBackEndRateLimit",
 	},
 	{
 		"a node that has just started has a part of what cold back ends bear", "internal/replica/warmup.go",
 		"	if now < coldWindow {", "	if false {",
-		"./internal/replica", "TestColdBackEndAndNodesThatStart",
+		"./internal/replica", "TestColdBackEndAndStartingNodes",
 	},
 	{
 		"back ends of a zone that was taken back count as warm", "internal/replica/zones.go",
 		"known.cold.until = max(known.cold.until, now+s.warmups[known.Service].Duration.Duration())", "_ = now",
-		"./internal/replica", "TestZoneTakenBackIsCold",
+		"./internal/replica", "TestRestoredZoneIsCold",
 	},
 	{
 		"a refusal with free slots counts as one of a full back end", "internal/gateway/attempt.go",
@@ -409,7 +409,7 @@
 	{
 		"hearsay goes before what a node met itself", "internal/replica/report.go",
 		"if seenAt > r.slowdown.at && (r.load.at == 0 || now-r.load.at > ownObservationPrecedence) {", "if seenAt > r.slowdown.at {",
-		"./internal/replica", "TestHeardToBeSlow",
+		"./internal/replica", "TestReportedSlowdown",
 	},
 	{
 		"old reports are believed", "internal/healthreport/healthreport.go",
--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -96,7 +96,7 @@
 	},
 	{
 		"what was learned while a node stood still holds for good", "internal/replica/latency.go",
-		"unused >= latencyHalfLife && learned > unknownLatency", "false && unused >= latencyHalfLife",
+		"unused >= latencyHalfLife && value > unknownLatency", "false && unused >= latencyHalfLife",
 		"./internal/gateway", "TestServesAgainAfterAPause",
 	},
 }
--- a/internal/replica/connections.go
+++ b/internal/replica/connections.go
@@ -7,43 +7,49 @@
 )
 
 const (
-	// ampleConnections of a back end's connections for each node leaves some to keep anywhere for the next request.
+	// ampleConnections is the share from which on a node has enough connections to a back end: it can keep idle ones at
+	// any back end for the next request.
 	ampleConnections = 2
-	// otherRegionsDivisor of a back end's connections, one in so many, is left to nodes of other regions where there is no ample share.
+	// otherRegionsDivisor is the part of a back end's connections, one in eight, that stays reserved for nodes of other
+	// regions if the share of each node is not ample.
 	otherRegionsDivisor = 8
-	// otherRegionIdleTimeout is how long a connection to a far replica is idle where the share is not ample.
+	// otherRegionIdleTimeout is how long a connection to a back end in another region may stay idle if the share of
+	// connections is not ample.
 	otherRegionIdleTimeout = clock.Second
-	// verifyConnectionsFor is how long new connections must prove themselves after one was turned away: back ends
-	// count those of lives that ended for some seconds.
+	// verifyConnectionsFor is how long this node verifies new connections to a back end that has rejected one. A back
+	// end goes on counting the connections of node processes that have ended for some seconds.
 	verifyConnectionsFor = 4 * time.Second
 )
 
-// ConnectionShare is what one node may have of the connections of each back end of a service.
+// ConnectionShare is the number of connections that one node may use at each back end of a service.
 type ConnectionShare struct {
-	// SameRegion and Far bound the attempts under way at a back end in the own region and at one elsewhere.
+	// SameRegion limits the attempts in flight at a back end in the node's own region. OtherRegions limits those at a
+	// back end in any other region.
 	SameRegion   int
 	OtherRegions int
 }
 
-// NewConnectionShare divides the connections that a back end accepts among nodes, so many of them in its own region; no
-// node gets more than most. Where that leaves hardly one for each, those of its own region, which send it nearly all
-// its requests, get what the others need only now and then.
-func NewConnectionShare(connections, nodes, nearNodes, most int) ConnectionShare {
-	each := min(max(connections/nodes, 1), most)
+// NewConnectionShare divides the connections that a back end accepts among all nodes. nodesInRegion of them are in the
+// back end's region, and no node gets more than maximum. If the division leaves each node hardly one connection, the
+// nodes in the back end's region get more than an equal share: they send it nearly all of its requests, whereas nodes
+// of other regions need it only occasionally.
+func NewConnectionShare(connections, nodes, nodesInRegion, maximum int) ConnectionShare {
+	each := min(max(connections/nodes, 1), maximum)
 	if each >= ampleConnections {
 		return ConnectionShare{SameRegion: each, OtherRegions: each}
 	}
-	near := (connections - connections/otherRegionsDivisor) / max(nearNodes, 1)
-	return ConnectionShare{SameRegion: min(max(near, each), most), OtherRegions: each}
+	inRegion := (connections - connections/otherRegionsDivisor) / max(nodesInRegion, 1)
+	return ConnectionShare{SameRegion: min(max(inRegion, each), maximum), OtherRegions: each}
 }
 
-// SetConnectionShares sets what this node may have of the connections, by service.
+// SetConnectionShares sets the share of connections that this node may use, by service.
 func (s *Set) SetConnectionShares(shares map[string]ConnectionShare) {
 	s.shares = shares
 	s.selectSubsets()
 }
 
-// connectionShare of a service; without one the settings bound all.
+// connectionShare returns the share of connections for a service. A service without a share of its own is limited by
+// the settings.
 func (s *Set) connectionShare(service string) ConnectionShare {
 	if share, known := s.shares[service]; known {
 		return share
@@ -51,7 +57,7 @@
 	return ConnectionShare{SameRegion: s.settings.Connections, OtherRegions: s.settings.Connections}
 }
 
-// connectionLimit bounds the attempts under way at a replica.
+// connectionLimit returns the maximum number of attempts that this node may have in flight at a replica.
 func (s *Set) connectionLimit(r *Replica) int {
 	if s.inOwnRegion(r) {
 		return s.connectionShare(r.Service).SameRegion
@@ -59,18 +65,19 @@
 	return s.connectionShare(r.Service).OtherRegions
 }
 
-// IdleLimit says which connections to a replica are worth keeping for later requests.
+// IdleLimit states which connections to a replica are kept for later requests.
 type IdleLimit struct {
-	// MaximumIdle connections are idle at a time.
+	// MaximumIdle is the number of connections that may be idle at the same time.
 	MaximumIdle int
-	// IdleTimeout is how long one is idle at most; 0 leaves that to the back end.
+	// IdleTimeout is how long a connection may stay idle, in milliseconds; 0 leaves closing idle connections to the
+	// back end.
 	IdleTimeout clock.Ms
 }
 
-// IdleLimit of connections to a replica. Where the share is not ample, one is kept, and at a far replica only for a
-// while: an idle one takes the place of connections that other nodes need, and after a loss of power the back end
-// counts it on for seconds. None at all would have each hedge open one, which under load takes the slots that the hedge
-// is for.
+// IdleLimit returns the limit for idle connections to a replica. If the share of connections is not ample, one is kept,
+// and at a replica in another region only for a short time: an idle connection takes the place of connections that
+// other nodes need, and if this machine loses power the back end still counts it for seconds. Keeping none would make
+// every hedge open a connection, which under load takes the slots that the hedge is meant to use.
 func (s *Set) IdleLimit(r *Replica) IdleLimit {
 	share := s.connectionShare(r.Service)
 	switch {
@@ -82,11 +89,12 @@
 	return IdleLimit{MaximumIdle: 1, IdleTimeout: otherRegionIdleTimeout}
 }
 
-// MustVerify reports whether a new connection to the replica must prove itself before it is used, since the replica may
-// be at the limit of the connections that it takes.
+// MustVerify reports whether a new connection to the replica must be verified before it carries a request, because the
+// replica may be at its connection limit.
 func (s *Set) MustVerify(now time.Duration, r *Replica) bool {
 	return s.settings.VerifyConnections && (s.manyNodesStarting || now < r.verifyConnectionsUntil)
 }
 
-// SetManyNodesStarting says whether back ends may still count connections of earlier lives of many nodes.
+// SetManyNodesStarting sets whether many nodes have started recently. Back ends may then still count connections of the
+// nodes' previous processes.
 func (s *Set) SetManyNodesStarting(many bool) { s.manyNodesStarting = many }
--- a/internal/replica/departed.go
+++ b/internal/replica/departed.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// A start of a back end that has left never comes back; what may still name it is an old copy of the store, from which it is no
-// longer renewed. A later start under its id is another back end.
+// An incarnation that has left never comes back. An entry that still names it comes from an outdated copy of the store,
+// in which the entry is no longer renewed. A later incarnation of the same id is a different back end.
 const (
-	// departedRetention is how long it is remembered that a back end has left: the copies that a store comes back from are
+	// departedRetention is how long a departed back end is remembered. A backup from which the store is restored is
 	// some seconds old.
 	departedRetention = time.Minute
-	// maximumDeparted are remembered at most: thirty times as many as a large fleet sees in a minute.
+	// maximumDeparted is the number of departed back ends that are remembered at most: thirty times as many as leave a
+	// large fleet in a minute.
 	maximumDeparted = 1024
 )
 
-// departedBackEnd is a back end that has left, as the store said.
+// departedBackEnd is a back end that has left according to the store.
 type departedBackEnd struct {
 	leftAt time.Duration
-	// lastEntry is its entry when it left.
+	// lastEntry is the back end's entry at the time it left.
 	lastEntry Entry
-	// held: the store names it again since, by entry.
+	// held is set if the store has listed the id again since then. heldEntry is the entry that it lists.
 	held      bool
 	heldEntry Entry
 }
 
-// DistrustDeparted has entries of back ends that have left put aside until a moment, as old ones: the store has come
-// back from a copy.
+// DistrustDeparted holds back entries of departed back ends until the given time, since they may be outdated: the store
+// has been restored from a backup.
 func (s *Set) DistrustDeparted(until time.Duration) { s.distrustedUntil = until }
 
 // recordDeparture remembers that a back end has left.
@@ -33,9 +34,9 @@
 	}
 }
 
-// reconcileDeparted gives an entry as it counts after what is remembered of back ends that have left, and whether it counts now.
-// One that may be old is kept for Readmit.
-func (s *Set) reconcileDeparted(now time.Duration, entry Entry) (counts Entry, current bool) {
+// reconcileDeparted compares an entry with the departed back end of the same id. It returns the entry with its draining
+// state corrected, and whether the entry is valid now. An entry that may be outdated is kept for ReadmitDeparted.
+func (s *Set) reconcileDeparted(now time.Duration, entry Entry) (corrected Entry, current bool) {
 	known, found := s.departed[entry.ID]
 	switch {
 	case !found:
@@ -46,7 +47,7 @@
 		delete(s.departed, entry.ID)
 		return entry, true
 	}
-	// Without a start nothing tells whether it is the back end that left or one that started since.
+	// Without a start time nothing shows whether this is the back end that left or one that started since then.
 	entry.Draining = entry.Draining || known.lastEntry.Draining && entry.StartedAt != 0
 	if now >= s.distrustedUntil {
 		delete(s.departed, entry.ID)
@@ -57,15 +58,16 @@
 	return entry, false
 }
 
-// dropHeldEntry takes in that an entry has vanished that was put aside.
+// dropHeldEntry discards the entry that is held back for an id, because it has vanished from the store.
 func (s *Set) dropHeldEntry(id string) {
 	if known, found := s.departed[id]; found && known.held {
 		s.departed[id] = departedBackEnd{leftAt: known.leftAt, lastEntry: known.lastEntry}
 	}
 }
 
-// ReadmitDeparted takes those entries in that were put aside and that the store still names, and returns them: their back ends
-// live. It forgets who left long ago.
+// ReadmitDeparted stores the entries that were held back and that the store still lists, and returns them: their back
+// ends are alive. It also forgets back ends that left more than departedRetention ago. It does nothing before the time
+// set with DistrustDeparted.
 func (s *Set) ReadmitDeparted(now time.Duration) (readmitted []Entry) {
 	if now < s.distrustedUntil {
 		return nil
--- a/internal/replica/doubt.go
+++ b/internal/replica/doubt.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// doubt is about an entry that has vanished without proof that the back end leaves: a store in trouble may lose entries
-// of back ends that are well.
+// doubt marks an entry that has vanished from the store without proof that its back end has left: a store in trouble
+// may lose the entries of healthy back ends.
 type doubt struct {
 	doubtful bool
-	// until is how long the replica is used on, as a second choice.
+	// until is the time up to which the replica is still used, as a second choice.
 	until time.Duration
 }
 
-// Remove takes in that an entry has vanished. It is used on until a moment, as a second choice; not at all where that
-// is not later than now. It reports whether that changed anything.
+// Remove handles an entry that has vanished from the store. The replica remains in use until the given time, as a
+// second choice; it is removed at once if that time is not later than now. Remove reports whether anything changed.
 func (s *Set) Remove(now time.Duration, id string, until time.Duration) bool {
 	known := s.byID[id]
 	if known == nil {
@@ -30,7 +30,7 @@
 	return true
 }
 
-// ExpireDoubtful forgets vanished entries whose time of doubt is over, and returns their ids.
+// ExpireDoubtful removes the replicas whose entries vanished and whose time of doubt is over, and returns their ids.
 func (s *Set) ExpireDoubtful(now time.Duration) []string {
 	var expired []string
 	for id, known := range s.byID {
--- a/internal/replica/faults.go
+++ b/internal/replica/faults.go
@@ -6,35 +6,37 @@
 )
 
 const (
-	// faultWeight is the weight of a new attempt in the rate: two failures in a row are believed by half.
+	// faultWeight is the weight of a new attempt in the fault rate: two failures in a row raise a rate of 0 to about
+	// one half.
 	faultWeight = 0.3
-	// faultHalfLife is the time in which the rate halves without news. A node tries a back end of a wide service each second or two.
+	// faultHalfLife is the time in which the fault rate halves while no attempt ends. A node that serves a service with
+	// many back ends tries each of them every second or two.
 	faultHalfLife = 4 * time.Second
-	// maximumFaultRate bounds what is expected of a replica all of whose attempts have failed.
+	// maximumFaultRate limits the rate that is used for predictions, since the odds of a rate of 1 are infinite.
 	maximumFaultRate = 0.9
 )
 
-// faultRate is the share of the attempts of late at a replica that failed: that were lost, answered wrongly, or refused
-// though the replica told of free slots. Being full is no fault.
+// faultRate is the share of recent attempts at a replica that failed: the answer was lost or wrong, or the replica
+// refused the request although it reported free slots. A refusal by a full replica is not a fault.
 type faultRate struct {
 	rate float64
-	// at is when the rate was so.
+	// at is the time of the last update.
 	at time.Duration
 }
 
-// current is the rate, from 0 to 1, decayed since the last attempt.
+// current returns the rate, from 0 to 1, decayed since the last update.
 func (f *faultRate) current(now time.Duration) float64 {
 	return f.rate * math.Exp2(-float64(now-f.at)/float64(faultHalfLife))
 }
 
-// record takes in an attempt; failed is 1 for one that did, else 0.
+// record updates the rate with the end of an attempt; failed is 1 for a failed attempt and 0 otherwise.
 func (f *faultRate) record(now time.Duration, failed float64) {
 	rate := f.current(now)
 	f.rate = rate + faultWeight*(failed-rate)
 	f.at = now
 }
 
-// odds is how many attempts are expected to fail for one that does not.
+// odds returns the expected number of failed attempts for each successful one.
 func (f *faultRate) odds(now time.Duration) float64 {
 	rate := min(f.current(now), maximumFaultRate)
 	return rate / (1 - rate)
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -10,20 +10,23 @@
 
 const target = 150 * millisecond
 
-// pricedSet goes by prices that are shares of the target.
-func pricedSet(entries ...replica.Entry) *replica.Set {
+// penaltySet returns a set whose penalties are relative to the target latency.
+func penaltySet(entries ...replica.Entry) *replica.Set {
 	set := newSet(entries...)
-	priced := settings
-	priced.OtherRegionPenalty, priced.FaultPenalty = 0.3, 2
-	set.Reconfigure(priced, replica.Topology{Zone: "a1", Regions: map[string]string{"a1": "a", "a2": "a", "b1": "b", "c1": "c"}})
+	withPenalties := settings
+	withPenalties.OtherRegionPenalty, withPenalties.FaultPenalty = 0.3, 2
+	set.Reconfigure(withPenalties, replica.Topology{Zone: "a1", Regions: map[string]string{"a1": "a", "a2": "a", "b1": "b", "c1": "c"}})
 	return set
 }
 
-// TestGreyFailureIsLeft: the pattern is a grey failure: of three replicas the near one and one far refuse 45% of what they get though slots are free, quickly and
-// with their health good. At one request in half a second, a node's share of a wide service, the sound one gets most of what is sent in the nine seconds that
-// such a failure lasts; once all are sound again the near one does. By latency alone the near one went on to get all.
-func TestGreyFailureIsLeft(t *testing.T) {
-	set := pricedSet(entry("near", "a1"), entry("sound", "b1"), entry("faulty", "c1"))
+// TestGreyFailureIsAvoided guards against a grey failure: two of three replicas, the one in the own region and one in
+// another region, refuse 45% of their requests although slots are free. They refuse quickly and their health checks
+// pass, so a choice by latency alone would keep sending everything to the replica of the own region. At one request in
+// half a second, a node's share of a service with many back ends, the healthy replica must get most requests within
+// nine seconds, the length of such a failure. Once all are healthy again, the replica of the own region must get most
+// requests.
+func TestGreyFailureIsAvoided(t *testing.T) {
+	set := penaltySet(entry("near", "a1"), entry("sound", "b1"), entry("faulty", "c1"))
 	for id, took := range map[string]time.Duration{"near": 12, "sound": 36, "faulty": 36} {
 		run(set, 0, id, took*millisecond, replica.Answered)
 	}
@@ -45,7 +48,7 @@
 		send(true)
 	}
 	if got["sound"] < 10 || failed > 4 {
-		t.Errorf("of 18 requests %v, %d failed", got, failed)
+		t.Errorf("18 requests went to %v, %d failed; want at least 10 to the sound replica and at most 4 failed", got, failed)
 	}
 	now += 6 * time.Second
 	clear(got)
@@ -53,33 +56,36 @@
 		send(false)
 	}
 	if got["near"] < 15 {
-		t.Errorf("of 20 requests after the failure %v", got)
+		t.Errorf("20 requests after the failure went to %v, want at least 15 to the near replica", got)
 	}
 }
 
-// TestFullIsNoFault: a replica that refuses since it is full is slower by what it is asked, and not faulty.
-func TestFullIsNoFault(t *testing.T) {
-	set := pricedSet(entry("near", "a1"))
+// TestFullReplicaIsNotFaulty guards against counting overload as a fault: only a refusal by a replica that reports free
+// slots raises its fault rate.
+func TestFullReplicaIsNotFaulty(t *testing.T) {
+	set := penaltySet(entry("near", "a1"))
 	for range 5 {
 		run(set, 0, "near", 3*millisecond, replica.Refused)
 	}
 	if _, faults := set.Get("near").Health(0); faults != 0 {
-		t.Errorf("%v of the attempts at a full replica count as failed", faults)
+		t.Errorf("fault rate of a full replica: %v, want 0", faults)
 	}
 	run(set, 0, "near", 3*millisecond, replica.RefusedWithFreeSlots)
 	if _, faults := set.Get("near").Health(3 * millisecond); faults < 0.25 {
-		t.Errorf("%v of the attempts at a replica with room count as failed", faults)
+		t.Errorf("fault rate after a refusal with free slots: %v, want at least 0.25", faults)
 	}
 }
 
-// TestDistanceIsPricedByTheTarget: a near replica that is slow is left for a far one where the target is short, and kept where it is long.
-func TestDistanceIsPricedByTheTarget(t *testing.T) {
-	set := pricedSet(entry("near", "a1"), entry("far", "b1"))
+// TestDistancePenaltyScalesWithTarget checks that the penalty of another region depends on the target latency: a slow
+// replica of the own region loses to a replica of another region if the target is short, and is kept if the target is
+// long.
+func TestDistancePenaltyScalesWithTarget(t *testing.T) {
+	set := penaltySet(entry("near", "a1"), entry("far", "b1"))
 	run(set, 0, "near", 95*millisecond, replica.Answered)
 	now := run(set, 0, "far", 35*millisecond, replica.Answered)
-	for aim, want := range map[time.Duration]string{100 * millisecond: "far", 400 * millisecond: "near"} {
-		if chosen, _ := set.Pick(now, "s", replica.PickOptions{TargetLatency: aim}); chosen.ID != want {
-			t.Errorf("picked %q with a target of %v", chosen.ID, aim)
+	for targetLatency, want := range map[time.Duration]string{100 * millisecond: "far", 400 * millisecond: "near"} {
+		if chosen, _ := set.Pick(now, "s", replica.PickOptions{TargetLatency: targetLatency}); chosen.ID != want {
+			t.Errorf("picked %q with a target of %v, want \"far\" at 100ms, \"near\" at 400ms", chosen.ID, targetLatency)
 		}
 	}
 }
--- a/internal/replica/latency.go
+++ b/internal/replica/latency.go
@@ -3,25 +3,27 @@
 import "time"
 
 const (
-	// latencyWeight is the weight of a new sample in the moving average, floorGain that of one above the floor.
+	// latencyWeight is the weight of a new sample in the moving average of latencies. minimumWeight is the weight of a
+	// sample above the minimum in the moving minimum.
 	latencyWeight = 0.3
 	minimumWeight = 0.01
-	// latencyHalfLife is the time in which the latency of an unused replica halves, so that it is tried again.
+	// latencyHalfLife is the time in which the expected latency of an unused replica halves, so that a slow replica is
+	// tried again.
 	latencyHalfLife = 2 * time.Second
-	// unknownLatency stands for the latency of a replica without a sample. Nothing decays to less.
+	// unknownLatency is the expected latency of a replica without samples. Expected latencies do not decay below it.
 	unknownLatency = 10 * time.Millisecond
 )
 
-// latency is how long answers of a replica take.
+// latency tracks how long a replica takes to answer.
 type latency struct {
-	// average moves with each sample; 0 before the first one.
+	// average is the moving average of all samples; 0 before the first one.
 	average time.Duration
-	// minimum is the least that they take of late; 0 before the first answer.
+	// minimum is the moving minimum of the answers' latencies; 0 before the first answer.
 	minimum   time.Duration
 	sampledAt time.Duration
 }
 
-// expected is the average, decayed while the replica is unused.
+// expected returns the average latency, decayed for the time since the replica was last used.
 func (l *latency) expected(now time.Duration) time.Duration {
 	if l.average == 0 {
 		return unknownLatency
@@ -29,12 +31,12 @@
 	return max(l.decay(now, l.average), unknownLatency)
 }
 
-// decay halves what was learned for each half-life in which the replica was not tried, down to unknownLatency.
-func (l *latency) decay(now, learned time.Duration) time.Duration {
-	for unused := now - l.sampledAt; unused >= latencyHalfLife && learned > unknownLatency; unused -= latencyHalfLife {
-		learned /= 2
+// decay halves a latency for each half-life since the last sample, down to unknownLatency.
+func (l *latency) decay(now, value time.Duration) time.Duration {
+	for unused := now - l.sampledAt; unused >= latencyHalfLife && value > unknownLatency; unused -= latencyHalfLife {
+		value /= 2
 	}
-	return learned
+	return value
 }
 
 func (l *latency) addSample(now, elapsed time.Duration) {
@@ -47,7 +49,7 @@
 	l.sampledAt = now
 }
 
-// recordMinimum follows the least latencies down at once and up slowly.
+// recordMinimum updates the moving minimum: a lower latency replaces it at once, a higher one raises it slowly.
 func (l *latency) recordMinimum(elapsed time.Duration) {
 	if l.minimum == 0 || elapsed < l.minimum {
 		l.minimum = elapsed
--- a/internal/replica/pick.go
+++ b/internal/replica/pick.go
@@ -7,73 +7,76 @@
 	"stiletrail/internal/region"
 )
 
-// The rule by which Pick chooses the back end of an attempt:
+// Pick chooses the back end of an attempt by this rule:
 //
-//  1. Candidates are the back ends of the service that are not draining, whose address does not answer for another, and
-//     whose zone is not evacuated (candidate). The request may bar some by region, software version, or what it has
-//     tried (Choice).
-//  2. A candidate is passed over that has as many attempts of this node under way as its share of the connections
-//     allows, or that is cold and has got this node's part of what it bears (hasRoom: connections.go, warmup.go).
-//  3. The best rank goes first: good, then doubtful (doubt.go), then ejected (ejection.go).
-//  4. Of the same rank the lowest score wins. It is a latency, in nanoseconds:
+//  1. Candidates are the back ends of the service that are not draining, whose address is not answered by another back
+//     end, and whose zone is not evacuated (candidate). The caller may exclude some by region, by software version, or
+//     because the request has already tried them (PickOptions).
+//  2. A candidate is skipped if this node has as many attempts in flight there as its share of connections allows, or
+//     if the candidate is cold and this node's quota is used up (hasCapacity: connections.go, warmup.go).
+//  3. The best rank wins: good before doubtful (doubt.go) before ejected (ejection.go).
+//  4. Among candidates of the same rank the lowest score wins. The score is a latency in nanoseconds:
 //
-//     expected x (1 + attempts under way) x slowdown x coldFactor x (1 +- jitter) + outsidePenalty + faults + distance
+//     expected x (1 + attempts in flight) x slowdown x coldFactor x (1 +- jitter)
+//     + outsideSubsetPenalty + faults + distance
 //
-// with
+// The terms are:
 //
-//	expected        the moving average of latencies, or the age of the oldest attempt under way where that is more      latency.go
-//	slowdown        how many times longer than usual work takes there, as the back end or another node told; else 1     slowdown.go
-//	coldFactor      while the back end is cold; else 1                                                                  warmup.go
-//	outsidePenalty  for a near back end outside the subset that this node prefers; else 0                               subset.go
-//	faults          attempts expected to fail for one that does not, times FaultPrice, times the target latency         faults.go
-//	distance        0 in the own zone; FarPrice times the target latency in another region, otherZonePart of that
-//	                in another zone of the own one
+//	expected              the moving average of latencies, or the age of the oldest attempt in flight if greater  latency.go
+//	slowdown              how many times longer than usual work takes, as the back end or a node reported; else 1 slowdown.go
+//	coldFactor            while the back end is cold; else 1                                                      warmup.go
+//	outsideSubsetPenalty  for a back end of the own region outside the node's preferred subset; else 0            subset.go
+//	faults                expected failed attempts per successful one, times FaultPenalty, times target latency   faults.go
+//	distance              0 in the own zone; OtherRegionPenalty times the target latency in another region;
+//	                      otherZoneFraction of that in another zone of the own region
 
 const (
-	// jitter spreads the choice among replicas that are about as good.
+	// jitter is the largest random deviation of a score, as a fraction. It spreads load over replicas with similar
+	// scores.
 	jitter = 0.1
-	// coldFactor is the slowdown expected of a back end that has just started.
+	// coldFactor is the expected slowdown of a back end that has just started.
 	coldFactor = 1.6
-	// defaultTargetLatency stands for the target latency of a route that states none.
+	// defaultTargetLatency is used for routes that state no target latency.
 	defaultTargetLatency = 250 * time.Millisecond
-	// otherZoneFraction of the price of another region is that of another zone of the own one, which takes less time, and
-	// whose traffic costs less.
+	// otherZoneFraction is the penalty of another zone in the own region, as a fraction of the penalty of another
+	// region. Traffic between zones takes less time and costs less than traffic between regions.
 	otherZoneFraction = 0.08
 )
 
-// PickOptions says which replicas of a service may be picked: of those in Only, if there are any, all but those excluded.
+// PickOptions states which replicas of a service may be picked: those in Only, or all if it is empty, except those in
+// Excluded.
 type PickOptions struct {
 	Excluded []*Replica
 	Only     []*Replica
-	// Versions of software that may be picked, if any are named.
+	// Versions lists the software versions that may be picked; if it is empty, all may.
 	Versions []string
-	// Regions whose back ends may be picked.
+	// Regions is the set of regions whose back ends may be picked.
 	Regions region.Set
-	// TargetLatency latency of the request, of which prices are shares; 0 where it has none.
+	// TargetLatency is the target latency of the request, to which penalties are relative; 0 if it has none.
 	TargetLatency time.Duration
 }
 
-func (c PickOptions) allows(r *Replica) bool {
-	if !c.Regions.Allows(r.region) {
+func (o PickOptions) allows(r *Replica) bool {
+	if !o.Regions.Allows(r.region) {
 		return false
 	}
-	if len(c.Versions) > 0 && !slices.Contains(c.Versions, r.Version) {
+	if len(o.Versions) > 0 && !slices.Contains(o.Versions, r.Version) {
 		return false
 	}
-	return !slices.Contains(c.Excluded, r) && (len(c.Only) == 0 || slices.Contains(c.Only, r))
+	return !slices.Contains(o.Excluded, r) && (len(o.Only) == 0 || slices.Contains(o.Only, r))
 }
 
-// Pick returns the best replica of a service that the choice allows, or nil. Busy is set where there are replicas but
-// none has room for another attempt.
-func (s *Set) Pick(now time.Duration, service string, choice PickOptions) (best *Replica, busy bool) {
-	target := choice.TargetLatency
+// Pick returns the best replica of a service that the options allow, or nil. Busy is set if there are such replicas but
+// none has capacity for another attempt.
+func (s *Set) Pick(now time.Duration, service string, options PickOptions) (best *Replica, busy bool) {
+	target := options.TargetLatency
 	if target == 0 {
 		target = defaultTargetLatency
 	}
 	var bestScore float64
 	var bestRank rank
 	for _, member := range s.byService[service] {
-		if !member.candidate() || !choice.allows(member) {
+		if !member.candidate() || !options.allows(member) {
 			continue
 		}
 		if !s.hasCapacity(now, member) {
@@ -98,7 +101,7 @@
 	return len(r.inFlight) < s.connectionLimit(r) && s.withinColdQuota(now, r)
 }
 
-// rank orders replicas before their scores are compared.
+// rank is the primary order of replicas. Scores are compared only within a rank.
 type rank int
 
 const (
@@ -119,8 +122,8 @@
 	return rankGood
 }
 
-// score is the latency expected of one more attempt with the prices of distance and of faults, in nanoseconds. It draws
-// one random number.
+// score returns the expected latency of one more attempt plus the penalties for distance and faults, in nanoseconds. It
+// draws one random number.
 func (s *Set) score(now time.Duration, r *Replica, target time.Duration) float64 {
 	expected := float64(r.ExpectedLatency(now)) * float64(1+len(r.inFlight))
 	if s.settings.UseSlowdown {
@@ -137,44 +140,45 @@
 	return expected + faults + float64(s.distancePenalty(r, target))
 }
 
-// distancePenalty is the price of a replica that is farther than the own zone.
+// distancePenalty returns the penalty for a replica outside the own zone.
 func (s *Set) distancePenalty(r *Replica, target time.Duration) time.Duration {
-	if r.Zone == s.places.Zone {
+	if r.Zone == s.topology.Zone {
 		return 0
 	}
-	price := s.settings.OtherRegionPenalty * float64(target)
+	penalty := s.settings.OtherRegionPenalty * float64(target)
 	if s.inOwnRegion(r) {
-		price *= otherZoneFraction
+		penalty *= otherZoneFraction
 	}
-	return time.Duration(price)
+	return time.Duration(penalty)
 }
 
-// inOwnRegion reports whether a replica is in the region of the node.
+// inOwnRegion reports whether a replica is in this node's region.
 func (s *Set) inOwnRegion(r *Replica) bool {
-	return r.Zone == s.places.Zone || r.region == s.places.Regions[s.places.Zone]
+	return r.Zone == s.topology.Zone || r.region == s.topology.Regions[s.topology.Zone]
 }
 
-// HasCandidate reports whether a service has a back end in some regions that may be picked.
+// HasCandidate reports whether a service has a back end in the given regions that may be picked.
 func (s *Set) HasCandidate(service string, regions region.Set) bool {
-	choice := PickOptions{Regions: regions}
-	return slices.ContainsFunc(s.byService[service], func(r *Replica) bool { return r.candidate() && choice.allows(r) })
+	options := PickOptions{Regions: regions}
+	return slices.ContainsFunc(s.byService[service], func(r *Replica) bool { return r.candidate() && options.allows(r) })
 }
 
-// Versions are those of the software of a service's back ends in some regions that may be picked.
+// Versions returns the distinct software versions of a service's back ends in the given regions that may be picked.
 func (s *Set) Versions(service string, regions region.Set) (versions []string) {
-	choice := PickOptions{Regions: regions}
+	options := PickOptions{Regions: regions}
 	for _, member := range s.byService[service] {
-		if member.candidate() && choice.allows(member) && !slices.Contains(versions, member.Version) {
+		if member.candidate() && options.allows(member) && !slices.Contains(versions, member.Version) {
 			versions = append(versions, member.Version)
 		}
 	}
 	return versions
 }
 
-// EarliestRecovery returns the first moment at which one of the replicas that may be picked is not ejected; false if there is none.
-func (s *Set) EarliestRecovery(service string, choice PickOptions) (at time.Duration, known bool) {
+// EarliestRecovery returns the earliest time at which one of the replicas that the options allow is not ejected; known
+// is false if there are no such replicas.
+func (s *Set) EarliestRecovery(service string, options PickOptions) (at time.Duration, known bool) {
 	for _, member := range s.byService[service] {
-		if !member.candidate() || !choice.allows(member) {
+		if !member.candidate() || !options.allows(member) {
 			continue
 		}
 		if !known || member.ejection.until < at {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -5,27 +5,29 @@
 	"time"
 )
 
-// Entry is a back end as the discovery service tells it.
+// Entry describes a back end as the discovery service lists it.
 type Entry struct {
-	// ID names a back end; it may start again under it.
+	// ID identifies a back end. The back end keeps it across restarts.
 	ID string
-	// StartedAt is the Unix millisecond at which the back end started, 0 where it does not tell that. Another start under the same
-	// id is another back end, which knows nothing of the one before.
+	// StartedAt is the time at which the back end's process started, in Unix milliseconds; 0 if the entry does not
+	// state it. A process with the same id but another start time is a different incarnation and shares no state with
+	// the earlier one.
 	StartedAt int64
 	Service   string
-	// Address is an IP address and port; another incarnation may have it later.
+	// Address is an IP address and port. Another incarnation may be given the same address later.
 	Address string
 	Zone    string
-	// Version of its software, empty where it is not told.
+	// Version is the version of the back end's software; empty if the entry does not state it.
 	Version string
-	// Slots is the number of requests the back end works on at a time.
+	// Slots is the number of requests that the back end processes concurrently.
 	Slots    int
 	Draining bool
-	// WarmupLeft is how much longer the back end is slow after its start.
+	// WarmupLeft is the remaining time in which the back end is slow after its start.
 	WarmupLeft time.Duration
 }
 
-// Incarnation names one start of a back end: what counts by who a back end is counts by it.
+// Incarnation identifies one process of a back end, by its id and start time. State that belongs to a process, and not
+// to the back end's id, is kept under this name.
 func (e Entry) Incarnation() string {
 	if e.StartedAt == 0 {
 		return e.ID
@@ -33,40 +35,41 @@
 	return e.ID + "@" + strconv.FormatInt(e.StartedAt, 10)
 }
 
-// Endpoint is where one start of a back end takes requests.
+// Endpoint is the address at which one incarnation of a back end accepts requests.
 type Endpoint struct {
 	Address     string
 	Incarnation string
 }
 
-// Endpoint of the back end.
+// Endpoint returns the endpoint of the back end.
 func (e Entry) Endpoint() Endpoint { return Endpoint{Address: e.Address, Incarnation: e.Incarnation()} }
 
-// startedBefore reports whether an entry of the same id is of an earlier start than another: it is old, whenever it comes.
+// startedBefore reports whether an entry describes an earlier incarnation than another entry of the same id. Such an
+// entry is outdated, whenever it arrives.
 func (e Entry) startedBefore(other Entry) bool {
 	return e.StartedAt != 0 && e.StartedAt < other.StartedAt
 }
 
-// startedAfter reports whether an entry of the same id is of a later start than another. One that tells no start is of the one
-// that is known.
+// startedAfter reports whether an entry describes a later incarnation than another entry of the same id. An entry
+// without a start time is taken to describe the known incarnation.
 func (e Entry) startedAfter(other Entry) bool { return e.StartedAt > other.StartedAt }
 
-// Replica is one incarnation of a back end with what attempts at it have shown.
+// Replica is one incarnation of a back end, with what this node has learned about it from attempts and reports.
 type Replica struct {
 	Entry
-	// key is the hash of the incarnation, by which nodes tell each other of the replica.
+	// key is the hash of the incarnation. It identifies the replica in messages between nodes.
 	key uint64
-	// affinity of this node to the replica, by which the node's subset is chosen.
+	// affinity ranks the replica for this node; the node's preferred subset is chosen by it.
 	affinity      uint64
 	outsideSubset bool
-	// region of its zone, empty where that is not known.
+	// region is the region of the replica's zone; empty if it is not known.
 	region string
-	// evacuated: its zone is to get nothing.
+	// evacuated is set while the replica's zone is evacuated and must get no requests.
 	evacuated bool
-	// misdirected: the address answers for another back end.
+	// misdirected is set if another back end answers at the replica's address.
 	misdirected bool
 
-	// inFlight has the start of each attempt under way, oldest first.
+	// inFlight holds the start times of the attempts in flight, oldest first.
 	inFlight []time.Duration
 	latency  latency
 	faults   faultRate
@@ -75,31 +78,32 @@
 	ejection ejection
 	doubt    doubt
 	cold     coldPhase
-	// verifyConnectionsUntil: it has turned connections away of late.
+	// verifyConnectionsUntil is the time up to which new connections are verified, because the replica has recently
+	// rejected one.
 	verifyConnectionsUntil time.Duration
-	// cancelledFactor and useSlowdown are of the settings.
+	// cancelledFactor and useSlowdown are copies of the settings of the same names.
 	cancelledFactor float64
 	useSlowdown     bool
 }
 
-// InFlight is the number of attempts under way.
+// InFlight returns the number of attempts in flight.
 func (r *Replica) InFlight() int { return len(r.inFlight) }
 
-// AverageLatency is the average the choice goes by.
+// AverageLatency returns the moving average of the latencies, without decay.
 func (r *Replica) AverageLatency() time.Duration { return r.latency.average }
 
-// MinimumLatency is the least that an answer of the replica takes: the way there and back.
+// MinimumLatency returns the moving minimum of the answers' latencies: the network round trip and the least work.
 func (r *Replica) MinimumLatency() time.Duration { return r.latency.minimum }
 
-// ExpectedMinimum is the least that an answer takes by what is known now. Answers that came while this node stood still say that
-// it takes seconds, and who goes by that for good makes no attempt that would show otherwise; so what was learned
-// decays.
+// ExpectedMinimum returns the minimum latency, decayed while the replica is unused. Answers that arrive after this
+// process was paused appear to have taken seconds. Without the decay, the node would rule out every attempt that could
+// correct the minimum.
 func (r *Replica) ExpectedMinimum(now time.Duration) time.Duration {
 	return r.latency.decay(now, r.latency.minimum)
 }
 
-// ExpectedLatency is the latency expected of an attempt: the average, decayed while the replica is unused, and no less than
-// the age of the oldest attempt without an answer.
+// ExpectedLatency returns the latency that is expected of an attempt: the average, decayed while the replica is unused,
+// or the age of the oldest attempt in flight if that is greater.
 func (r *Replica) ExpectedLatency(now time.Duration) time.Duration {
 	expected := r.latency.expected(now)
 	if len(r.inFlight) > 0 {
@@ -108,19 +112,19 @@
 	return expected
 }
 
-// Doubtful reports whether the replica's entry has vanished without proof that the back end leaves.
+// Doubtful reports whether the replica's entry has vanished from the store without proof that the back end has left.
 func (r *Replica) Doubtful() bool { return r.doubt.doubtful }
 
-// Ejected reports whether the replica is a last choice at the moment.
+// Ejected reports whether the replica is ejected at the moment. An ejected replica is picked only if there is no other.
 func (r *Replica) Ejected(now time.Duration) bool { return r.ejection.active(now) }
 
-// Evacuated reports whether the replica's zone is to get nothing.
+// Evacuated reports whether the replica's zone is evacuated.
 func (r *Replica) Evacuated() bool { return r.evacuated }
 
-// Cold reports whether the replica is cold: it has just started, or its zone has just been taken back.
+// Cold reports whether the replica is cold: it started recently, or the evacuation of its zone ended recently.
 func (r *Replica) Cold(now time.Duration) bool { return r.cold.active(now) }
 
-// StartAttempt counts an attempt in.
+// StartAttempt records that an attempt begins.
 func (r *Replica) StartAttempt(now time.Duration) {
 	r.inFlight = append(r.inFlight, now)
 	if r.Cold(now) {
@@ -128,8 +132,9 @@
 	}
 }
 
-// FinishAttempt counts out an attempt that started at the given time. It reports whether the replica was ejected by it.
-func (r *Replica) FinishAttempt(now, started time.Duration, verdict AttemptResult) (ejected bool) {
+// FinishAttempt records the end of the attempt that began at the time started. It reports whether the result ejected
+// the replica.
+func (r *Replica) FinishAttempt(now, started time.Duration, result AttemptResult) (ejected bool) {
 	for i, start := range r.inFlight {
 		if start == started {
 			r.inFlight = append(r.inFlight[:i], r.inFlight[i+1:]...)
@@ -137,14 +142,14 @@
 		}
 	}
 	elapsed := now - started
-	switch verdict {
+	switch result {
 	case Answered:
 		r.ejection = ejection{}
 		r.faults.record(now, 0)
 		r.latency.recordMinimum(elapsed)
 		r.latency.addSample(now, r.withoutSlowdown(now, elapsed))
 	case Cancelled:
-		// Its latency is more than its age, by an unknown time.
+		// The attempt would have taken longer than its age, by an unknown time.
 		if elapsed > r.latency.expected(now) {
 			r.latency.addSample(now, time.Duration(r.cancelledFactor*float64(elapsed)))
 		}
@@ -166,8 +171,8 @@
 	return false
 }
 
-// RecordContradiction takes in that another replica has answered what this one said is the request's fault. It reports whether the
-// replica was ejected by it.
+// RecordContradiction records that the replica blamed the request for a failure, but another replica answered that
+// request. It reports whether this ejected the replica.
 func (r *Replica) RecordContradiction(now time.Duration) (ejected bool) {
 	r.faults.record(now, 1)
 	return r.ejection.recordFailure(now)
--- a/internal/replica/set.go
+++ b/internal/replica/set.go
@@ -1,13 +1,13 @@
-// Package replica keeps what a node believes of the back ends of each service, and picks one for an attempt: see
-// pick.go for the rule.
+// Package replica keeps what a node knows about the back ends of each service, and picks one for each attempt; pick.go
+// describes the rule.
 //
-// It owns the back ends that the store names, those that left it of late, and what attempts at each have shown:
-// latency, slowdown, faults, ejection. It goes by the entries, loads, verdicts on attempts, reports of other nodes and
-// shares that its caller hands in.
+// It owns the list of the back ends in the store, the list of those that left recently, and the state that attempts
+// reveal about each: latency, slowdown, faults and ejection. Its caller supplies store entries, load reports, results
+// of attempts, reports of other nodes and the node's share of connections.
 //
-// It does no I/O, has no goroutines and reads no clock: times are of the caller's monotonic clock, as durations from an
-// arbitrary start. Random numbers are drawn from the caller's source, one for each replica that Pick scores. It is not
-// safe for concurrent use.
+// The package does no I/O, starts no goroutine and reads no clock. Times are durations since an arbitrary start on the
+// caller's monotonic clock. Random numbers come from the caller's source, one for each replica that Pick scores. A Set
+// is not safe for concurrent use.
 package replica
 
 import (
@@ -17,39 +17,42 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Set is all back ends known to a node.
+// Set holds all back ends known to a node.
 type Set struct {
 	settings  Settings
-	places    Topology
+	topology  Topology
 	random    *rand.Rand
 	byID      map[string]*Replica
 	byKey     map[uint64]*Replica
 	byService map[string][]*Replica
-	// shares of the connections by service, where they differ from the settings'.
+	// shares holds the share of connections by service, for services that are not limited by the settings.
 	shares map[string]ConnectionShare
-	// manyNodesStarting: back ends may still count connections of earlier lives of many nodes.
+	// manyNodesStarting is set while many nodes have started recently: back ends may still count the connections of the
+	// nodes' previous processes.
 	manyNodesStarting bool
-	// evacuated zones, whose back ends get nothing.
+	// evacuated holds the evacuated zones, whose back ends get no requests.
 	evacuated map[string]bool
-	// warmups by service, and the nodes that divide what cold back ends bear.
+	// warmups holds the warm-up parameters by service. nodes are the nodes that share the request rate of cold back
+	// ends.
 	warmups map[string]Warmup
 	nodes   nodeList
-	// departed are back ends that have left; until distrustedUntil entries that name them are put aside.
+	// departed holds the back ends that left recently, by id. Until distrustedUntil, entries with these ids are held
+	// back.
 	departed        map[string]departedBackEnd
 	distrustedUntil time.Duration
 }
 
 // NewSet returns an empty set.
-func NewSet(settings Settings, places Topology, random *rand.Rand) *Set {
+func NewSet(settings Settings, topology Topology, random *rand.Rand) *Set {
 	return &Set{
-		settings: settings, places: places, random: random, byID: map[string]*Replica{}, byKey: map[uint64]*Replica{},
+		settings: settings, topology: topology, random: random, byID: map[string]*Replica{}, byKey: map[uint64]*Replica{},
 		byService: map[string][]*Replica{}, evacuated: map[string]bool{}, departed: map[string]departedBackEnd{},
 	}
 }
 
-// Reconfigure changes how replicas are chosen from now on.
-func (s *Set) Reconfigure(settings Settings, places Topology) {
-	s.settings, s.places = settings, places
+// Reconfigure applies new settings and a new topology to all later calls.
+func (s *Set) Reconfigure(settings Settings, topology Topology) {
+	s.settings, s.topology = settings, topology
 	for _, known := range s.byID {
 		known.cancelledFactor, known.useSlowdown = settings.CancelledFactor, settings.UseSlowdown
 		s.refreshZone(known)
@@ -57,10 +60,10 @@
 	s.selectSubsets()
 }
 
-// Len is the number of back ends, vanished ones in doubt included.
+// Len returns the number of back ends, including doubtful ones.
 func (s *Set) Len() int { return len(s.byID) }
 
-// Get returns the back end of an id, or nil.
+// Get returns the back end with an id, or nil if there is none.
 func (s *Set) Get(id string) *Replica { return s.byID[id] }
 
 // ForEach calls visit for each back end.
@@ -70,12 +73,12 @@
 	}
 }
 
-// RandomFloat64 returns a random number from 0 to 1, of the set's own source.
+// RandomFloat64 returns a random number in [0, 1) from the set's own source.
 func (s *Set) RandomFloat64() float64 { return s.random.Float64() }
 
-// Put takes in an entry as it is now. It reports whether anything changed that a choice goes by. One of an earlier start of the
-// back end is old, whenever it comes: from a copy of the store, by a peer, or by a write that was held up. One of a later start
-// is another back end, of which nothing is known.
+// Put stores the current entry of a back end. It reports whether anything changed that affects picking. An entry of an
+// earlier incarnation is outdated and ignored; it may come from a restored backup of the store, from a peer or from a
+// delayed write. An entry of a later incarnation is a new back end, about which nothing is known.
 func (s *Set) Put(now time.Duration, entry Entry) bool {
 	known := s.byID[entry.ID]
 	if known == nil {
@@ -92,7 +95,8 @@
 	return s.updateKnown(now, known, entry)
 }
 
-// putNew takes in an entry whose id no replica has, unless it is an old one of a back end that has left.
+// putNew stores an entry whose id no replica has, unless it is an outdated entry of a back end that has left. It
+// reports whether the entry was stored.
 func (s *Set) putNew(now time.Duration, entry Entry) bool {
 	entry, current := s.reconcileDeparted(now, entry)
 	if current {
@@ -101,8 +105,9 @@
 	return current
 }
 
-// updateKnown takes in another entry of a replica, and reports whether anything changed that a choice goes by. A back end that
-// leaves does not change its mind, and what answered for it at another address says nothing of this one.
+// updateKnown stores a new entry of a known replica and reports whether anything changed that affects picking. A back
+// end that drains does not return to service, so an entry that says otherwise is outdated. If the address has changed,
+// the observation that another back end answers at the old address no longer applies.
 func (s *Set) updateKnown(now time.Duration, known *Replica, entry Entry) bool {
 	entry.Draining = entry.Draining || known.Draining
 	entry.StartedAt = known.StartedAt
@@ -121,7 +126,7 @@
 
 func (s *Set) add(now time.Duration, entry Entry) {
 	added := &Replica{
-		Entry: entry, key: xxhash.Sum64String(entry.Incarnation()), affinity: affinity(s.places.Node, entry.ID),
+		Entry: entry, key: xxhash.Sum64String(entry.Incarnation()), affinity: affinity(s.topology.Node, entry.ID),
 		latency: latency{sampledAt: now}, cold: coldPhase{until: now + entry.WarmupLeft},
 		cancelledFactor: s.settings.CancelledFactor, useSlowdown: s.settings.UseSlowdown,
 	}
--- a/internal/replica/settings.go
+++ b/internal/replica/settings.go
@@ -1,30 +1,32 @@
 package replica
 
-// Settings of the choice of replicas. Prices are shares of the request's target latency.
+// Settings configures how replicas are picked. Penalties are fractions of the request's target latency.
 type Settings struct {
-	// Connections is the largest number of attempts this node has under way at one back end.
+	// Connections is the maximum number of attempts that this node has in flight at one back end.
 	Connections int
-	// OtherRegionPenalty is what a replica of another region is expected to cost beyond its latency, so that requests stay near
-	// unless the near replicas are worse by that much.
+	// OtherRegionPenalty is added to the expected latency of a replica in another region. Requests stay in the own
+	// region unless its replicas are slower by that much.
 	OtherRegionPenalty float64
-	// FaultPenalty is what an attempt that fails costs.
+	// FaultPenalty is the cost of an attempt that fails.
 	FaultPenalty float64
-	// UseSlowdown multiplies the latency that is expected by the slowdown that the replica, or another node, tells.
+	// UseSlowdown multiplies the expected latency by the slowdown that the replica, or another node, reports.
 	UseSlowdown bool
-	// SubsetSize is how many near replicas of a service are preferred where its share of their connections is not
-	// ample; 0 prefers none.
+	// SubsetSize is the number of replicas in the own region that a node prefers for a service whose share of
+	// connections is not ample; 0 prefers none.
 	SubsetSize int
-	// LimitIdle lets only one connection be idle there.
+	// LimitIdle keeps at most one idle connection to a replica whose share of connections is not ample.
 	LimitIdle bool
-	// Ejection makes failing replicas a last choice for a while.
+	// Ejection makes a failing replica a last resort for a limited time.
 	Ejection bool
-	// CancelledFactor times its age is taken for the latency of an attempt that was withdrawn without an answer.
+	// CancelledFactor estimates the latency of an attempt that was cancelled before an answer came: its age times this
+	// factor.
 	CancelledFactor float64
-	// VerifyConnections has new connections prove themselves to a replica that may be at its limit of connections.
+	// VerifyConnections makes the node verify new connections to a replica that may be at its connection limit.
 	VerifyConnections bool
 }
 
-// Topology tells how far a back end is.
+// Topology locates this node and the zones of the back ends. It tells whether a back end is in the node's zone, in its
+// region or in another region.
 type Topology struct {
 	// Node is the name of this node.
 	Node string
@@ -33,9 +35,9 @@
 	Regions map[string]string
 }
 
-// KnowsRegion reports whether a zone of a region is known.
-func (p Topology) KnowsRegion(name string) bool {
-	for _, region := range p.Regions {
+// KnowsRegion reports whether any known zone belongs to the region.
+func (t Topology) KnowsRegion(name string) bool {
+	for _, region := range t.Regions {
 		if region == name {
 			return true
 		}
--- a/internal/replica/start_test.go
+++ b/internal/replica/start_test.go
@@ -7,30 +7,33 @@
 	"stiletrail/internal/replica"
 )
 
-// startedAt is an entry of a back end with the Unix millisecond of its start.
+// startedAt returns an entry of a back end with a start time in Unix milliseconds.
 func startedAt(id string, start int64) replica.Entry {
 	e := entry(id, "a1")
 	e.StartedAt = start
 	return e
 }
 
-// leaving is an entry that says that the back end leaves.
+// leaving returns the entry with its draining flag set.
 func leaving(e replica.Entry) replica.Entry {
 	e.Draining = true
 	return e
 }
 
-// TestStartedAgain: a back end that drained and starts again under its id is another one, and is picked.
-func TestStartedAgain(t *testing.T) {
+// TestRestartAfterDraining checks that a back end that drained and starts again under its id is picked: it is another
+// incarnation.
+func TestRestartAfterDraining(t *testing.T) {
 	set := newSet(startedAt("x", 1000))
 	set.Put(0, leaving(startedAt("x", 1000)))
 	if set.Put(time.Minute, startedAt("x", 61_000)); picked(set, time.Minute) != "x" {
-		t.Error("the second start is not picked")
+		t.Error("the second incarnation is not picked")
 	}
 }
 
-// TestNothingOutlivesAStart: what was met at an earlier start says nothing of the next one, and what is still under way there does not count at it.
-func TestNothingOutlivesAStart(t *testing.T) {
+// TestRestartResetsState guards against blaming a restarted back end for its former process: latency, faults, ejection,
+// load and attempts in flight of an incarnation do not affect the next one, nor does the end of an attempt that began
+// at the former one.
+func TestRestartResetsState(t *testing.T) {
 	set := newSet(startedAt("x", 1000))
 	before := set.Get("x")
 	run(set, 0, "x", 3*time.Second, replica.Answered)
@@ -45,46 +48,47 @@
 	set.Put(now, startedAt("x", 2000))
 	after := set.Get("x")
 	if after == before {
-		t.Fatal("the second start is the same replica")
+		t.Fatal("the second incarnation is the same replica as the first")
 	}
 	if after.InFlight() != 0 || after.AverageLatency() != 0 || after.MinimumLatency() != 0 || after.Ejected(now) || after.Doubtful() || after.Cold(now) {
-		t.Errorf("of the earlier start: %d under way, latency %v, floor %v, ejected %v", after.InFlight(), after.AverageLatency(), after.MinimumLatency(), after.Ejected(now))
+		t.Errorf("state of the first incarnation remains: %d attempts in flight, latency %v, floor %v, ejected %v", after.InFlight(), after.AverageLatency(), after.MinimumLatency(), after.Ejected(now))
 	}
 	if slowdown, faults := after.Health(now); slowdown != 1 || faults != 0 {
-		t.Errorf("slowdown %v and faults %v of the earlier start", slowdown, faults)
+		t.Errorf("slowdown %v and fault rate %v after the restart, want 1 and 0", slowdown, faults)
 	}
 	before.FinishAttempt(now, 3*time.Second, replica.Unreachable)
 	if after.Ejected(now) || picked(set, now) != "x" {
-		t.Error("the end of an attempt at the earlier start counts at the next one")
+		t.Error("the end of an attempt at the first incarnation affects the second one")
 	}
 }
 
-// TestReportOfAnEarlierStart: what another node met at an earlier start is not taken for the next one.
-func TestReportOfAnEarlierStart(t *testing.T) {
+// TestReportOfEarlierIncarnation checks that another node's report about an incarnation does not affect the next one.
+func TestReportOfEarlierIncarnation(t *testing.T) {
 	set := newSet(startedAt("x", 1000))
 	earlier := set.Get("x").Key()
 	set.Put(time.Second, startedAt("x", 2000))
 	set.RecordReport(2*time.Second, earlier, 9, 1, 2*time.Second)
 	if slowdown, faults := set.Get("x").Health(2 * time.Second); slowdown != 1 || faults != 0 {
-		t.Errorf("slowdown %v and faults %v by a report of the earlier start", slowdown, faults)
+		t.Errorf("slowdown %v and fault rate %v after a report about the first incarnation, want 1 and 0", slowdown, faults)
 	}
 	if set.Get("x").Key() == earlier {
-		t.Error("both starts have one key among nodes")
+		t.Error("both incarnations have the same key in messages between nodes")
 	}
 }
 
-// TestEarlierStartIsOld: an entry of an earlier start that comes later, by a peer or from a copy of the store, changes nothing; also where the later start
-// has left, and where it is in doubt.
-func TestEarlierStartIsOld(t *testing.T) {
+// TestEntryOfEarlierIncarnationIsIgnored checks that an outdated entry changes nothing. Entries of an earlier
+// incarnation can arrive late, from a peer or from a restored backup of the store. The same holds if the later
+// incarnation has left, and if its departure is in doubt.
+func TestEntryOfEarlierIncarnationIsIgnored(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		before func(set *replica.Set)
 		want   string
 	}{
-		{"the later start serves", func(*replica.Set) {}, "x"},
-		{"the later start leaves", func(set *replica.Set) { set.Put(0, leaving(startedAt("x", 2000))) }, ""},
-		{"the later start has left", func(set *replica.Set) { set.Remove(0, "x", 0) }, ""},
-		{"the later start has left, and the store came from a copy", func(set *replica.Set) {
+		{"the later incarnation serves", func(*replica.Set) {}, "x"},
+		{"the later incarnation drains", func(set *replica.Set) { set.Put(0, leaving(startedAt("x", 2000))) }, ""},
+		{"the later incarnation has left", func(set *replica.Set) { set.Remove(0, "x", 0) }, ""},
+		{"the later incarnation has left, and the store was restored", func(set *replica.Set) {
 			set.Remove(0, "x", 0)
 			set.DistrustDeparted(time.Second)
 		}, ""},
@@ -96,7 +100,7 @@
 			earlier.Address = "127.0.0.1:2"
 			for _, old := range []replica.Entry{earlier, leaving(earlier)} {
 				if set.Put(time.Millisecond, old) {
-					t.Error("the entry of the earlier start changed something")
+					t.Error("an entry of the earlier incarnation changed something")
 				}
 			}
 			set.ReadmitDeparted(10 * time.Second)
@@ -104,60 +108,64 @@
 				t.Errorf("picked %q, want %q", got, c.want)
 			}
 			if known := set.Get("x"); known != nil && (known.Entry.StartedAt != 2000 || known.Address == earlier.Address) {
-				t.Errorf("start %d at %s", known.Entry.StartedAt, known.Address)
+				t.Errorf("the known entry has start time %d and address %s, want those of the later incarnation", known.Entry.StartedAt, known.Address)
 			}
 		})
 	}
 }
 
-// TestLaterStartAfterACopy: a start later than the one that has left is no old entry of a store that came back from a copy.
-func TestLaterStartAfterACopy(t *testing.T) {
+// TestLaterIncarnationAfterRestore checks that the hold on entries of departed back ends does not apply to a later
+// incarnation: its entry cannot come from the restored backup.
+func TestLaterIncarnationAfterRestore(t *testing.T) {
 	set := newSet(startedAt("x", 1000))
 	set.Remove(0, "x", 0)
 	set.DistrustDeparted(time.Minute)
 	set.Put(time.Second, startedAt("x", 2000))
 	if picked(set, time.Second) != "x" {
-		t.Error("the later start is put aside")
+		t.Error("the later incarnation is not picked; its entry was held back")
 	}
 }
 
-// TestLeavingIsFinalWithinAStart: an entry of the same start that says ready again is old, also where the back end had gone meanwhile.
-func TestLeavingIsFinalWithinAStart(t *testing.T) {
-	for _, gone := range []bool{false, true} {
+// TestDrainingIsFinalForAnIncarnation checks that an entry of the same incarnation that is not draining is outdated,
+// even if the back end's entry was removed in between.
+func TestDrainingIsFinalForAnIncarnation(t *testing.T) {
+	for _, removed := range []bool{false, true} {
 		set := newSet(startedAt("x", 1000))
 		set.Put(0, leaving(startedAt("x", 1000)))
-		if gone {
+		if removed {
 			set.Remove(0, "x", 0)
 		}
 		set.Put(time.Second, startedAt("x", 1000))
 		if got := picked(set, time.Second); got != "" {
-			t.Errorf("gone %v: the start that leaves is picked", gone)
+			t.Errorf("entry removed in between: %v: the draining incarnation is picked", removed)
 		}
 	}
 }
 
-// TestWithoutAStart: entries that tell no start are of the one that is known; the first that tells one is another back end.
-func TestWithoutAStart(t *testing.T) {
+// TestEntriesWithoutStartTime checks that an entry without a start time describes the known incarnation, and that the
+// first entry with a start time describes another one.
+func TestEntriesWithoutStartTime(t *testing.T) {
 	set := newSet(entry("x", "a1"))
 	first := set.Get("x")
 	set.Put(0, leaving(entry("x", "a1")))
 	set.Put(0, entry("x", "a1"))
 	if set.Get("x") != first || picked(set, 0) != "" {
-		t.Error("a back end that tells no start changed its mind")
+		t.Error("a draining back end without a start time is picked, or was replaced")
 	}
 	set.Put(0, startedAt("x", 1000))
 	if set.Get("x") == first || picked(set, 0) != "x" {
-		t.Error("the start that is told first is taken for the one before")
+		t.Error("the first entry with a start time is taken for the known incarnation")
 	}
 	second := set.Get("x")
 	set.Put(0, leaving(entry("x", "a1")))
 	if set.Get("x") != second || picked(set, 0) != "" {
-		t.Error("an entry that tells no start is taken for another one")
+		t.Error("an entry without a start time is taken for another incarnation, or its draining flag is ignored")
 	}
 }
 
-// TestMisdirectedElsewhere: a back end whose address answered for another one is picked again at another address.
-func TestMisdirectedElsewhere(t *testing.T) {
+// TestMisdirectedUntilAddressChanges checks that a back end whose address was answered by another one is picked again
+// once its entry has another address.
+func TestMisdirectedUntilAddressChanges(t *testing.T) {
 	at := func(address string) replica.Entry {
 		e := entry("x", "a1")
 		e.Address = address
@@ -167,26 +175,28 @@
 	run(set, 0, "x", 0, replica.Misdirected)
 	set.Put(0, at("10.0.0.1:80"))
 	if picked(set, 0) != "" {
-		t.Error("picked at the address that answers for another back end")
+		t.Error("picked at the address that another back end answers")
 	}
 	set.Put(0, at("10.0.0.2:80"))
 	if picked(set, 0) != "x" {
-		t.Error("not picked at another address")
+		t.Error("not picked after its address changed")
 	}
 }
 
-// TestIncarnation: each start of a back end is an incarnation of its own; one that tells none is known by its id.
+// TestIncarnation checks that each start of a back end is an incarnation of its own, and that a back end without a
+// start time is identified by its id.
 func TestIncarnation(t *testing.T) {
 	if startedAt("x", 1000).Incarnation() == startedAt("x", 2000).Incarnation() {
-		t.Error("both starts are one incarnation")
+		t.Error("entries with different start times have the same incarnation")
 	}
 	if entry("x", "a1").Incarnation() != "x" {
-		t.Error("the incarnation of a back end that tells no start is not its id")
+		t.Error("the incarnation of a back end without a start time is not its id")
 	}
 }
 
-// TestPreferenceOutlivesAStart: which near back ends a node prefers hangs on their ids, so that a restart moves no other choice.
-func TestPreferenceOutlivesAStart(t *testing.T) {
+// TestSubsetSurvivesRestart checks that a node's preferred subset depends on the ids of the back ends and not on their
+// start times: a restart must not move the requests of other nodes.
+func TestSubsetSurvivesRestart(t *testing.T) {
 	preferred := func(starts ...int64) string {
 		set := newSet()
 		set.SetConnectionShares(map[string]replica.ConnectionShare{"s": {SameRegion: 1, OtherRegions: 1}})
@@ -200,7 +210,7 @@
 		starts := []int64{1, 1, 1, 1, 1, 1}
 		starts[i] = 2
 		if got := preferred(starts...); got != want {
-			t.Errorf("the restart of number %d moves the choice from %s to %s", i, want, got)
+			t.Errorf("the restart of back end %d changes the preferred one from %s to %s", i, want, got)
 		}
 	}
 }
--- a/internal/replica/subset.go
+++ b/internal/replica/subset.go
@@ -8,33 +8,33 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// outsideSubsetPenalty is by how much a near replica outside the subset must be better.
+// outsideSubsetPenalty is added to the score of a replica of the own region that is outside the preferred subset.
 const outsideSubsetPenalty = 40 * time.Millisecond
 
-// affinity orders the replicas of a service for one node by rendezvous hashing: nodes spread over replicas without an
-// exchange, and one that comes or goes changes little.
+// affinity ranks the replicas of a service for one node by rendezvous hashing. Nodes spread over the replicas without
+// communicating, and a replica that joins or leaves changes the ranking of few others.
 func affinity(node, id string) uint64 { return xxhash.Sum64String(node + "/" + id) }
 
-// selectSubset chooses the near replicas of a service that this node prefers. With many replicas and few requests a
-// node would else use each so rarely that connections are idle until they are closed, and nearly every request opens
-// one.
+// selectSubset chooses the replicas of the own region that this node prefers for a service. With many replicas and few
+// requests, a node would otherwise use each replica so rarely that connections are closed while idle, and nearly every
+// request would open a new one.
 func (s *Set) selectSubset(service string) {
 	members := s.byService[service]
-	var near []*Replica
+	var inRegion []*Replica
 	for _, r := range members {
 		r.outsideSubset = false
 		if s.inOwnRegion(r) && r.candidate() {
-			near = append(near, r)
+			inRegion = append(inRegion, r)
 		}
 	}
 	size := s.settings.SubsetSize
-	if size == 0 || s.connectionShare(service).OtherRegions >= ampleConnections || len(near) <= size {
+	if size == 0 || s.connectionShare(service).OtherRegions >= ampleConnections || len(inRegion) <= size {
 		return
 	}
-	slices.SortFunc(near, func(a, b *Replica) int {
+	slices.SortFunc(inRegion, func(a, b *Replica) int {
 		return cmp.Or(cmp.Compare(s.distancePenalty(a, defaultTargetLatency), s.distancePenalty(b, defaultTargetLatency)), cmp.Compare(b.affinity, a.affinity))
 	})
-	for _, r := range near[size:] {
+	for _, r := range inRegion[size:] {
 		r.outsideSubset = true
 	}
 }
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -12,9 +12,10 @@
 	"stiletrail/internal/replica"
 )
 
-// TestChoicesOfOld: what a set picks and tells over a long random history, hashed, is what it was when the hashes were taken. A change that is to leave the
-// choice as it is leaves them too; one that is not takes new ones, and says why.
-func TestChoicesOfOld(t *testing.T) {
+// TestPicksAreUnchanged guards against unintended changes of the picking rule: it runs a long random history on a set
+// and compares a hash of all results with a stored one. A change that is meant to leave the choice as it is must leave
+// the hashes as they are. A change that is not meant to do so replaces them and states why.
+func TestPicksAreUnchanged(t *testing.T) {
 	for seed, want := range []uint64{0x52a811eeaf462f18, 0xcbdd04bbc72506a0, 0x21700929de7a07b8, 0x5a51d291be112cce} {
 		if got := trace(uint64(seed)); got != want {
 			t.Errorf("seed %d: hash %#x, want %#x", seed, got, want)
@@ -22,10 +23,10 @@
 	}
 }
 
-// trace plays a random history on a set and hashes all that it answers.
+// trace runs a random history on a set and returns the hash of all its results.
 func trace(seed uint64) uint64 {
 	random := rand.New(rand.NewPCG(seed, 9))
-	set := replica.NewSet(traceSettings(random), tracePlaces, rand.New(rand.NewPCG(seed, 10)))
+	set := replica.NewSet(traceSettings(random), traceTopology, rand.New(rand.NewPCG(seed, 10)))
 	set.SetWarmups(map[string]replica.Warmup{"s": {Duration: 3 * clock.Second, Rate: 12.5}})
 	sum := fnv.New64a()
 	note := func(values ...any) { _, _ = fmt.Fprintln(sum, values...) }
@@ -49,17 +50,17 @@
 			if random.IntN(2) == 0 {
 				ending.at.RecordLoad(now, replica.Load{Reported: true, Running: random.IntN(5), Waiting: random.IntN(2), Slots: 4, Slowdown: 0.5 + 3*random.Float64()})
 			}
-			verdict := replica.Answered
+			result := replica.Answered
 			if random.IntN(4) == 0 {
-				verdict = replica.AttemptResult(random.IntN(int(replica.Neutral) + 1))
+				result = replica.AttemptResult(random.IntN(int(replica.Neutral) + 1))
 			}
-			if verdict == replica.Misdirected && random.IntN(10) > 0 {
-				verdict = replica.Failed
+			if result == replica.Misdirected && random.IntN(10) > 0 {
+				result = replica.Failed
 			}
-			note("finish", verdict, ending.at.FinishAttempt(now, ending.when, verdict))
+			note("finish", result, ending.at.FinishAttempt(now, ending.when, result))
 		case what < 80:
 			if now < distrustedUntil {
-				// More than one entry that is put aside would be taken back in the random order of a map.
+				// Several entries that are held back would be readmitted in the random order of a map.
 				id = "back-end-0"
 			}
 			entry := traceEntry(random, id)
@@ -75,14 +76,14 @@
 		case what < 88 && set.Get(id) != nil:
 			set.RecordReport(now, set.Get(id).Key(), 1+4*random.Float64(), random.Float64(), now-time.Duration(random.IntN(int(time.Second))))
 		case what < 90:
-			tracePlace(random, now, set, note)
+			traceZones(random, now, set, note)
 		case what < 91 && step%5 == 0:
 			distrustedUntil = now + 2*time.Second
 			set.DistrustDeparted(distrustedUntil)
 		case what < 91:
 			traceNodes(random, set)
 		case what < 92 && step%7 == 0:
-			set.Reconfigure(traceSettings(random), tracePlaces)
+			set.Reconfigure(traceSettings(random), traceTopology)
 		case set.Get(id) != nil:
 			r := set.Get(id)
 			slowdown, faults := r.Health(now)
@@ -95,13 +96,13 @@
 	return sum.Sum64()
 }
 
-// started is an attempt under way.
+// started is an attempt in flight.
 type started struct {
 	at   *replica.Replica
 	when time.Duration
 }
 
-var tracePlaces = replica.Topology{
+var traceTopology = replica.Topology{
 	Node: "node-0", Zone: "a1", Regions: map[string]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c"},
 }
 
@@ -143,14 +144,15 @@
 	return choice
 }
 
-// anyDoubtful reports whether some entry has vanished in doubt. More than one would expire in the random order of a map.
+// anyDoubtful reports whether any replica is doubtful. Several doubtful replicas would expire in the random order of a
+// map.
 func anyDoubtful(set *replica.Set) (found bool) {
 	set.ForEach(func(r *replica.Replica) { found = found || r.Doubtful() })
 	return found
 }
 
-// tracePlace has a zone evacuated or taken back, or entries that were put aside taken in.
-func tracePlace(random *rand.Rand, now time.Duration, set *replica.Set, note func(...any)) {
+// traceZones evacuates a zone, ends an evacuation, or readmits entries that were held back.
+func traceZones(random *rand.Rand, now time.Duration, set *replica.Set, note func(...any)) {
 	zone := []string{"a2", "b2", "c1"}[random.IntN(3)]
 	switch random.IntN(5) {
 	case 0:
@@ -163,7 +165,7 @@
 	}
 }
 
-// traceNodes changes what the other nodes leave to this one.
+// traceNodes changes the list of nodes and this node's share of connections.
 func traceNodes(random *rand.Rand, set *replica.Set) {
 	var nodes []string
 	for i := range random.IntN(20) {
--- a/internal/replica/warmup_test.go
+++ b/internal/replica/warmup_test.go
@@ -13,7 +13,8 @@
 	"stiletrail/internal/replica"
 )
 
-// coldFleet is some nodes that each have a set with the same cold back ends and other good ones.
+// coldFleet returns the names of some nodes and a set for each. All sets hold the same cold back end in their zone and
+// a warm one in another region.
 func coldFleet(nodes int, rate float64, cold time.Duration) (names []string, sets []*replica.Set) {
 	for i := range nodes {
 		names = append(names, fmt.Sprint("node-", i))
@@ -30,7 +31,8 @@
 	return names, sets
 }
 
-// drive has each node ask as often as the request rate says from the second second on, and returns the attempts at the cold back end.
+// drive makes each node pick a replica at regular intervals, starting at two seconds, and returns the times of the
+// attempts at the cold back end.
 func drive(sets []*replica.Set, every, until time.Duration) (arrivals []time.Duration) {
 	for now := 2 * time.Second; now < until; now += every {
 		for _, set := range sets {
@@ -48,7 +50,7 @@
 	return arrivals
 }
 
-// mostWithin a second of the arrivals, which are in order.
+// mostWithin returns the largest number of arrivals within one second; the arrivals are in order.
 func mostWithin(arrivals []time.Duration) (most int) {
 	for i := range arrivals {
 		count := 0
@@ -62,9 +64,10 @@
 	return most
 }
 
-// TestColdBackEndsGetNoMoreThanTheyBear: over all nodes a cold back end gets no more requests in any second than it bears, however many nodes there are and
-// however much they ask; a good part of that is used; and once it is warm it gets all.
-func TestColdBackEndsGetNoMoreThanTheyBear(t *testing.T) {
+// TestColdBackEndRateLimit guards against overloading a back end that has just started. All nodes together send a cold
+// back end no more requests in any second than its rate allows, however many nodes there are and however many requests
+// they have. The nodes must use a good part of that rate.
+func TestColdBackEndRateLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		nodes := rapid.IntRange(1, 120).Draw(rt, "nodes")
 		rate := rapid.Float64Range(1, 60).Draw(rt, "rate")
@@ -73,17 +76,18 @@
 		_, sets := coldFleet(nodes, rate, cold)
 		arrivals := drive(sets, every, cold-millisecond)
 		if most := mostWithin(arrivals); float64(most) > rate {
-			rt.Fatalf("%d requests in a second, a cold back end bears %v", most, rate)
+			rt.Fatalf("a cold back end got %d requests in one second, limit %v", most, rate)
 		}
-		asked := float64(nodes) / every.Seconds()
-		if most := mostWithin(arrivals); asked > 2*rate && nodes > 1 && float64(most) < rate/2-1 {
-			rt.Fatalf("%d requests in the busiest second, %v are borne and %v were asked", most, rate, asked)
+		demand := float64(nodes) / every.Seconds()
+		if most := mostWithin(arrivals); demand > 2*rate && nodes > 1 && float64(most) < rate/2-1 {
+			rt.Fatalf("a cold back end got %d requests in its busiest second; limit %v, demand %v per second", most, rate, demand)
 		}
 	})
 }
 
-// TestColdBackEndAndWrongMembership: nodes whose lists lack some of the others keep what all send within half more than a cold back end bears, and a little.
-func TestColdBackEndAndWrongMembership(t *testing.T) {
+// TestColdBackEndRateWithDivergingNodeLists checks that nodes whose lists lack some of the other nodes exceed the rate
+// of a cold back end by at most half of it plus five requests per second.
+func TestColdBackEndRateWithDivergingNodeLists(t *testing.T) {
 	const nodes, rate, cold = 60, 20.0, 6 * time.Second
 	names, sets := coldFleet(nodes, rate, cold)
 	random := rand.New(rand.NewPCG(5, 5))
@@ -97,67 +101,70 @@
 		set.SetNodes(names[i], known)
 	}
 	if most := mostWithin(drive(sets, 40*millisecond, cold-millisecond)); float64(most) > 1.5*rate+5 {
-		t.Errorf("%d requests in a second, a cold back end bears %v", most, rate)
+		t.Errorf("a cold back end got %d requests in one second; limit %v, tolerated half more and 5", most, rate)
 	}
 }
 
-// TestColdBackEndAndNodesThatStart: a node that does not know the others, and one that has just started, whose earlier life may have sent its part, send
-// nothing to a cold back end that bears little.
-func TestColdBackEndAndNodesThatStart(t *testing.T) {
+// TestColdBackEndAndStartingNodes checks that two kinds of nodes send nothing to a cold back end with a rate limit: a
+// node that does not know the others, and a node that has just started, whose previous process may have used up the
+// quota.
+func TestColdBackEndAndStartingNodes(t *testing.T) {
 	_, sets := coldFleet(3, 10, 10*time.Second)
 	alone := sets[0]
 	alone.SetNodes("node-0", nil)
 	for _, now := range []time.Duration{0, 500 * millisecond, 3 * time.Second} {
 		if got := picked(alone, now); got != "warm" {
-			t.Errorf("a node that knows nobody picks %q at %v", got, now)
+			t.Errorf("a node that knows no other node picks %q at %v, want \"warm\"", got, now)
 		}
 	}
 	if got := picked(sets[1], 500*millisecond); got != "warm" {
-		t.Errorf("a node picks %q half a second after its start", got)
+		t.Errorf("a node picks %q half a second after its start, want \"warm\"", got)
 	}
 	if got := picked(sets[1], 3*time.Second); got != "cold" {
-		t.Errorf("a node picks %q three seconds after its start", got)
+		t.Errorf("a node picks %q three seconds after its start, want \"cold\"", got)
 	}
 }
 
-// TestNoBoundOnColdBackEnds: where none is told a cold back end is just expected to be slower.
-func TestNoBoundOnColdBackEnds(t *testing.T) {
+// TestUnlimitedColdBackEnd checks that a cold back end without a rate limit is not held back: it is only expected to be
+// slower.
+func TestUnlimitedColdBackEnd(t *testing.T) {
 	_, sets := coldFleet(1, 0, 10*time.Second)
 	if arrivals := drive(sets, 10*millisecond, 4*time.Second); len(arrivals) != 200 {
-		t.Errorf("%d of 200 requests went to the near back end", len(arrivals))
+		t.Errorf("%d of 200 requests went to the cold back end in the own zone, want all", len(arrivals))
 	}
 }
 
-// TestZoneTakenBackIsCold: back ends of a zone that was evacuated come back as cold ones, which bear little, unless their entries say later that they are warm.
-func TestZoneTakenBackIsCold(t *testing.T) {
+// TestRestoredZoneIsCold checks that back ends are cold after the evacuation of their zone ends, since they got no
+// requests meanwhile. An entry that states that a back end is warm overrides this.
+func TestRestoredZoneIsCold(t *testing.T) {
 	set := newSet(entry("own", "a1"), entry("far", "b1"))
 	set.SetWarmups(map[string]replica.Warmup{"s": {Duration: 3 * clock.Second, Rate: 1}})
 	set.SetNodes("self", []string{"self"})
 	now := 10 * time.Second
 	if !set.EvacuateZone("a1") || set.EvacuateZone("a1") || set.EvacuatedZones() != 1 {
-		t.Error("an evacuation is news once")
+		t.Error("want EvacuateZone to report a change once, and one evacuated zone")
 	}
 	set.Put(now, entry("late", "a1"))
 	if got := picked(set, now); got != "far" {
-		t.Errorf("picked %q while the zone is evacuated", got)
+		t.Errorf("picked %q while the own zone is evacuated, want \"far\"", got)
 	}
 	if set.HasCandidate("s", region.NewSet("a")) || !set.HasCandidate("s", region.NewSet("b")) {
-		t.Error("the back ends of an evacuated zone count as known")
+		t.Error("want candidates in region b alone, since the zone of region a is evacuated")
 	}
 	if !set.RestoreZone(now, "a1") || set.RestoreZone(now, "a1") {
-		t.Error("the end of an evacuation is news once")
+		t.Error("want RestoreZone to report a change once")
 	}
 	if !set.Get("own").Cold(now+2*time.Second) || set.Get("own").Cold(now+4*time.Second) {
-		t.Error("back ends are cold for three seconds after the zone was taken back")
+		t.Error("want back ends cold for three seconds after the evacuation")
 	}
 	first := set.Get("own")
 	first.StartAttempt(now)
 	set.Get("late").StartAttempt(now)
 	if got := picked(set, now+100*millisecond); got != "far" {
-		t.Errorf("picked %q, the cold ones have what they bear", got)
+		t.Errorf("picked %q, want \"far\": the quota of the cold back ends is used up", got)
 	}
 	set.Put(now, entry("own", "a1"))
 	if set.Get("own").Cold(now) {
-		t.Error("an entry that tells of a warm back end is not believed")
+		t.Error("a back end is cold although its entry states that it is warm")
 	}
 }
--- a/internal/replica/zones.go
+++ b/internal/replica/zones.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// refreshZone brings up to date what follows from the zone of a replica.
+// refreshZone updates the fields of a replica that depend on its zone.
 func (s *Set) refreshZone(r *Replica) {
-	r.region = s.places.Regions[r.Zone]
+	r.region = s.topology.Regions[r.Zone]
 	r.evacuated = s.evacuated[r.Zone]
 }
 
-// EvacuateZone has the back ends of a zone picked no more, from now on and also those that appear there later. What
-// they work on is not cut: the zone is to be left alone, not lost. It reports whether that is news.
+// EvacuateZone stops the back ends of a zone from being picked, including those that appear in the zone later. Requests
+// that they are working on continue: the zone is to be emptied, not lost. EvacuateZone reports whether the zone was not
+// evacuated before.
 func (s *Set) EvacuateZone(zone string) bool {
 	if s.evacuated[zone] {
 		return false
@@ -19,8 +20,8 @@
 	return true
 }
 
-// RestoreZone ends the evacuation of a zone. Its back ends got nothing for as long as it was evacuated, and come back
-// cold. It reports whether that is news.
+// RestoreZone ends the evacuation of a zone. The zone's back ends got no requests during the evacuation and are
+// therefore cold. RestoreZone reports whether the zone was evacuated before.
 func (s *Set) RestoreZone(now time.Duration, zone string) bool {
 	if !s.evacuated[zone] {
 		return false
@@ -35,7 +36,7 @@
 	return true
 }
 
-// EvacuatedZones is the number of zones that get nothing.
+// EvacuatedZones returns the number of evacuated zones.
 func (s *Set) EvacuatedZones() int { return len(s.evacuated) }
 
 func (s *Set) refreshReplicasOfZone(zone string) {
