--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -16,7 +16,7 @@
 	},
 	{
 		"runs at the same time count one by one", "internal/quarantine/record.go",
-		"(length == 0 || run.Began >= last)", "(last >= 0)",
+		"(length == 0 || run.StartedAt >= last)", "(last >= 0)",
 		"./internal/quarantine", "TestRounds",
 	},
 	{
--- a/internal/quarantine/outcome.go
+++ b/internal/quarantine/outcome.go
@@ -10,10 +10,10 @@
 type Crash struct {
 	Service string
 	// BackEnd names one life of a back end, Version its software.
-	BackEnd string
-	Version string
-	Began   clock.Ms
-	Ended   clock.Ms
+	BackEnd   string
+	Version   string
+	StartedAt clock.Ms
+	Ended     clock.Ms
 }
 
 // Change is what has become of what is known of requests.
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -83,7 +83,7 @@
 	length := 0
 	var last clock.Ms
 	for _, run := range sorted {
-		if counts(run) && (length == 0 || run.Began >= last) {
+		if counts(run) && (length == 0 || run.StartedAt >= last) {
 			length++
 			last = run.Ended
 		}
