--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -34,7 +34,7 @@
 	q := a.subQuery
 	verdict, _ := c.quarantine.RecordCrash(clock.FromDuration(now), identityOf(q.request), quarantine.Crash{
 		Service: q.request.Service, BackEnd: a.backEnd.address + "#" + strconv.FormatUint(a.number, 10),
-		StartedAt: clock.FromDuration(a.startedAt), Ended: clock.FromDuration(now),
+		StartedAt: clock.FromDuration(a.startedAt), CrashedAt: clock.FromDuration(now),
 	})
 	c.eject(now, a.group, a.backEnd)
 	if q.finished {
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -55,7 +55,7 @@
 	}
 	verdict, change := g.quarantine.RecordCrash(now, n.run.call.Identity, quarantine.Crash{
 		Service: attempt.Service, BackEnd: attempt.Replica.Incarnation(), Version: attempt.Replica.Version,
-		StartedAt: clock.FromDuration(attempt.StartedAt), Ended: clock.FromDuration(attempt.EndedAt),
+		StartedAt: clock.FromDuration(attempt.StartedAt), CrashedAt: clock.FromDuration(attempt.EndedAt),
 	})
 	if change.FirstRound && n.run.route.FansOut() {
 		// Most often another shard answers soon, and nobody need hear of it.
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -74,7 +74,7 @@
 	}
 	for _, run := range r.runs[max(0, len(r.runs)-mostRunsSent):] {
 		sent.Runs = append(sent.Runs, message.EndedRun{
-			Service: run.Service, BackEnd: run.BackEnd, Version: run.Version, StartedAgoMs: age(now - run.StartedAt), EndedAgoMs: age(now - run.Ended),
+			Service: run.Service, BackEnd: run.BackEnd, Version: run.Version, StartedAgoMs: age(now - run.StartedAt), EndedAgoMs: age(now - run.CrashedAt),
 		})
 	}
 	return sent
@@ -137,7 +137,7 @@
 	for _, run := range sent.Runs[:min(len(sent.Runs), mostRunsSent)] {
 		grew := c.addRun(now, r, Crash{
 			Service: run.Service, BackEnd: run.BackEnd, Version: run.Version,
-			StartedAt: now - clock.Ms(run.StartedAgoMs), Ended: now - clock.Ms(run.EndedAgoMs),
+			StartedAt: now - clock.Ms(run.StartedAgoMs), CrashedAt: now - clock.Ms(run.EndedAgoMs),
 		})
 		news = news || grew
 	}
--- a/internal/quarantine/exceptions.go
+++ b/internal/quarantine/exceptions.go
@@ -79,7 +79,7 @@
 
 func lastEnded(runs []Crash) (last clock.Ms) {
 	for _, run := range runs {
-		last = max(last, run.Ended)
+		last = max(last, run.CrashedAt)
 	}
 	return last
 }
--- a/internal/quarantine/outcome.go
+++ b/internal/quarantine/outcome.go
@@ -13,7 +13,7 @@
 	BackEnd   string
 	Version   string
 	StartedAt clock.Ms
-	Ended     clock.Ms
+	CrashedAt clock.Ms
 }
 
 // Change is what has become of what is known of requests.
@@ -58,7 +58,7 @@
 // noteEnd remembers a back end that ended, once.
 func (c *Core) noteEnd(now clock.Ms, run Crash) {
 	c.ends = slices.DeleteFunc(c.ends, func(end Crash) bool {
-		return now-end.Ended > doubtFor || end.BackEnd == run.BackEnd
+		return now-end.CrashedAt > doubtFor || end.BackEnd == run.BackEnd
 	})
 	if len(c.ends) < mostEnds {
 		c.ends = append(c.ends, run)
@@ -112,7 +112,7 @@
 		r.sound = appendNew(r.sound, version, mostVersions)
 		return
 	}
-	r.runs = slices.DeleteFunc(r.runs, func(run Crash) bool { return run.Service == service && run.Ended <= now })
+	r.runs = slices.DeleteFunc(r.runs, func(run Crash) bool { return run.Service == service && run.CrashedAt <= now })
 	delete(r.shardsUntil, service)
 	if !r.answered || now > r.answeredAt {
 		r.answered, r.answeredAt = true, now
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -25,7 +25,7 @@
 
 // run of a request at a back end, from one moment to another.
 func run(service, backEnd string, began, ended clock.Ms) quarantine.Crash {
-	return quarantine.Crash{Service: service, BackEnd: backEnd, Version: "v1", StartedAt: began, Ended: ended}
+	return quarantine.Crash{Service: service, BackEnd: backEnd, Version: "v1", StartedAt: began, CrashedAt: ended}
 }
 
 // TestRounds: runs that follow each other count, those at the same time count once.
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -68,7 +68,7 @@
 // rounds is the greatest number of runs that followed each other since the request was last answered: each began after the one
 // before had ended. Runs at the same time count once, since whatever ended one back end may have ended the others.
 func (r *record) rounds() int {
-	return chain(r.runs, func(run Crash) bool { return !r.answered || run.Ended > r.answeredAt })
+	return chain(r.runs, func(run Crash) bool { return !r.answered || run.CrashedAt > r.answeredAt })
 }
 
 // shardRounds are the rounds at one service, which has not answered since.
@@ -79,13 +79,13 @@
 // chain is the length of the longest sequence of runs that follow each other, of those that count: of the runs left, the one that
 // ended first is always part of one.
 func chain(runs []Crash, counts func(Crash) bool) int {
-	sorted := slices.SortedFunc(slices.Values(runs), func(a, b Crash) int { return int(a.Ended - b.Ended) })
+	sorted := slices.SortedFunc(slices.Values(runs), func(a, b Crash) int { return int(a.CrashedAt - b.CrashedAt) })
 	length := 0
 	var last clock.Ms
 	for _, run := range sorted {
 		if counts(run) && (length == 0 || run.StartedAt >= last) {
 			length++
-			last = run.Ended
+			last = run.CrashedAt
 		}
 	}
 	return length
--- a/internal/quarantine/stored_test.go
+++ b/internal/quarantine/stored_test.go
@@ -82,7 +82,7 @@
 	for i := range 4 {
 		began := now
 		now += clock.Second / 2
-		core.RecordCrash(now, id, quarantine.Crash{Service: "s", BackEnd: fmt.Sprint(i), Version: "1.0", StartedAt: began, Ended: now})
+		core.RecordCrash(now, id, quarantine.Crash{Service: "s", BackEnd: fmt.Sprint(i), Version: "1.0", StartedAt: began, CrashedAt: now})
 	}
 	expect(ended)
 	core.RecordAnswer(now, id, "s", "2.0")
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -103,7 +103,7 @@
 func (c *Core) doubt(now clock.Ms, r *record) int {
 	others := 0
 	for _, end := range c.ends {
-		if now-end.Ended <= doubtFor && !slices.Contains(r.backEnds, end.BackEnd) {
+		if now-end.CrashedAt <= doubtFor && !slices.Contains(r.backEnds, end.BackEnd) {
 			others++
 		}
 	}
