--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -45,7 +45,7 @@
 	status := Status{
 		StoreRevision: g.storeCopy.records.Revision(), StoreContactAge: g.storeCopy.reader.ContactAge(now),
 		CopyAge: g.storeCopy.age(now), Nodes: g.fleet.nodes, BackEnds: map[string]int{},
-		Quarantined: g.quarantine.Count(clock.FromDuration(now)), EvacuatedZones: g.replicas.EvacuatedZones(),
+		Quarantined: g.quarantine.QuarantinedCount(clock.FromDuration(now)), EvacuatedZones: g.replicas.EvacuatedZones(),
 	}
 	g.replicas.ForEach(func(known *replica.Replica) { status.BackEnds[stateOf(now, known)]++ })
 	return status
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -41,8 +41,8 @@
 // Len is the number of requests that something is remembered of.
 func (c *Core) Len() int { return len(c.records) }
 
-// Count is the number of requests under quarantine.
-func (c *Core) Count(now clock.Ms) (count int) {
+// QuarantinedCount is the number of requests under quarantine.
+func (c *Core) QuarantinedCount(now clock.Ms) (count int) {
 	for _, r := range c.records {
 		if r.quarantined(now) {
 			count++
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -168,7 +168,7 @@
 	if got != quarantine.Quarantined {
 		t.Errorf("another back end for another question: %v", got)
 	}
-	if held := core.Count(500); held > 0 || len(core.MissingFromStore(500)) > 0 {
+	if held := core.QuarantinedCount(500); held > 0 || len(core.MissingFromStore(500)) > 0 {
 		t.Errorf("%d are under quarantine", held)
 	}
 	if got := core.Verdict(500, asks("a", "new")); got != quarantine.Suspect {
@@ -304,7 +304,7 @@
 		if core.Len() > 32 {
 			rt.Fatalf("%d requests by one message", core.Len())
 		}
-		if later := now + 2*3600*clock.Second; core.Count(later) > 0 {
+		if later := now + 2*3600*clock.Second; core.QuarantinedCount(later) > 0 {
 			rt.Fatal("under quarantine for hours")
 		}
 	})
@@ -354,7 +354,7 @@
 			t.Fatal(err)
 		}
 	}
-	if got := core.Count(now); got != 4096 {
+	if got := core.QuarantinedCount(now); got != 4096 {
 		t.Fatalf("%d are under quarantine", got)
 	}
 	verdict, _ := core.RecordCrash(now+10, asks("a", "x"), run("s", "1", now, now+10))
