--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -16,37 +16,37 @@
 	},
 	{
 		"runs at the same time count one by one", "internal/quarantine/record.go",
-		"(length == 0 || run.StartedAt >= last)", "(last >= 0)",
+		"(length == 0 || crash.StartedAt >= last)", "(last >= 0)",
 		"./internal/quarantine", "TestRounds",
 	},
 	{
 		"an answer does not acquit", "internal/quarantine/outcome.go",
-		"	r.until, r.stored = 0, false\n	if len", "	if len",
+		"	r.quarantinedUntil, r.stored = 0, false\n	if len", "	if len",
 		"./internal/quarantine", "TestAnswerAcquits",
 	},
 	{
 		"what others tell of a quarantine that an answer has ended counts", "internal/quarantine/evidence.go",
-		"until > r.until+sameMoment && !over", "until > r.until+sameMoment && (!over || until > 0)",
+		"until > r.quarantinedUntil+timeTolerance && !answeredSince", "until > r.quarantinedUntil+timeTolerance && (!answeredSince || until > 0)",
 		"./internal/quarantine", "TestToldByOthers",
 	},
 	{
 		"back ends that end by themselves raise no doubt", "internal/quarantine/verdict.go",
-		"return min(others/endsPerRound, mostDoubt)", "return 0",
+		"return min(others/unrelatedCrashesPerRound, maximumExtraRounds)", "return 0",
 		"./internal/quarantine", "TestOthersEndToo",
 	},
 	{
 		"a caller is put under quarantine", "internal/quarantine/verdict.go",
-		"c.settings.Rounds == 0 || r.wide ||", "c.settings.Rounds == 0 ||",
+		"c.settings.Rounds == 0 || r.aggregate ||", "c.settings.Rounds == 0 ||",
 		"./internal/quarantine", "TestWideMarks",
 	},
 	{
 		"what is remembered of requests has no bound", "internal/quarantine/quarantine.go",
-		"if len(c.records) >= mostRecords {", "if false {",
+		"if len(c.records) >= maximumRecords {", "if false {",
 		"./internal/quarantine", "TestBounded",
 	},
 	{
 		"a question is known by its caller's address alone", "internal/quarantine/mark.go",
-		"Request: FingerprintOf([]byte(question), where, details)", "Request: FingerprintOf([]byte(question), []byte(who), where, details)",
+		"Request: FingerprintOf([]byte(requestKind), resource, parameters)", "Request: FingerprintOf([]byte(requestKind), []byte(caller), resource, parameters)",
 		"./internal/gateway", "TestRequestThatComesInAnotherGuise",
 	},
 	{
--- a/internal/quarantine/mark.go
+++ b/internal/quarantine/mark.go
@@ -28,22 +28,22 @@
 type kind string
 
 const (
-	question kind = "question"
-	asked    kind = "asked"
-	place    kind = "place"
-	caller   kind = "caller"
+	requestKind       kind = "question"
+	callerRequestKind kind = "asked"
+	resourceKind      kind = "place"
+	callerKind        kind = "caller"
 )
 
 // NewIdentity gives what a request is known by that somebody sends, to some place, with some details.
-func NewIdentity(who string, where, details []byte) Identity {
+func NewIdentity(caller string, resource, parameters []byte) Identity {
 	return Identity{
-		Request: FingerprintOf([]byte(question), where, details), CallerRequest: FingerprintOf([]byte(asked), []byte(who), where, details),
-		Resource: FingerprintOf([]byte(place), where), Caller: FingerprintOf([]byte(caller), []byte(who)),
+		Request: FingerprintOf([]byte(requestKind), resource, parameters), CallerRequest: FingerprintOf([]byte(callerRequestKind), []byte(caller), resource, parameters),
+		Resource: FingerprintOf([]byte(resourceKind), resource), Caller: FingerprintOf([]byte(callerKind), []byte(caller)),
 	}
 }
 
-// marks are all of an identity.
-func (id Identity) marks() [4]Fingerprint {
+// fingerprints are all of an identity.
+func (id Identity) fingerprints() [4]Fingerprint {
 	return [...]Fingerprint{id.Request, id.CallerRequest, id.Resource, id.Caller}
 }
 
@@ -52,9 +52,9 @@
 	return int(binary.BigEndian.Uint64(id.Request[:8]) % uint64(count))
 }
 
-// mayBeQuarantined reports whether what bears one of its marks can be put under quarantine.
-func (id Identity) mayBeQuarantined(mark Fingerprint) bool {
-	return mark == id.Request || mark == id.CallerRequest
+// canBeQuarantined reports whether what bears one of its marks can be put under quarantine.
+func (id Identity) canBeQuarantined(fingerprint Fingerprint) bool {
+	return fingerprint == id.Request || fingerprint == id.CallerRequest
 }
 
 // FingerprintOf gives the mark of what some parts describe, in an order that is always the same.
@@ -67,26 +67,26 @@
 		hash.Write(length[:])
 		hash.Write(part)
 	}
-	var mark Fingerprint
-	copy(mark[:], hash.Sum(nil))
-	return mark
+	var fingerprint Fingerprint
+	copy(fingerprint[:], hash.Sum(nil))
+	return fingerprint
 }
 
-// shownBytes of a mark are enough to tell the requests of a log from each other.
-const shownBytes = 8
+// loggedBytes of a mark are enough to tell the requests of a log from each other.
+const loggedBytes = 8
 
 // MarshalText implements encoding.TextMarshaler.
-func (m Fingerprint) MarshalText() ([]byte, error) { return []byte(hex.EncodeToString(m[:])), nil }
+func (f Fingerprint) MarshalText() ([]byte, error) { return []byte(hex.EncodeToString(f[:])), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler. A failure is of code MALFORMED.
-func (m *Fingerprint) UnmarshalText(text []byte) error {
+func (f *Fingerprint) UnmarshalText(text []byte) error {
 	decoded, err := hex.DecodeString(string(text))
-	if err != nil || len(decoded) != len(m) {
-		return failure.New(failure.Malformed, "a mark is not "+strconv.Itoa(len(m))+" bytes in hexadecimal")
+	if err != nil || len(decoded) != len(f) {
+		return failure.New(failure.Malformed, "malformed fingerprint: expected "+strconv.Itoa(len(f))+" bytes in hexadecimal")
 	}
-	copy(m[:], decoded)
+	copy(f[:], decoded)
 	return nil
 }
 
 // String shows the beginning of a mark, as logs have it.
-func (m Fingerprint) String() string { return hex.EncodeToString(m[:shownBytes]) }
+func (f Fingerprint) String() string { return hex.EncodeToString(f[:loggedBytes]) }
--- a/internal/quarantine/outcome.go
+++ b/internal/quarantine/outcome.go
@@ -27,25 +27,25 @@
 
 // RecordCrash takes in that a back end ended under a request, and gives the verdict on it: a place or a caller whose requests go on
 // ending back ends, one after the other and none answered, gets no second back end for another one.
-func (c *Core) RecordCrash(now clock.Ms, id Identity, run Crash) (Verdict, Change) {
-	c.noteEnd(now, run)
+func (c *Core) RecordCrash(now clock.Ms, id Identity, crash Crash) (Verdict, Change) {
+	c.addRecentCrash(now, crash)
 	var change Change
 	// Where all that may be remembered is under quarantine a record of these may go again as the next one is made.
 	known := map[Fingerprint]*record{}
-	for _, mark := range id.marks() {
-		r := c.recordOf(now, mark)
-		known[mark] = r
-		r.wide = !id.mayBeQuarantined(mark)
-		grew := c.addRun(now, r, run)
-		if grew {
-			change.Share = append(change.Share, mark)
+	for _, fingerprint := range id.fingerprints() {
+		r := c.recordOf(now, fingerprint)
+		known[fingerprint] = r
+		r.aggregate = !id.canBeQuarantined(fingerprint)
+		newRound := c.addCrash(now, r, crash)
+		if newRound {
+			change.Share = append(change.Share, fingerprint)
 		}
-		if _, already := c.quarantineOf(now, id); grew && !already && c.quarantineIfDue(now, r) {
-			change.VerdictChanged = append(change.VerdictChanged, mark)
+		if _, already := c.quarantinedRecord(now, id); newRound && !already && c.quarantineIfDue(now, r) {
+			change.VerdictChanged = append(change.VerdictChanged, fingerprint)
 		}
 	}
 	if known[id.CallerRequest].rounds() >= c.settings.Rounds {
-		known[id.Request].addAskers(id.CallerRequest)
+		known[id.Request].addCallers(id.CallerRequest)
 	}
 	change.FirstRound = known[id.Request].rounds() <= 1 && known[id.CallerRequest].rounds() <= 1
 	verdict := c.Verdict(now, id)
@@ -55,72 +55,72 @@
 	return verdict, change
 }
 
-// noteEnd remembers a back end that ended, once.
-func (c *Core) noteEnd(now clock.Ms, run Crash) {
-	c.ends = slices.DeleteFunc(c.ends, func(end Crash) bool {
-		return now-end.CrashedAt > doubtFor || end.BackEnd == run.BackEnd
+// addRecentCrash remembers a back end that ended, once.
+func (c *Core) addRecentCrash(now clock.Ms, crash Crash) {
+	c.recentCrashes = slices.DeleteFunc(c.recentCrashes, func(recent Crash) bool {
+		return now-recent.CrashedAt > unrelatedCrashWindow || recent.BackEnd == crash.BackEnd
 	})
-	if len(c.ends) < mostEnds {
-		c.ends = append(c.ends, run)
+	if len(c.recentCrashes) < maximumRecentCrashes {
+		c.recentCrashes = append(c.recentCrashes, crash)
 	}
 }
 
-// addRun takes a run into a record and reports whether there are more rounds by it.
-func (c *Core) addRun(now clock.Ms, r *record, run Crash) (grew bool) {
-	if slices.ContainsFunc(r.runs, func(known Crash) bool { return known.BackEnd == run.BackEnd }) {
+// addCrash takes a run into a record and reports whether there are more rounds by it.
+func (c *Core) addCrash(now clock.Ms, r *record, crash Crash) (newRound bool) {
+	if slices.ContainsFunc(r.crashes, func(known Crash) bool { return known.BackEnd == crash.BackEnd }) {
 		return false
 	}
-	r.touched = now
-	r.backEnds = appendNew(r.backEnds, run.BackEnd, mostBackEnds)
-	r.versions = appendNew(r.versions, run.Version, mostVersions)
-	r.sound = slices.DeleteFunc(r.sound, func(version string) bool { return version == run.Version })
-	before, beforeAtShard := r.rounds(), r.shardRounds(run.Service)
-	r.runs = append(r.runs, run)
-	grew = r.rounds() > before
-	if len(r.runs) > mostRuns && r.rounds() == before && r.shardRounds(run.Service) == beforeAtShard {
-		r.runs = r.runs[:len(r.runs)-1]
+	r.updatedAt = now
+	r.crashedBackEnds = appendNew(r.crashedBackEnds, crash.BackEnd, maximumBackEnds)
+	r.crashedVersions = appendNew(r.crashedVersions, crash.Version, maximumVersions)
+	r.safeVersions = slices.DeleteFunc(r.safeVersions, func(version string) bool { return version == crash.Version })
+	before, beforeAtShard := r.rounds(), r.shardRounds(crash.Service)
+	r.crashes = append(r.crashes, crash)
+	newRound = r.rounds() > before
+	if len(r.crashes) > maximumCrashes && r.rounds() == before && r.shardRounds(crash.Service) == beforeAtShard {
+		r.crashes = r.crashes[:len(r.crashes)-1]
 	}
-	c.leaveOutIfDue(now, r, run.Service)
-	return grew
+	c.excludeShardIfDue(now, r, crash.Service)
+	return newRound
 }
 
 // RecordAnswer takes in that a back end answered a request: it does not end what runs it.
 func (c *Core) RecordAnswer(now clock.Ms, id Identity, service, version string) (change Change) {
-	for _, mark := range id.marks() {
-		r := c.records[mark]
+	for _, fingerprint := range id.fingerprints() {
+		r := c.records[fingerprint]
 		if r == nil {
 			continue
 		}
-		quarantined, sound, rounds, shared := r.quarantined(now), len(r.sound), r.rounds(), r.shared
-		r.answeredBy(now, service, version)
-		judged := quarantined != r.quarantined(now) || sound != len(r.sound)
-		if judged {
-			change.VerdictChanged = append(change.VerdictChanged, mark)
+		quarantined, safe, rounds, shared := r.quarantined(now), len(r.safeVersions), r.rounds(), r.shared
+		r.recordAnswer(now, service, version)
+		verdictChanged := quarantined != r.quarantined(now) || safe != len(r.safeVersions)
+		if verdictChanged {
+			change.VerdictChanged = append(change.VerdictChanged, fingerprint)
 		}
-		if shared && (judged || rounds != r.rounds()) {
-			change.Share = append(change.Share, mark)
+		if shared && (verdictChanged || rounds != r.rounds()) {
+			change.Share = append(change.Share, fingerprint)
 		}
 	}
 	return change
 }
 
-// answeredBy takes in that a version of a service's software has answered the request just now. Where only other versions than
+// recordAnswer takes in that a version of a service's software has answered the request just now. Where only other versions than
 // this one are known to be ended by it, the request stays under quarantine there.
-func (r *record) answeredBy(now clock.Ms, service, version string) {
-	r.touched = now
-	if version != "" && r.quarantined(now) && !slices.Contains(r.versions, version) {
-		r.sound = appendNew(r.sound, version, mostVersions)
+func (r *record) recordAnswer(now clock.Ms, service, version string) {
+	r.updatedAt = now
+	if version != "" && r.quarantined(now) && !slices.Contains(r.crashedVersions, version) {
+		r.safeVersions = appendNew(r.safeVersions, version, maximumVersions)
 		return
 	}
-	r.runs = slices.DeleteFunc(r.runs, func(run Crash) bool { return run.Service == service && run.CrashedAt <= now })
-	delete(r.shardsUntil, service)
+	r.crashes = slices.DeleteFunc(r.crashes, func(crash Crash) bool { return crash.Service == service && crash.CrashedAt <= now })
+	delete(r.shardsExcludedUntil, service)
 	if !r.answered || now > r.answeredAt {
 		r.answered, r.answeredAt = true, now
 	}
 	r.lifted = r.lifted || r.quarantined(now)
-	r.until, r.stored = 0, false
-	if len(r.runs) == 0 && len(r.shardsUntil) == 0 {
+	r.quarantinedUntil, r.stored = 0, false
+	if len(r.crashes) == 0 && len(r.shardsExcludedUntil) == 0 {
 		r.shared = false
-		r.backEnds, r.versions = nil, nil
+		r.crashedBackEnds, r.crashedVersions = nil, nil
 	}
 }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -26,8 +26,8 @@
 type Core struct {
 	settings Settings
 	records  map[Fingerprint]*record
-	// ends are the back ends that ended of late, whatever they ran.
-	ends []Crash
+	// recentCrashes are the back recentCrashes that ended of late, whatever they ran.
+	recentCrashes []Crash
 }
 
 // New returns a core that suspects nobody.
@@ -53,44 +53,44 @@
 
 // Bounds of what is remembered. A record takes about a kilobyte at most, and none is made unless a back end has ended.
 const (
-	mostRecords  = 4096
-	mostRuns     = 24
-	mostBackEnds = 64
-	mostVersions = 8
-	mostAskers   = 8
-	mostEnds     = 64
-	// keepFor is how long a request is suspected that has ended back ends and does not come again.
-	keepFor = 3600 * clock.Second
+	maximumRecords       = 4096
+	maximumCrashes       = 24
+	maximumBackEnds      = 64
+	maximumVersions      = 8
+	maximumCallers       = 8
+	maximumRecentCrashes = 64
+	// recordLifetime is how long a request is suspected that has ended back ends and does not come again.
+	recordLifetime = 3600 * clock.Second
 )
 
 // Forget drops what has not been touched for long.
 func (c *Core) Forget(now clock.Ms) {
-	for mark, r := range c.records {
-		if now-r.touched > keepFor && !r.quarantined(now) {
-			delete(c.records, mark)
+	for fingerprint, r := range c.records {
+		if now-r.updatedAt > recordLifetime && !r.quarantined(now) {
+			delete(c.records, fingerprint)
 		}
 	}
 }
 
 // recordOf returns the record of a mark, a new one if there is none. Where there are too many the one goes that was not touched
 // for longest, of those that are not under quarantine if there are any.
-func (c *Core) recordOf(now clock.Ms, mark Fingerprint) *record {
-	if known := c.records[mark]; known != nil {
+func (c *Core) recordOf(now clock.Ms, fingerprint Fingerprint) *record {
+	if known := c.records[fingerprint]; known != nil {
 		return known
 	}
-	if len(c.records) >= mostRecords {
-		delete(c.records, c.leastWanted(now).mark)
+	if len(c.records) >= maximumRecords {
+		delete(c.records, c.evictionCandidate(now).fingerprint)
 	}
-	created := &record{mark: mark, touched: now}
-	c.records[mark] = created
+	created := &record{fingerprint: fingerprint, updatedAt: now}
+	c.records[fingerprint] = created
 	return created
 }
 
-func (c *Core) leastWanted(now clock.Ms) (least *record) {
+func (c *Core) evictionCandidate(now clock.Ms) (oldest *record) {
 	for _, r := range c.records {
-		if least == nil || less(now, r, least) {
-			least = r
+		if oldest == nil || forgottenBefore(now, r, oldest) {
+			oldest = r
 		}
 	}
-	return least
+	return oldest
 }
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -25,32 +25,32 @@
 }
 
 // KeyOf is the store's key of a request.
-func KeyOf(mark Fingerprint) string { return keyPrefix + hex.EncodeToString(mark[:]) }
+func KeyOf(fingerprint Fingerprint) string { return keyPrefix + hex.EncodeToString(fingerprint[:]) }
 
 // RetrialKey is the store's key by which nodes agree on who sends a request under quarantine to a new version of the software, or
 // with no version for another caller.
-func RetrialKey(mark Fingerprint, version string) string {
-	return retrialsPrefix + hex.EncodeToString(mark[:]) + "/" + hex.EncodeToString([]byte(version))
+func RetrialKey(fingerprint Fingerprint, version string) string {
+	return retrialsPrefix + hex.EncodeToString(fingerprint[:]) + "/" + hex.EncodeToString([]byte(version))
 }
 
 // ParseKey gives the request that a key of the store is about; false where it is about none.
-func ParseKey(key string) (mark Fingerprint, found bool) {
+func ParseKey(key string) (fingerprint Fingerprint, found bool) {
 	text, found := strings.CutPrefix(key, keyPrefix)
 	if !found {
-		return mark, false
+		return fingerprint, false
 	}
 	decoded, err := hex.DecodeString(text)
-	if err != nil || len(decoded) != len(mark) {
-		return mark, false
+	if err != nil || len(decoded) != len(fingerprint) {
+		return fingerprint, false
 	}
 	return Fingerprint(decoded), true
 }
 
 // Encode gives the value of a request's key.
-func (c *Core) Encode(mark Fingerprint) []byte {
+func (c *Core) Encode(fingerprint Fingerprint) []byte {
 	item := Item{}
-	if r := c.records[mark]; r != nil {
-		item.CrashedVersions, item.SafeVersions, item.Callers = r.versions, r.sound, r.askers
+	if r := c.records[fingerprint]; r != nil {
+		item.CrashedVersions, item.SafeVersions, item.Callers = r.crashedVersions, r.safeVersions, r.callers
 	}
 	value, err := json.Marshal(item)
 	if err != nil {
@@ -61,27 +61,27 @@
 
 // ApplyStored takes in what the store says of a request. It reports whether the request is under quarantine by it that was not before.
 // An error, of code MALFORMED, changes nothing.
-func (c *Core) ApplyStored(now clock.Ms, mark Fingerprint, value []byte) (begun bool, err error) {
+func (c *Core) ApplyStored(now clock.Ms, fingerprint Fingerprint, value []byte) (newlyQuarantined bool, err error) {
 	var item Item
 	if err := json.Unmarshal(value, &item); err != nil {
 		return false, failure.Wrap(err, failure.Malformed, "the quarantine of a request cannot be read")
 	}
-	r := c.recordOf(now, mark)
-	begun = !r.quarantined(now)
+	r := c.recordOf(now, fingerprint)
+	newlyQuarantined = !r.quarantined(now)
 	if !r.stored {
 		r.storedAt = now
 	}
-	r.stored, r.touched, r.lifted = true, now, false
-	r.versions = appendAll(r.versions, item.CrashedVersions)
-	r.sound = appendAll(r.sound, item.SafeVersions)
-	r.addAskers(item.Callers...)
-	return begun, nil
+	r.stored, r.updatedAt, r.lifted = true, now, false
+	r.crashedVersions = appendAll(r.crashedVersions, item.CrashedVersions)
+	r.safeVersions = appendAll(r.safeVersions, item.SafeVersions)
+	r.addCallers(item.Callers...)
+	return newlyQuarantined, nil
 }
 
 // RemoveStored takes in that the store says nothing of a request any more: its quarantine is over, unless this node has seen more
 // itself or heard of it.
-func (c *Core) RemoveStored(now clock.Ms, mark Fingerprint) (released bool) {
-	r := c.records[mark]
+func (c *Core) RemoveStored(now clock.Ms, fingerprint Fingerprint) (released bool) {
+	r := c.records[fingerprint]
 	if r == nil || !r.stored {
 		return false
 	}
@@ -91,31 +91,31 @@
 
 // RecordStoreLoss takes in that the store, back from a copy, says nothing of a request any more. Nobody has ended its quarantine: that goes
 // on for what was left of it, and Unstored names the request, so that it is written again.
-func (c *Core) RecordStoreLoss(mark Fingerprint) {
-	r := c.records[mark]
+func (c *Core) RecordStoreLoss(fingerprint Fingerprint) {
+	r := c.records[fingerprint]
 	if r == nil || !r.stored {
 		return
 	}
 	r.stored = false
-	r.until = max(r.until, r.storedAt+c.settings.Duration)
+	r.quarantinedUntil = max(r.quarantinedUntil, r.storedAt+c.settings.Duration)
 }
 
 // Lifted reports whether a request is known to have been answered since it was last under quarantine: what a store that is back
 // from a copy says of it is older than that.
-func (c *Core) Lifted(mark Fingerprint) bool {
-	r := c.records[mark]
+func (c *Core) Lifted(fingerprint Fingerprint) bool {
+	r := c.records[fingerprint]
 	return r != nil && r.lifted
 }
 
 // MissingFromStore are the requests under quarantine that the store says nothing of, with how much longer they are.
 func (c *Core) MissingFromStore(now clock.Ms) map[Fingerprint]clock.Ms {
 	var found map[Fingerprint]clock.Ms
-	for mark, r := range c.records {
-		if !r.stored && now < r.until {
+	for fingerprint, r := range c.records {
+		if !r.stored && now < r.quarantinedUntil {
 			if found == nil {
 				found = map[Fingerprint]clock.Ms{}
 			}
-			found[mark] = r.until - now
+			found[fingerprint] = r.quarantinedUntil - now
 		}
 	}
 	return found
@@ -123,7 +123,7 @@
 
 func appendAll(values, more []string) []string {
 	for _, value := range more {
-		values = appendNew(values, value, mostVersions)
+		values = appendNew(values, value, maximumVersions)
 	}
 	return values
 }
