--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -22,27 +22,27 @@
 	{
 		"an answer does not acquit", "internal/quarantine/outcome.go",
 		"	r.quarantinedUntil, r.stored = 0, false\n	if len", "	if len",
-		"./internal/quarantine", "TestAnswerAcquits",
+		"./internal/quarantine", "TestAnswerEndsSuspicion",
 	},
 	{
 		"what others tell of a quarantine that an answer has ended counts", "internal/quarantine/evidence.go",
 		"until > r.quarantinedUntil+timeTolerance && !answeredSince", "until > r.quarantinedUntil+timeTolerance && (!answeredSince || until > 0)",
-		"./internal/quarantine", "TestToldByOthers",
+		"./internal/quarantine", "TestEvidenceReachesSameVerdict",
 	},
 	{
 		"back ends that end by themselves raise no doubt", "internal/quarantine/verdict.go",
 		"return min(others/unrelatedCrashesPerRound, maximumExtraRounds)", "return 0",
-		"./internal/quarantine", "TestOthersEndToo",
+		"./internal/quarantine", "TestUnrelatedCrashesRequireMoreRounds",
 	},
 	{
 		"a caller is put under quarantine", "internal/quarantine/verdict.go",
 		"c.settings.Rounds == 0 || r.aggregate ||", "c.settings.Rounds == 0 ||",
-		"./internal/quarantine", "TestWideMarks",
+		"./internal/quarantine", "TestCallerIsNeverQuarantined",
 	},
 	{
 		"what is remembered of requests has no bound", "internal/quarantine/quarantine.go",
 		"if len(c.records) >= maximumRecords {", "if false {",
-		"./internal/quarantine", "TestBounded",
+		"./internal/quarantine", "TestMemoryIsBounded",
 	},
 	{
 		"a question is known by its caller's address alone", "internal/quarantine/mark.go",
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -7,18 +7,19 @@
 	"stiletrail/internal/message"
 )
 
-// Bounds of a message. What is left out only delays a verdict.
+// These constants limit a message. What does not fit delays the verdicts of other nodes, but does not change them.
 const (
 	maximumRequestsSent = 32
-	// maximumCrashesSent of each request.
+	// maximumCrashesSent is the number of crashes that are sent for each request.
 	maximumCrashesSent = 6
-	// maximumAge bounds ages on the wire.
+	// maximumAge is the greatest age that is sent or accepted, in milliseconds.
 	maximumAge = 3600 * clock.Second
-	// timeTolerance is by how much two accounts of one moment may differ, by what they took on their way.
+	// timeTolerance is how much the times of one event may differ between nodes, because a message takes time to
+	// arrive.
 	timeTolerance = clock.Second / 2
 )
 
-// EvidenceOf gives what other nodes should know of some requests.
+// EvidenceOf returns a message with what other nodes should know about the given requests.
 func (c *Core) EvidenceOf(now clock.Ms, fingerprints ...Fingerprint) *message.Evidence {
 	m := &message.Evidence{}
 	for _, fingerprint := range fingerprints {
@@ -29,7 +30,8 @@
 	return m
 }
 
-// AllEvidence gives all that other nodes should know, of the requests that matter most first; nil where there is nothing.
+// AllEvidence returns a message with everything that other nodes should know, or nil if there is nothing. If not
+// everything fits, the records that would be deleted last are sent.
 func (c *Core) AllEvidence(now clock.Ms) *message.Evidence {
 	var all []*record
 	for _, r := range c.records {
@@ -53,12 +55,13 @@
 	return m
 }
 
-// addTo adds what is known of a request to a message.
+// addTo adds the record to a message and marks it as shared with other nodes.
 func (r *record) addTo(m *message.Evidence, now clock.Ms) {
 	r.shared = true
 	m.Requests = append(m.Requests, r.evidence(now))
 }
 
+// evidence returns the record as it is sent to other nodes. Times are sent as ages, since the nodes' clocks differ.
 func (r *record) evidence(now clock.Ms) message.RequestEvidence {
 	sent := message.RequestEvidence{
 		Mark: r.fingerprint, QuarantineRemainingMs: age(r.quarantinedUntil - now), EndedVersions: r.crashedVersions, SoundVersions: r.safeVersions, Answered: r.answered, Shared: r.aggregate,
@@ -80,10 +83,11 @@
 	return sent
 }
 
+// age returns a length of time as it is sent: from 0 to maximumAge, in milliseconds.
 func age(length clock.Ms) uint32 { return uint32(max(0, min(length, maximumAge))) }
 
-// Receive takes in what another node knows. What was seen there counts as what is seen here; a quarantine holds for as long as it
-// would there.
+// Receive merges what another node knows and returns the resulting changes. Crashes and answers that the other node has
+// observed count like those observed here. A quarantine lasts here as long as it lasts there.
 func (c *Core) Receive(now clock.Ms, m *message.Evidence) (change Change) {
 	for i := range m.Requests[:min(len(m.Requests), maximumRequestsSent)] {
 		c.receive(now, &m.Requests[i], &change)
@@ -91,6 +95,7 @@
 	return change
 }
 
+// receive merges the evidence about one request and adds the result to change.
 func (c *Core) receive(now clock.Ms, sent *message.RequestEvidence, change *Change) {
 	fingerprint := Fingerprint(sent.Mark)
 	if c.records[fingerprint] == nil && len(sent.Runs) == 0 && sent.QuarantineRemainingMs == 0 {
@@ -116,7 +121,7 @@
 	}
 }
 
-// receiveAnswer takes in that a back end answered the request, and reports whether that changes anything.
+// receiveAnswer records that a back end answered the request, and reports whether this changes the record.
 func (r *record) receiveAnswer(now clock.Ms, sent *message.RequestEvidence) (news bool) {
 	answeredAt := now - clock.Ms(sent.AnsweredAgoMs)
 	if !sent.Answered || r.answered && answeredAt <= r.answeredAt+timeTolerance {
@@ -132,7 +137,7 @@
 	return news
 }
 
-// receiveCrashes takes in runs that ended their back ends, and reports whether there are more rounds by them.
+// receiveCrashes records crashes during executions of the request, and reports whether they add rounds.
 func (c *Core) receiveCrashes(now clock.Ms, r *record, sent *message.RequestEvidence) (news bool) {
 	for _, crash := range sent.Runs[:min(len(sent.Runs), maximumCrashesSent)] {
 		newRound := c.addCrash(now, r, Crash{
@@ -144,7 +149,7 @@
 	return news
 }
 
-// receiveDetails takes in who asked the request, and which versions it ended.
+// receiveDetails records which callers sent the request and which software versions it crashed.
 func (r *record) receiveDetails(sent *message.RequestEvidence) {
 	for _, caller := range sent.CallerMarks[:min(len(sent.CallerMarks), maximumCallers)] {
 		r.addCallers(caller)
@@ -152,10 +157,11 @@
 	r.crashedVersions = appendAll(r.crashedVersions, sent.EndedVersions)
 }
 
-// receiveQuarantine takes in that the request is under quarantine elsewhere, and reports whether it was not so here.
+// receiveQuarantine records that another node has quarantined the request, and reports whether it was not quarantined
+// here.
 func (r *record) receiveQuarantine(now clock.Ms, sent *message.RequestEvidence) (news bool) {
 	quarantinedAt, until := now-clock.Ms(sent.QuarantinedForMs), now+clock.Ms(min(sent.QuarantineRemainingMs, uint32(maximumAge)))
-	// An answer after the beginning has ended it, whoever has not heard of that yet.
+	// An answer after the quarantine began has ended it, even if the sender has not heard of that answer yet.
 	answeredSince := r.answered && r.answeredAt >= quarantinedAt
 	if sent.QuarantineRemainingMs > 0 && until > r.quarantinedUntil+timeTolerance && !answeredSince {
 		news = r.quarantinedUntil <= now
@@ -164,7 +170,7 @@
 	return news
 }
 
-// receiveSafeVersions takes in which versions answer the request, and reports whether one of them is new here.
+// receiveSafeVersions records which software versions answer the request, and reports whether one of them is new here.
 func (r *record) receiveSafeVersions(sent *message.RequestEvidence) (news bool) {
 	for _, version := range sent.SoundVersions {
 		if !slices.Contains(r.safeVersions, version) {
--- a/internal/quarantine/mark.go
+++ b/internal/quarantine/mark.go
@@ -9,22 +9,24 @@
 	"stiletrail/internal/failure"
 )
 
-// Fingerprint names a request, a place or a caller. It is a cryptographic hash, the same on all nodes, so that nobody can make a request
-// of his own that bears the mark of somebody else's.
+// Fingerprint identifies a request, a resource or a caller. It is a cryptographic hash and the same on all nodes.
+// Nobody can craft a request that has the fingerprint of another one.
 type Fingerprint [16]byte
 
-// Identity is what a request is known by. A caller may come from another address the next time, and the same question may end
-// back ends for one caller and not for another, so either is looked at.
+// Identity holds the fingerprints by which a request is recognised. A caller may use another address the next time, and
+// the same request may crash back ends for one caller and not for another; therefore it is tracked with and without the
+// caller.
 type Identity struct {
-	// Request is what is asked, whoever asks it, and CallerRequest that by this caller: what bears one of these can be put under
-	// quarantine.
+	// Request identifies the request independently of its caller, CallerRequest the request of this caller. Both can be
+	// quarantined.
 	Request, CallerRequest Fingerprint
-	// Resource is where it is asked, whatever the details, and Caller who asks, whatever it is. What bears one of these is sent on
-	// with care while requests that bear it end back ends, also if each is another one.
+	// Resource identifies what the request addresses, independently of its parameters; Caller identifies who sends it.
+	// While requests that share one of these crash back ends, they are sent with caution, even if no two of them are
+	// the same.
 	Resource, Caller Fingerprint
 }
 
-// kind keeps marks of different kinds apart.
+// kind is hashed first, so that fingerprints of different kinds differ. Its values are part of stored fingerprints.
 type kind string
 
 const (
@@ -34,7 +36,7 @@
 	callerKind        kind = "caller"
 )
 
-// NewIdentity gives what a request is known by that somebody sends, to some place, with some details.
+// NewIdentity returns the identity of a request that a caller sends to a resource with some parameters.
 func NewIdentity(caller string, resource, parameters []byte) Identity {
 	return Identity{
 		Request: FingerprintOf([]byte(requestKind), resource, parameters), CallerRequest: FingerprintOf([]byte(callerRequestKind), []byte(caller), resource, parameters),
@@ -42,27 +44,29 @@
 	}
 }
 
-// fingerprints are all of an identity.
+// fingerprints returns all fingerprints of an identity.
 func (id Identity) fingerprints() [4]Fingerprint {
 	return [...]Fingerprint{id.Request, id.CallerRequest, id.Resource, id.Caller}
 }
 
-// HashModulo is one from 0 to below count that is the same for the same question and spreads over different ones.
+// HashModulo returns a number from 0 to count-1. It is the same for equal requests and evenly distributed over
+// different ones.
 func (id Identity) HashModulo(count int) int {
 	return int(binary.BigEndian.Uint64(id.Request[:8]) % uint64(count))
 }
 
-// canBeQuarantined reports whether what bears one of its marks can be put under quarantine.
+// canBeQuarantined reports whether a fingerprint of the identity can be quarantined: those of the resource and of the
+// caller cannot.
 func (id Identity) canBeQuarantined(fingerprint Fingerprint) bool {
 	return fingerprint == id.Request || fingerprint == id.CallerRequest
 }
 
-// FingerprintOf gives the mark of what some parts describe, in an order that is always the same.
+// FingerprintOf returns the fingerprint of a sequence of parts. Their order matters.
 func FingerprintOf(parts ...[]byte) Fingerprint {
 	hash := sha256.New()
 	var length [8]byte
 	for _, part := range parts {
-		// With the lengths no part can pass for the beginning of the next one.
+		// The length of each part is hashed too, so that no two different sequences of parts give the same input.
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 		hash.Write(length[:])
 		hash.Write(part)
@@ -72,13 +76,13 @@
 	return fingerprint
 }
 
-// loggedBytes of a mark are enough to tell the requests of a log from each other.
+// loggedBytes is the length of a fingerprint in logs, in bytes. It is long enough to distinguish the requests in a log.
 const loggedBytes = 8
 
 // MarshalText implements encoding.TextMarshaler.
 func (f Fingerprint) MarshalText() ([]byte, error) { return []byte(hex.EncodeToString(f[:])), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler. A failure is of code MALFORMED.
+// UnmarshalText implements encoding.TextUnmarshaler. Its errors have the code MALFORMED.
 func (f *Fingerprint) UnmarshalText(text []byte) error {
 	decoded, err := hex.DecodeString(string(text))
 	if err != nil || len(decoded) != len(f) {
@@ -88,5 +92,5 @@
 	return nil
 }
 
-// String shows the beginning of a mark, as logs have it.
+// String returns the beginning of the fingerprint in hexadecimal, as logs show it.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:loggedBytes]) }
--- a/internal/quarantine/outcome.go
+++ b/internal/quarantine/outcome.go
@@ -6,31 +6,35 @@
 	"stiletrail/internal/clock"
 )
 
-// Crash is that of a request at a back end that ended meanwhile.
+// Crash is one execution of a request during which the back end's process ended.
 type Crash struct {
 	Service string
-	// BackEnd names one life of a back end, Version its software.
+	// BackEnd identifies the incarnation of the back end; Version is the version of its software.
 	BackEnd   string
 	Version   string
 	StartedAt clock.Ms
 	CrashedAt clock.Ms
 }
 
-// Change is what has become of what is known of requests.
+// Change lists what a call has changed in the records.
 type Change struct {
-	// Share are the marks of which other nodes should know; First, that is by one round only, which an answer may soon make good.
+	// Share lists the fingerprints about which other nodes should be told. FirstRound is set if the request has crashed
+	// back ends in one round only: an answer, which may follow soon, would clear it again.
 	Share      []Fingerprint
 	FirstRound bool
-	// VerdictChanged are those that were put under quarantine, or are no longer.
+	// VerdictChanged lists the fingerprints that were put under quarantine or released, or for which another version
+	// became safe.
 	VerdictChanged []Fingerprint
 }
 
-// RecordCrash takes in that a back end ended under a request, and gives the verdict on it: a place or a caller whose requests go on
-// ending back ends, one after the other and none answered, gets no second back end for another one.
+// RecordCrash records that a back end crashed during a request, and returns the verdict on the request. If requests to
+// one resource, or of one caller, go on crashing back ends in successive rounds without an answer, the verdict for the
+// next one is Quarantined: it is not tried on a second back end.
 func (c *Core) RecordCrash(now clock.Ms, id Identity, crash Crash) (Verdict, Change) {
 	c.addRecentCrash(now, crash)
 	var change Change
-	// Where all that may be remembered is under quarantine a record of these may go again as the next one is made.
+	// The records are kept here as well: if all records of the Core are quarantined, creating the next record deletes
+	// one of these from it.
 	known := map[Fingerprint]*record{}
 	for _, fingerprint := range id.fingerprints() {
 		r := c.recordOf(now, fingerprint)
@@ -55,7 +59,7 @@
 	return verdict, change
 }
 
-// addRecentCrash remembers a back end that ended, once.
+// addRecentCrash adds the crash to the recent ones, once per back end.
 func (c *Core) addRecentCrash(now clock.Ms, crash Crash) {
 	c.recentCrashes = slices.DeleteFunc(c.recentCrashes, func(recent Crash) bool {
 		return now-recent.CrashedAt > unrelatedCrashWindow || recent.BackEnd == crash.BackEnd
@@ -65,7 +69,7 @@
 	}
 }
 
-// addCrash takes a run into a record and reports whether there are more rounds by it.
+// addCrash adds a crash to a record and reports whether this increases the number of rounds.
 func (c *Core) addCrash(now clock.Ms, r *record, crash Crash) (newRound bool) {
 	if slices.ContainsFunc(r.crashes, func(known Crash) bool { return known.BackEnd == crash.BackEnd }) {
 		return false
@@ -84,7 +88,7 @@
 	return newRound
 }
 
-// RecordAnswer takes in that a back end answered a request: it does not end what runs it.
+// RecordAnswer records that a back end answered a request, so the request does not crash it.
 func (c *Core) RecordAnswer(now clock.Ms, id Identity, service, version string) (change Change) {
 	for _, fingerprint := range id.fingerprints() {
 		r := c.records[fingerprint]
@@ -104,8 +108,8 @@
 	return change
 }
 
-// recordAnswer takes in that a version of a service's software has answered the request just now. Where only other versions than
-// this one are known to be ended by it, the request stays under quarantine there.
+// recordAnswer records that a version of a service's software has just answered the request. If only other versions are
+// known to crash, the request stays quarantined for those.
 func (r *record) recordAnswer(now clock.Ms, service, version string) {
 	r.updatedAt = now
 	if version != "" && r.quarantined(now) && !slices.Contains(r.crashedVersions, version) {
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,47 +1,50 @@
-// Package quarantine tells requests that end the back ends that run them from requests that were at a back end when it ended for
-// another reason.
+// Package quarantine detects requests that crash the back ends that process them, and keeps them from further back
+// ends. It distinguishes them from requests that a back end was processing when it crashed for another reason.
 //
-// It decides: whether a request is clear, suspect or under quarantine (verdict.go), when an end or an answer changes that
-// (outcome.go), and what a request under quarantine may still do (exceptions.go).
+// It decides whether a request is clear, suspect or quarantined (verdict.go), when a crash or an answer changes that
+// (outcome.go), and what a quarantined request may still do (exceptions.go).
 //
-// It owns: what a node remembers of such requests (Core, record.go), the identity of a request (mark.go), the form in which
-// quarantines stand in the store (store.go) and in which nodes send them to each other (evidence.go).
+// It owns the records that a node keeps of such requests (Core, record.go), the identity of a request (mark.go), and
+// the encodings of a quarantine in the store (store.go) and in messages between nodes (evidence.go).
 //
-// It relies on: a time that its callers give, on one clock that never goes back, and on one call at a time: a Core has no lock.
-// It does no I/O, draws nothing at random and reads no clock.
+// Callers supply times from one clock that never goes back, and serialise all calls, since a Core has no lock. The
+// package does no I/O, uses no random numbers and reads no clock.
 package quarantine
 
 import "stiletrail/internal/clock"
 
-// Settings of a Core.
+// Settings configures a Core.
 type Settings struct {
-	// Rounds that put a request under quarantine; 0 switches quarantines off. Runs that follow each other, each begun after the
-	// one before had ended its back end and none answered, are one round each.
+	// Rounds is the number of rounds after which a request is quarantined; 0 disables quarantines. Crashes are separate
+	// rounds if each execution of the request began after the crash before it and the request was not answered in
+	// between.
 	Rounds int
-	// Duration is how long it is under quarantine.
+	// Duration is how long a request stays quarantined, in milliseconds.
 	Duration clock.Ms
 }
 
-// Core is what a node knows of requests that have ended back ends. Its times are moments on the node's clock.
+// Core holds what a node knows about requests that have crashed back ends. Its times are in milliseconds on the node's
+// clock.
 type Core struct {
 	settings Settings
 	records  map[Fingerprint]*record
-	// recentCrashes are the back recentCrashes that ended of late, whatever they ran.
+	// recentCrashes holds the latest crash of each back end within unrelatedCrashWindow, whichever request it was
+	// processing.
 	recentCrashes []Crash
 }
 
-// New returns a core that suspects nobody.
+// New returns a Core without records: all requests are clear.
 func New(settings Settings) *Core {
 	return &Core{settings: settings, records: map[Fingerprint]*record{}}
 }
 
-// Reconfigure changes the settings from now on.
+// Reconfigure applies new settings to all later calls.
 func (c *Core) Reconfigure(settings Settings) { c.settings = settings }
 
-// Len is the number of requests that something is remembered of.
+// Len returns the number of records.
 func (c *Core) Len() int { return len(c.records) }
 
-// QuarantinedCount is the number of requests under quarantine.
+// QuarantinedCount returns the number of quarantined records.
 func (c *Core) QuarantinedCount(now clock.Ms) (count int) {
 	for _, r := range c.records {
 		if r.quarantined(now) {
@@ -51,7 +54,8 @@
 	return count
 }
 
-// Bounds of what is remembered. A record takes about a kilobyte at most, and none is made unless a back end has ended.
+// These constants limit the memory of a Core. A record takes at most about a kilobyte, and records are created only
+// after a back end has crashed.
 const (
 	maximumRecords       = 4096
 	maximumCrashes       = 24
@@ -59,11 +63,12 @@
 	maximumVersions      = 8
 	maximumCallers       = 8
 	maximumRecentCrashes = 64
-	// recordLifetime is how long a request is suspected that has ended back ends and does not come again.
+	// recordLifetime is how long a record is kept after its last update, so that a request that has crashed back ends
+	// stays suspect.
 	recordLifetime = 3600 * clock.Second
 )
 
-// Forget drops what has not been touched for long.
+// Forget deletes records that were not updated within recordLifetime and are not quarantined.
 func (c *Core) Forget(now clock.Ms) {
 	for fingerprint, r := range c.records {
 		if now-r.updatedAt > recordLifetime && !r.quarantined(now) {
@@ -72,8 +77,8 @@
 	}
 }
 
-// recordOf returns the record of a mark, a new one if there is none. Where there are too many the one goes that was not touched
-// for longest, of those that are not under quarantine if there are any.
+// recordOf returns the record of a fingerprint and creates it if there is none. If there are already maximumRecords,
+// the record that forgottenBefore sorts first is deleted.
 func (c *Core) recordOf(now clock.Ms, fingerprint Fingerprint) *record {
 	if known := c.records[fingerprint]; known != nil {
 		return known
@@ -86,6 +91,7 @@
 	return created
 }
 
+// evictionCandidate returns the record that is deleted to make room for another one.
 func (c *Core) evictionCandidate(now clock.Ms) (oldest *record) {
 	for _, r := range c.records {
 		if oldest == nil || forgottenBefore(now, r, oldest) {
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -13,49 +13,50 @@
 	"stiletrail/internal/quarantine"
 )
 
-const heldFor = 600 * clock.Second
+const quarantineDuration = 600 * clock.Second
 
 func newCore() *quarantine.Core {
-	return quarantine.New(quarantine.Settings{Rounds: 3, Duration: heldFor})
+	return quarantine.New(quarantine.Settings{Rounds: 3, Duration: quarantineDuration})
 }
 
-func asks(who, what string) quarantine.Identity {
-	return quarantine.NewIdentity(who, []byte("GET host/"+what), nil)
+func requestBy(caller, path string) quarantine.Identity {
+	return quarantine.NewIdentity(caller, []byte("GET host/"+path), nil)
 }
 
-// run of a request at a back end, from one moment to another.
+// run returns the crash of a back end during an execution that began and ended at the given times.
 func run(service, backEnd string, began, ended clock.Ms) quarantine.Crash {
 	return quarantine.Crash{Service: service, BackEnd: backEnd, Version: "v1", StartedAt: began, CrashedAt: ended}
 }
 
-// TestRounds: runs that follow each other count, those at the same time count once.
+// TestRounds checks which crashes are separate rounds: those whose execution began after the crash before. Crashes of
+// concurrent executions count once, since one cause may have crashed all of them, and one back end counts once.
 func TestRounds(t *testing.T) {
 	for name, c := range map[string]struct {
 		runs []quarantine.Crash
 		want quarantine.Verdict
 	}{
-		"none": {nil, quarantine.Clear},
-		"one":  {[]quarantine.Crash{run("s", "1", 0, 10)}, quarantine.Suspect},
-		"ten at once": {many(10, func(i int) quarantine.Crash {
+		"no crash":  {nil, quarantine.Clear},
+		"one crash": {[]quarantine.Crash{run("s", "1", 0, 10)}, quarantine.Suspect},
+		"ten concurrent": {many(10, func(i int) quarantine.Crash {
 			return run(fmt.Sprint("s", i), fmt.Sprint(i), clock.Ms(i), 100+clock.Ms(i))
 		}), quarantine.Suspect},
-		"two after another":   {[]quarantine.Crash{run("s", "1", 0, 10), run("s", "2", 10, 20)}, quarantine.Suspect},
-		"three after another": {[]quarantine.Crash{run("s", "1", 0, 10), run("s", "2", 10, 20), run("s", "3", 25, 30)}, quarantine.Quarantined},
-		"learned in another order": {
+		"two successive":   {[]quarantine.Crash{run("s", "1", 0, 10), run("s", "2", 10, 20)}, quarantine.Suspect},
+		"three successive": {[]quarantine.Crash{run("s", "1", 0, 10), run("s", "2", 10, 20), run("s", "3", 25, 30)}, quarantine.Quarantined},
+		"three successive, reported out of order": {
 			[]quarantine.Crash{run("s", "3", 25, 30), run("s", "1", 0, 10), run("s", "2", 10, 20)}, quarantine.Quarantined,
 		},
-		"the same back end thrice": {[]quarantine.Crash{run("s", "1", 0, 10), run("s", "1", 10, 20), run("s", "1", 25, 30)}, quarantine.Suspect},
-		"long ones beside": {
+		"the same back end three times": {[]quarantine.Crash{run("s", "1", 0, 10), run("s", "1", 10, 20), run("s", "1", 25, 30)}, quarantine.Suspect},
+		"three successive besides a long execution": {
 			[]quarantine.Crash{run("s", "1", 0, 100), run("s", "2", 0, 10), run("s", "3", 20, 30), run("s", "4", 40, 50)}, quarantine.Quarantined,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			core, id := newCore(), asks("a", "x")
+			core, id := newCore(), requestBy("a", "x")
 			for _, r := range c.runs {
 				core.RecordCrash(200, id, r)
 			}
 			if got := core.Verdict(200, id); got != c.want {
-				t.Errorf("%v, want %v", got, c.want)
+				t.Errorf("verdict %v, want %v", got, c.want)
 			}
 		})
 	}
@@ -68,8 +69,9 @@
 	return runs
 }
 
-// convict has a request end three back ends, one after the other from a moment on, and returns when that is over.
-func convict(core *quarantine.Core, id quarantine.Identity, from clock.Ms) clock.Ms {
+// quarantineRequest records three successive crashes during a request, beginning at a time, and returns the time after
+// the last.
+func quarantineRequest(core *quarantine.Core, id quarantine.Identity, from clock.Ms) clock.Ms {
 	for i := range 3 {
 		core.RecordCrash(from+10, id, run("s", fmt.Sprint(from, "-", i), from, from+10))
 		from += 20
@@ -77,147 +79,156 @@
 	return from
 }
 
-// TestQuarantineEnds: a quarantine is over after its time; the request is suspected on, and one more end brings it back.
-func TestQuarantineEnds(t *testing.T) {
-	core, id := newCore(), asks("a", "x")
-	now := convict(core, id, 1000)
-	if got, left := core.Verdict(now, id), core.Remaining(now, id); got != quarantine.Quarantined || left < heldFor-100 || left > heldFor {
-		t.Fatalf("%v for %d ms", got, left)
-	}
-	now += heldFor
+// TestQuarantineExpires checks that a quarantine ends after its duration. The request then remains suspect, and one
+// more crash quarantines it again.
+func TestQuarantineExpires(t *testing.T) {
+	core, id := newCore(), requestBy("a", "x")
+	now := quarantineRequest(core, id, 1000)
+	if got, remaining := core.Verdict(now, id), core.Remaining(now, id); got != quarantine.Quarantined || remaining < quarantineDuration-100 || remaining > quarantineDuration {
+		t.Fatalf("verdict %v, %d ms remaining; want quarantined for about the whole duration", got, remaining)
+	}
+	now += quarantineDuration
 	if got := core.Verdict(now, id); got != quarantine.Suspect {
-		t.Errorf("afterwards %v", got)
+		t.Errorf("verdict %v after the quarantine, want suspect", got)
 	}
 	if got, _ := core.RecordCrash(now+20, id, run("s", "again", now, now+10)); got != quarantine.Quarantined {
-		t.Errorf("after one more end %v", got)
+		t.Errorf("verdict %v after one more crash, want quarantined", got)
 	}
 }
 
-// TestAnswerAcquits: whoever is answered does not end what runs it, whatever was seen before; but not where other software answered than what it ended.
-func TestAnswerAcquits(t *testing.T) {
-	core, id := newCore(), asks("a", "x")
+// TestAnswerEndsSuspicion checks that an answer clears a request whatever crashes came before: a request that is
+// answered does not crash the back end. If another software version answered than those that crashed, the quarantine
+// remains for the others. Other nodes are told of an answer only if it changes what they know.
+func TestAnswerEndsSuspicion(t *testing.T) {
+	core, id := newCore(), requestBy("a", "x")
 	core.RecordCrash(10, id, run("s", "1", 0, 10))
 	_, change := core.RecordCrash(30, id, run("s", "2", 20, 30))
 	if len(core.EvidenceOf(35, change.Share...).Requests) == 0 {
-		t.Error("nobody is told of two rounds")
+		t.Error("two rounds are not shared with other nodes")
 	}
 	if change := core.RecordAnswer(40, id, "s", "v1"); len(change.Share) == 0 || core.Verdict(40, id) != quarantine.Clear {
-		t.Errorf("%v after an answer, tells %d", core.Verdict(40, id), len(change.Share))
+		t.Errorf("verdict %v after an answer, %d fingerprints shared; want clear, at least one", core.Verdict(40, id), len(change.Share))
 	}
 	if change := core.RecordAnswer(45, id, "s", "v1"); len(change.Share) > 0 {
-		t.Errorf("others are told %d times of what they know", 1+len(change.Share))
+		t.Errorf("the second of %d shared changes is known already, want the first alone", 1+len(change.Share))
 	}
 	core.RecordCrash(60, id, run("s", "3", 50, 60))
 	if got := core.Verdict(60, id); got != quarantine.Suspect {
-		t.Errorf("%v by what came before the answer too", got)
+		t.Errorf("verdict %v, want suspect: crashes before the answer must not count", got)
 	}
-	now := convict(core, id, 100)
+	now := quarantineRequest(core, id, 100)
 	core.RecordAnswer(now, id, "s", "v2")
-	if got, sound := core.Verdict(now, id), core.SafeVersions(now, id); got != quarantine.Quarantined || !slices.Equal(sound, []string{"v2"}) {
-		t.Errorf("%v, sound %v after another version has answered", got, sound)
+	if got, safe := core.Verdict(now, id), core.SafeVersions(now, id); got != quarantine.Quarantined || !slices.Equal(safe, []string{"v2"}) {
+		t.Errorf("verdict %v, safe versions %v after version v2 answered; want quarantined, v2", got, safe)
 	}
 	core.EvidenceOf(now, id.Request, id.CallerRequest)
 	if change := core.RecordAnswer(now, id, "s", "v2"); len(change.VerdictChanged)+len(change.Share) > 0 {
-		t.Errorf("the second answer of that version is news: %+v", change)
+		t.Errorf("the second answer of version v2 changes something: %+v", change)
 	}
 	if change := core.RecordAnswer(now, id, "s", "v1"); len(change.VerdictChanged) == 0 || core.Verdict(now, id) != quarantine.Clear {
-		t.Errorf("%v after the same version has answered", core.Verdict(now, id))
+		t.Errorf("verdict %v after the version that crashed has answered, want clear and reported as changed", core.Verdict(now, id))
 	}
 }
 
-// TestOthersEndToo: where back ends end that the request was not at, more rounds are asked for, up to two.
-func TestOthersEndToo(t *testing.T) {
-	core, id := newCore(), asks("a", "x")
+// TestUnrelatedCrashesRequireMoreRounds guards against blaming a request for an outage, such as that of a zone: while
+// back ends crash that did not process the request, a quarantine requires up to two more rounds.
+func TestUnrelatedCrashesRequireMoreRounds(t *testing.T) {
+	core, id := newCore(), requestBy("a", "x")
 	for i := range 30 {
-		core.RecordCrash(5, asks("b", fmt.Sprint(i)), run("s", fmt.Sprint("other-", i), 0, 5))
+		core.RecordCrash(5, requestBy("b", fmt.Sprint(i)), run("s", fmt.Sprint("other-", i), 0, 5))
 	}
-	now := convict(core, id, 10)
+	now := quarantineRequest(core, id, 10)
 	if got := core.Verdict(now, id); got != quarantine.Suspect {
-		t.Errorf("%v after three rounds while others end", got)
+		t.Errorf("verdict %v after three rounds while other back ends crash, want suspect", got)
 	}
 	core.RecordCrash(now+10, id, run("s", "4", now, now+10))
 	core.RecordCrash(now+30, id, run("s", "5", now+20, now+30))
 	if got := core.Verdict(now+30, id); got != quarantine.Quarantined {
-		t.Errorf("%v after five rounds", got)
+		t.Errorf("verdict %v after five rounds, want quarantined", got)
 	}
 }
 
-// TestOneShard: a request that ends the back ends of one shard while others answer it is kept from that shard alone.
-func TestOneShard(t *testing.T) {
-	core, id := newCore(), asks("a", "x")
+// TestOneShardIsExcluded checks that a request that crashes the back ends of one shard while others answer it is kept
+// from that shard alone, and that an answer of the shard ends this.
+func TestOneShardIsExcluded(t *testing.T) {
+	core, id := newCore(), requestBy("a", "x")
 	for i := range clock.Ms(4) {
 		core.RecordCrash(i*100+10, id, run("bad", fmt.Sprint(i), i*100, i*100+10))
 		core.RecordAnswer(i*100+20, id, "good", "v1")
 	}
 	if core.Verdict(400, id) == quarantine.Quarantined || !core.ShardExcluded(400, id, "bad") || core.ShardExcluded(400, id, "good") {
-		t.Errorf("%v, left out %v and %v", core.Verdict(400, id), core.ShardExcluded(400, id, "bad"), core.ShardExcluded(400, id, "good"))
+		t.Errorf("verdict %v, shard \"bad\" excluded %v, \"good\" excluded %v; want not quarantined, true, false", core.Verdict(400, id), core.ShardExcluded(400, id, "bad"), core.ShardExcluded(400, id, "good"))
 	}
 	core.RecordAnswer(500, id, "bad", "v1")
 	if core.ShardExcluded(500, id, "bad") {
-		t.Error("left out of a shard that has answered")
+		t.Error("the request is kept from a shard that has answered it")
 	}
 }
 
-// TestWideMarks: who varies what he asks is never put under quarantine, and gets one back end a time.
-func TestWideMarks(t *testing.T) {
+// TestCallerIsNeverQuarantined guards against a caller that changes its request each time to evade quarantine. The
+// caller itself is never quarantined, but after enough rounds each of its new requests reaches one back end only. Other
+// callers are not affected.
+func TestCallerIsNeverQuarantined(t *testing.T) {
 	core := newCore()
 	var got quarantine.Verdict
 	for i := range clock.Ms(5) {
-		got, _ = core.RecordCrash(i*100+10, asks("a", fmt.Sprint(i)), run("s", fmt.Sprint(i), i*100, i*100+10))
+		got, _ = core.RecordCrash(i*100+10, requestBy("a", fmt.Sprint(i)), run("s", fmt.Sprint(i), i*100, i*100+10))
 	}
 	if got != quarantine.Quarantined {
-		t.Errorf("another back end for another question: %v", got)
+		t.Errorf("verdict %v after five rounds with different requests, want quarantined", got)
 	}
-	if held := core.QuarantinedCount(500); held > 0 || len(core.MissingFromStore(500)) > 0 {
-		t.Errorf("%d are under quarantine", held)
+	if count := core.QuarantinedCount(500); count > 0 || len(core.MissingFromStore(500)) > 0 {
+		t.Errorf("%d records are quarantined or to be stored, want none", count)
 	}
-	if got := core.Verdict(500, asks("a", "new")); got != quarantine.Suspect {
-		t.Errorf("a new question of the same caller is %v", got)
+	if got := core.Verdict(500, requestBy("a", "new")); got != quarantine.Suspect {
+		t.Errorf("verdict %v on a new request of the same caller, want suspect", got)
 	}
-	if got := core.Verdict(500, asks("b", "new")); got != quarantine.Clear {
-		t.Errorf("a new question of another caller is %v", got)
+	if got := core.Verdict(500, requestBy("b", "new")); got != quarantine.Clear {
+		t.Errorf("verdict %v on a new request of another caller, want clear", got)
 	}
 }
 
-// TestOtherCaller: one question, under quarantine for who asks it round after round, may be asked by others some time later.
+// TestOtherCaller checks that a request that is quarantined because of one caller may be sent by others some time
+// later, and that an answer to them ends the quarantine of the request but not the suspicion of the first caller.
 func TestOtherCaller(t *testing.T) {
 	core := newCore()
-	now := convict(core, asks("a", "x"), 0)
-	if _, wait, other := core.OtherCaller(now, asks("b", "x")); !other || wait <= 0 {
-		t.Errorf("at once: other %v, wait %d", other, wait)
+	now := quarantineRequest(core, requestBy("a", "x"), 0)
+	if _, wait, other := core.OtherCaller(now, requestBy("b", "x")); !other || wait <= 0 {
+		t.Errorf("at once: other caller %v, wait %d ms; want true, more than 0", other, wait)
 	}
 	now += 5 * clock.Second
-	if _, wait, other := core.OtherCaller(now, asks("b", "x")); !other || wait != 0 {
-		t.Errorf("later: other %v, wait %d", other, wait)
+	if _, wait, other := core.OtherCaller(now, requestBy("b", "x")); !other || wait != 0 {
+		t.Errorf("5 s later: other caller %v, wait %d ms; want true, 0", other, wait)
 	}
-	if _, _, other := core.OtherCaller(now, asks("a", "x")); other {
-		t.Error("who asks round after round is another one")
+	if _, _, other := core.OtherCaller(now, requestBy("a", "x")); other {
+		t.Error("the caller whose requests crashed back ends is taken for another caller")
 	}
-	core.RecordAnswer(now, asks("b", "x"), "s", "v1")
-	if core.Verdict(now, asks("b", "x")) == quarantine.Quarantined || core.Verdict(now, asks("a", "x")) != quarantine.Suspect {
-		t.Errorf("after an answer %v and %v", core.Verdict(now, asks("b", "x")), core.Verdict(now, asks("a", "x")))
+	core.RecordAnswer(now, requestBy("b", "x"), "s", "v1")
+	if core.Verdict(now, requestBy("b", "x")) == quarantine.Quarantined || core.Verdict(now, requestBy("a", "x")) != quarantine.Suspect {
+		t.Errorf("after an answer: verdict %v for the other caller, %v for the first; want not quarantined, suspect", core.Verdict(now, requestBy("b", "x")), core.Verdict(now, requestBy("a", "x")))
 	}
 }
 
-// TestOff: without rounds nobody is suspected.
-func TestOff(t *testing.T) {
-	core, id := quarantine.New(quarantine.Settings{}), asks("a", "x")
-	now := convict(core, id, 0)
+// TestQuarantineDisabled checks that a setting of 0 rounds disables quarantines and suspicion.
+func TestQuarantineDisabled(t *testing.T) {
+	core, id := quarantine.New(quarantine.Settings{}), requestBy("a", "x")
+	now := quarantineRequest(core, id, 0)
 	if got := core.Verdict(now, id); got != quarantine.Clear {
-		t.Errorf("%v", got)
+		t.Errorf("verdict %v, want clear", got)
 	}
 }
 
-// TestToldByOthers: nodes that have seen one end each come to the same verdict as one that has seen them all, in whatever order and however often they
-// hear of each other; and an answer that one has seen acquits with all.
-func TestToldByOthers(t *testing.T) {
+// TestEvidenceReachesSameVerdict checks that nodes that have each seen one crash reach the same verdict as a node that
+// has seen them all, whatever the order and number of their messages, and that an answer that one of them has seen ends
+// the quarantine on all.
+func TestEvidenceReachesSameVerdict(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const nodes = 4
 		var cores [nodes]*quarantine.Core
 		for i := range cores {
 			cores[i] = newCore()
 		}
-		id, now := asks("a", "x"), clock.Ms(1000)
+		id, now := requestBy("a", "x"), clock.Ms(1000)
 		for i := range clock.Ms(3) {
 			cores[i].RecordCrash(now+10, id, run("s", fmt.Sprint(i), now, now+10))
 			now += 20
@@ -239,50 +250,52 @@
 		exchange()
 		for i, core := range cores {
 			if got := core.Verdict(now, id); got != quarantine.Quarantined {
-				rt.Fatalf("node %d: %v", i, got)
+				rt.Fatalf("verdict of node %d: %v, want quarantined", i, got)
 			}
 		}
 		now += 2000
 		change := cores[rapid.IntRange(0, nodes-1).Draw(rt, "answered")].RecordAnswer(now, id, "s", "v1")
 		if len(change.Share) == 0 {
-			rt.Fatal("nobody is told of an answer")
+			rt.Fatal("an answer is not shared with other nodes")
 		}
 		for i, core := range cores {
 			for _, other := range cores {
 				core.Receive(now, other.EvidenceOf(now, change.Share...))
 			}
 			if got := core.Verdict(now, id); got == quarantine.Quarantined {
-				rt.Fatalf("node %d: %v after an answer", i, got)
+				rt.Fatalf("verdict of node %d after an answer: %v, want not quarantined", i, got)
 			}
 		}
 	})
 }
 
-// TestBounded: whatever comes, what is remembered is bounded, and those under quarantine are forgotten last.
-func TestBounded(t *testing.T) {
-	core, held := newCore(), asks("held", "x")
-	now := convict(core, held, 0)
+// TestMemoryIsBounded checks the limits of memory and messages under many different requests. Quarantined records are
+// deleted last, and all records expire in the end.
+func TestMemoryIsBounded(t *testing.T) {
+	core, quarantined := newCore(), requestBy("held", "x")
+	now := quarantineRequest(core, quarantined, 0)
 	for i := range 6000 {
 		now += 10
-		core.RecordCrash(now, asks(fmt.Sprint("caller-", i), fmt.Sprint(i)), run("s", fmt.Sprint("b-", i), now-5, now))
+		core.RecordCrash(now, requestBy(fmt.Sprint("caller-", i), fmt.Sprint(i)), run("s", fmt.Sprint("b-", i), now-5, now))
 	}
 	if core.Len() > 4096 {
-		t.Errorf("%d are remembered", core.Len())
+		t.Errorf("%d records, want at most 4096", core.Len())
 	}
-	if got := core.Verdict(now, held); got != quarantine.Quarantined {
-		t.Errorf("who was under quarantine is %v", got)
+	if got := core.Verdict(now, quarantined); got != quarantine.Quarantined {
+		t.Errorf("verdict %v on the request that was quarantined first, want quarantined", got)
 	}
 	if m := core.AllEvidence(now); len(m.Requests) > 32 {
-		t.Errorf("a message has %d requests", len(m.Requests))
+		t.Errorf("a message has %d requests, want at most 32", len(m.Requests))
 	}
-	core.Forget(now + 2*heldFor + 3600*clock.Second)
+	core.Forget(now + 2*quarantineDuration + 3600*clock.Second)
 	if core.Len() != 0 {
-		t.Errorf("%d are remembered for ever", core.Len())
+		t.Errorf("%d records remain after all have expired, want none", core.Len())
 	}
 }
 
-// TestAnyMessage: whatever another node says, nothing breaks, and it lasts no longer than it may.
-func TestAnyMessage(t *testing.T) {
+// TestArbitraryMessage checks that no message of another node causes a panic, exceeds the memory limits or quarantines
+// a request for hours.
+func TestArbitraryMessage(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		text := rapid.StringN(0, 8, 8)
 		ms := rapid.Uint32()
@@ -302,52 +315,54 @@
 		core.Receive(now, &message.Evidence{Requests: rapid.SliceOf(drawn).Draw(rt, "evidence")})
 		core.AllEvidence(now)
 		if core.Len() > 32 {
-			rt.Fatalf("%d requests by one message", core.Len())
+			rt.Fatalf("%d records after one message, want at most 32", core.Len())
 		}
 		if later := now + 2*3600*clock.Second; core.QuarantinedCount(later) > 0 {
-			rt.Fatal("under quarantine for hours")
+			rt.Fatal("a request is still quarantined two hours after the message")
 		}
 	})
 }
 
-// TestStore: what the store says holds until it says nothing any more; a value that cannot be read changes nothing.
-func TestStore(t *testing.T) {
-	core, other, id := newCore(), newCore(), asks("a", "x")
-	now := convict(core, id, 0)
-	unstored := core.MissingFromStore(now)
-	if len(unstored) != 1 {
-		t.Fatalf("%d to be stored", len(unstored))
-	}
-	for mark := range unstored {
-		if decoded, found := quarantine.ParseKey(quarantine.KeyOf(mark)); !found || decoded != mark {
-			t.Errorf("the key of %v is of %v", mark, decoded)
+// TestStoredQuarantine checks that a quarantine in the store applies until the store no longer lists it, and that an
+// item that cannot be decoded changes nothing. A node's own observations remain when the store's item goes.
+func TestStoredQuarantine(t *testing.T) {
+	core, other, id := newCore(), newCore(), requestBy("a", "x")
+	now := quarantineRequest(core, id, 0)
+	missing := core.MissingFromStore(now)
+	if len(missing) != 1 {
+		t.Fatalf("%d quarantines are missing from the store, want 1", len(missing))
+	}
+	for fingerprint := range missing {
+		if decoded, found := quarantine.ParseKey(quarantine.KeyOf(fingerprint)); !found || decoded != fingerprint {
+			t.Errorf("the key of %v is parsed as that of %v", fingerprint, decoded)
 		}
-		if _, err := other.ApplyStored(now, mark, []byte("{nonsense")); failure.CodeOf(err) != failure.Malformed || other.Len() != 0 {
-			t.Errorf("nonsense: %v, %d remembered", err, other.Len())
+		if _, err := other.ApplyStored(now, fingerprint, []byte("{nonsense")); failure.CodeOf(err) != failure.Malformed || other.Len() != 0 {
+			t.Errorf("malformed item: error %v, %d records; want code MALFORMED, none", err, other.Len())
 		}
-		if convicted, err := other.ApplyStored(now, mark, core.Encode(mark)); err != nil || !convicted || other.Verdict(now, id) != quarantine.Quarantined {
-			t.Errorf("stored: %v, %v", convicted, err)
+		if newlyQuarantined, err := other.ApplyStored(now, fingerprint, core.Encode(fingerprint)); err != nil || !newlyQuarantined || other.Verdict(now, id) != quarantine.Quarantined {
+			t.Errorf("stored quarantine: newly quarantined %v, error %v; want true, none", newlyQuarantined, err)
 		}
 		if _, _, may := other.OtherCaller(now, id); may {
-			t.Error("who asked round after round is another one to a node that reads the store")
+			t.Error("the stored caller is taken for another caller by a node that reads the store")
 		}
-		if !other.RemoveStored(now, mark) || other.Verdict(now, id) != quarantine.Clear {
-			t.Errorf("%v once the store says nothing", other.Verdict(now, id))
+		if !other.RemoveStored(now, fingerprint) || other.Verdict(now, id) != quarantine.Clear {
+			t.Errorf("verdict %v after the store's item was removed, want clear", other.Verdict(now, id))
 		}
-		_, _ = core.ApplyStored(now, mark, core.Encode(mark))
-		if core.RemoveStored(now, mark) || core.Verdict(now, id) != quarantine.Quarantined {
-			t.Error("what a node has seen itself went with the store's word")
+		_, _ = core.ApplyStored(now, fingerprint, core.Encode(fingerprint))
+		if core.RemoveStored(now, fingerprint) || core.Verdict(now, id) != quarantine.Quarantined {
+			t.Error("a quarantine by the node's own observations ended with the store's item")
 		}
 	}
 	for _, key := range []string{"quarantine/", "quarantine/zz", "servers/x", "quarantine-retrial/00"} {
 		if _, found := quarantine.ParseKey(key); found {
-			t.Errorf("%q is of a request", key)
+			t.Errorf("key %q is parsed as that of a quarantine", key)
 		}
 	}
 }
 
-// TestFullOfQuarantines: where all that may be remembered is under quarantine, one more request is judged by what there is room for, and nothing breaks.
-func TestFullOfQuarantines(t *testing.T) {
+// TestAllRecordsQuarantined checks that one more request can be judged while all records are quarantined. Its records
+// have to replace each other, since each new record deletes one.
+func TestAllRecordsQuarantined(t *testing.T) {
 	core, now := newCore(), clock.Ms(0)
 	for i := range 4096 {
 		if _, err := core.ApplyStored(now, quarantine.FingerprintOf([]byte(fmt.Sprint(i))), []byte("{}")); err != nil {
@@ -355,38 +370,39 @@
 		}
 	}
 	if got := core.QuarantinedCount(now); got != 4096 {
-		t.Fatalf("%d are under quarantine", got)
+		t.Fatalf("%d records are quarantined, want 4096", got)
 	}
-	verdict, _ := core.RecordCrash(now+10, asks("a", "x"), run("s", "1", now, now+10))
+	verdict, _ := core.RecordCrash(now+10, requestBy("a", "x"), run("s", "1", now, now+10))
 	if verdict == quarantine.Quarantined || core.Len() > 4096 {
-		t.Errorf("%v, %d are remembered", verdict, core.Len())
+		t.Errorf("verdict %v, %d records; want not quarantined, at most 4096", verdict, core.Len())
 	}
 }
 
-// TestLostByTheStore: a quarantine that a store back from a copy says nothing of goes on for what was left of it, and is named to be written again; one that
-// was lifted is known to be.
-func TestLostByTheStore(t *testing.T) {
-	core, id := newCore(), asks("a", "x")
-	mark := id.Request
-	if _, err := core.ApplyStored(1000, mark, []byte(`{"versions":["v1"]}`)); err != nil {
+// TestStoreLosesQuarantine checks that a quarantine continues for its remaining time if a store that was restored from
+// a backup does not list it, and that it is returned to be written again. A quarantine that an answer ended is known as
+// lifted.
+func TestStoreLosesQuarantine(t *testing.T) {
+	core, id := newCore(), requestBy("a", "x")
+	fingerprint := id.Request
+	if _, err := core.ApplyStored(1000, fingerprint, []byte(`{"versions":["v1"]}`)); err != nil {
 		t.Fatal(err)
 	}
-	core.RecordStoreLoss(mark)
-	if left, held := core.RemainingOf(2000, mark); !held || left != heldFor-1000 {
-		t.Errorf("held %v for %d ms", held, left)
+	core.RecordStoreLoss(fingerprint)
+	if remaining, quarantined := core.RemainingOf(2000, fingerprint); !quarantined || remaining != quarantineDuration-1000 {
+		t.Errorf("quarantined %v, %d ms remaining; want true, the duration less 1 s", quarantined, remaining)
 	}
-	if unstored := core.MissingFromStore(2000); unstored[mark] != heldFor-1000 {
-		t.Errorf("to be written %v", unstored)
+	if missing := core.MissingFromStore(2000); missing[fingerprint] != quarantineDuration-1000 {
+		t.Errorf("missing from the store: %v, want the request with the remaining duration", missing)
 	}
-	if core.Lifted(mark) {
-		t.Error("lifted")
+	if core.Lifted(fingerprint) {
+		t.Error("the quarantine is lifted although the request was not answered")
 	}
 	core.RecordAnswer(3000, id, "s", "v1")
-	if !core.Lifted(mark) || core.Verdict(3000, id) != quarantine.Clear {
-		t.Errorf("after an answer %v, lifted %v", core.Verdict(3000, id), core.Lifted(mark))
+	if !core.Lifted(fingerprint) || core.Verdict(3000, id) != quarantine.Clear {
+		t.Errorf("after an answer: verdict %v, lifted %v; want clear, true", core.Verdict(3000, id), core.Lifted(fingerprint))
 	}
-	if _, err := core.ApplyStored(9000, mark, []byte(`{"versions":["v1"]}`)); err != nil || core.Lifted(mark) {
-		t.Errorf("lifted by a newer quarantine, %v", err)
+	if _, err := core.ApplyStored(9000, fingerprint, []byte(`{"versions":["v1"]}`)); err != nil || core.Lifted(fingerprint) {
+		t.Errorf("still lifted after a newer quarantine was stored, or error %v", err)
 	}
-	core.RecordStoreLoss(asks("b", "y").Request)
+	core.RecordStoreLoss(requestBy("b", "y").Request)
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -6,40 +6,46 @@
 	"stiletrail/internal/clock"
 )
 
-// record is what is known of all that bears a mark.
+// record holds what is known about all requests with one fingerprint.
 type record struct {
 	fingerprint Fingerprint
-	// aggregate: the mark is of a place or a caller, of many different requests, and never put under quarantine.
+	// aggregate is set if the fingerprint belongs to a resource or a caller, which many different requests share. Such
+	// a record is never quarantined.
 	aggregate bool
-	// crashes that ended their back ends, of services that have not answered since; backEnds are those of all crashes.
+	// crashes holds the crashes at services that have not answered since. crashedBackEnds lists the back ends of all
+	// crashes, including those that were dropped from crashes.
 	crashes         []Crash
 	crashedBackEnds []string
-	// answeredAt is when a back end last answered the request, where answered.
+	// answered is set if a back end has answered the request; answeredAt is the time of the last answer.
 	answered   bool
 	answeredAt clock.Ms
-	// quarantinedAt and until are the beginning and the end of the quarantine, by this node's own account or another node's.
+	// quarantinedAt and quarantinedUntil are the beginning and the end of the quarantine, imposed by this node or
+	// another one.
 	quarantinedAt    clock.Ms
 	quarantinedUntil clock.Ms
-	// stored: the store says that it is under quarantine, and has done so since storedAt.
+	// stored is set while the store lists the request as quarantined; storedAt is when this node first read that.
 	stored   bool
 	storedAt clock.Ms
-	// lifted: a back end answered it since it was last under quarantine.
+	// lifted is set if a back end has answered the request since it was last quarantined.
 	lifted bool
-	// shardsExcludedUntil are the ends of the quarantine at single shards.
+	// shardsExcludedUntil holds, by service, the time until which the request is not sent to that shard.
 	shardsExcludedUntil map[string]clock.Ms
-	// crashedVersions of software that the request ended, sound ones that have answered it since.
+	// crashedVersions lists the software versions that the request crashed; safeVersions lists those that have answered
+	// it since.
 	crashedVersions []string
 	safeVersions    []string
-	// callers are who has asked it round after round: their marks of the question as they ask it. Who was only there once may ask
-	// it and be answered.
+	// callers lists the fingerprints of the request together with its caller, for callers whose requests crashed back
+	// ends in successive rounds. A caller whose request was present at a single crash may send the request again and be
+	// answered.
 	callers []Fingerprint
-	// updatedAt is when something was last learned of it.
+	// updatedAt is the time of the last update.
 	updatedAt clock.Ms
-	// shared: other nodes know of it, and are told of an answer too.
+	// shared is set if other nodes know of the record. They must be told of an answer too.
 	shared bool
 }
 
-// forgottenBefore orders records by what is forgotten first.
+// forgottenBefore reports whether record a is deleted before record b: records that are not quarantined go first, then
+// those updated least recently.
 func forgottenBefore(now clock.Ms, a, b *record) bool {
 	if a.quarantined(now) != b.quarantined(now) {
 		return !a.quarantined(now)
@@ -47,6 +53,7 @@
 	return a.updatedAt < b.updatedAt
 }
 
+// addCallers adds callers that are not yet listed, up to maximumCallers.
 func (r *record) addCallers(callers ...Fingerprint) {
 	for _, caller := range callers {
 		if len(r.callers) < maximumCallers && !slices.Contains(r.callers, caller) {
@@ -55,7 +62,7 @@
 	}
 }
 
-// suspect: back ends ended under it, and none has answered it since.
+// suspect reports whether enough back ends have crashed since the last answer for the request to be suspect.
 func (r *record) suspect() bool {
 	if r.aggregate {
 		return r.rounds() >= aggregateRounds
@@ -65,19 +72,21 @@
 
 func (r *record) quarantined(now clock.Ms) bool { return r.stored || now < r.quarantinedUntil }
 
-// rounds is the greatest number of runs that followed each other since the request was last answered: each began after the one
-// before had ended. Runs at the same time count once, since whatever ended one back end may have ended the others.
+// rounds returns the largest number of successive crashes since the request was last answered: each execution began
+// after the crash before it. Crashes of concurrent executions count once, since one cause may have crashed all those
+// back ends.
 func (r *record) rounds() int {
 	return longestSequence(r.crashes, func(crash Crash) bool { return !r.answered || crash.CrashedAt > r.answeredAt })
 }
 
-// shardRounds are the rounds at one service, which has not answered since.
+// shardRounds returns the number of rounds at one service, which has not answered since.
 func (r *record) shardRounds(service string) int {
 	return longestSequence(r.crashes, func(crash Crash) bool { return crash.Service == service })
 }
 
-// longestSequence is the length of the longest sequence of runs that follow each other, of those that count: of the runs left, the one that
-// ended first is always part of one.
+// longestSequence returns the length of the longest sequence of crashes in which each execution began after the crash
+// before it. Only crashes that counts accepts are considered. Choosing the earliest crash of those that remain always
+// leads to a longest sequence.
 func longestSequence(crashes []Crash, counts func(Crash) bool) int {
 	sorted := slices.SortedFunc(slices.Values(crashes), func(a, b Crash) int { return int(a.CrashedAt - b.CrashedAt) })
 	length := 0
@@ -91,7 +100,7 @@
 	return length
 }
 
-// appendNew appends a value that is not there yet, as long as there are fewer than most.
+// appendNew appends a value that is not empty and not yet in the list, if the list has fewer than maximum values.
 func appendNew(values []string, value string, maximum int) []string {
 	if value == "" || slices.Contains(values, value) || len(values) >= maximum {
 		return values
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -9,31 +9,34 @@
 	"stiletrail/internal/failure"
 )
 
-// Keys of the store that nodes write. Each goes by itself when the quarantine is over.
+// These are the prefixes of the keys that nodes write to the store. The items have leases and expire when the
+// quarantine ends.
 const (
 	keyPrefix      = "quarantine/"
 	retrialsPrefix = "quarantine-retrial/"
 )
 
-// Item is a quarantine as it is kept in the store.
+// Item is the stored form of a quarantine.
 type Item struct {
-	// CrashedVersions of software that the request ended, sound ones that answer it.
+	// CrashedVersions lists the software versions that the request crashed; SafeVersions lists those that answer it.
 	CrashedVersions []string `json:"versions"`
 	SafeVersions    []string `json:"sound,omitempty"`
-	// Callers are the marks of those who asked when it ended back ends.
+	// Callers lists the fingerprints of the request together with its caller, for callers whose requests crashed back
+	// ends.
 	Callers []Fingerprint `json:"askers,omitempty"`
 }
 
-// KeyOf is the store's key of a request.
+// KeyOf returns the store key of a quarantined request.
 func KeyOf(fingerprint Fingerprint) string { return keyPrefix + hex.EncodeToString(fingerprint[:]) }
 
-// RetrialKey is the store's key by which nodes agree on who sends a request under quarantine to a new version of the software, or
-// with no version for another caller.
+// RetrialKey returns the store key by which nodes agree on which of them sends a quarantined request once more: to a
+// software version that has not had it, or, with an empty version, for another caller.
 func RetrialKey(fingerprint Fingerprint, version string) string {
 	return retrialsPrefix + hex.EncodeToString(fingerprint[:]) + "/" + hex.EncodeToString([]byte(version))
 }
 
-// ParseKey gives the request that a key of the store is about; false where it is about none.
+// ParseKey returns the fingerprint of the request that a store key belongs to; found is false if the key is not one of
+// a quarantine.
 func ParseKey(key string) (fingerprint Fingerprint, found bool) {
 	text, found := strings.CutPrefix(key, keyPrefix)
 	if !found {
@@ -46,7 +49,7 @@
 	return Fingerprint(decoded), true
 }
 
-// Encode gives the value of a request's key.
+// Encode returns the store value for a quarantined request.
 func (c *Core) Encode(fingerprint Fingerprint) []byte {
 	item := Item{}
 	if r := c.records[fingerprint]; r != nil {
@@ -54,17 +57,17 @@
 	}
 	value, err := json.Marshal(item)
 	if err != nil {
-		panic("quarantine: an item of strings cannot be encoded: " + err.Error())
+		panic("quarantine: cannot encode a quarantine item as JSON: " + err.Error())
 	}
 	return value
 }
 
-// ApplyStored takes in what the store says of a request. It reports whether the request is under quarantine by it that was not before.
-// An error, of code MALFORMED, changes nothing.
+// ApplyStored records what the store says about a request. It reports whether this quarantined the request, which it
+// was not before. An error has the code MALFORMED and changes nothing.
 func (c *Core) ApplyStored(now clock.Ms, fingerprint Fingerprint, value []byte) (newlyQuarantined bool, err error) {
 	var item Item
 	if err := json.Unmarshal(value, &item); err != nil {
-		return false, failure.Wrap(err, failure.Malformed, "the quarantine of a request cannot be read")
+		return false, failure.Wrap(err, failure.Malformed, "cannot decode the quarantine item of a request as JSON")
 	}
 	r := c.recordOf(now, fingerprint)
 	newlyQuarantined = !r.quarantined(now)
@@ -78,8 +81,8 @@
 	return newlyQuarantined, nil
 }
 
-// RemoveStored takes in that the store says nothing of a request any more: its quarantine is over, unless this node has seen more
-// itself or heard of it.
+// RemoveStored records that the store no longer lists a request: its quarantine ends, unless this node has observed
+// more crashes itself or learned of them from other nodes. It reports whether the quarantine ended.
 func (c *Core) RemoveStored(now clock.Ms, fingerprint Fingerprint) (released bool) {
 	r := c.records[fingerprint]
 	if r == nil || !r.stored {
@@ -89,8 +92,9 @@
 	return !r.quarantined(now)
 }
 
-// RecordStoreLoss takes in that the store, back from a copy, says nothing of a request any more. Nobody has ended its quarantine: that goes
-// on for what was left of it, and Unstored names the request, so that it is written again.
+// RecordStoreLoss records that a store that was restored from a backup no longer lists a request. Nobody has ended the
+// quarantine, so it continues for its remaining time, and MissingFromStore returns the request so that it is written
+// again.
 func (c *Core) RecordStoreLoss(fingerprint Fingerprint) {
 	r := c.records[fingerprint]
 	if r == nil || !r.stored {
@@ -100,14 +104,15 @@
 	r.quarantinedUntil = max(r.quarantinedUntil, r.storedAt+c.settings.Duration)
 }
 
-// Lifted reports whether a request is known to have been answered since it was last under quarantine: what a store that is back
-// from a copy says of it is older than that.
+// Lifted reports whether a request has been answered since it was last quarantined. If a restored store still lists it
+// as quarantined, that state is older than the answer.
 func (c *Core) Lifted(fingerprint Fingerprint) bool {
 	r := c.records[fingerprint]
 	return r != nil && r.lifted
 }
 
-// MissingFromStore are the requests under quarantine that the store says nothing of, with how much longer they are.
+// MissingFromStore returns the quarantined requests that the store does not list, with the remaining duration of each
+// quarantine in milliseconds.
 func (c *Core) MissingFromStore(now clock.Ms) map[Fingerprint]clock.Ms {
 	var found map[Fingerprint]clock.Ms
 	for fingerprint, r := range c.records {
@@ -121,6 +126,7 @@
 	return found
 }
 
+// appendAll appends the versions that are not yet in the list, up to maximumVersions.
 func appendAll(values, more []string) []string {
 	for _, value := range more {
 		values = appendNew(values, value, maximumVersions)
--- a/internal/quarantine/stored_test.go
+++ b/internal/quarantine/stored_test.go
@@ -8,66 +8,69 @@
 	"stiletrail/internal/quarantine"
 )
 
-// storedIdentity is the request of which the literals below are the stored form. Nodes of different releases must give a request the same marks,
-// keys and items.
+// storedIdentity returns the identity of the request whose stored form the constants below hold. Nodes of different
+// releases must compute the same fingerprints, keys and items for a request.
 func storedIdentity() quarantine.Identity {
 	return quarantine.NewIdentity("10.1.2.3", []byte("GET /x"), []byte("q=1"))
 }
 
 const (
-	storedQuestion = "0d915057f0e2a6646a95f65c3a7d314b"
-	storedAsked    = "4534cfc4ad6ca44f08b745ce465cbfc2"
-	storedPlace    = "4a25e117ca9f4d444638e19016eb13fe"
-	storedCaller   = "ace723273ba1cfc2028b440610d0184b"
+	storedRequest       = "0d915057f0e2a6646a95f65c3a7d314b"
+	storedCallerRequest = "4534cfc4ad6ca44f08b745ce465cbfc2"
+	storedResource      = "4a25e117ca9f4d444638e19016eb13fe"
+	storedCaller        = "ace723273ba1cfc2028b440610d0184b"
 )
 
-// TestStoredMarks: the marks of a request, as keys of the store and messages have them.
-func TestStoredMarks(t *testing.T) {
+// TestStoredFingerprints guards the form of fingerprints in store keys and in messages: nodes of another release read
+// them.
+func TestStoredFingerprints(t *testing.T) {
 	id := storedIdentity()
-	for want, mark := range map[string]quarantine.Fingerprint{
-		storedQuestion: id.Request, storedAsked: id.CallerRequest, storedPlace: id.Resource, storedCaller: id.Caller,
+	for want, fingerprint := range map[string]quarantine.Fingerprint{
+		storedRequest: id.Request, storedCallerRequest: id.CallerRequest, storedResource: id.Resource, storedCaller: id.Caller,
 	} {
-		text, err := mark.MarshalText()
+		text, err := fingerprint.MarshalText()
 		if err != nil || string(text) != want {
-			t.Errorf("mark %s, error %v, want %s", text, err, want)
+			t.Errorf("fingerprint %s, error %v, want %s", text, err, want)
 		}
 		var read quarantine.Fingerprint
-		if err := read.UnmarshalText([]byte(want)); err != nil || read != mark {
-			t.Errorf("read back %v, error %v, want %v", read, err, mark)
+		if err := read.UnmarshalText([]byte(want)); err != nil || read != fingerprint {
+			t.Errorf("read back fingerprint %v, error %v, want %v", read, err, fingerprint)
 		}
 	}
 }
 
-// TestStoredKeys: the keys of a quarantine and of a retrial are written and read as before.
+// TestStoredKeys guards the form of the store keys of quarantines and of retrials, which nodes of another release read.
+// A retrial's key must not be taken for that of a quarantine.
 func TestStoredKeys(t *testing.T) {
-	question := storedIdentity().Request
-	const key = "quarantine/" + storedQuestion
-	if got := quarantine.KeyOf(question); got != key {
+	request := storedIdentity().Request
+	const key = "quarantine/" + storedRequest
+	if got := quarantine.KeyOf(request); got != key {
 		t.Errorf("key %q, want %q", got, key)
 	}
-	if mark, found := quarantine.ParseKey(key); !found || mark != question {
-		t.Errorf("mark %v, found %t", mark, found)
+	if fingerprint, found := quarantine.ParseKey(key); !found || fingerprint != request {
+		t.Errorf("fingerprint %v, found %t; want that of the request, found", fingerprint, found)
 	}
 	for version, want := range map[string]string{
-		"2.1": "quarantine-retrial/" + storedQuestion + "/322e31",
-		"":    "quarantine-retrial/" + storedQuestion + "/",
+		"2.1": "quarantine-retrial/" + storedRequest + "/322e31",
+		"":    "quarantine-retrial/" + storedRequest + "/",
 	} {
-		got := quarantine.RetrialKey(question, version)
+		got := quarantine.RetrialKey(request, version)
 		if got != want {
 			t.Errorf("retrial key %q, want %q", got, want)
 		}
 		if _, found := quarantine.ParseKey(got); found {
-			t.Errorf("the retrial key %q passes for that of a quarantine", got)
+			t.Errorf("the retrial key %q is taken for the key of a quarantine", got)
 		}
 	}
 }
 
-// TestStoredItem: what a node writes of a quarantine, and what it reads of one that was written before.
+// TestStoredItem guards the stored form of a quarantine: what a node writes at each stage, and what it reads of an item
+// that another node has written.
 func TestStoredItem(t *testing.T) {
 	const (
 		unknown  = `{"versions":null}`
-		ended    = `{"versions":["1.0"],"askers":["` + storedAsked + `"]}`
-		answered = `{"versions":["1.0"],"sound":["2.0"],"askers":["` + storedAsked + `"]}`
+		ended    = `{"versions":["1.0"],"askers":["` + storedCallerRequest + `"]}`
+		answered = `{"versions":["1.0"],"sound":["2.0"],"askers":["` + storedCallerRequest + `"]}`
 	)
 	id := storedIdentity()
 	core := newCore()
@@ -89,16 +92,16 @@
 	expect(answered)
 
 	reader := newCore()
-	if convicted, err := reader.ApplyStored(now, id.Request, []byte(answered)); !convicted || err != nil {
-		t.Fatalf("convicted %t, error %v", convicted, err)
+	if newlyQuarantined, err := reader.ApplyStored(now, id.Request, []byte(answered)); !newlyQuarantined || err != nil {
+		t.Fatalf("newly quarantined %t, error %v; want true, none", newlyQuarantined, err)
 	}
 	if got := string(reader.Encode(id.Request)); got != answered {
 		t.Errorf("written again as %s, want %s", got, answered)
 	}
-	if sound := reader.SafeVersions(now, id); len(sound) != 1 || sound[0] != "2.0" {
-		t.Errorf("sound versions %q", sound)
+	if safe := reader.SafeVersions(now, id); len(safe) != 1 || safe[0] != "2.0" {
+		t.Errorf("safe versions %q, want 2.0 alone", safe)
 	}
 	if _, _, other := reader.OtherCaller(now, id); other {
-		t.Error("the asker that is stored passes for another caller")
+		t.Error("the stored caller is taken for another caller")
 	}
 }
