--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -46,7 +46,7 @@
 	},
 	{
 		"a question is known by its caller's address alone", "internal/quarantine/mark.go",
-		"Request: FingerprintOf([]byte(requestKind), resource, parameters)", "Request: FingerprintOf([]byte(requestKind), []byte(caller), resource, parameters)",
+		"Request:       FingerprintOf([]byte(requestKind), resource, parameters)", "Request:       FingerprintOf([]byte(requestKind), []byte(caller), resource, parameters)",
 		"./internal/gateway", "TestRequestThatComesInAnotherGuise",
 	},
 	{
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -64,7 +64,8 @@
 // evidence returns the record as it is sent to other nodes. Times are sent as ages, since the nodes' clocks differ.
 func (r *record) evidence(now clock.Ms) message.RequestEvidence {
 	sent := message.RequestEvidence{
-		Mark: r.fingerprint, QuarantineRemainingMs: age(r.quarantinedUntil - now), EndedVersions: r.crashedVersions, SoundVersions: r.safeVersions, Answered: r.answered, Shared: r.aggregate,
+		Mark: r.fingerprint, QuarantineRemainingMs: age(r.quarantinedUntil - now), EndedVersions: r.crashedVersions,
+		SoundVersions: r.safeVersions, Answered: r.answered, Shared: r.aggregate,
 	}
 	for _, caller := range r.callers {
 		sent.CallerMarks = append(sent.CallerMarks, caller)
@@ -77,7 +78,8 @@
 	}
 	for _, crash := range r.crashes[max(0, len(r.crashes)-maximumCrashesSent):] {
 		sent.Runs = append(sent.Runs, message.EndedRun{
-			Service: crash.Service, BackEnd: crash.BackEnd, Version: crash.Version, StartedAgoMs: age(now - crash.StartedAt), EndedAgoMs: age(now - crash.CrashedAt),
+			Service: crash.Service, BackEnd: crash.BackEnd, Version: crash.Version,
+			StartedAgoMs: age(now - crash.StartedAt), EndedAgoMs: age(now - crash.CrashedAt),
 		})
 	}
 	return sent
--- a/internal/quarantine/mark.go
+++ b/internal/quarantine/mark.go
@@ -39,8 +39,10 @@
 // NewIdentity returns the identity of a request that a caller sends to a resource with some parameters.
 func NewIdentity(caller string, resource, parameters []byte) Identity {
 	return Identity{
-		Request: FingerprintOf([]byte(requestKind), resource, parameters), CallerRequest: FingerprintOf([]byte(callerRequestKind), []byte(caller), resource, parameters),
-		Resource: FingerprintOf([]byte(resourceKind), resource), Caller: FingerprintOf([]byte(callerKind), []byte(caller)),
+		Request:       FingerprintOf([]byte(requestKind), resource, parameters),
+		CallerRequest: FingerprintOf([]byte(callerRequestKind), []byte(caller), resource, parameters),
+		Resource:      FingerprintOf([]byte(resourceKind), resource),
+		Caller:        FingerprintOf([]byte(callerKind), []byte(caller)),
 	}
 }
 
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -107,7 +107,8 @@
 		t.Error("two rounds are not shared with other nodes")
 	}
 	if change := core.RecordAnswer(40, id, "s", "v1"); len(change.Share) == 0 || core.Verdict(40, id) != quarantine.Clear {
-		t.Errorf("verdict %v after an answer, %d fingerprints shared; want clear, at least one", core.Verdict(40, id), len(change.Share))
+		t.Errorf("verdict %v after an answer, %d fingerprints shared; want clear, at least one",
+			core.Verdict(40, id), len(change.Share))
 	}
 	if change := core.RecordAnswer(45, id, "s", "v1"); len(change.Share) > 0 {
 		t.Errorf("the second of %d shared changes is known already, want the first alone", 1+len(change.Share))
@@ -126,7 +127,8 @@
 		t.Errorf("the second answer of version v2 changes something: %+v", change)
 	}
 	if change := core.RecordAnswer(now, id, "s", "v1"); len(change.VerdictChanged) == 0 || core.Verdict(now, id) != quarantine.Clear {
-		t.Errorf("verdict %v after the version that crashed has answered, want clear and reported as changed", core.Verdict(now, id))
+		t.Errorf("verdict %v after the version that crashed has answered, want clear and reported as changed",
+			core.Verdict(now, id))
 	}
 }
 
@@ -157,7 +159,8 @@
 		core.RecordAnswer(i*100+20, id, "good", "v1")
 	}
 	if core.Verdict(400, id) == quarantine.Quarantined || !core.ShardExcluded(400, id, "bad") || core.ShardExcluded(400, id, "good") {
-		t.Errorf("verdict %v, shard \"bad\" excluded %v, \"good\" excluded %v; want not quarantined, true, false", core.Verdict(400, id), core.ShardExcluded(400, id, "bad"), core.ShardExcluded(400, id, "good"))
+		t.Errorf("verdict %v, shard \"bad\" excluded %v, \"good\" excluded %v; want not quarantined, true, false",
+			core.Verdict(400, id), core.ShardExcluded(400, id, "bad"), core.ShardExcluded(400, id, "good"))
 	}
 	core.RecordAnswer(500, id, "bad", "v1")
 	if core.ShardExcluded(500, id, "bad") {
@@ -205,7 +208,8 @@
 	}
 	core.RecordAnswer(now, requestBy("b", "x"), "s", "v1")
 	if core.Verdict(now, requestBy("b", "x")) == quarantine.Quarantined || core.Verdict(now, requestBy("a", "x")) != quarantine.Suspect {
-		t.Errorf("after an answer: verdict %v for the other caller, %v for the first; want not quarantined, suspect", core.Verdict(now, requestBy("b", "x")), core.Verdict(now, requestBy("a", "x")))
+		t.Errorf("after an answer: verdict %v for the other caller, %v for the first; want not quarantined, suspect",
+			core.Verdict(now, requestBy("b", "x")), core.Verdict(now, requestBy("a", "x")))
 	}
 }
 
@@ -399,7 +403,8 @@
 	}
 	core.RecordAnswer(3000, id, "s", "v1")
 	if !core.Lifted(fingerprint) || core.Verdict(3000, id) != quarantine.Clear {
-		t.Errorf("after an answer: verdict %v, lifted %v; want clear, true", core.Verdict(3000, id), core.Lifted(fingerprint))
+		t.Errorf("after an answer: verdict %v, lifted %v; want clear, true",
+			core.Verdict(3000, id), core.Lifted(fingerprint))
 	}
 	if _, err := core.ApplyStored(9000, fingerprint, []byte(`{"versions":["v1"]}`)); err != nil || core.Lifted(fingerprint) {
 		t.Errorf("still lifted after a newer quarantine was stored, or error %v", err)
--- a/internal/replica/departed_test.go
+++ b/internal/replica/departed_test.go
@@ -81,7 +81,8 @@
 		return set.Len()
 	}
 	if count := known(0); count != many-most {
-		t.Errorf("%d of %d entries are stored at once, want all but the %d that are remembered as departed", count, many, most)
+		t.Errorf("%d of %d entries are stored at once, want all but the %d that are remembered as departed",
+			count, many, most)
 	}
 	set = newSet()
 	leave(0)
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -48,7 +48,8 @@
 		send(true)
 	}
 	if got["sound"] < 10 || failed > 4 {
-		t.Errorf("18 requests went to %v, %d failed; want at least 10 to the sound replica and at most 4 failed", got, failed)
+		t.Errorf("18 requests went to %v, %d failed; want at least 10 to the sound replica and at most 4 failed",
+			got, failed)
 	}
 	now += 6 * time.Second
 	clear(got)
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -186,7 +186,8 @@
 		"the first to recover is excluded": {replica.PickOptions{Only: []*replica.Replica{a, b}, Excluded: []*replica.Replica{a}}, 260 * time.Millisecond},
 	} {
 		if at, known := set.EarliestRecovery("s", c.choice); at != c.at || !known {
-			t.Errorf("%s: recovery at %v, known %v; want 0 if one is not ejected, else the end of the first ejection", name, at, known)
+			t.Errorf("%s: recovery at %v, known %v; want 0 if one is not ejected, else the end of the first ejection",
+				name, at, known)
 		}
 	}
 	if _, known := set.EarliestRecovery("unknown", replica.PickOptions{}); known {
@@ -311,7 +312,8 @@
 	}
 	set.Put(time.Second, entry("own", "a1"))
 	if expired := set.ExpireDoubtful(3 * time.Second); len(expired) != 0 || picked(set, time.Second) != "own" {
-		t.Errorf("after the entry came back: expired %v, picked %q; want none, \"own\"", expired, picked(set, time.Second))
+		t.Errorf("after the entry came back: expired %v, picked %q; want none, \"own\"",
+			expired, picked(set, time.Second))
 	}
 	set.Remove(4*time.Second, "own", 6*time.Second)
 	if expired := set.ExpireDoubtful(6 * time.Second); len(expired) != 1 || set.Get("own") != nil {
--- a/internal/replica/start_test.go
+++ b/internal/replica/start_test.go
@@ -51,7 +51,8 @@
 		t.Fatal("the second incarnation is the same replica as the first")
 	}
 	if after.InFlight() != 0 || after.AverageLatency() != 0 || after.MinimumLatency() != 0 || after.Ejected(now) || after.Doubtful() || after.Cold(now) {
-		t.Errorf("state of the first incarnation remains: %d attempts in flight, latency %v, floor %v, ejected %v", after.InFlight(), after.AverageLatency(), after.MinimumLatency(), after.Ejected(now))
+		t.Errorf("state of the first incarnation remains: %d attempts in flight, latency %v, floor %v, ejected %v",
+			after.InFlight(), after.AverageLatency(), after.MinimumLatency(), after.Ejected(now))
 	}
 	if slowdown, faults := after.Health(now); slowdown != 1 || faults != 0 {
 		t.Errorf("slowdown %v and fault rate %v after the restart, want 1 and 0", slowdown, faults)
@@ -69,7 +70,8 @@
 	set.Put(time.Second, startedAt("x", 2000))
 	set.RecordReport(2*time.Second, earlier, 9, 1, 2*time.Second)
 	if slowdown, faults := set.Get("x").Health(2 * time.Second); slowdown != 1 || faults != 0 {
-		t.Errorf("slowdown %v and fault rate %v after a report about the first incarnation, want 1 and 0", slowdown, faults)
+		t.Errorf("slowdown %v and fault rate %v after a report about the first incarnation, want 1 and 0",
+			slowdown, faults)
 	}
 	if set.Get("x").Key() == earlier {
 		t.Error("both incarnations have the same key in messages between nodes")
@@ -108,7 +110,8 @@
 				t.Errorf("picked %q, want %q", got, c.want)
 			}
 			if known := set.Get("x"); known != nil && (known.Entry.StartedAt != 2000 || known.Address == earlier.Address) {
-				t.Errorf("the known entry has start time %d and address %s, want those of the later incarnation", known.Entry.StartedAt, known.Address)
+				t.Errorf("the known entry has start time %d and address %s, want those of the later incarnation",
+					known.Entry.StartedAt, known.Address)
 			}
 		})
 	}
--- a/internal/replica/subset.go
+++ b/internal/replica/subset.go
@@ -32,7 +32,10 @@
 		return
 	}
 	slices.SortFunc(inRegion, func(a, b *Replica) int {
-		return cmp.Or(cmp.Compare(s.distancePenalty(a, defaultTargetLatency), s.distancePenalty(b, defaultTargetLatency)), cmp.Compare(b.affinity, a.affinity))
+		return cmp.Or(
+			cmp.Compare(s.distancePenalty(a, defaultTargetLatency), s.distancePenalty(b, defaultTargetLatency)),
+			cmp.Compare(b.affinity, a.affinity),
+		)
 	})
 	for _, r := range inRegion[size:] {
 		r.outsideSubset = true
--- a/internal/replica/warmup_test.go
+++ b/internal/replica/warmup_test.go
@@ -80,7 +80,8 @@
 		}
 		demand := float64(nodes) / every.Seconds()
 		if most := mostWithin(arrivals); demand > 2*rate && nodes > 1 && float64(most) < rate/2-1 {
-			rt.Fatalf("a cold back end got %d requests in its busiest second; limit %v, demand %v per second", most, rate, demand)
+			rt.Fatalf("a cold back end got %d requests in its busiest second; limit %v, demand %v per second",
+				most, rate, demand)
 		}
 	})
 }
