--- a/internal/healthreport/healthreport.go
+++ b/internal/healthreport/healthreport.go
@@ -42,8 +42,8 @@
 	// BackEnd is the hash of its incarnation, so that one that was started again is another one.
 	BackEnd uint64
 	// Slowdown is how long work takes there as a multiple of the usual; Faults is the share of recent attempts that failed.
-	Slowdown float64
-	Faults   float64
+	Slowdown  float64
+	FaultRate float64
 	// SeenAt is when it was met.
 	SeenAt clock.Ms
 }
@@ -54,9 +54,9 @@
 		level = int(math.Round(math.Log2(r.Slowdown)))
 	}
 	switch {
-	case r.Faults >= veryFaultyFrom:
+	case r.FaultRate >= veryFaultyFrom:
 		level += 2
-	case r.Faults >= faultyFrom:
+	case r.FaultRate >= faultyFrom:
 		level++
 	}
 	return level
@@ -100,12 +100,12 @@
 	for _, received := range m.Reports {
 		age := clock.Ms(received.AgeMs)
 		r := Report{
-			BackEnd:  received.BackEnd,
-			Slowdown: float64(received.SlowdownSixteenths) / slowdownUnit,
-			Faults:   float64(received.FailurePercent) / faultUnit,
-			SeenAt:   now - age,
+			BackEnd:   received.BackEnd,
+			Slowdown:  float64(received.SlowdownSixteenths) / slowdownUnit,
+			FaultRate: float64(received.FailurePercent) / faultUnit,
+			SeenAt:    now - age,
 		}
-		if age > maximumAge || r.Faults > 1 || r.Slowdown > maximumSlowdown || !c.isNews(r) {
+		if age > maximumAge || r.FaultRate > 1 || r.Slowdown > maximumSlowdown || !c.isNews(r) {
 			continue
 		}
 		news = append(news, r)
@@ -145,7 +145,7 @@
 		m.Reports = append(m.Reports, message.BackEndReport{
 			BackEnd:            id,
 			SlowdownSixteenths: uint16(math.Round(slowdownUnit * min(max(r.Slowdown, 0), maximumSlowdown))),
-			FailurePercent:     uint8(math.Round(faultUnit * r.Faults)),
+			FailurePercent:     uint8(math.Round(faultUnit * r.FaultRate)),
 			AgeMs:              uint16(min(max(now-r.SeenAt, 0), maximumAge)),
 		})
 	}
--- a/internal/healthreport/healthreport_test.go
+++ b/internal/healthreport/healthreport_test.go
@@ -90,14 +90,14 @@
 		why    string
 	}{
 		{0, healthreport.Report{BackEnd: 1, Slowdown: 1}, false, "sound"},
-		{10, healthreport.Report{BackEnd: 1, Slowdown: 1.2, Faults: 0.3}, false, "a little slower, one failure"},
+		{10, healthreport.Report{BackEnd: 1, Slowdown: 1.2, FaultRate: 0.3}, false, "a little slower, one failure"},
 		{20, healthreport.Report{BackEnd: 1, Slowdown: 4}, true, "slow"},
 		{500, healthreport.Report{BackEnd: 1, Slowdown: 4.2}, false, "still slow"},
 		{1100, healthreport.Report{BackEnd: 1, Slowdown: 4.2}, true, "slow for a second"},
 		{1200, healthreport.Report{BackEnd: 1, Slowdown: 8.5}, true, "slower"},
 		{1300, healthreport.Report{BackEnd: 1, Slowdown: 1}, true, "well again"},
 		{1400, healthreport.Report{BackEnd: 1, Slowdown: 1}, false, "well"},
-		{1500, healthreport.Report{BackEnd: 1, Slowdown: 1, Faults: 0.5}, true, "faulty"},
+		{1500, healthreport.Report{BackEnd: 1, Slowdown: 1, FaultRate: 0.5}, true, "faulty"},
 	}
 	for _, step := range steps {
 		step.report.SeenAt = step.at
