--- a/internal/gateway/health_reports.go
+++ b/internal/gateway/health_reports.go
@@ -81,7 +81,7 @@
 		return
 	}
 	slowdown, faults := r.Health(now)
-	report := healthreport.Report{BackEnd: r.Key(), Slowdown: slowdown, FaultRate: faults, SeenAt: clock.FromDuration(now)}
+	report := healthreport.Report{BackEnd: r.Key(), Slowdown: slowdown, FaultRate: faults, ObservedAt: clock.FromDuration(now)}
 	if g.reports.core.Observe(clock.FromDuration(now), report) {
 		g.reports.signal()
 	}
@@ -117,7 +117,7 @@
 func (g *Gateway) receiveReports(now time.Duration, m *message.BackEndReports) {
 	news := g.reports.core.Receive(clock.FromDuration(now), m)
 	for _, r := range news {
-		g.replicas.RecordReport(now, r.BackEnd, r.Slowdown, r.FaultRate, r.SeenAt.Duration())
+		g.replicas.RecordReport(now, r.BackEnd, r.Slowdown, r.FaultRate, r.ObservedAt.Duration())
 	}
 	if len(news) > 0 {
 		g.reports.signal()
--- a/internal/healthreport/healthreport.go
+++ b/internal/healthreport/healthreport.go
@@ -44,8 +44,8 @@
 	// Slowdown is how long work takes there as a multiple of the usual; Faults is the share of recent attempts that failed.
 	Slowdown  float64
 	FaultRate float64
-	// SeenAt is when it was met.
-	SeenAt clock.Ms
+	// ObservedAt is when it was met.
+	ObservedAt clock.Ms
 }
 
 // level of a report: one more for each doubling of the slowdown and for each threshold of faults.
@@ -81,7 +81,7 @@
 // Observe takes in what this node met itself, and reports whether there is something to tell.
 func (c *Core) Observe(now clock.Ms, r Report) (pending bool) {
 	before, found := c.latest[r.BackEnd]
-	if found && now-before.report.SeenAt > keptFor {
+	if found && now-before.report.ObservedAt > keptFor {
 		before = latest{}
 	}
 	level := r.level()
@@ -100,10 +100,10 @@
 	for _, received := range m.Reports {
 		age := clock.Ms(received.AgeMs)
 		r := Report{
-			BackEnd:   received.BackEnd,
-			Slowdown:  float64(received.SlowdownSixteenths) / slowdownUnit,
-			FaultRate: float64(received.FailurePercent) / faultUnit,
-			SeenAt:    now - age,
+			BackEnd:    received.BackEnd,
+			Slowdown:   float64(received.SlowdownSixteenths) / slowdownUnit,
+			FaultRate:  float64(received.FailurePercent) / faultUnit,
+			ObservedAt: now - age,
 		}
 		if age > maximumAge || r.FaultRate > 1 || r.Slowdown > maximumSlowdown || !c.isNews(r) {
 			continue
@@ -121,9 +121,9 @@
 		return true
 	}
 	if r.level() == before.report.level() {
-		return r.SeenAt >= before.report.SeenAt+repeatAfter/2
+		return r.ObservedAt >= before.report.ObservedAt+repeatAfter/2
 	}
-	return r.SeenAt > before.report.SeenAt
+	return r.ObservedAt > before.report.ObservedAt
 }
 
 func (c *Core) queue(now clock.Ms, r Report) {
@@ -146,7 +146,7 @@
 			BackEnd:            id,
 			SlowdownSixteenths: uint16(math.Round(slowdownUnit * min(max(r.Slowdown, 0), maximumSlowdown))),
 			FailurePercent:     uint8(math.Round(faultUnit * r.FaultRate)),
-			AgeMs:              uint16(min(max(now-r.SeenAt, 0), maximumAge)),
+			AgeMs:              uint16(min(max(now-r.ObservedAt, 0), maximumAge)),
 		})
 	}
 	c.pending = slices.Delete(c.pending, 0, count)
@@ -159,7 +159,7 @@
 // Forget drops reports that are no longer kept.
 func (c *Core) Forget(now clock.Ms) {
 	for id, known := range c.latest {
-		if now-known.report.SeenAt > keptFor && !slices.Contains(c.pending, id) {
+		if now-known.report.ObservedAt > keptFor && !slices.Contains(c.pending, id) {
 			delete(c.latest, id)
 		}
 	}
--- a/internal/healthreport/healthreport_test.go
+++ b/internal/healthreport/healthreport_test.go
@@ -12,7 +12,7 @@
 const slowBackEnd = 7
 
 func slow(seenAt clock.Ms) healthreport.Report {
-	return healthreport.Report{BackEnd: slowBackEnd, Slowdown: 8.5, SeenAt: seenAt}
+	return healthreport.Report{BackEnd: slowBackEnd, Slowdown: 8.5, ObservedAt: seenAt}
 }
 
 // fleet is some nodes that each tell three others each 50 ms what is news to them: the next two in a ring and a random one.
@@ -100,7 +100,7 @@
 		{1500, healthreport.Report{BackEnd: 1, Slowdown: 1, FaultRate: 0.5}, true, "faulty"},
 	}
 	for _, step := range steps {
-		step.report.SeenAt = step.at
+		step.report.ObservedAt = step.at
 		if got := c.Observe(step.at, step.report); got != step.told {
 			t.Errorf("at %d, %s: told %v", step.at, step.why, got)
 		}
@@ -154,7 +154,7 @@
 		t.Errorf("%d of 100 were told, more is due: %v", len(seen), c.Pending())
 	}
 	c.Forget(10 * clock.Second)
-	if !c.Observe(10*clock.Second, healthreport.Report{BackEnd: 1, Slowdown: 8, SeenAt: 10 * clock.Second}) {
+	if !c.Observe(10*clock.Second, healthreport.Report{BackEnd: 1, Slowdown: 8, ObservedAt: 10 * clock.Second}) {
 		t.Error("a slow back end is no news after all was forgotten")
 	}
 }
