--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -414,7 +414,7 @@
 	{
 		"old reports are believed", "internal/healthreport/healthreport.go",
 		"age > maximumAge ||", "",
-		"./internal/healthreport", "TestBadReportsAreDropped",
+		"./internal/healthreport", "TestInvalidReportsAreIgnored",
 	},
 	{
 		"reports are not told on", "internal/gateway/health_reports.go",
