--- a/internal/quarantine/outcome.go
+++ b/internal/quarantine/outcome.go
@@ -33,8 +33,8 @@
 func (c *Core) RecordCrash(now clock.Ms, id Identity, crash Crash) (Verdict, Change) {
 	c.addRecentCrash(now, crash)
 	var change Change
-	// The records are kept here as well: if all records of the Core are quarantined, creating the next record deletes
-	// one of these from it.
+	// The records are also kept in this map. If all records of the Core are quarantined, creating a record may delete
+	// the one created just before.
 	known := map[Fingerprint]*record{}
 	for _, fingerprint := range id.fingerprints() {
 		r := c.recordOf(now, fingerprint)
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -10,12 +10,12 @@
 // (record.rounds).
 //
 //	suspect      one round; aggregateRounds rounds for a resource or a caller
-//	cancel       the other attempts of a request: after crashesToCancel crashes during the request, or after one crash if
-//	             the request was already suspect
-//	quarantine   Settings.Rounds rounds, plus one more for each unrelatedCrashesPerRound other back ends that crashed within
-//	             unrelatedCrashWindow, up to maximumExtraRounds more
-//	exclude      one shard, if the request crashes its back ends while other shards answer: extraShardRounds more rounds than
-//	             for a quarantine
+//	cancel       the other attempts of a request: after crashesToCancel crashes during the request, or after one crash
+//	             if the request was already suspect
+//	quarantine   Settings.Rounds rounds, plus one more for each unrelatedCrashesPerRound other back ends that crashed
+//	             within unrelatedCrashWindow, up to maximumExtraRounds more
+//	exclude      one shard, if the request crashes its back ends while other shards answer: extraShardRounds more
+//	             rounds than for a quarantine
 //	refuse       a request whose resource or caller has more than Settings.Rounds rounds, as if it were quarantined
 //	answer       any answer restarts the count and ends a quarantine, unless it came from a software version that the
 //	             request never crashed
--- a/internal/replica/connections.go
+++ b/internal/replica/connections.go
@@ -10,14 +10,14 @@
 	// ampleConnections is the share from which on a node has enough connections to a back end: it can keep idle ones at
 	// any back end for the next request.
 	ampleConnections = 2
-	// otherRegionsDivisor is the part of a back end's connections, one in eight, that stays reserved for nodes of other
-	// regions if the share of each node is not ample.
+	// otherRegionsDivisor sets the reserve for nodes of other regions if the share of each node is not ample: a back
+	// end's connections divided by this number.
 	otherRegionsDivisor = 8
 	// otherRegionIdleTimeout is how long a connection to a back end in another region may stay idle if the share of
 	// connections is not ample.
 	otherRegionIdleTimeout = clock.Second
-	// verifyConnectionsFor is how long this node verifies new connections to a back end that has rejected one. A back
-	// end goes on counting the connections of node processes that have ended for some seconds.
+	// verifyConnectionsFor is how long this node verifies new connections to a back end that has rejected one. For some
+	// seconds, a back end still counts the connections of node processes that have ended.
 	verifyConnectionsFor = 4 * time.Second
 )
 
@@ -42,7 +42,7 @@
 	return ConnectionShare{SameRegion: min(max(inRegion, each), maximum), OtherRegions: each}
 }
 
-// SetConnectionShares sets the share of connections that this node may use, by service.
+// SetConnectionShares sets, by service, the number of connections that this node may use at each back end.
 func (s *Set) SetConnectionShares(shares map[string]ConnectionShare) {
 	s.shares = shares
 	s.selectSubsets()
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -20,10 +20,10 @@
 }
 
 // TestGreyFailureIsAvoided guards against a grey failure: two of three replicas, the one in the own region and one in
-// another region, refuse 45% of their requests although slots are free. They refuse quickly and their health checks
-// pass, so a choice by latency alone would keep sending everything to the replica of the own region. At one request in
-// half a second, a node's share of a service with many back ends, the healthy replica must get most requests within
-// nine seconds, the length of such a failure. Once all are healthy again, the replica of the own region must get most
+// another region, refuse 45% of their requests although slots are free. They refuse quickly and report good health, so
+// a choice by latency alone would keep sending everything to the replica of the own region. At one request in half a
+// second, a node's share of a service with many back ends, the healthy replica must get most requests within nine
+// seconds, the length of such a failure. Once all are healthy again, the replica of the own region must get most
 // requests.
 func TestGreyFailureIsAvoided(t *testing.T) {
 	set := penaltySet(entry("near", "a1"), entry("sound", "b1"), entry("faulty", "c1"))
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -92,7 +92,7 @@
 // AverageLatency returns the moving average of the latencies, without decay.
 func (r *Replica) AverageLatency() time.Duration { return r.latency.average }
 
-// MinimumLatency returns the moving minimum of the answers' latencies: the network round trip and the least work.
+// MinimumLatency returns the moving minimum of the answers' latencies, which is about the network round trip.
 func (r *Replica) MinimumLatency() time.Duration { return r.latency.minimum }
 
 // ExpectedMinimum returns the minimum latency, decayed while the replica is unused. Answers that arrive after this
--- a/internal/replica/set.go
+++ b/internal/replica/set.go
@@ -25,7 +25,7 @@
 	byID      map[string]*Replica
 	byKey     map[uint64]*Replica
 	byService map[string][]*Replica
-	// shares holds the share of connections by service, for services that are not limited by the settings.
+	// shares holds the shares of connections by service. A service without one is limited by Settings.Connections.
 	shares map[string]ConnectionShare
 	// manyNodesStarting is set while many nodes have started recently: back ends may still count the connections of the
 	// nodes' previous processes.
--- a/internal/replica/settings.go
+++ b/internal/replica/settings.go
@@ -2,7 +2,8 @@
 
 // Settings configures how replicas are picked. Penalties are fractions of the request's target latency.
 type Settings struct {
-	// Connections is the maximum number of attempts that this node has in flight at one back end.
+	// Connections is the maximum number of attempts that this node has in flight at one back end, for services without
+	// a connection share.
 	Connections int
 	// OtherRegionPenalty is added to the expected latency of a replica in another region. Requests stay in the own
 	// region unless its replicas are slower by that much.
--- a/internal/replica/subset.go
+++ b/internal/replica/subset.go
@@ -12,7 +12,7 @@
 const outsideSubsetPenalty = 40 * time.Millisecond
 
 // affinity ranks the replicas of a service for one node by rendezvous hashing. Nodes spread over the replicas without
-// communicating, and a replica that joins or leaves changes the ranking of few others.
+// communicating, and a replica that joins or leaves changes the preferences of few nodes.
 func affinity(node, id string) uint64 { return xxhash.Sum64String(node + "/" + id) }
 
 // selectSubset chooses the replicas of the own region that this node prefers for a service. With many replicas and few
--- a/internal/replica/verdict.go
+++ b/internal/replica/verdict.go
@@ -5,15 +5,15 @@
 
 // The results of an attempt.
 const (
-	// Answered means that the replica returned an answer of its own.
+	// Answered means that the replica ran the request and returned a complete, valid answer.
 	Answered AttemptResult = iota
 	// Refused means that the replica was too full to accept the request.
 	Refused
 	// RefusedWithFreeSlots means that the replica refused the request although it reported free slots.
 	RefusedWithFreeSlots
-	// Failed means that the connection broke or that the answer was broken.
+	// Failed means that the connection broke, or that the answer was a failure or was invalid.
 	Failed
-	// Unreachable means that no connection could be established.
+	// Unreachable means that no connection could be established, or that the back end's process has crashed.
 	Unreachable
 	// ConnectionRejected means that the replica closed a connection that had not yet carried an answer. The replica may
 	// be at its connection limit and otherwise healthy.
