--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -16,37 +16,37 @@
 	},
 	{
 		"runs at the same time count one by one", "internal/quarantine/record.go",
-		"(length == 0 || run.Began >= last)", "(last >= 0)",
+		"(length == 0 || crash.StartedAt >= last)", "(last >= 0)",
 		"./internal/quarantine", "TestRounds",
 	},
 	{
 		"an answer does not acquit", "internal/quarantine/outcome.go",
-		"	r.until, r.stored = 0, false\n	if len", "	if len",
-		"./internal/quarantine", "TestAnswerAcquits",
+		"	r.quarantinedUntil, r.stored = 0, false\n	if len", "	if len",
+		"./internal/quarantine", "TestAnswerEndsSuspicion",
 	},
 	{
 		"what others tell of a quarantine that an answer has ended counts", "internal/quarantine/evidence.go",
-		"until > r.until+sameMoment && !over", "until > r.until+sameMoment && (!over || until > 0)",
-		"./internal/quarantine", "TestToldByOthers",
+		"until > r.quarantinedUntil+timeTolerance && !answeredSince", "until > r.quarantinedUntil+timeTolerance && (!answeredSince || until > 0)",
+		"./internal/quarantine", "TestEvidenceReachesSameVerdict",
 	},
 	{
 		"back ends that end by themselves raise no doubt", "internal/quarantine/verdict.go",
-		"return min(others/endsPerRound, mostDoubt)", "return 0",
-		"./internal/quarantine", "TestOthersEndToo",
+		"return min(others/unrelatedCrashesPerRound, maximumExtraRounds)", "return 0",
+		"./internal/quarantine", "TestUnrelatedCrashesRequireMoreRounds",
 	},
 	{
 		"a caller is put under quarantine", "internal/quarantine/verdict.go",
-		"c.settings.Rounds == 0 || r.wide ||", "c.settings.Rounds == 0 ||",
-		"./internal/quarantine", "TestWideMarks",
+		"c.settings.Rounds == 0 || r.aggregate ||", "c.settings.Rounds == 0 ||",
+		"./internal/quarantine", "TestCallerIsNeverQuarantined",
 	},
 	{
 		"what is remembered of requests has no bound", "internal/quarantine/quarantine.go",
-		"if len(c.records) >= mostRecords {", "if false {",
-		"./internal/quarantine", "TestBounded",
+		"if len(c.records) >= maximumRecords {", "if false {",
+		"./internal/quarantine", "TestMemoryIsBounded",
 	},
 	{
 		"a question is known by its caller's address alone", "internal/quarantine/mark.go",
-		"Request: FingerprintOf([]byte(question), where, details)", "Request: FingerprintOf([]byte(question), []byte(who), where, details)",
+		"Request:       FingerprintOf([]byte(requestKind), resource, parameters)", "Request:       FingerprintOf([]byte(requestKind), []byte(caller), resource, parameters)",
 		"./internal/gateway", "TestRequestThatComesInAnotherGuise",
 	},
 	{
@@ -96,7 +96,7 @@
 	},
 	{
 		"what was learned while a node stood still holds for good", "internal/replica/latency.go",
-		"unused >= latencyHalfLife && learned > unknownLatency", "false && unused >= latencyHalfLife",
+		"unused >= latencyHalfLife && value > unknownLatency", "false && unused >= latencyHalfLife",
 		"./internal/gateway", "TestServesAgainAfterAPause",
 	},
 }
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -7,33 +7,35 @@
 	"stiletrail/internal/message"
 )
 
-// Bounds of a message. What is left out only delays a verdict.
+// These constants limit a message. What does not fit delays the verdicts of other nodes, but does not change them.
 const (
-	mostRequestsSent = 32
-	// mostRunsSent of each request.
-	mostRunsSent = 6
-	// longestAge bounds ages on the wire.
-	longestAge = 3600 * clock.Second
-	// sameMoment is by how much two accounts of one moment may differ, by what they took on their way.
-	sameMoment = clock.Second / 2
+	maximumRequestsSent = 32
+	// maximumCrashesSent is the number of crashes that are sent for each request.
+	maximumCrashesSent = 6
+	// maximumAge is the greatest age that is sent or accepted, in milliseconds.
+	maximumAge = 3600 * clock.Second
+	// timeTolerance is how much the times of one event may differ between nodes, because a message takes time to
+	// arrive.
+	timeTolerance = clock.Second / 2
 )
 
-// EvidenceOf gives what other nodes should know of some requests.
-func (c *Core) EvidenceOf(now clock.Ms, marks ...Fingerprint) *message.Evidence {
+// EvidenceOf returns a message with what other nodes should know about the given requests.
+func (c *Core) EvidenceOf(now clock.Ms, fingerprints ...Fingerprint) *message.Evidence {
 	m := &message.Evidence{}
-	for _, mark := range marks {
-		if r := c.records[mark]; r != nil && len(m.Requests) < mostRequestsSent {
+	for _, fingerprint := range fingerprints {
+		if r := c.records[fingerprint]; r != nil && len(m.Requests) < maximumRequestsSent {
 			r.addTo(m, now)
 		}
 	}
 	return m
 }
 
-// AllEvidence gives all that other nodes should know, of the requests that matter most first; nil where there is nothing.
+// AllEvidence returns a message with everything that other nodes should know, or nil if there is nothing. If not
+// everything fits, the records that would be deleted last are sent.
 func (c *Core) AllEvidence(now clock.Ms) *message.Evidence {
 	var all []*record
 	for _, r := range c.records {
-		if r.suspected() || r.until > now {
+		if r.suspect() || r.quarantinedUntil > now {
 			all = append(all, r)
 		}
 	}
@@ -41,30 +43,32 @@
 		return nil
 	}
 	slices.SortFunc(all, func(a, b *record) int {
-		if less(now, b, a) {
+		if forgottenBefore(now, b, a) {
 			return -1
 		}
 		return 1
 	})
 	m := &message.Evidence{}
-	for _, r := range all[:min(len(all), mostRequestsSent)] {
+	for _, r := range all[:min(len(all), maximumRequestsSent)] {
 		r.addTo(m, now)
 	}
 	return m
 }
 
-// addTo adds what is known of a request to a message.
+// addTo adds the record to a message and marks it as shared with other nodes.
 func (r *record) addTo(m *message.Evidence, now clock.Ms) {
 	r.shared = true
 	m.Requests = append(m.Requests, r.evidence(now))
 }
 
+// evidence returns the record as it is sent to other nodes. Times are sent as ages, since the nodes' clocks differ.
 func (r *record) evidence(now clock.Ms) message.RequestEvidence {
 	sent := message.RequestEvidence{
-		Fingerprint: r.mark, QuarantineRemainingMs: age(r.until - now), CrashedVersions: r.versions, SafeVersions: r.sound, Answered: r.answered, Shared: r.wide,
+		Fingerprint: r.fingerprint, QuarantineRemainingMs: age(r.quarantinedUntil - now), CrashedVersions: r.crashedVersions,
+		SafeVersions: r.safeVersions, Answered: r.answered, Shared: r.aggregate,
 	}
-	for _, asker := range r.askers {
-		sent.CallerFingerprints = append(sent.CallerFingerprints, asker)
+	for _, caller := range r.callers {
+		sent.CallerFingerprints = append(sent.CallerFingerprints, caller)
 	}
 	if sent.QuarantineRemainingMs > 0 {
 		sent.QuarantinedForMs = age(now - r.quarantinedAt)
@@ -72,54 +76,57 @@
 	if r.answered {
 		sent.AnsweredAgoMs = age(now - r.answeredAt)
 	}
-	for _, run := range r.runs[max(0, len(r.runs)-mostRunsSent):] {
+	for _, crash := range r.crashes[max(0, len(r.crashes)-maximumCrashesSent):] {
 		sent.Crashes = append(sent.Crashes, message.Crash{
-			Service: run.Service, BackEnd: run.BackEnd, Version: run.Version, StartedAgoMs: age(now - run.Began), CrashedAgoMs: age(now - run.Ended),
+			Service: crash.Service, BackEnd: crash.BackEnd, Version: crash.Version,
+			StartedAgoMs: age(now - crash.StartedAt), CrashedAgoMs: age(now - crash.CrashedAt),
 		})
 	}
 	return sent
 }
 
-func age(length clock.Ms) uint32 { return uint32(max(0, min(length, longestAge))) }
+// age returns a length of time as it is sent: from 0 to maximumAge, in milliseconds.
+func age(length clock.Ms) uint32 { return uint32(max(0, min(length, maximumAge))) }
 
-// Receive takes in what another node knows. What was seen there counts as what is seen here; a quarantine holds for as long as it
-// would there.
+// Receive merges what another node knows and returns the resulting changes. Crashes and answers that the other node has
+// observed count like those observed here. A quarantine lasts here as long as it lasts there.
 func (c *Core) Receive(now clock.Ms, m *message.Evidence) (change Change) {
-	for i := range m.Requests[:min(len(m.Requests), mostRequestsSent)] {
+	for i := range m.Requests[:min(len(m.Requests), maximumRequestsSent)] {
 		c.receive(now, &m.Requests[i], &change)
 	}
 	return change
 }
 
+// receive merges the evidence about one request and adds the result to change.
 func (c *Core) receive(now clock.Ms, sent *message.RequestEvidence, change *Change) {
-	mark := Fingerprint(sent.Fingerprint)
-	if c.records[mark] == nil && len(sent.Crashes) == 0 && sent.QuarantineRemainingMs == 0 {
+	fingerprint := Fingerprint(sent.Fingerprint)
+	if c.records[fingerprint] == nil && len(sent.Crashes) == 0 && sent.QuarantineRemainingMs == 0 {
 		return
 	}
-	r := c.recordOf(now, mark)
-	r.wide, r.shared = sent.Shared, true
+	r := c.recordOf(now, fingerprint)
+	r.aggregate, r.shared = sent.Shared, true
 	before := r.quarantined(now)
 	news := r.receiveAnswer(now, sent)
-	news = c.receiveRuns(now, r, sent) || news
+	news = c.receiveCrashes(now, r, sent) || news
 	r.receiveDetails(sent)
 	news = r.receiveQuarantine(now, sent) || news
-	news = r.receiveSound(sent) || news
-	if news && !before && r.until <= now {
+	news = r.receiveSafeVersions(sent) || news
+	if news && !before && r.quarantinedUntil <= now {
 		c.quarantineIfDue(now, r)
 	}
 	after := r.quarantined(now)
 	if after != before {
-		change.VerdictChanged = append(change.VerdictChanged, mark)
+		change.VerdictChanged = append(change.VerdictChanged, fingerprint)
 	}
 	if news || after != before {
-		change.Share = append(change.Share, mark)
+		change.Share = append(change.Share, fingerprint)
 	}
 }
 
-// receiveAnswer takes in that a back end answered the request, and reports whether that changes anything.
+// receiveAnswer records that a back end answered the request, and reports whether this changes the record.
 func (r *record) receiveAnswer(now clock.Ms, sent *message.RequestEvidence) (news bool) {
 	answeredAt := now - clock.Ms(sent.AnsweredAgoMs)
-	if !sent.Answered || r.answered && answeredAt <= r.answeredAt+sameMoment {
+	if !sent.Answered || r.answered && answeredAt <= r.answeredAt+timeTolerance {
 		return false
 	}
 	quarantined := r.quarantined(now)
@@ -127,48 +134,49 @@
 	r.answered, r.answeredAt = true, answeredAt
 	if r.quarantinedAt <= answeredAt {
 		r.lifted = r.lifted || quarantined
-		r.until, r.stored = 0, false
+		r.quarantinedUntil, r.stored = 0, false
 	}
 	return news
 }
 
-// receiveRuns takes in runs that ended their back ends, and reports whether there are more rounds by them.
-func (c *Core) receiveRuns(now clock.Ms, r *record, sent *message.RequestEvidence) (news bool) {
-	for _, run := range sent.Crashes[:min(len(sent.Crashes), mostRunsSent)] {
-		grew := c.addRun(now, r, Crash{
-			Service: run.Service, BackEnd: run.BackEnd, Version: run.Version,
-			Began: now - clock.Ms(run.StartedAgoMs), Ended: now - clock.Ms(run.CrashedAgoMs),
+// receiveCrashes records crashes during executions of the request, and reports whether they add rounds.
+func (c *Core) receiveCrashes(now clock.Ms, r *record, sent *message.RequestEvidence) (news bool) {
+	for _, crash := range sent.Crashes[:min(len(sent.Crashes), maximumCrashesSent)] {
+		newRound := c.addCrash(now, r, Crash{
+			Service: crash.Service, BackEnd: crash.BackEnd, Version: crash.Version,
+			StartedAt: now - clock.Ms(crash.StartedAgoMs), CrashedAt: now - clock.Ms(crash.CrashedAgoMs),
 		})
-		news = news || grew
+		news = news || newRound
 	}
 	return news
 }
 
-// receiveDetails takes in who asked the request, and which versions it ended.
+// receiveDetails records which callers sent the request and which software versions it crashed.
 func (r *record) receiveDetails(sent *message.RequestEvidence) {
-	for _, asker := range sent.CallerFingerprints[:min(len(sent.CallerFingerprints), mostAskers)] {
-		r.addAskers(asker)
+	for _, caller := range sent.CallerFingerprints[:min(len(sent.CallerFingerprints), maximumCallers)] {
+		r.addCallers(caller)
 	}
-	r.versions = appendAll(r.versions, sent.CrashedVersions)
+	r.crashedVersions = appendAll(r.crashedVersions, sent.CrashedVersions)
 }
 
-// receiveQuarantine takes in that the request is under quarantine elsewhere, and reports whether it was not so here.
+// receiveQuarantine records that another node has quarantined the request, and reports whether it was not quarantined
+// here.
 func (r *record) receiveQuarantine(now clock.Ms, sent *message.RequestEvidence) (news bool) {
-	quarantinedAt, until := now-clock.Ms(sent.QuarantinedForMs), now+clock.Ms(min(sent.QuarantineRemainingMs, uint32(longestAge)))
-	// An answer after the beginning has ended it, whoever has not heard of that yet.
-	over := r.answered && r.answeredAt >= quarantinedAt
-	if sent.QuarantineRemainingMs > 0 && until > r.until+sameMoment && !over {
-		news = r.until <= now
-		r.quarantinedAt, r.until, r.lifted = quarantinedAt, until, false
+	quarantinedAt, until := now-clock.Ms(sent.QuarantinedForMs), now+clock.Ms(min(sent.QuarantineRemainingMs, uint32(maximumAge)))
+	// An answer after the quarantine began has ended it, even if the sender has not heard of that answer yet.
+	answeredSince := r.answered && r.answeredAt >= quarantinedAt
+	if sent.QuarantineRemainingMs > 0 && until > r.quarantinedUntil+timeTolerance && !answeredSince {
+		news = r.quarantinedUntil <= now
+		r.quarantinedAt, r.quarantinedUntil, r.lifted = quarantinedAt, until, false
 	}
 	return news
 }
 
-// receiveSound takes in which versions answer the request, and reports whether one of them is new here.
-func (r *record) receiveSound(sent *message.RequestEvidence) (news bool) {
+// receiveSafeVersions records which software versions answer the request, and reports whether one of them is new here.
+func (r *record) receiveSafeVersions(sent *message.RequestEvidence) (news bool) {
 	for _, version := range sent.SafeVersions {
-		if !slices.Contains(r.sound, version) {
-			r.sound = appendNew(r.sound, version, mostVersions)
+		if !slices.Contains(r.safeVersions, version) {
+			r.safeVersions = appendNew(r.safeVersions, version, maximumVersions)
 			news = true
 		}
 	}
--- a/internal/replica/verdict.go
+++ b/internal/replica/verdict.go
@@ -1,26 +1,27 @@
 package replica
 
-// AttemptResult is what the end of an attempt says of its replica.
+// AttemptResult is what the end of an attempt reveals about the health of its replica.
 type AttemptResult int
 
-// The verdicts.
+// The results of an attempt.
 const (
-	// Answered: it gave an answer of its own.
+	// Answered means that the replica ran the request and returned a complete, valid answer.
 	Answered AttemptResult = iota
-	// Refused: it is too full to take the request.
+	// Refused means that the replica was too full to accept the request.
 	Refused
-	// RefusedWithFreeSlots: it refused the request though it says that slots are free.
+	// RefusedWithFreeSlots means that the replica refused the request although it reported free slots.
 	RefusedWithFreeSlots
-	// Failed: a broken connection or answer.
+	// Failed means that the connection broke, or that the answer was a failure or was invalid.
 	Failed
-	// Unreachable: no connection was had.
+	// Unreachable means that no connection could be established, or that the back end's process has crashed.
 	Unreachable
-	// ConnectionRejected: it ended a connection that had carried no answer yet. It may be at its limit, and sound.
+	// ConnectionRejected means that the replica closed a connection that had not yet carried an answer. The replica may
+	// be at its connection limit and otherwise healthy.
 	ConnectionRejected
-	// Misdirected: its address answers for another back end.
+	// Misdirected means that another back end answers at the replica's address.
 	Misdirected
-	// Cancelled: the attempt was given up on before an answer.
+	// Cancelled means that this node gave up on the attempt before an answer came.
 	Cancelled
-	// Neutral: the end says nothing of the replica.
+	// Neutral means that the end of the attempt reveals nothing about the replica.
 	Neutral
 )
