--- a/internal/forward/caution_test.go
+++ b/internal/forward/caution_test.go
@@ -11,6 +11,7 @@
 // crashed is the outcome of an attempt whose back end crashed.
 var crashed = forward.Outcome{Kind: forward.Lost, BackEndCrashed: true}
 
+// wantAttempts reports a test failure unless exactly count attempts were started.
 func (s *harness) wantAttempts(count int) {
 	s.t.Helper()
 	if len(s.sent) != count {
--- a/internal/forward/harness_test.go
+++ b/internal/forward/harness_test.go
@@ -35,6 +35,7 @@
 	crashedBackEnds []string
 }
 
+// newNode returns a node with three replicas for each service and a budget of extra attempts.
 func newNode(budget int, services ...string) *fakeNode {
 	w := &fakeNode{replicas: map[string][]*replica.Replica{}, fullServices: map[string]bool{}, budget: budget}
 	for _, service := range services {
@@ -112,6 +113,7 @@
 
 var settings = forward.Settings{HedgeShare: 0.25, SiblingHedges: true, LastExtras: 2, EarlyFinish: true, AnswerMargin: 10 * millisecond, SerialTrials: true, RetryAfter: 600 * millisecond}
 
+// fanOut returns a route over shards of which half must answer, with a target latency of 200 ms and a timeout of 1 s.
 func fanOut(shards ...string) *routing.Route {
 	return &routing.Route{
 		Name: "all", Repeatable: true, Timeout: time.Second, TargetLatency: 200 * millisecond, MaximumAttempts: 2,
@@ -119,6 +121,7 @@
 	}
 }
 
+// single returns a route to the single service a, with a target latency of 200 ms and a timeout of 1 s.
 func single(repeatable bool) *routing.Route {
 	return &routing.Route{
 		Name: "one", Repeatable: repeatable, Timeout: time.Second, TargetLatency: 200 * millisecond, MaximumAttempts: 2,
@@ -126,6 +129,7 @@
 	}
 }
 
+// start starts a request at time 0 and collects its first actions.
 func start(t *testing.T, route *routing.Route, node forward.Node) *harness {
 	s := &harness{t: t}
 	request, actions := forward.Start(0, forward.Parameters{Route: route, Service: "a"}, settings, node)
@@ -134,6 +138,7 @@
 	return s
 }
 
+// collect sorts actions into started attempts, cancelled attempts and the answer.
 func (s *harness) collect(actions []forward.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -150,17 +155,20 @@
 	}
 }
 
+// tickAt sets the time and calls Tick.
 func (s *harness) tickAt(now time.Duration) *harness {
 	s.now = now
 	s.collect(s.request.Tick(now))
 	return s
 }
 
+// endAttempt ends an attempt, by its number, with an outcome.
 func (s *harness) endAttempt(attempt int, outcome forward.Outcome) *harness {
 	s.collect(s.request.HandleOutcome(s.now, s.sent[attempt], outcome))
 	return s
 }
 
+// sentTo returns the IDs of the back ends of all started attempts, in order.
 func (s *harness) sentTo() []string {
 	var ids []string
 	for _, attempt := range s.sent {
@@ -169,8 +177,10 @@
 	return ids
 }
 
+// answerOf returns the outcome of an attempt that was answered.
 func answerOf(signature, body string) forward.Outcome {
 	return forward.Outcome{Kind: forward.Answered, Response: &forward.Response{Status: 200, Signature: signature, Body: []byte(body)}}
 }
 
+// outcomeOf returns an outcome of a kind, without an answer.
 func outcomeOf(kind forward.OutcomeKind) forward.Outcome { return forward.Outcome{Kind: kind} }
--- a/internal/forward/retry.go
+++ b/internal/forward/retry.go
@@ -16,7 +16,7 @@
 const maximumTriedWithoutPause = 3
 
 // retryOrGiveUp decides what follows after an attempt at a shard failed. While another attempt is in flight at the
-// shard, nothing does.
+// shard, nothing follows.
 func (r *Request) retryOrGiveUp(now time.Duration, number int) {
 	s := &r.shards[number]
 	if s.attemptsInFlight() > 0 {
