--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -10,45 +10,47 @@
 	"stiletrail/internal/replica"
 )
 
-// send carries an attempt out beside the request; the lock is held.
-func (r *run) send(now time.Duration, attempt *forward.Attempt) {
+// startAttempt starts an attempt in a goroutine of its own. The caller holds the lock.
+func (r *requestRun) startAttempt(now time.Duration, attempt *forward.Attempt) {
 	attempt.Replica.StartAttempt(now)
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancels[attempt] = cancel
-	send := BackEndRequest{
-		Call: r.call, Attempt: attempt, Entry: attempt.Replica.Entry, Deadline: r.deadlineTime, Remaining: r.left, CallerGone: r.callerLeft,
+	request := BackEndRequest{
+		Call: r.call, Attempt: attempt, Entry: attempt.Replica.Entry, Deadline: r.deadlineTime,
+		Remaining: r.remaining, CallerGone: r.checkCallerGone,
 		NotRepeatable: !r.route.Repeatable, IdleLimit: r.gateway.replicas.IdleLimit(attempt.Replica),
 		VerifyConnection: r.gateway.replicas.MustVerify(now, attempt.Replica),
 	}
 	go func() {
-		outcome := r.gateway.exchange(ctx, send)
+		outcome := r.gateway.exchange(ctx, request)
 		cancelled := ctx.Err() != nil
 		cancel()
 		r.gateway.attemptEnded(r.call, attempt, outcome, cancelled)
 		select {
-		case r.outcomes <- ended{attempt, outcome}:
+		case r.outcomes <- attemptOutcome{attempt, outcome}:
 		case <-r.finished:
 		}
 	}()
 }
 
-// exchange carries an attempt out. A fault of ours ends the attempt, which may have run, and not the process.
-func (g *Gateway) exchange(ctx context.Context, send BackEndRequest) (outcome forward.Outcome) {
+// exchange carries out an attempt. A panic in this process ends only the attempt, which then counts as one that may have
+// run, and not the process.
+func (g *Gateway) exchange(ctx context.Context, request BackEndRequest) (outcome forward.Outcome) {
 	defer func() {
-		if fault := recover(); fault != nil {
-			g.log.InternalError(fmt.Sprint(fault))
-			outcome = forward.Outcome{Kind: forward.Lost, Detail: "a fault of this node"}
+		if panicked := recover(); panicked != nil {
+			g.log.InternalError(fmt.Sprint(panicked))
+			outcome = forward.Outcome{Kind: forward.Lost, Detail: "internal error of this node"}
 		}
 	}()
-	return g.backEnds.Exchange(ctx, send)
+	return g.backEnds.Exchange(ctx, request)
 }
 
-// attemptEnded notes what an attempt says of its back end.
+// attemptEnded records what the end of an attempt says about its back end.
 func (g *Gateway) attemptEnded(call *Call, attempt *forward.Attempt, outcome forward.Outcome, cancelled bool) {
 	g.mu.Lock()
 	now := g.now()
 	attempt.Replica.RecordLoad(now, outcome.Load)
-	ejected := attempt.Replica.FinishAttempt(now, attempt.StartedAt, backEndVerdict(outcome, cancelled))
+	ejected := attempt.Replica.FinishAttempt(now, attempt.StartedAt, attemptResult(outcome, cancelled))
 	if !cancelled || outcome.Kind == forward.Answered {
 		g.reportHealth(now, attempt.Replica)
 	}
@@ -61,9 +63,9 @@
 	}
 }
 
-// backEndVerdict is what a back end is taken for by the outcome of an attempt. What was cancelled without an answer says
-// only how old it was.
-func backEndVerdict(outcome forward.Outcome, cancelled bool) replica.AttemptResult {
+// attemptResult returns the effect of an attempt's outcome on the state of its back end. An attempt that was cancelled
+// without an answer tells only how long it had been running.
+func attemptResult(outcome forward.Outcome, cancelled bool) replica.AttemptResult {
 	switch {
 	case cancelled && outcome.Kind != forward.Answered:
 		return replica.Cancelled
--- a/internal/gateway/fleet_share.go
+++ b/internal/gateway/fleet_share.go
@@ -7,25 +7,26 @@
 	"stiletrail/internal/routing"
 )
 
-// slackPart of the retry slack is used; the rest is left for nodes that others do not know yet.
-const slackPart = 0.9
+// usableSlackFraction is the part of the retry slack that the known nodes divide. The rest is left for nodes that others
+// do not know yet.
+const usableSlackFraction = 0.9
 
-// shareAmongNodes divides what the nodes have in common among those known: the calls to the store, what cold back ends bear,
-// and the connections of each back end.
-func (g *Gateway) shareAmongNodes() {
+// divideAmongNodes divides shared limits among the known nodes: the calls to the store, the load on cold back ends, and
+// the connections of each back end.
+func (g *Gateway) divideAmongNodes() {
 	table := g.table.Load()
 	if g.fleet.members == nil || table == nil {
 		return
 	}
-	g.shareWatch()
-	g.shareColdBackEnds()
-	g.shareConnections(table)
+	g.assignWatching()
+	g.divideColdBackEnds()
+	g.divideConnections(table)
 }
 
-// shareWatch decides anew who watches the store, and has the watchers do so one after the other: a change that the watches of
-// all have missed is found soon, and told.
-func (g *Gateway) shareWatch() {
-	if g.fleet.nodes == 0 {
+// assignWatching decides again which nodes watch the store, and makes the watchers poll it one after the other. A change
+// that the watches of all of them have missed is then found soon by a poll, and announced.
+func (g *Gateway) assignWatching() {
+	if g.fleet.nodeCount == 0 {
 		g.fleet.watch = watchAssignment{}
 		return
 	}
@@ -35,14 +36,14 @@
 		g.storeCopy.reader.SetPollSchedule(0, 0)
 		return
 	}
-	g.storeCopy.reader.SetPollSchedule(g.fleet.watch.phase(g.storeCopy.waits.AnnounceInterval))
+	g.storeCopy.reader.SetPollSchedule(g.fleet.watch.phase(g.storeCopy.propagation.AnnounceInterval))
 }
 
-// shareColdBackEnds has the nodes known divide what cold back ends bear. While this node has not joined the others it has no
-// part.
-func (g *Gateway) shareColdBackEnds() {
+// divideColdBackEnds divides the load on cold back ends among the known nodes. A node that has not joined the others gets
+// no part of it.
+func (g *Gateway) divideColdBackEnds() {
 	var nodes []string
-	if g.fleet.nodes > 0 {
+	if g.fleet.nodeCount > 0 {
 		for _, member := range g.fleet.members.Members() {
 			nodes = append(nodes, member.Address)
 		}
@@ -51,26 +52,27 @@
 	g.replicas.SetNodes(g.fleet.members.Self().Address, nodes)
 }
 
-// shareConnections divides the connections of each back end. A node that has not joined the others yet goes by those it has
-// heard of so far, and by the settings. Where many nodes have just started a part of the connections is shared.
-func (g *Gateway) shareConnections(table *routing.Table) {
+// divideConnections divides the connections of each back end. A node that has not joined the others yet divides by the
+// nodes that it has heard of so far, and uses no more connections than its settings say. While many nodes have just
+// started, only a part of the connections is divided.
+func (g *Gateway) divideConnections(table *routing.Table) {
 	settings := g.settings.Load()
 	members := g.fleet.members.Members()
-	nodes, most := g.fleet.nodes, settings.Fleet.MaximumConnections
+	nodes, maximum := g.fleet.nodeCount, settings.Fleet.MaximumConnections
 	if nodes == 0 {
-		nodes, most = len(members), settings.Replica.Connections
+		nodes, maximum = len(members), settings.Replica.Connections
 	}
-	near := 0
+	sameRegion := 0
 	for _, member := range members {
 		if member.Region == g.fleet.members.Self().Region {
-			near++
+			sameRegion++
 		}
 	}
-	manyStarting := g.fleet.manyStarting(g.now())
+	manyStarting := g.fleet.manyNodesStarting(g.now())
 	g.replicas.SetManyNodesStarting(manyStarting)
-	part := 1
+	divisor := 1
 	if manyStarting {
-		part = settings.Fleet.StartupConnectionDivisor
+		divisor = settings.Fleet.StartupConnectionDivisor
 	}
 	if !settings.Fleet.ShareConnections {
 		return
@@ -78,18 +80,18 @@
 	shares := map[string]replica.ConnectionShare{}
 	for _, service := range table.Services() {
 		if service.MaximumConnections > 0 {
-			shares[service.Name] = replica.NewConnectionShare(service.MaximumConnections/part, nodes, near, most)
+			shares[service.Name] = replica.NewConnectionShare(service.MaximumConnections/divisor, nodes, sameRegion, maximum)
 		}
 	}
 	g.replicas.SetConnectionShares(shares)
 }
 
-// retrySlack is this node's part of the extra attempts allowed beyond the share. In the first window of a life it has none: an
-// earlier life may have spent its part within the same window.
+// retrySlack returns this node's part of the extra attempts that are allowed beyond the share. It is 0 in the first window
+// after a start, since the previous process may have spent its part within the same window.
 func (g *Gateway) retrySlack() float64 {
 	settings := g.settings.Load().Retries
-	if g.fleet.nodes == 0 || g.now() < settings.Window {
+	if g.fleet.nodeCount == 0 || g.now() < settings.Window {
 		return 0
 	}
-	return slackPart * settings.FleetSlack / float64(g.fleet.nodes)
+	return usableSlackFraction * settings.FleetSlack / float64(g.fleet.nodeCount)
 }
--- a/internal/gateway/health_reports.go
+++ b/internal/gateway/health_reports.go
@@ -14,23 +14,24 @@
 	"stiletrail/internal/replica"
 )
 
-// reportPause is the least time between two messages of a node: what comes first goes at once, and what comes meanwhile piles up
-// to be one message. In a large fleet it is what bounds the reports.
-const reportPause = 150 * clock.Ms(1)
+// reportInterval is the least time between two messages of a node. The first report is sent at once, and those that follow
+// within the interval are collected into one message. In a large fleet this interval is what limits the traffic.
+const reportInterval = 150 * clock.Ms(1)
 
-// Nodes that get reports: reportNext in the order of the region, reportSteady others of it, and reportFar of other regions.
+// Receivers of a node's reports: successorReceivers is the number of nodes that follow it in the sorted order of its
+// region, fixedReceivers of other nodes of its region, and otherRegionReceivers of nodes of other regions.
 const (
-	reportNext   = 1
-	reportSteady = 2
-	reportFar    = 1
+	successorReceivers   = 1
+	fixedReceivers       = 2
+	otherRegionReceivers = 1
 )
 
-// healthReports is what this node reports of back ends to others. Guarded by Gateway.mu, but for the channel.
+// healthReports holds the reports on back ends that this node sends to others. Gateway.mu guards it, except the channel.
 type healthReports struct {
 	core *healthreport.Core
 	// pending is signalled when there is something to report.
 	pending chan struct{}
-	// receivers are the nodes that get reports, chosen for a version of the members.
+	// receivers are the nodes that get the reports. They were chosen for the version receiversVersion of the member list.
 	receivers        []string
 	receiversVersion uint64
 }
@@ -46,36 +47,37 @@
 	}
 }
 
-// receiversAmong gives the nodes that get reports. They stay the same while the members do: each connection to another node takes
-// memory at both ends.
-func (h *healthReports) receiversAmong(f *fleet) []string {
+// receiversIn returns the nodes that get the reports. They change only when the members do, because each connection
+// to another node takes memory at both ends.
+func (h *healthReports) receiversIn(f *fleet) []string {
 	if version := f.members.Version(); h.receivers == nil || h.receiversVersion != version {
 		h.receivers, h.receiversVersion = chooseReceivers(f), version
 	}
 	return h.receivers
 }
 
-// chooseReceivers gives the next node in the order of the region, so that nobody there is left out, steady ones that differ from
-// node to node, so that it takes few steps, and one of another region.
+// chooseReceivers returns the next node in the sorted order of the region, so that every node there gets reports, some
+// other nodes of the region, which differ from node to node so that reports reach all in few hops, and one node of
+// another region.
 func chooseReceivers(f *fleet) []string {
 	self := f.members.Self().Address
-	near, far := f.usable()
-	near = slices.DeleteFunc(near, func(address string) bool { return address == self })
-	chosen := successors(slices.Concat(near, []string{self}), self, reportNext)
+	sameRegion, otherRegions := f.usableAddresses()
+	sameRegion = slices.DeleteFunc(sameRegion, func(address string) bool { return address == self })
+	chosen := successors(slices.Concat(sameRegion, []string{self}), self, successorReceivers)
 	rank := func(address string) uint64 { return xxhash.Sum64String(self + "/" + address) }
-	for _, candidates := range [][]string{near, far} {
+	for _, candidates := range [][]string{sameRegion, otherRegions} {
 		slices.SortFunc(candidates, func(a, b string) int { return cmp.Compare(rank(a), rank(b)) })
 	}
-	for _, address := range near[:min(len(near), reportSteady)] {
+	for _, address := range sameRegion[:min(len(sameRegion), fixedReceivers)] {
 		if !slices.Contains(chosen, address) {
 			chosen = append(chosen, address)
 		}
 	}
-	return append(chosen, far[:min(len(far), reportFar)]...)
+	return append(chosen, otherRegions[:min(len(otherRegions), otherRegionReceivers)]...)
 }
 
-// reportHealth has others told of a back end that turned slow or faulty, or well again. An attempt that was withdrawn tells
-// nothing of that: its back end may stand still for a moment.
+// reportHealth reports a back end that has become slow or faulty, or has recovered, to other nodes. A cancelled attempt is
+// no reason for a report, since its back end may only have paused for a moment.
 func (g *Gateway) reportHealth(now time.Duration, r *replica.Replica) {
 	if g.fleet.members == nil || !g.settings.Load().Fleet.HealthReports {
 		return
@@ -87,7 +89,7 @@
 	}
 }
 
-// sendReports sends what other nodes are to be told of back ends until the context ends.
+// sendReports sends the pending reports on back ends to other nodes, until the context ends.
 func (g *Gateway) sendReports(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -96,7 +98,7 @@
 		case <-g.reports.pending:
 		}
 		g.sendNextReports()
-		pause(ctx, reportPause.Duration())
+		pause(ctx, reportInterval.Duration())
 	}
 }
 
@@ -104,7 +106,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if m := g.reports.core.NextMessage(clock.FromDuration(g.now())); m != nil {
-		for _, peer := range g.reports.receiversAmong(&g.fleet) {
+		for _, peer := range g.reports.receiversIn(&g.fleet) {
 			g.fleet.transport.Send(peer, m)
 		}
 	}
@@ -113,13 +115,13 @@
 	}
 }
 
-// receiveReports takes in what another node reports of back ends.
+// receiveReports applies the reports of another node on back ends, and forwards those that are new to this node.
 func (g *Gateway) receiveReports(now time.Duration, m *message.BackEndReports) {
-	news := g.reports.core.Receive(clock.FromDuration(now), m)
-	for _, r := range news {
+	newReports := g.reports.core.Receive(clock.FromDuration(now), m)
+	for _, r := range newReports {
 		g.replicas.RecordReport(now, r.BackEnd, r.Slowdown, r.FaultRate, r.ObservedAt.Duration())
 	}
-	if len(news) > 0 {
+	if len(newReports) > 0 {
 		g.reports.signal()
 	}
 }
--- a/internal/gateway/quarantine_writes.go
+++ b/internal/gateway/quarantine_writes.go
@@ -10,41 +10,43 @@
 	"stiletrail/internal/quarantine"
 )
 
-// How quarantines get into the store, which nodes that start read.
+// How quarantines are written to the store. Nodes that start read them there.
 const (
-	// writeLook is the pause between looks at what is to be written.
-	writeLook = 200 * time.Millisecond
-	// writeTimeout is how long a call may take, writeRetry the pause after one that failed; it is drawn from half to one and a half
-	// of it.
-	writeTimeout = 700 * time.Millisecond
-	writeRetry   = 1500 * clock.Ms(1)
-	// peerWriteWait is how long a node waits at least that has heard of a quarantine from another, for that one to write it;
-	// peerWriteSpread more, drawn, for each node known, so that few write where that one is gone. peerWriteLongest bounds the drawn
-	// part.
-	peerWriteWait    = 2 * clock.Second
-	peerWriteSpread  = 50 * clock.Ms(1)
-	peerWriteLongest = 60 * clock.Second
-	// shortestWritten is the shortest time for which something is written.
-	shortestWritten = 2 * clock.Second
-	// otherCallerEvery is the pause between the callers, of all that ask a question under quarantine for others, of whom one is let
-	// ask it: it may end one back end a minute, and a sound caller is not kept waiting for the end of the quarantine.
-	otherCallerEvery = 60 * clock.Second
-	// maximumClaimsAsked are remembered; older ones are asked for again, which the store answers.
-	maximumClaimsAsked = 1024
+	// writeInterval is the pause between two checks for pending writes.
+	writeInterval = 200 * time.Millisecond
+	// writeTimeout is the longest time that a call may take. writeRetryDelay is the mean pause after a failed call; the pause
+	// is random, between half and one and a half times that.
+	writeTimeout    = 700 * time.Millisecond
+	writeRetryDelay = 1500 * clock.Ms(1)
+	// A node that has heard of a quarantine from a peer leaves the write to that peer for at least peerWriteDelay. It
+	// then waits for a further random time of up to peerWriteJitterPerNode for each known node, so that few nodes write
+	// if the peer is down. maximumPeerWriteJitter limits the random time.
+	peerWriteDelay         = 2 * clock.Second
+	peerWriteJitterPerNode = 50 * clock.Ms(1)
+	maximumPeerWriteJitter = 60 * clock.Second
+	// minimumLease is the shortest remaining time for which an entry is still written.
+	minimumLease = 2 * clock.Second
+	// otherCallerInterval is the pause after which one more caller of a request that is quarantined for all its callers may
+	// try it. The request can thus crash at most one back end per minute, and a caller whose request is harmless
+	// need not wait for the end of the quarantine.
+	otherCallerInterval = 60 * clock.Second
+	// maximumClaimRequests is the number of requested claims that are remembered. When it is reached all are forgotten; the
+	// store then decides on each claim again.
+	maximumClaimRequests = 1024
 )
 
-// quarantineWrites is what is to be written to the store of quarantines, and the claims by which this node was let do what is for
-// one node alone. Guarded by Gateway.mu.
+// quarantineWrites holds the quarantines that must be written to the store, and the claims of this node. A claim gives one
+// node the right to do something that only one node may do. Gateway.mu guards it.
 type quarantineWrites struct {
 	random *rand.Rand
-	// dueAt is when a request's quarantine is written next, at the latest.
+	// dueAt is when the quarantine of a request is next written to the store, if it is not there by then.
 	dueAt map[quarantine.Fingerprint]clock.Ms
-	// rewrites are requests whose quarantine is written again, removals those whose quarantine was lifted.
+	// rewrites are the quarantines that must be written again, removals the lifted ones that must be removed.
 	rewrites map[quarantine.Fingerprint]bool
 	removals map[quarantine.Fingerprint]bool
-	// claimsAsked are the keys of claims that this node has asked the store for, with when it may ask again.
-	claimsAsked map[string]clock.Ms
-	// claims are the keys of those that it holds, with when they end; claimRewrites those of them that are written again.
+	// claimRequests holds, for each claim that the store was asked for, the time from which it may be asked again.
+	claimRequests map[string]clock.Ms
+	// claims holds the end of each claim that this node has. claimRewrites are those that must be written again.
 	claims        map[string]clock.Ms
 	claimRewrites map[string]bool
 }
@@ -53,77 +55,82 @@
 	return quarantineWrites{
 		random: random, dueAt: map[quarantine.Fingerprint]clock.Ms{},
 		rewrites: map[quarantine.Fingerprint]bool{}, removals: map[quarantine.Fingerprint]bool{},
-		claimsAsked: map[string]clock.Ms{}, claims: map[string]clock.Ms{}, claimRewrites: map[string]bool{},
+		claimRequests: map[string]clock.Ms{}, claims: map[string]clock.Ms{}, claimRewrites: map[string]bool{},
 	}
 }
 
-// schedule has a request's quarantine written at a moment.
-func (q *quarantineWrites) schedule(mark quarantine.Fingerprint, at clock.Ms) { q.dueAt[mark] = at }
+// schedule makes the quarantine of a request be written at the given moment.
+func (q *quarantineWrites) schedule(fingerprint quarantine.Fingerprint, at clock.Ms) {
+	q.dueAt[fingerprint] = at
+}
 
-// settle has the store say what a request's quarantine is now: it is written anew where it is held, else removed.
-func (q *quarantineWrites) settle(mark quarantine.Fingerprint, held bool) {
-	if held {
-		q.rewrites[mark] = true
+// scheduleUpdate updates the quarantine of a request in the store: it is written again if it is in force, else removed.
+func (q *quarantineWrites) scheduleUpdate(fingerprint quarantine.Fingerprint, quarantined bool) {
+	if quarantined {
+		q.rewrites[fingerprint] = true
 		return
 	}
-	q.removals[mark] = true
+	q.removals[fingerprint] = true
 }
 
-// takeDue gives the quarantines that are written first now, of those that the store does not say, with how long they last. It
-// forgets those that are not needed any more.
-func (q *quarantineWrites) takeDue(now clock.Ms, unstored map[quarantine.Fingerprint]clock.Ms, nodes int) (marks []quarantine.Fingerprint) {
-	for mark := range q.dueAt {
-		if _, needed := unstored[mark]; !needed {
-			delete(q.dueAt, mark)
+// takeDue returns the quarantines to be written to the store now, out of those that are missing there. The map unstored
+// gives how much longer each of them lasts. Scheduled writes that are not needed any more are dropped.
+func (q *quarantineWrites) takeDue(
+	now clock.Ms, unstored map[quarantine.Fingerprint]clock.Ms, nodes int,
+) (fingerprints []quarantine.Fingerprint) {
+	for fingerprint := range q.dueAt {
+		if _, needed := unstored[fingerprint]; !needed {
+			delete(q.dueAt, fingerprint)
 		}
 	}
-	for mark, left := range unstored {
-		at, known := q.dueAt[mark]
+	for fingerprint, left := range unstored {
+		at, known := q.dueAt[fingerprint]
 		switch {
-		case left < shortestWritten:
+		case left < minimumLease:
 		case !known:
-			spread := min(peerWriteSpread*clock.Ms(max(nodes, 1)), peerWriteLongest)
-			q.dueAt[mark] = now + peerWriteWait + clock.Ms(q.random.Int64N(int64(spread)))
+			spread := min(peerWriteJitterPerNode*clock.Ms(max(nodes, 1)), maximumPeerWriteJitter)
+			q.dueAt[fingerprint] = now + peerWriteDelay + clock.Ms(q.random.Int64N(int64(spread)))
 		case now >= at:
-			q.dueAt[mark] = now + writeRetry/2 + clock.Ms(q.random.Int64N(int64(writeRetry)))
-			marks = append(marks, mark)
+			q.dueAt[fingerprint] = now + writeRetryDelay/2 + clock.Ms(q.random.Int64N(int64(writeRetryDelay)))
+			fingerprints = append(fingerprints, fingerprint)
 		}
 	}
-	return marks
+	return fingerprints
 }
 
-// takeRewrites gives the quarantines that are written again now.
-func (q *quarantineWrites) takeRewrites() (marks []quarantine.Fingerprint) {
-	return takeAll(q.rewrites)
+// takeRewrites removes and returns the quarantines that must be written again.
+func (q *quarantineWrites) takeRewrites() (fingerprints []quarantine.Fingerprint) {
+	return drain(q.rewrites)
 }
 
-// takeRemovals gives the quarantines that are removed now.
-func (q *quarantineWrites) takeRemovals() (marks []quarantine.Fingerprint) {
-	return takeAll(q.removals)
+// takeRemovals removes and returns the quarantines that must be removed from the store.
+func (q *quarantineWrites) takeRemovals() (fingerprints []quarantine.Fingerprint) {
+	return drain(q.removals)
 }
 
-func takeAll(set map[quarantine.Fingerprint]bool) (marks []quarantine.Fingerprint) {
-	for mark := range set {
-		marks = append(marks, mark)
+func drain(set map[quarantine.Fingerprint]bool) (fingerprints []quarantine.Fingerprint) {
+	for fingerprint := range set {
+		fingerprints = append(fingerprints, fingerprint)
 	}
 	clear(set)
-	return marks
+	return fingerprints
 }
 
-// mayAskClaim reports whether the store has not been asked for a claim for so long, and notes that it is now.
-func (q *quarantineWrites) mayAskClaim(key string, now, length clock.Ms) bool {
-	if now < q.claimsAsked[key] {
+// mayRequestClaim reports whether the store may be asked for a claim. It returns false for the given length of time after
+// it has returned true.
+func (q *quarantineWrites) mayRequestClaim(key string, now, length clock.Ms) bool {
+	if now < q.claimRequests[key] {
 		return false
 	}
-	if len(q.claimsAsked) >= maximumClaimsAsked {
-		clear(q.claimsAsked)
+	if len(q.claimRequests) >= maximumClaimRequests {
+		clear(q.claimRequests)
 	}
-	q.claimsAsked[key] = now + length
+	q.claimRequests[key] = now + length
 	return true
 }
 
-// claimed takes in that this node holds a claim for some time.
-func (q *quarantineWrites) claimed(key string, now, length clock.Ms) {
+// addClaim records that this node has a claim for the given length of time.
+func (q *quarantineWrites) addClaim(key string, now, length clock.Ms) {
 	for known, over := range q.claims {
 		if now >= over {
 			delete(q.claims, known)
@@ -132,17 +139,18 @@
 	q.claims[key] = now + length
 }
 
-// rewriteClaims has all claims written again, since the store may have lost them: another node would be let do the same.
-func (q *quarantineWrites) rewriteClaims() {
+// scheduleClaimRewrites makes all claims be written again, because the store may have lost them. Otherwise another node
+// could get the same claim.
+func (q *quarantineWrites) scheduleClaimRewrites() {
 	for key := range q.claims {
 		q.claimRewrites[key] = true
 	}
 }
 
-// takeClaimRewrites gives the writes of the claims that are written again now.
+// takeClaimRewrites removes the claims that must be written again and returns their writes.
 func (q *quarantineWrites) takeClaimRewrites(now clock.Ms) (writes []StoreWrite) {
 	for key := range q.claimRewrites {
-		if left := q.claims[key] - now; left >= shortestWritten {
+		if left := q.claims[key] - now; left >= minimumLease {
 			writes = append(writes, claimWrite(key, left))
 		}
 	}
@@ -150,51 +158,53 @@
 	return writes
 }
 
-// claimWrite is the write by which a node is let do something that is for one node alone.
+// claimWrite returns the write that requests a claim from the store.
 func claimWrite(key string, length clock.Ms) StoreWrite {
 	return StoreWrite{Key: key, Value: []byte("{}"), Lease: length, IfAbsent: true}
 }
 
-// writeQuarantines writes quarantines to the store until the context ends, so that nodes that start know them.
+// writeQuarantines writes quarantines and claims to the store until the context ends, so that nodes that start know them.
 func (g *Gateway) writeQuarantines(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause(ctx, writeLook)
+		pause(ctx, writeInterval)
 		for _, w := range g.quarantineWritesDue() {
 			g.writeQuarantine(ctx, w)
 		}
 		for _, w := range g.claimRewritesDue() {
 			g.rewriteClaim(ctx, w)
 		}
-		for _, mark := range g.quarantineRemovalsDue() {
-			g.removeQuarantine(ctx, mark)
+		for _, fingerprint := range g.quarantineRemovalsDue() {
+			g.removeQuarantine(ctx, fingerprint)
 		}
 	}
 }
 
-// markedWrite is a write about a request.
-type markedWrite struct {
-	mark quarantine.Fingerprint
+// quarantineWrite is a write of the quarantine of one request.
+type quarantineWrite struct {
+	fingerprint quarantine.Fingerprint
 	StoreWrite
 }
 
-func (g *Gateway) quarantineWritesDue() (writes []markedWrite) {
+func (g *Gateway) quarantineWritesDue() (writes []quarantineWrite) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := clock.FromDuration(g.now())
 	unstored := g.quarantine.MissingFromStore(now)
-	add := func(mark quarantine.Fingerprint, ifAbsent bool) {
-		length, held := g.quarantine.RemainingOf(now, mark)
-		if !held {
+	add := func(fingerprint quarantine.Fingerprint, ifAbsent bool) {
+		length, quarantined := g.quarantine.RemainingOf(now, fingerprint)
+		if !quarantined {
 			return
 		}
-		w := StoreWrite{Key: quarantine.KeyOf(mark), Value: g.quarantine.Encode(mark), Lease: length, IfAbsent: ifAbsent}
-		writes = append(writes, markedWrite{mark, w})
+		w := StoreWrite{
+			Key: quarantine.KeyOf(fingerprint), Value: g.quarantine.Encode(fingerprint), Lease: length, IfAbsent: ifAbsent,
+		}
+		writes = append(writes, quarantineWrite{fingerprint, w})
 	}
-	for _, mark := range g.quarantineWrites.takeDue(now, unstored, g.fleet.nodes) {
-		add(mark, true)
+	for _, fingerprint := range g.quarantineWrites.takeDue(now, unstored, g.fleet.nodeCount) {
+		add(fingerprint, true)
 	}
-	for _, mark := range g.quarantineWrites.takeRewrites() {
-		add(mark, false)
+	for _, fingerprint := range g.quarantineWrites.takeRewrites() {
+		add(fingerprint, false)
 	}
 	return writes
 }
@@ -211,7 +221,7 @@
 	return g.quarantineWrites.takeRemovals()
 }
 
-func (g *Gateway) writeQuarantine(ctx context.Context, w markedWrite) {
+func (g *Gateway) writeQuarantine(ctx context.Context, w quarantineWrite) {
 	bounded, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	_, err := g.store.Write(bounded, w.StoreWrite)
@@ -220,26 +230,26 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.log.QuarantineNotWritten(w.mark, failure.From(err))
+	g.log.QuarantineNotWritten(w.fingerprint, failure.From(err))
 	if !w.IfAbsent {
-		g.quarantineWrites.settle(w.mark, true)
+		g.quarantineWrites.scheduleUpdate(w.fingerprint, true)
 	}
 }
 
-func (g *Gateway) removeQuarantine(ctx context.Context, mark quarantine.Fingerprint) {
+func (g *Gateway) removeQuarantine(ctx context.Context, fingerprint quarantine.Fingerprint) {
 	bounded, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	err := g.store.Remove(bounded, quarantine.KeyOf(mark))
+	err := g.store.Remove(bounded, quarantine.KeyOf(fingerprint))
 	if err == nil || ctx.Err() != nil {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.log.QuarantineNotWritten(mark, failure.From(err))
-	g.quarantineWrites.settle(mark, false)
+	g.log.QuarantineNotWritten(fingerprint, failure.From(err))
+	g.quarantineWrites.scheduleUpdate(fingerprint, false)
 }
 
-// rewriteClaim writes a claim again, until the store has taken it.
+// rewriteClaim writes a claim again. If that fails the write stays pending.
 func (g *Gateway) rewriteClaim(ctx context.Context, w StoreWrite) {
 	bounded, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
@@ -251,12 +261,12 @@
 	g.quarantineWrites.claimRewrites[w.Key] = true
 }
 
-// claimRetrial asks the store to let this node be the one that sends a request under quarantine to a new version of the software,
-// or with no version on behalf of another caller. Without the store nobody does: several nodes that tried would end a back end
-// each.
-func (g *Gateway) claimRetrial(ctx context.Context, mark quarantine.Fingerprint, version string) bool {
-	key := quarantine.RetrialKey(mark, version)
-	length, mayAsk := g.mayAskRetrial(key, version)
+// claimRetrial asks the store for the claim to send a quarantined request to one back end with a new version of the
+// software, or, with an empty version, on behalf of another caller. If the store does not answer, no node may do so:
+// several nodes that tried would crash a back end each.
+func (g *Gateway) claimRetrial(ctx context.Context, fingerprint quarantine.Fingerprint, version string) bool {
+	key := quarantine.RetrialKey(fingerprint, version)
+	length, mayAsk := g.mayClaimRetrial(key, version)
 	if !mayAsk {
 		return false
 	}
@@ -266,28 +276,29 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err != nil {
-		g.log.QuarantineNotWritten(mark, failure.From(err))
-		// The call may have been done: only a refusal that says that nothing was done lets this node ask again.
+		g.log.QuarantineNotWritten(fingerprint, failure.From(err))
+		// The store may have granted the claim although the call failed. Only an answer that says that it did not lets this
+		// node ask again.
 		return false
 	}
 	if claimed {
-		g.quarantineWrites.claimed(key, clock.FromDuration(g.now()), length)
-		g.log.RetrialClaimed(mark, version)
+		g.quarantineWrites.addClaim(key, clock.FromDuration(g.now()), length)
+		g.log.RetrialClaimed(fingerprint, version)
 	}
 	return claimed
 }
 
-// mayAskRetrial reports whether the store may be asked for the claim of a retrial now, and for how long it would be.
-func (g *Gateway) mayAskRetrial(key, version string) (length clock.Ms, may bool) {
+// mayClaimRetrial reports whether the store may be asked now for the claim of a retrial, and how long the claim would last.
+func (g *Gateway) mayClaimRetrial(key, version string) (length clock.Ms, may bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	length = g.settings.Load().Quarantine.Duration
 	if version == "" {
-		length = min(length, otherCallerEvery)
+		length = min(length, otherCallerInterval)
 	}
 	if g.storeCopy.records.RewriteRemaining(g.now()) > 0 {
-		// A restored store may have lost that another node was let do it.
+		// A restored store may have lost that another node has the claim.
 		return length, false
 	}
-	return length, g.quarantineWrites.mayAskClaim(key, clock.FromDuration(g.now()), length)
+	return length, g.quarantineWrites.mayRequestClaim(key, clock.FromDuration(g.now()), length)
 }
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -11,31 +11,32 @@
 	"stiletrail/internal/routing"
 )
 
-// enterRestoredEra takes in, before anything else of it, that the store was restored from a backup. What the store lacks or
-// names again then is no news of today: back ends that had left stay left, and what this node keeps in the store is written
-// again.
+// enterRestoredEra handles a restore of the store from a backup. It must run before any other change of the new era is
+// applied. What a restored store lacks or lists again is not a recent change: back ends that had departed stay departed,
+// and what this node keeps in the store is written again.
 func (g *Gateway) enterRestoredEra(now time.Duration) {
 	era, entered := g.storeCopy.enterRestoredEra()
 	if !entered {
 		return
 	}
 	g.replicas.DistrustDeparted(now + g.settings.Load().StoreCopy.DistrustDepartedFor)
-	g.quarantineWrites.rewriteClaims()
+	g.quarantineWrites.scheduleClaimRewrites()
 	g.log.StoreRestored(era)
 }
 
-// takeChanges takes in what a watch has told. Back ends whose entries are gone are used on until a moment.
-func (g *Gateway) takeChanges(now time.Duration, records []message.StoreRecord, doubt time.Duration) {
+// applyChanges applies the changes that a watch has returned. Back ends whose entries were deleted are still used until
+// the moment usedUntil.
+func (g *Gateway) applyChanges(now time.Duration, records []message.StoreRecord, usedUntil time.Duration) {
 	for _, record := range records {
 		if !record.Deleted {
-			g.take(now, record)
+			g.applyIfNewer(now, record)
 		} else if g.storeCopy.records.Apply(now, record) {
-			g.vanished(now, record.Key, doubt)
+			g.applyDeletion(now, record.Key, usedUntil)
 		}
 	}
 }
 
-func countGone(records []message.StoreRecord) int {
+func countDeleted(records []message.StoreRecord) int {
 	count := 0
 	for _, record := range records {
 		if record.Deleted {
@@ -45,18 +46,18 @@
 	return count
 }
 
-// take brings a record in force unless a newer one of its key was taken.
-func (g *Gateway) take(now time.Duration, record message.StoreRecord) {
+// applyIfNewer applies a record, unless a newer record of its key was applied before.
+func (g *Gateway) applyIfNewer(now time.Duration, record message.StoreRecord) {
 	if g.storeCopy.records.Apply(now, record) {
 		g.enterRestoredEra(now)
 		g.apply(now, record)
 	}
 }
 
-// apply brings what a record means in force.
+// apply puts the content of a record into force.
 func (g *Gateway) apply(now time.Duration, record message.StoreRecord) {
-	if mark, found := quarantine.ParseKey(record.Key); found {
-		g.takeQuarantine(now, mark, record)
+	if fingerprint, found := quarantine.ParseKey(record.Key); found {
+		g.applyStoredQuarantine(now, fingerprint, record)
 		return
 	}
 	item := g.store.Decode(record)
@@ -67,59 +68,61 @@
 	case nil:
 	case BackEnd:
 		if content.Entry == nil {
-			// Whether the back end lives that the key named before, and where, nobody knows now.
+			// The entry cannot be read, so it is not known whether and where the back end is running.
 			if g.replicas.Remove(now, content.ID, now) {
 				g.log.BackEndVanished(content.ID, true)
 			}
 			return
 		}
-		g.putBackEnd(now, *content.Entry, item.Revision)
+		g.updateBackEnd(now, *content.Entry, item.Revision)
 	case Evacuation:
 		if content.Zone != "" && g.replicas.EvacuateZone(content.Zone) {
 			g.log.ZoneEvacuated(content.Zone, item.Revision)
 		}
 	case Configuration:
-		g.adopt(&item, content, record)
+		g.applyConfiguration(&item, content, record)
 	default:
-		panic(fmt.Sprintf("an item of type %T", content))
+		panic(fmt.Sprintf("unexpected item content of type %T", content))
 	}
 }
 
-// putBackEnd takes in the entry of a back end. Of those of the first listing, one line of the log tells how many they are.
-func (g *Gateway) putBackEnd(now time.Duration, entry replica.Entry, revision history.Revision) {
+// updateBackEnd applies the entry of a back end. The back ends of the first listing are not logged one by one; a single
+// line gives their number.
+func (g *Gateway) updateBackEnd(now time.Duration, entry replica.Entry, revision history.Revision) {
 	if g.replicas.Put(now, entry) && (g.firstListing.read.Load() || entry.Draining) {
 		g.log.BackEndUpdated(entry, revision)
 	}
 }
 
-// vanished takes in that a key is gone. A back end of that is used on until a moment.
-func (g *Gateway) vanished(now time.Duration, key string, doubt time.Duration) {
-	if mark, found := quarantine.ParseKey(key); found {
-		g.dropQuarantine(now, mark)
+// applyDeletion handles that a key was deleted. If it is the key of a back end, the back end is still used until the
+// moment usedUntil.
+func (g *Gateway) applyDeletion(now time.Duration, key string, usedUntil time.Duration) {
+	if fingerprint, found := quarantine.ParseKey(key); found {
+		g.applyQuarantineDeletion(now, fingerprint)
 		return
 	}
 	if key == g.storeCopy.configuration.Key {
-		g.storeCopy.keepConfiguration(key, true)
+		g.storeCopy.retainConfiguration(key, true)
 	}
 	switch content := g.store.Decode(message.StoreRecord{Key: key, Deleted: true}).Content.(type) {
 	case nil, Configuration:
 	case BackEnd:
-		if content.ID != "" && g.replicas.Remove(now, content.ID, doubt) {
-			g.log.BackEndVanished(content.ID, doubt <= now)
+		if content.ID != "" && g.replicas.Remove(now, content.ID, usedUntil) {
+			g.log.BackEndVanished(content.ID, usedUntil <= now)
 		}
 	case Evacuation:
 		if content.Zone != "" {
-			g.returnZone(now, key, content.Zone)
+			g.endEvacuation(now, key, content.Zone)
 		}
 	default:
-		panic(fmt.Sprintf("an item of type %T", content))
+		panic(fmt.Sprintf("unexpected item content of type %T", content))
 	}
 }
 
-// returnZone has a zone get requests again that the store says nothing of any more. Where the store was just restored that may
-// be a loss: the zone is left alone until that would have been written again.
-func (g *Gateway) returnZone(now time.Duration, key, zone string) {
-	if g.storeCopy.holdZoneReturn(now, key) {
+// endEvacuation makes a zone get requests again, whose evacuation the store does not list any more. A store that was just
+// restored may have lost the evacuation. The zone then stays evacuated until the evacuation would have been written again.
+func (g *Gateway) endEvacuation(now time.Duration, key, zone string) {
+	if g.storeCopy.delayEvacuationEnd(now, key) {
 		return
 	}
 	if g.replicas.RestoreZone(now, zone) {
@@ -127,42 +130,44 @@
 	}
 }
 
-// returnZonesDue has those zones get requests again that a restored store still says nothing of.
-func (g *Gateway) returnZonesDue(now time.Duration) {
-	for _, key := range g.storeCopy.zoneReturnsDue(now) {
-		g.vanished(now, key, now)
+// endEvacuationsDue makes zones get requests again whose evacuation a restored store still does not list.
+func (g *Gateway) endEvacuationsDue(now time.Duration) {
+	for _, key := range g.storeCopy.evacuationEndsDue(now) {
+		g.applyDeletion(now, key, now)
 	}
 }
 
-// adopt puts a configuration in force if it is newer than the one that is, by its own version: a restored store may tell one
-// that was replaced, and what was in force must not go back. One that cannot be read changes nothing.
-func (g *Gateway) adopt(item *Item, configuration Configuration, record message.StoreRecord) {
+// applyConfiguration puts a configuration into force if its version is higher than that of the present one. The version
+// decides because a restored store may return a configuration that was replaced, and the present one must stay in force. A
+// configuration that cannot be read changes nothing.
+func (g *Gateway) applyConfiguration(item *Item, configuration Configuration, record message.StoreRecord) {
 	current := g.table.Load()
 	if current != nil && configuration.Version <= current.Version() {
-		g.storeCopy.keepConfiguration(record.Key, configuration.Version < current.Version())
+		g.storeCopy.retainConfiguration(record.Key, configuration.Version < current.Version())
 		return
 	}
-	table, err := g.compile(configuration)
+	table, err := g.compileTable(configuration)
 	if err != nil {
 		item.Err = err
 		g.log.ItemRejected(item)
 		return
 	}
 	g.splitter.Retain(table)
-	g.gate.Retain(table.HasRoute)
+	g.admissionController.Retain(table.HasRoute)
 	g.table.Store(table)
 	g.storeCopy.setConfiguration(record, table.Version())
-	g.storeCopy.keepConfiguration(record.Key, false)
+	g.storeCopy.retainConfiguration(record.Key, false)
 	g.replicas.SetWarmups(warmups(table))
-	g.shareAmongNodes()
+	g.divideAmongNodes()
 	if g.firstListing.read.Load() {
-		g.noteListed()
+		g.markListed()
 	}
 	g.log.ConfigurationApplied(table, item.Revision)
 }
 
-// compile makes the table of a configuration, whose regions this node must know.
-func (g *Gateway) compile(configuration Configuration) (*routing.Table, error) {
+// compileTable builds the routing table of a configuration. It fails if the configuration names a region that this node
+// does not know.
+func (g *Gateway) compileTable(configuration Configuration) (*routing.Table, error) {
 	table, err := routing.Compile(*configuration.Configuration)
 	if err == nil {
 		err = table.CheckRegions(g.settings.Load().Topology.KnowsRegion)
@@ -170,7 +175,7 @@
 	return table, err
 }
 
-// warmups gives how cold a configuration says that back ends are, by service.
+// warmups returns the warm-up of the back ends of each service, as the configuration sets it.
 func warmups(table *routing.Table) map[string]replica.Warmup {
 	warmups := map[string]replica.Warmup{}
 	for _, service := range table.Services() {
@@ -181,48 +186,48 @@
 	return warmups
 }
 
-// receiveSpread takes in what a peer knows of the store.
+// receiveSpread applies what a peer knows of the store.
 func (g *Gateway) receiveSpread(now time.Duration, from string, m message.Message) {
 	if request, asked := m.(*message.StoreRequest); asked && request.Revision.Unknown() {
-		// A node that has just started: it must not serve before it knows what to send to nobody.
-		g.tellEvidenceTo(now, from)
+		// The peer has just started. It must know the quarantined requests before it serves any.
+		g.sendAllEvidence(now, from)
 	}
 	c := g.storeCopy
 	age := c.age(now)
-	received := c.records.Receive(now, from, m, g.served(now))
+	received := c.records.Receive(now, from, m, g.receivesChanges(now))
 	g.enterRestoredEra(now)
-	doubt := c.doubtUntil(now, age, countGone(received.Records)+len(received.Deleted), g.replicas.Len())
+	usedUntil := c.doubtUntil(now, age, countDeleted(received.Records)+len(received.Deleted), g.replicas.Len())
 	for _, record := range received.Records {
 		if record.Deleted {
-			g.vanished(now, record.Key, doubt)
+			g.applyDeletion(now, record.Key, usedUntil)
 		} else {
 			g.apply(now, record)
 		}
 	}
 	for _, key := range received.Deleted {
-		g.vanished(now, key, doubt)
+		g.applyDeletion(now, key, usedUntil)
 	}
-	g.takeKept(received.Retained)
+	g.applyRetained(received.Retained)
 	if received.Advanced {
 		c.reader.Advance(c.records.Revision())
-		g.noteListed()
+		g.markListed()
 		g.log.LearnedFromPeer(from, len(received.Records)+len(received.Deleted), c.records.Revision())
-		if told, ok := m.(*message.StoreRecords); ok {
-			g.passOn(from, told)
+		if storeRecords, ok := m.(*message.StoreRecords); ok {
+			g.forwardToChildren(from, storeRecords)
 		}
 	}
 	g.sendSpread(received.Sends)
 }
 
-// takeKept takes in what a peer goes by though the restored store says otherwise.
-func (g *Gateway) takeKept(records []message.StoreRecord) {
+// applyRetained applies the configuration that a peer retains although the restored store has another one.
+func (g *Gateway) applyRetained(records []message.StoreRecord) {
 	for _, record := range records {
 		item := g.store.Decode(record)
 		configuration, found := item.Content.(Configuration)
 		if current := g.table.Load(); !found || current != nil && configuration.Version <= current.Version() {
 			continue
 		}
-		g.adopt(&item, configuration, record)
-		g.storeCopy.keepConfiguration(record.Key, true)
+		g.applyConfiguration(&item, configuration, record)
+		g.storeCopy.retainConfiguration(record.Key, true)
 	}
 }
--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -56,7 +56,7 @@
 	},
 	{
 		"a zone whose evacuation nobody writes again is never taken back", "internal/gateway/maintain.go",
-		"	g.returnZonesDue(g.now())\n", "",
+		"	g.endEvacuationsDue(g.now())\n", "",
 		"./platform", "TestChangesLostWithBackup",
 	},
 	{
@@ -76,17 +76,17 @@
 	},
 	{
 		"a quarantine that a copy lacks is over", "internal/gateway/quarantine_evidence.go",
-		"		g.quarantine.RecordStoreLoss(mark)\n		return\n", "",
+		"		g.quarantine.RecordStoreLoss(fingerprint)\n		return\n", "",
 		"./internal/gateway", "TestQuarantineLostWithACopy",
 	},
 	{
 		"a quarantine that was lifted comes back with a copy", "internal/gateway/quarantine_evidence.go",
-		"g.storeCopy.records.RewriteRemaining(at) > 0 && g.quarantine.Lifted(mark)", "false",
+		"g.storeCopy.records.RewriteRemaining(at) > 0 && g.quarantine.Lifted(fingerprint)", "false",
 		"./internal/gateway", "TestLiftedQuarantineComesBackWithACopy",
 	},
 	{
 		"what one node was let do is lost with a copy", "internal/gateway/store_changes.go",
-		"	g.quarantineWrites.rewriteClaims()\n", "",
+		"	g.quarantineWrites.scheduleClaimRewrites()\n", "",
 		"./internal/gateway", "TestRetrialLostWithACopy",
 	},
 	{
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -76,7 +76,7 @@
 	},
 	{
 		"a back end that blames requests is believed", "internal/gateway/run_node.go",
-		"	n.blameBackEnds(attempt.Shard)\n", "",
+		"	n.recordContradictions(attempt.Shard)\n", "",
 		"./platform", "TestBackEndThatFailsEveryRequestIsAvoided",
 	},
 	{
@@ -96,12 +96,12 @@
 	},
 	{
 		"a request's time counts from when it was read", "internal/gateway/serve.go",
-		"	return min(read, g.clock.FromTime(call.Arrived))", "	return read",
+		"	return min(readAt, g.clock.FromTime(call.Arrived))", "	return readAt",
 		"./internal/gateway", "TestTimeOfARequestThatLayUnread",
 	},
 	{
 		"a caller that left before its request was read is served", "internal/gateway/serve.go",
-		"	if call.left(ctx) {", "	if ctx.Err() != nil {",
+		"	if call.callerHasLeft(ctx) {", "	if ctx.Err() != nil {",
 		"./internal/gateway", "TestCallerThatLeftBeforeItWasRead",
 	},
 	{
@@ -216,7 +216,7 @@
 	},
 	{
 		"a watch that has fallen silent is waited for", "internal/gateway/store_reading.go",
-		"	if g.staleIn() <= 0 {\n		return func() bool { return false }", "	if true {\n		return func() bool { return false }",
+		"	if g.copyStaleIn() <= 0 {\n		return func() bool { return false }", "	if true {\n		return func() bool { return false }",
 		"./platform", "TestStoreCopyAgeIsBounded",
 	},
 	{
@@ -241,7 +241,7 @@
 	},
 	{
 		"many entries that go at once are in doubt for longer than a leaving back end is given", "internal/gateway/store_copy.go",
-		"return min(longest, now+(c.waits.Bound-age-doubtMargin).Duration())", "return longest",
+		"return min(longest, now+(c.propagation.Bound-age-doubtMargin).Duration())", "return longest",
 		"./platform", "TestEntryDeletedWithoutDrain",
 	},
 	{
@@ -282,7 +282,7 @@
 	},
 	{
 		"each life of a node has its whole slack at once", "internal/gateway/fleet_share.go",
-		"if g.fleet.nodes == 0 || g.now() < settings.Window {", "if g.fleet.nodes == 0 {",
+		"if g.fleet.nodeCount == 0 || g.now() < settings.Window {", "if g.fleet.nodeCount == 0 {",
 		"./internal/gateway", "TestYoungSlack",
 	},
 	{
@@ -293,7 +293,7 @@
 	{
 		"no copy of the store crosses a region's border", "internal/gateway/fleet.go",
 		"return append(picked, f.members.Pick(count-len(picked), membership.Member.Usable)...)",
-		"return append(picked, f.members.Pick(count-len(picked), near)...)",
+		"return append(picked, f.members.Pick(count-len(picked), sameRegion)...)",
 		"./internal/gateway", "TestRegionThatTheStoreRefuses",
 	},
 	{
@@ -338,7 +338,7 @@
 	},
 	{
 		"a young node uses its whole share of connections", "internal/gateway/fleet_share.go",
-		"		part = settings.Fleet.StartupConnectionDivisor\n", "		part = 1\n",
+		"		divisor = settings.Fleet.StartupConnectionDivisor\n", "		divisor = 1\n",
 		"./internal/gateway", "TestYoungShare",
 	},
 	{
@@ -418,7 +418,7 @@
 	},
 	{
 		"reports are not told on", "internal/gateway/health_reports.go",
-		"	if len(news) > 0 {\n		g.reports.signal()\n	}\n", "",
+		"	if len(newReports) > 0 {\n		g.reports.signal()\n	}\n", "",
 		"./internal/gateway", "TestStragglerIsLeftByAll",
 	},
 }
