--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -81,9 +81,9 @@
 	// maximumFailures in a row are counted for the timeout of the next call.
 	maximumFailures = 10
 	// minimumWatch is the shortest wait for changes that is worth a call.
-	minimumWatch = 200 * time.Millisecond
+	minimumWatchDuration = 200 * time.Millisecond
 	// pollWait is how long a poll waits for changes: the least that a store's watch can be asked for.
-	pollWait = time.Millisecond
+	pollDuration = time.Millisecond
 )
 
 // Core holds the state of the reading.
@@ -91,15 +91,15 @@
 	settings Settings
 	random   func() float64
 	// period and phase are of this node's turns among others; no period for one alone.
-	period time.Duration
-	phase  time.Duration
+	pollPeriod time.Duration
+	pollPhase  time.Duration
 	// revision up to which all changes are known; known after a whole listing.
 	revision history.Revision
 	listed   bool
 	// after and listedAt are of a listing under way: the last key read, and the revision of its first page.
-	after    string
-	listing  bool
-	listedAt history.Revision
+	afterKey          string
+	listingInProgress bool
+	listingRevision   history.Revision
 	// pause before the next call; coalescing: it is one that may be cut short.
 	pause      time.Duration
 	coalescing bool
@@ -110,7 +110,7 @@
 	// historyLost: the store has forgotten its history since a watch last ended well. Another listing at once would meet the same.
 	historyLost bool
 	// mixedBefore: the last listing was of two eras, and there was no whole one since.
-	mixedBefore bool
+	lastListingMixedEras bool
 	// contactAt is when the store last answered; -1 for never.
 	contactAt time.Duration
 }
@@ -146,29 +146,29 @@
 // Next returns what to do now. Of the clock only the phase within a period counts.
 func (c *Core) Next(clock time.Duration, state CopyState) Call {
 	if c.pause > 0 {
-		return c.takePause(clock)
+		return c.nextPause(clock)
 	}
-	if !c.listed || c.listing {
+	if !c.listed || c.listingInProgress {
 		known := c.revision
-		if c.listing {
-			known = c.listedAt
+		if c.listingInProgress {
+			known = c.listingRevision
 		}
-		return Call{Kind: List, AfterKey: c.after, Revision: known, Timeout: c.timeout(c.settings.InitialTimeout)}
+		return Call{Kind: List, AfterKey: c.afterKey, Revision: known, Timeout: c.timeout(c.settings.InitialTimeout)}
 	}
 	poll := c.pollNext || state.Stale
 	c.pollNext = false
 	if poll {
-		return Call{Kind: Watch, Revision: c.revision, Duration: pollWait, Timeout: c.timeout(c.settings.PollTimeout)}
+		return Call{Kind: Watch, Revision: c.revision, Duration: pollDuration, Timeout: c.timeout(c.settings.PollTimeout)}
 	}
-	return Call{Kind: Watch, Revision: c.revision, Duration: c.watchFor(clock, state), Timeout: c.timeout(c.settings.InitialTimeout)}
+	return Call{Kind: Watch, Revision: c.revision, Duration: c.watchDuration(clock, state), Timeout: c.timeout(c.settings.InitialTimeout)}
 }
 
 // takePause returns the pause that is due.
-func (c *Core) takePause(clock time.Duration) Call {
+func (c *Core) nextPause(clock time.Duration) Call {
 	call := Call{Kind: Pause, Duration: c.pause}
 	if c.coalescing {
 		call.Kind = Coalesce
-		call.Duration, c.pollNext = c.untilTurn(clock, c.pause)
+		call.Duration, c.pollNext = c.pauseUntilPoll(clock, c.pause)
 	}
 	c.pause, c.coalescing = 0, false
 	return call
@@ -178,31 +178,31 @@
 // listing is whole. Pages of two eras make no listing, and one of an era before what is known by now is of no use: another
 // listing begins, after a pause that grows while that goes on.
 func (c *Core) ApplyPage(now time.Duration, last string, at history.Revision, more bool) bool {
-	c.answered(now)
-	if c.after == "" {
-		c.listedAt = at
+	c.recordContact(now)
+	if c.afterKey == "" {
+		c.listingRevision = at
 	}
 	if at.Era < c.revision.Era {
-		c.outdated(now)
+		c.handleEarlierEra(now)
 		return false
 	}
-	if at.Era != c.listedAt.Era {
-		c.mixed(now)
+	if at.Era != c.listingRevision.Era {
+		c.handleMixedEras(now)
 		return false
 	}
-	if !c.mixedBefore {
+	if !c.lastListingMixedEras {
 		c.backoff = 0
 	}
-	c.listing = more
+	c.listingInProgress = more
 	if more {
-		c.after = last
+		c.afterKey = last
 		return false
 	}
-	c.sound()
-	c.after = ""
+	c.resetBackoff()
+	c.afterKey = ""
 	c.listed = true
 	// Changes made while the listing was read come again with the watch; each is taken by its own revision.
-	c.revision = c.listedAt
+	c.revision = c.listingRevision
 	return true
 }
 
@@ -210,16 +210,16 @@
 // there were: not where the store tells another era than what it was asked from. It may have a revision of that number again,
 // and what came before it is not known here.
 func (c *Core) ApplyChanges(now time.Duration, from, at history.Revision, count int) bool {
-	c.answered(now)
+	c.recordContact(now)
 	if at.Era < from.Era {
-		c.outdated(now)
+		c.handleEarlierEra(now)
 		return false
 	}
 	if at.Era != from.Era {
-		c.relist()
+		c.restartListing()
 		return false
 	}
-	c.sound()
+	c.resetBackoff()
 	c.historyLost = false
 	c.revision = history.Latest(c.revision, at)
 	if count > 0 {
@@ -231,7 +231,7 @@
 // Advance takes in that all changes up to a revision were learned from elsewhere; the next watch goes on from there.
 func (c *Core) Advance(revision history.Revision) {
 	c.revision = history.Latest(c.revision, revision)
-	if !c.listing {
+	if !c.listingInProgress {
 		c.listed = true
 	}
 }
@@ -249,29 +249,29 @@
 // SetPollSchedule takes turns with other nodes from now on: this one's watches end at its own phase of a period that all share.
 // Watches that end on the same change would else go on in step, and all miss the next one.
 func (c *Core) SetPollSchedule(period, phase time.Duration) {
-	c.period, c.phase = period, phase
+	c.pollPeriod, c.pollPhase = period, phase
 }
 
 // untilTurn has a pause end at this node's turn, and reports whether it does, where that comes before a watch after the pause
 // would be worth a call. Others go by what is told at each turn.
-func (c *Core) untilTurn(clock, pause time.Duration) (until time.Duration, turn bool) {
-	if c.period == 0 {
+func (c *Core) pauseUntilPoll(clock, pause time.Duration) (until time.Duration, turn bool) {
+	if c.pollPeriod == 0 {
 		return pause, false
 	}
-	if wait := c.period - (clock-c.phase)%c.period; wait < pause+minimumWatch {
+	if wait := c.pollPeriod - (clock-c.pollPhase)%c.pollPeriod; wait < pause+minimumWatchDuration {
 		return wait, true
 	}
 	return pause, false
 }
 
 // watchFor is the time until this node's next turn, by a clock that nodes share well enough for that.
-func (c *Core) watchFor(clock time.Duration, state CopyState) time.Duration {
-	if c.period == 0 || state.PeersSilent {
+func (c *Core) watchDuration(clock time.Duration, state CopyState) time.Duration {
+	if c.pollPeriod == 0 || state.PeersSilent {
 		return c.settings.WatchDuration
 	}
-	wait := c.period - (clock-c.phase)%c.period
-	if wait < minimumWatch {
-		wait += c.period
+	wait := c.pollPeriod - (clock-c.pollPhase)%c.pollPeriod
+	if wait < minimumWatchDuration {
+		wait += c.pollPeriod
 	}
 	return wait
 }
@@ -282,14 +282,14 @@
 	if c.failures > 0 {
 		return false
 	}
-	return c.contactAt < 0 || now-c.contactAt < max(c.settings.WatchDuration, c.period)+c.settings.CoalesceDelay+c.settings.MaximumBackoff
+	return c.contactAt < 0 || now-c.contactAt < max(c.settings.WatchDuration, c.pollPeriod)+c.settings.CoalesceDelay+c.settings.MaximumBackoff
 }
 
 // RecordFailure takes in that a call went wrong.
-func (c *Core) RecordFailure(now time.Duration, trouble FailureKind) {
+func (c *Core) RecordFailure(now time.Duration, kind FailureKind) {
 	c.coalescing = false
-	if trouble == HistoryLost {
-		c.relist()
+	if kind == HistoryLost {
+		c.restartListing()
 		repeated := c.historyLost
 		c.historyLost = true
 		if !repeated {
@@ -304,43 +304,43 @@
 	}
 	// Spread, so that many nodes do not come back at the same moment.
 	c.pause = time.Duration((0.5 + c.random()) * float64(c.backoff))
-	if c.listing {
-		c.relist()
+	if c.listingInProgress {
+		c.restartListing()
 	}
 }
 
 // outdated takes in an answer of an earlier era than was known when it was asked for or has become known since.
-func (c *Core) outdated(now time.Duration) {
-	c.relist()
+func (c *Core) handleEarlierEra(now time.Duration) {
+	c.restartListing()
 	c.RecordFailure(now, EarlierEra)
 }
 
 // relist has the next call begin a new listing.
-func (c *Core) relist() {
+func (c *Core) restartListing() {
 	c.listed = false
-	c.listing = false
-	c.after = ""
+	c.listingInProgress = false
+	c.afterKey = ""
 }
 
 // mixed takes in a listing of pages of two eras. The store has just come back, and another listing is begun at once; only where
 // that is of two as well it waits.
-func (c *Core) mixed(now time.Duration) {
-	if c.mixedBefore {
-		c.outdated(now)
+func (c *Core) handleMixedEras(now time.Duration) {
+	if c.lastListingMixedEras {
+		c.handleEarlierEra(now)
 		return
 	}
-	c.mixedBefore = true
-	c.relist()
+	c.lastListingMixedEras = true
+	c.restartListing()
 }
 
 // answered takes in that the store has answered, whatever it says.
-func (c *Core) answered(now time.Duration) {
+func (c *Core) recordContact(now time.Duration) {
 	c.contactAt = now
 	c.failures = 0
 }
 
 // sound takes in that what the store said could be used: the next trouble is a first one.
-func (c *Core) sound() {
+func (c *Core) resetBackoff() {
 	c.backoff = 0
-	c.mixedBefore = false
+	c.lastListingMixedEras = false
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -302,18 +302,18 @@
 func TestPagesOfTwoErasAreListedWithGrowingPauses(t *testing.T) {
 	core := follow.New(settings, half)
 	era := uint64(1)
-	mixed := func() {
+	readMixedEras := func() {
 		core.ApplyPage(0, "k", history.At(era, 7), true)
 		core.Next(0, follow.CopyState{})
 		era++
 		core.ApplyPage(0, "z", history.At(era, 7), false)
 	}
-	mixed()
+	readMixedEras()
 	if call := core.Next(0, follow.CopyState{}); call.Kind != follow.List || call.AfterKey != "" {
 		t.Errorf("the first time goes on with %+v", call)
 	}
-	mixed()
-	if got, want := pauses(core, len(growing), mixed), milliseconds(growing); !slices.Equal(got, want) {
+	readMixedEras()
+	if got, want := pauses(core, len(growing), readMixedEras), milliseconds(growing); !slices.Equal(got, want) {
 		t.Errorf("pauses %v, want %v", got, want)
 	}
 }
--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -16,7 +16,7 @@
 	},
 	{
 		"pages of two eras make a listing", "internal/follow/follow.go",
-		"if at.Era != c.listedAt.Era {", "if false {",
+		"if at.Era != c.listingRevision.Era {", "if false {",
 		"./internal/follow", "TestAnotherEra",
 	},
 	{
@@ -71,7 +71,7 @@
 	},
 	{
 		"a node asks for ever for a configuration that it turns down", "internal/spread/era.go",
-		"if c.keptTries >= maximumKeptTries {", "if false {",
+		"if c.retainedRequests >= maximumRetainedRequests {", "if false {",
 		"./internal/spread", "TestKeptConfiguration",
 	},
 	{
--- a/internal/spread/confirmation.go
+++ b/internal/spread/confirmation.go
@@ -48,7 +48,7 @@
 
 // PeersConfirmedWithin reports whether a peer's copy was complete at some moment within the given time, as that peer has said.
 func (c *Core) PeersConfirmedWithin(now time.Duration, within clock.Ms) bool {
-	return c.peersHeard && clock.FromDuration(now)-c.peersHeardAt <= within
+	return c.peerConfirmationReceived && clock.FromDuration(now)-c.latestPeerConfirmation <= within
 }
 
 // receiveConfirmation takes in what a peer says of when the store held nothing beyond a revision. It tells of the own copy once
@@ -58,8 +58,8 @@
 		return
 	}
 	at := clock.FromDuration(now) - min(clock.Ms(m.AgeMs), maximumAge)
-	if !c.peersHeard || at > c.peersHeardAt {
-		c.peersHeard, c.peersHeardAt = true, at
+	if !c.peerConfirmationReceived || at > c.latestPeerConfirmation {
+		c.peerConfirmationReceived, c.latestPeerConfirmation = true, at
 	}
 	if !c.peerConfirmed.known || at > c.peerConfirmed.at {
 		c.peerConfirmed = confirmation{known: true, revision: revision, at: at}
--- a/internal/spread/era.go
+++ b/internal/spread/era.go
@@ -10,7 +10,7 @@
 )
 
 // maximumKeptTries to learn a configuration that a peer has in force: this node may turn it down, by settings of its own.
-const maximumKeptTries = 3
+const maximumRetainedRequests = 3
 
 // observeEra takes in that something was said of an era.
 func (c *Core) observeEra(now time.Duration, era uint64) {
@@ -35,39 +35,39 @@
 
 // Retain has nodes that ask be told an item that this node goes by though the restored store says otherwise. A node that starts
 // then has no other way to know it.
-func (c *Core) Retain(record message.StoreRecord) { c.kept[record.Key] = record }
+func (c *Core) Retain(record message.StoreRecord) { c.retained[record.Key] = record }
 
 // StopRetaining ends that for a key.
-func (c *Core) StopRetaining(key string) { delete(c.kept, key) }
+func (c *Core) StopRetaining(key string) { delete(c.retained, key) }
 
 // SetConfiguration notes the version of the configuration in force, which digests tell.
-func (c *Core) SetConfiguration(version uint64) { c.configuration = version }
+func (c *Core) SetConfiguration(version uint64) { c.configurationVersion = version }
 
-func (c *Core) keptRecords() (records []message.StoreRecord) {
-	for _, key := range slices.Sorted(maps.Keys(c.kept)) {
-		records = append(records, c.kept[key])
+func (c *Core) retainedRecords() (records []message.StoreRecord) {
+	for _, key := range slices.Sorted(maps.Keys(c.retained)) {
+		records = append(records, c.retained[key])
 	}
 	return records
 }
 
 // digest says how much of the store the node knows.
 func (c *Core) digest(now time.Duration) *message.StoreDigest {
-	return &message.StoreDigest{Revision: c.revision, Configuration: c.configuration, Confirmation: c.confirmation(now)}
+	return &message.StoreDigest{Revision: c.revision, Configuration: c.configurationVersion, Confirmation: c.confirmation(now)}
 }
 
 // askForKept asks a peer for all that it knows where, at the same revision of the store, it has a newer configuration in force:
 // it keeps one that the store has lost.
-func (c *Core) askForKept(now time.Duration, peer string, version uint64) []Send {
-	if version <= c.configuration || now < c.askedUntil {
+func (c *Core) requestRetained(now time.Duration, peer string, version uint64) []Send {
+	if version <= c.configurationVersion || now < c.nextRequestAt {
 		return nil
 	}
-	if version > c.keptAsked {
-		c.keptAsked, c.keptTries = version, 0
+	if version > c.retainedVersionRequested {
+		c.retainedVersionRequested, c.retainedRequests = version, 0
 	}
-	if c.keptTries >= maximumKeptTries {
+	if c.retainedRequests >= maximumRetainedRequests {
 		return nil
 	}
-	c.keptTries++
-	c.askedUntil = now + c.settings.AnswerTimeout
+	c.retainedRequests++
+	c.nextRequestAt = now + c.settings.AnswerTimeout
 	return []Send{{peer, &message.StoreRequest{}}}
 }
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -41,7 +41,7 @@
 // Record is an item of the store, or that it is gone.
 type Record struct {
 	message.StoreRecord
-	goneAt time.Duration
+	deletedAt time.Duration
 }
 
 // Send is a message to a peer.
@@ -61,8 +61,8 @@
 	// revision up to which all changes are known, unknown while nothing whole is.
 	revision history.Revision
 	// horizon is the latest revision of which it is not remembered whether a key is gone.
-	horizon    history.Revision
-	nextDigest time.Duration
+	compactedRevision history.Revision
+	nextDigestAt      time.Duration
 	// aheadPeer knows more, since aheadSince.
 	aheadPeer     string
 	aheadRevision history.Revision
@@ -73,10 +73,10 @@
 	// reconfirmedAt is when the copy was confirmed after entries may have lapsed; from the first confirmation on.
 	reconfirmedAt clock.Ms
 	// peersHeardAt is the latest moment of which a peer has said that its copy was complete; peersHeard, whether one ever has.
-	peersHeard   bool
-	peersHeardAt clock.Ms
+	peerConfirmationReceived bool
+	latestPeerConfirmation   clock.Ms
 	// askedUntil: a peer was asked, and no other is before then. Copies are large where there are many back ends.
-	askedUntil time.Duration
+	nextRequestAt time.Duration
 	// era is the latest one of which anything was said, knowsEra whether anything was; restoredAt is when a later one was first
 	// heard of, where restored.
 	era        uint64
@@ -85,16 +85,16 @@
 	restoredAt clock.Ms
 	// kept are items that the node goes by though the restored store says otherwise; configuration is the version in force, 0
 	// without one.
-	kept          map[string]message.StoreRecord
-	configuration uint64
+	retained             map[string]message.StoreRecord
+	configurationVersion uint64
 	// keptAsked is the version of the configuration that peers were asked for so many times as keptTries.
-	keptAsked uint64
-	keptTries int
+	retainedVersionRequested uint64
+	retainedRequests         int
 }
 
 // New returns a core that knows nothing.
 func New(settings Settings, peers PeerPicker) *Core {
-	return &Core{settings: settings, peers: peers, records: map[string]Record{}, kept: map[string]message.StoreRecord{}}
+	return &Core{settings: settings, peers: peers, records: map[string]Record{}, retained: map[string]message.StoreRecord{}}
 }
 
 // Revision up to which all changes are known.
@@ -134,7 +134,7 @@
 	taken := Record{StoreRecord: record}
 	if record.Deleted {
 		taken.Value = nil
-		taken.goneAt = now
+		taken.deletedAt = now
 	}
 	c.records[record.Key] = taken
 	if record.Deleted {
@@ -150,11 +150,11 @@
 		if listed[key] || known.Deleted || known.Revision.After(revision) {
 			continue
 		}
-		c.records[key] = Record{StoreRecord: message.StoreRecord{Key: key, Revision: revision, Deleted: true}, goneAt: now}
+		c.records[key] = Record{StoreRecord: message.StoreRecord{Key: key, Revision: revision, Deleted: true}, deletedAt: now}
 		gone = append(gone, key)
 	}
 	// What was gone before is not remembered: whoever knows less than this revision must be sent everything.
-	c.horizon = history.Latest(c.horizon, revision)
+	c.compactedRevision = history.Latest(c.compactedRevision, revision)
 	sort.Strings(gone)
 	return gone
 }
@@ -181,25 +181,25 @@
 }
 
 // quietFactor times the interval lies between digests of a node that watchers tell of the store.
-const quietFactor = 10
+const nonWatcherIntervalFactor = 10
 
 // Tick takes in the passing of time. Served says whether the store's changes come to this node; if not, others are asked at
 // once. WatchersTell says that watchers tell it of them: what it knows is news to hardly anyone.
-func (c *Core) Tick(now time.Duration, served, watchersTell bool) []Send {
+func (c *Core) Tick(now time.Duration, storeReachable, watchersAnnounce bool) []Send {
 	var sends []Send
-	if now >= c.nextDigest {
-		c.nextDigest = now + c.settings.Interval
-		if watchersTell {
-			c.nextDigest = now + quietFactor*c.settings.Interval
+	if now >= c.nextDigestAt {
+		c.nextDigestAt = now + c.settings.Interval
+		if watchersAnnounce {
+			c.nextDigestAt = now + nonWatcherIntervalFactor*c.settings.Interval
 		}
-		c.forget(now)
+		c.discardTombstones(now)
 		sends = c.digests(now, 1)
 	}
-	return append(sends, c.request(now, served)...)
+	return append(sends, c.requestRecords(now, storeReachable)...)
 }
 
 // request asks the peer that knows more, once it is certain enough that the own watch does not tell it.
-func (c *Core) request(now time.Duration, served bool) []Send {
+func (c *Core) requestRecords(now time.Duration, storeReachable bool) []Send {
 	if c.aheadPeer == "" {
 		return nil
 	}
@@ -207,12 +207,12 @@
 		c.aheadPeer = ""
 		return nil
 	}
-	if now < c.askedUntil || (served && now-c.aheadSince < c.settings.PeerRequestDelay) {
+	if now < c.nextRequestAt || (storeReachable && now-c.aheadSince < c.settings.PeerRequestDelay) {
 		return nil
 	}
 	peer := c.aheadPeer
 	c.aheadPeer = ""
-	c.askedUntil = now + c.settings.AnswerTimeout
+	c.nextRequestAt = now + c.settings.AnswerTimeout
 	return []Send{{peer, &message.StoreRequest{Revision: c.revision}}}
 }
 
@@ -230,19 +230,19 @@
 }
 
 // Receive takes in a message of this package's kinds. Served says whether the store answers this node.
-func (c *Core) Receive(now time.Duration, from string, m message.Message, served bool) Received {
+func (c *Core) Receive(now time.Duration, from string, m message.Message, storeReachable bool) Received {
 	switch m := m.(type) {
 	case *message.StoreDigest:
-		return c.receiveDigest(now, from, m, served)
+		return c.receiveDigest(now, from, m, storeReachable)
 	case *message.StoreRequest:
-		return Received{Sends: c.answer(now, from, m)}
+		return Received{Sends: c.answerRequest(now, from, m)}
 	case *message.StoreRecords:
 		return c.receiveRecords(now, from, m)
 	}
 	return Received{}
 }
 
-func (c *Core) receiveDigest(now time.Duration, from string, m *message.StoreDigest, served bool) Received {
+func (c *Core) receiveDigest(now time.Duration, from string, m *message.StoreDigest, storeReachable bool) Received {
 	c.receiveConfirmation(now, m.Revision, m.Confirmation)
 	switch order := m.Revision.Compare(c.revision); {
 	case order < 0:
@@ -252,19 +252,19 @@
 			c.aheadSince = now
 		}
 		c.aheadPeer, c.aheadRevision = from, m.Revision
-		return Received{Sends: c.request(now, served)}
+		return Received{Sends: c.requestRecords(now, storeReachable)}
 	}
-	return Received{Sends: c.askForKept(now, from, m.Configuration)}
+	return Received{Sends: c.requestRetained(now, from, m.Configuration)}
 }
 
 // answer sends what has changed beyond the revision asked for, or everything where it is not remembered what has gone since.
-func (c *Core) answer(now time.Duration, to string, m *message.StoreRequest) []Send {
+func (c *Core) answerRequest(now time.Duration, to string, m *message.StoreRequest) []Send {
 	if !c.revision.After(m.Revision) {
 		return nil
 	}
 	reply := &message.StoreRecords{
-		Since: m.Revision, Revision: c.revision, Complete: m.Revision.Before(c.horizon) || m.Revision.Unknown(),
-		Retained: c.keptRecords(), Confirmation: c.confirmation(now),
+		Since: m.Revision, Revision: c.revision, Complete: m.Revision.Before(c.compactedRevision) || m.Revision.Unknown(),
+		Retained: c.retainedRecords(), Confirmation: c.confirmation(now),
 	}
 	for _, known := range c.records {
 		if reply.Complete && !known.Deleted || !reply.Complete && known.Revision.After(m.Revision) {
@@ -278,7 +278,7 @@
 func (c *Core) receiveRecords(now time.Duration, from string, m *message.StoreRecords) Received {
 	received := Received{Retained: m.Retained}
 	c.receiveConfirmation(now, m.Revision, m.Confirmation)
-	c.askedUntil = 0
+	c.nextRequestAt = 0
 	listed := make(map[string]bool, len(m.Records))
 	for _, record := range m.Records {
 		listed[record.Key] = true
@@ -296,16 +296,16 @@
 	} else if m.Revision.After(c.revision) {
 		// Changes before these are not known: the sender is asked for them.
 		c.aheadPeer, c.aheadRevision, c.aheadSince = from, m.Revision, now-c.settings.PeerRequestDelay
-		received.Sends = c.request(now, false)
+		received.Sends = c.requestRecords(now, false)
 	}
 	return received
 }
 
 // forget drops the memory of keys that are gone since long.
-func (c *Core) forget(now time.Duration) {
+func (c *Core) discardTombstones(now time.Duration) {
 	for key, known := range c.records {
-		if known.Deleted && now-known.goneAt >= c.settings.TombstoneRetention {
-			c.horizon = history.Latest(c.horizon, known.Revision)
+		if known.Deleted && now-known.deletedAt >= c.settings.TombstoneRetention {
+			c.compactedRevision = history.Latest(c.compactedRevision, known.Revision)
 			delete(c.records, key)
 		}
 	}
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -31,10 +31,10 @@
 
 // node has its copy; served says whether it reads the store.
 type node struct {
-	name   string
-	core   *spread.Core
-	served bool
-	inbox  []letter
+	name           string
+	core           *spread.Core
+	storeReachable bool
+	inbox          []letter
 }
 
 type letter struct {
@@ -45,7 +45,7 @@
 func newWorld(count int, random *rand.Rand) *world {
 	w := &world{records: map[string]message.StoreRecord{}, random: random, era: 1}
 	for i := range count {
-		n := &node{name: fmt.Sprint(i), served: true}
+		n := &node{name: fmt.Sprint(i), storeReachable: true}
 		w.nodes = append(w.nodes, n)
 		w.restart(n)
 	}
@@ -126,15 +126,15 @@
 func (w *world) step(length time.Duration) {
 	w.now += length
 	for _, n := range w.nodes {
-		if n.served {
+		if n.storeReachable {
 			w.read(n)
 		}
 		inbox := n.inbox
 		n.inbox = nil
 		for _, letter := range inbox {
-			w.deliver(n, n.core.Receive(w.now, letter.from, letter.message, n.served).Sends)
+			w.deliver(n, n.core.Receive(w.now, letter.from, letter.message, n.storeReachable).Sends)
 		}
-		w.deliver(n, n.core.Tick(w.now, n.served, false))
+		w.deliver(n, n.core.Tick(w.now, n.storeReachable, false))
 	}
 }
 
@@ -142,7 +142,7 @@
 func TestNodesWithoutTheStoreLearn(t *testing.T) {
 	w := newWorld(9, rand.New(rand.NewPCG(1, 1)))
 	for _, n := range w.nodes[1:] {
-		n.served = false
+		n.storeReachable = false
 	}
 	for i := range 20 {
 		w.change(fmt.Sprint("key", i%7), i%5 == 4)
@@ -259,7 +259,7 @@
 			case 0, 1, 2:
 				w.change(fmt.Sprint(random.IntN(6)), random.IntN(3) == 0)
 			case 3:
-				n.served = !n.served
+				n.storeReachable = !n.storeReachable
 			case 4:
 				w.restart(n)
 				taken[n.name] = nil
@@ -277,9 +277,9 @@
 				neverBack(rt, taken, n)
 			}
 		}
-		w.nodes[0].served = true
+		w.nodes[0].storeReachable = true
 		for _, n := range w.nodes[1:] {
-			n.served = false
+			n.storeReachable = false
 		}
 		for range 60 {
 			w.step(500 * time.Millisecond)
