--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -91,13 +91,13 @@
 	leavingIntervals = 60
 	relayIntervals   = 10
 	// deadEvery: one probe in so many goes to a dead member, so that zones cut apart meet again.
-	deadEvery = 8
+	deadProbeEvery = 8
 	// joinPace: while joining, views are exchanged so many times per probe interval.
-	joinPace = 4
+	joinSyncsPerProbe = 4
 	// joinTimeout after its start a node goes on with the members that it has found.
 	joinTimeout = 10 * time.Second
 	// growingPart: a view grows while one in so many of its members is new since the last exchange.
-	growingPart = 20
+	growthDivisor = 20
 	// syncChunk is the most members that one message of an exchange holds.
 	syncChunk = 512
 	// transmissionFactor times the logarithm of the members an update is passed on.
@@ -108,13 +108,13 @@
 type record struct {
 	member Member
 	// since is when the state was taken on.
-	since time.Duration
+	stateSince time.Duration
 }
 
 // queued is an update about a member that is to be passed on so many times more.
-type queued struct {
-	address string
-	left    int
+type queuedUpdate struct {
+	address           string
+	transmissionsLeft int
 }
 
 // probe is one that waits for its answer.
@@ -135,30 +135,30 @@
 	order []string
 	// zoneOrder is the shuffled round of probes in the own zone.
 	zoneOrder []string
-	updates   []queued
+	updates   []queuedUpdate
 	pending   *probe
 	relayed   map[uint64]relay
 	sequence  uint64
 	// probes counts those begun; health is 0 while this node's probes are answered in time, and slows it down where it is itself
 	// slow.
-	probes    int
-	health    int
-	lastTick  time.Duration
-	nextProbe time.Duration
-	nextSync  time.Duration
-	version   uint64
-	alive     int
-	zoneAlive int
-	seeds     []string
+	probes      int
+	healthScore int
+	lastTick    time.Duration
+	nextProbe   time.Duration
+	nextSync    time.Duration
+	version     uint64
+	alive       int
+	zoneAlive   int
+	seeds       []string
 	// syncedSize is the number of records at the last sync.
-	syncedSize int
-	syncWait   time.Duration
+	sizeAtLastSync int
+	syncDelay      time.Duration
 	// syncs counts exchanges begun.
 	syncs int
 	// viewed: a peer has sent its view; joined: after that the view stopped growing.
-	viewed    bool
-	joined    bool
-	startedAt time.Duration
+	viewReceived bool
+	joined       bool
+	startedAt    time.Duration
 }
 
 // relay is a probe sent on behalf of another member.
@@ -243,7 +243,7 @@
 func (c *Core) broadcast(fanout int) []Send {
 	var sends []Send
 	for _, target := range c.pick(fanout, func(m Member) bool { return m.Usable() }) {
-		sends = append(sends, Send{To: target, Message: &message.Probe{Sequence: c.next(), Updates: c.piggyback()}})
+		sends = append(sends, Send{To: target, Message: &message.Probe{Sequence: c.nextSequence(), Updates: c.piggyback()}})
 	}
 	return sends
 }
@@ -262,12 +262,12 @@
 		sends = c.receiveAck(from, m)
 	case *message.ProbeRequest:
 		c.merge(m.Updates, now)
-		sequence := c.next()
+		sequence := c.nextSequence()
 		c.relayed[sequence] = relay{origin: from, sequence: m.Sequence, at: now}
 		sends = []Send{{To: m.Target, Message: &message.Probe{Sequence: sequence, Updates: c.piggyback()}}}
 	case *message.MemberSync:
 		c.merge(m.Updates, now)
-		c.viewed = c.viewed || !m.Reply || m.Complete
+		c.viewReceived = c.viewReceived || !m.Reply || m.Complete
 		if m.Reply {
 			sends = c.answerSync(from, m)
 		}
@@ -279,7 +279,7 @@
 }
 
 // addresses returns those of the members that match, in order, so that a seed gives one trace.
-func (c *Core) addresses(match func(Member) bool) []string {
+func (c *Core) matchingAddresses(match func(Member) bool) []string {
 	var result []string
 	for _, address := range c.order {
 		if match(c.records[address].member) {
@@ -310,7 +310,7 @@
 // Pick returns up to count random members that match, for other packages that spread state.
 func (c *Core) Pick(count int, match func(Member) bool) []string { return c.pick(count, match) }
 
-func (c *Core) next() uint64 {
+func (c *Core) nextSequence() uint64 {
 	c.sequence++
 	return c.sequence
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -17,13 +17,13 @@
 		c.pending = nil
 		c.nextProbe = now
 		c.nextSync = now
-		c.extendSuspicions(now)
+		c.restartSuspicions(now)
 	}
 	sends = append(sends, c.checkPending(now)...)
 	if now >= c.nextProbe {
 		c.nextProbe = now + c.settings.ProbeInterval
 		sends = append(sends, c.startProbe(now)...)
-		c.expire(now)
+		c.expireMembers(now)
 	}
 	if now >= c.nextSync {
 		c.nextSync = now + c.syncInterval()
@@ -33,10 +33,10 @@
 }
 
 // extendSuspicions restarts all suspicions: refutations may wait in the sockets of a process that was frozen.
-func (c *Core) extendSuspicions(now time.Duration) {
+func (c *Core) restartSuspicions(now time.Duration) {
 	for _, found := range c.records {
 		if found.member.State == Suspect {
-			found.since = now
+			found.stateSince = now
 		}
 	}
 }
@@ -45,19 +45,19 @@
 // start or when zones meet, views are exchanged at the pace of probes; then ever more rarely, down to the settled pace.
 func (c *Core) syncInterval() time.Duration {
 	settled := max(time.Duration(len(c.records))*c.settings.SyncPerMember, c.settings.MinimumSyncInterval)
-	grown := len(c.records) - c.syncedSize
-	c.syncedSize = len(c.records)
-	growing := len(c.records) == 0 || grown > len(c.records)/growingPart
+	grown := len(c.records) - c.sizeAtLastSync
+	c.sizeAtLastSync = len(c.records)
+	growing := len(c.records) == 0 || grown > len(c.records)/growthDivisor
 	switch {
 	case growing && !c.joined:
-		c.syncWait = c.settings.ProbeInterval / joinPace
+		c.syncDelay = c.settings.ProbeInterval / joinSyncsPerProbe
 	case growing:
-		c.syncWait = c.settings.ProbeInterval
+		c.syncDelay = c.settings.ProbeInterval
 	default:
-		c.joined = c.joined || c.viewed
-		c.syncWait = min(2*c.syncWait, settled)
+		c.joined = c.joined || c.viewReceived
+		c.syncDelay = min(2*c.syncDelay, settled)
 	}
-	return c.syncWait
+	return c.syncDelay
 }
 
 // Joined reports whether the view is whole enough to work by: it was compared with another's and stopped growing. A node
@@ -72,18 +72,18 @@
 	if c.pending == nil {
 		return nil
 	}
-	scale := time.Duration(1 + c.health)
+	scale := time.Duration(1 + c.healthScore)
 	waited := now - c.pending.sentAt
 	if !c.pending.indirect && waited >= c.settings.ProbeTimeout*scale {
 		c.pending.indirect = true
-		return c.askIndirect()
+		return c.requestIndirectProbes()
 	}
 	if waited < c.settings.ProbeInterval*scale {
 		return nil
 	}
 	target := c.records[c.pending.target]
 	c.pending = nil
-	c.health = min(c.health+1, maximumHealthScore)
+	c.healthScore = min(c.healthScore+1, maximumHealthScore)
 	if target != nil && target.member.State == Alive {
 		suspect := target.member
 		suspect.State = Suspect
@@ -92,7 +92,7 @@
 	return nil
 }
 
-func (c *Core) askIndirect() []Send {
+func (c *Core) requestIndirectProbes() []Send {
 	var sends []Send
 	target := c.pending.target
 	helpers := c.pick(c.settings.IndirectProbes, func(m Member) bool { return m.State == Alive && m.Address != target })
@@ -112,7 +112,7 @@
 	if target == "" {
 		return nil
 	}
-	c.pending = &probe{target: target, sequence: c.next(), sentAt: now}
+	c.pending = &probe{target: target, sequence: c.nextSequence(), sentAt: now}
 	updates := c.piggyback()
 	if found := c.records[target]; found != nil && found.member.State != Alive {
 		// The target is told what is said of it, so that it can refute.
@@ -124,7 +124,7 @@
 // nextTarget picks the member to probe: mostly the next of a shuffled round through the own zone, now and then
 // one of another zone or one believed dead.
 func (c *Core) nextTarget() string {
-	if c.probes%deadEvery == 0 {
+	if c.probes%deadProbeEvery == 0 {
 		if dead := c.pick(1, func(m Member) bool { return m.State == Dead }); len(dead) > 0 {
 			return dead[0]
 		}
@@ -142,7 +142,7 @@
 				return target
 			}
 		}
-		c.zoneOrder = c.addresses(func(m Member) bool { return m.Usable() && m.Zone == c.self.Zone })
+		c.zoneOrder = c.matchingAddresses(func(m Member) bool { return m.Usable() && m.Zone == c.self.Zone })
 		c.random.Shuffle(len(c.zoneOrder), func(i, j int) {
 			c.zoneOrder[i], c.zoneOrder[j] = c.zoneOrder[j], c.zoneOrder[i]
 		})
@@ -154,15 +154,15 @@
 }
 
 // expire declares suspects dead whose time to refute has passed, and forgets members long dead.
-func (c *Core) expire(now time.Duration) {
+func (c *Core) expireMembers(now time.Duration) {
 	limit := c.suspicionTimeout()
-	for _, address := range c.addresses(func(m Member) bool { return m.State == Suspect || m.State == Leaving }) {
+	for _, address := range c.matchingAddresses(func(m Member) bool { return m.State == Suspect || m.State == Leaving }) {
 		found := c.records[address]
 		wait := limit
 		if found.member.State == Leaving {
 			wait = leavingIntervals * c.settings.ProbeInterval
 		}
-		if now-found.since >= wait {
+		if now-found.stateSince >= wait {
 			dead := found.member
 			dead.State = Dead
 			c.apply(dead, now)
@@ -170,7 +170,7 @@
 	}
 	c.order = slices.DeleteFunc(c.order, func(address string) bool {
 		found := c.records[address]
-		forgotten := found.member.State == Dead && now-found.since > c.settings.ForgetAfter
+		forgotten := found.member.State == Dead && now-found.stateSince > c.settings.ForgetAfter
 		if forgotten {
 			delete(c.records, address)
 		}
@@ -186,7 +186,7 @@
 func (c *Core) suspicionTimeout() time.Duration {
 	scale := math.Max(1, math.Log10(float64(c.zoneAlive+1)))
 	timeout := c.settings.SuspicionMultiplier * scale * float64(c.settings.ProbeInterval)
-	return time.Duration(timeout) * time.Duration(1+c.health/2)
+	return time.Duration(timeout) * time.Duration(1+c.healthScore/2)
 }
 
 func (c *Core) answerProbe(from string, m *message.Probe) []Send {
@@ -206,7 +206,7 @@
 		return nil
 	}
 	if from == c.pending.target {
-		c.health = max(c.health-1, 0)
+		c.healthScore = max(c.healthScore-1, 0)
 	}
 	c.pending = nil
 	return nil
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -49,18 +49,18 @@
 func (c *Core) answerSync(from string, m *message.MemberSync) []Send {
 	switch {
 	case m.Complete:
-		return c.betterFor(from, m.Updates)
+		return c.sendNewer(from, m.Updates)
 	case m.Hash == 0:
-		return c.viewFor(from, false)
+		return c.sendView(from, false)
 	case m.Hash == c.hash():
 		updates := []message.MemberUpdate{toUpdate(c.self)}
 		return []Send{{To: from, Message: &message.MemberSync{Hash: m.Hash, Updates: updates}}}
 	}
-	return c.viewFor(from, true)
+	return c.sendView(from, true)
 }
 
 // betterFor sends what supersedes a peer's whole view, or is missing in it.
-func (c *Core) betterFor(peer string, view []message.MemberUpdate) []Send {
+func (c *Core) sendNewer(peer string, view []message.MemberUpdate) []Send {
 	known := make(map[string]Member, len(view))
 	for _, update := range view {
 		known[update.Address] = fromUpdate(update)
@@ -74,19 +74,19 @@
 	if len(better) == 0 {
 		return nil
 	}
-	return c.chunks(peer, better, false)
+	return c.splitIntoMessages(peer, better, false)
 }
 
-func (c *Core) viewFor(peer string, reply bool) []Send {
+func (c *Core) sendView(peer string, reply bool) []Send {
 	updates := []message.MemberUpdate{toUpdate(c.self)}
 	for _, address := range c.order {
 		updates = append(updates, toUpdate(c.records[address].member))
 	}
-	return c.chunks(peer, updates, reply)
+	return c.splitIntoMessages(peer, updates, reply)
 }
 
 // chunks sends updates in messages of bounded size. Of several only the first asks for a reply, and none is whole.
-func (c *Core) chunks(peer string, updates []message.MemberUpdate, reply bool) []Send {
+func (c *Core) splitIntoMessages(peer string, updates []message.MemberUpdate, reply bool) []Send {
 	whole := reply && len(updates) <= syncChunk
 	var sends []Send
 	for len(updates) > 0 {
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -55,7 +55,7 @@
 	}
 	changed := known.member.Usable() != update.Usable() || known.member.Generation != update.Generation
 	known.member = update
-	known.since = now
+	known.stateSince = now
 	c.enqueue(update.Address)
 	if changed {
 		c.version++
@@ -94,11 +94,11 @@
 	transmissions := transmissionFactor * int(math.Ceil(math.Log10(float64(len(c.records)+2))))
 	for i := range c.updates {
 		if c.updates[i].address == address {
-			c.updates[i].left = transmissions
+			c.updates[i].transmissionsLeft = transmissions
 			return
 		}
 	}
-	c.updates = append(c.updates, queued{address: address, left: transmissions})
+	c.updates = append(c.updates, queuedUpdate{address: address, transmissionsLeft: transmissions})
 }
 
 // piggyback takes the next updates to pass on, in turn.
@@ -106,15 +106,15 @@
 	count := min(len(c.updates), c.settings.UpdatesPerMessage)
 	var result []message.MemberUpdate
 	taken := c.updates[:count]
-	rest := append([]queued(nil), c.updates[count:]...)
+	rest := append([]queuedUpdate(nil), c.updates[count:]...)
 	for _, item := range taken {
 		if member, ok := c.Lookup(item.address); ok {
 			result = append(result, toUpdate(member))
-			item.left--
+			item.transmissionsLeft--
 		} else {
-			item.left = 0
+			item.transmissionsLeft = 0
 		}
-		if item.left > 0 {
+		if item.transmissionsLeft > 0 {
 			rest = append(rest, item)
 		}
 	}
