--- a/internal/exchange/connection.go
+++ b/internal/exchange/connection.go
@@ -19,7 +19,7 @@
 
 const (
 	// defaultIdle is how long a connection is idle where the back end names no time.
-	defaultIdle = 4 * time.Second
+	defaultIdleTimeout = 4 * time.Second
 	// idleMargin is kept before the time a back end names, so that a request does not cross its close.
 	idleMargin = 500 * time.Millisecond
 	// Sizes of the buffers of a connection, in bytes.
@@ -31,15 +31,15 @@
 type connection struct {
 	socket  net.Conn
 	reader  *bufio.Reader
-	counted *countingWriter
+	counter *countingWriter
 	writer  *bufio.Writer
 	// idleSince, on the pool's clock, and idleFor bound how long it may be idle, as the back end said.
-	idleSince time.Duration
-	idleFor   time.Duration
+	idleSince   time.Duration
+	idleTimeout time.Duration
 	// closed is told of its end.
 	closed func()
 	// answers that it has carried.
-	answers int
+	answersRead int
 }
 
 // countingWriter knows whether anything was written.
@@ -55,10 +55,10 @@
 }
 
 func newConnection(socket net.Conn, closed func()) *connection {
-	counted := &countingWriter{Conn: socket}
+	counter := &countingWriter{Conn: socket}
 	return &connection{
-		socket: socket, counted: counted, reader: bufio.NewReaderSize(socket, readBuffer),
-		writer: bufio.NewWriterSize(counted, writeBuffer), idleFor: defaultIdle, closed: closed,
+		socket: socket, counter: counter, reader: bufio.NewReaderSize(socket, readBuffer),
+		writer: bufio.NewWriterSize(counter, writeBuffer), idleTimeout: defaultIdleTimeout, closed: closed,
 	}
 }
 
@@ -74,7 +74,7 @@
 // roundTrip writes the request and reads the answer. The connection is reusable only if nothing is left in doubt: the whole
 // request was written, a whole answer with a stated length was read, and nothing came after it.
 func (c *connection) roundTrip(request Request) (result Result, reusable bool) {
-	c.counted.written.Store(0)
+	c.counter.written.Store(0)
 	message, err := request.Prepare()
 	if err != nil {
 		return Result{Stage: NotSent, Err: err}, true
@@ -91,9 +91,9 @@
 	if err != nil {
 		return Result{Stage: c.stage(), Err: failure.Wrap(err, failure.OutcomeUnknown, "the answer broke off")}, false
 	}
-	c.answers++
+	c.answersRead++
 	result = Result{Stage: Answered, Status: response.StatusCode, Header: response.Header, Body: body}
-	reusable = written() && c.framed(response) && request.AnswerMatches(response.StatusCode, response.Header)
+	reusable = written() && c.canKeepAlive(response) && request.AnswerMatches(response.StatusCode, response.Header)
 	return result, reusable
 }
 
@@ -117,7 +117,7 @@
 }
 
 func (c *connection) stage() Stage {
-	if c.counted.written.Load() == 0 {
+	if c.counter.written.Load() == 0 {
 		return NotSent
 	}
 	return Sent
@@ -159,13 +159,13 @@
 }
 
 // framed: the answer said where it ends, the back end keeps the connection, and nothing follows the answer.
-func (c *connection) framed(response *http.Response) bool {
+func (c *connection) canKeepAlive(response *http.Response) bool {
 	lengthKnown := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 	if !lengthKnown || response.Close || c.reader.Buffered() > 0 {
 		return false
 	}
-	c.idleFor = keepAliveTimeout(response.Header)
-	return c.idleFor > 0
+	c.idleTimeout = keepAliveTimeout(response.Header)
+	return c.idleTimeout > 0
 }
 
 // keepAliveTimeout is how long a connection may be idle by what the back end says.
@@ -177,16 +177,16 @@
 			return time.Duration(seconds)*time.Second - idleMargin
 		}
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
 
 func (c *connection) idleTooLong(now time.Duration) bool {
-	return now-c.idleSince >= c.idleFor
+	return now-c.idleSince >= c.idleTimeout
 }
 
 // sound reports whether a connection may carry another request: it has not been idle too long, the back end has not closed it,
 // and no byte came that belongs to no request.
-func (c *connection) sound(now time.Duration) bool {
+func (c *connection) canReuse(now time.Duration) bool {
 	if c.idleTooLong(now) {
 		return false
 	}
@@ -194,11 +194,11 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	staysSilent := false
 	err = raw.Control(func(descriptor uintptr) {
 		var buffer [1]byte
 		_, _, err := unix.Recvfrom(int(descriptor), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = err == unix.EAGAIN
+		staysSilent = err == unix.EAGAIN
 	})
-	return err == nil && quiet
+	return err == nil && staysSilent
 }
--- a/internal/exchange/dial.go
+++ b/internal/exchange/dial.go
@@ -15,14 +15,14 @@
 	// userTimeout is how long written bytes may stay unacknowledged before a connection is given up.
 	userTimeout = 2 * time.Second
 	// defaultProofSlack is enough for a back end to notice a connection over its limit and to close it.
-	defaultProofSlack = 2 * time.Millisecond
+	defaultVerificationMargin = 2 * time.Millisecond
 )
 
 // errTurnedAway: the back end closed a new connection before anything was sent on it.
-var errTurnedAway = errors.New("the back end closed the new connection at once")
+var errRejected = errors.New("the back end closed the new connection at once")
 
 // quiet reports whether nothing comes on a new connection, neither a byte nor its end, for some time.
-func quiet(socket net.Conn, length time.Duration) bool {
+func staysSilent(socket net.Conn, length time.Duration) bool {
 	if err := socket.SetReadDeadline(time.Now().Add(length)); err != nil {
 		return false
 	}
@@ -44,9 +44,9 @@
 		p.OnConnected(took)
 	}
 	p.OpenedTotal.Add(1)
-	if request.VerifyConnection && !quiet(socket, took+p.proofSlack) {
+	if request.VerifyConnection && !staysSilent(socket, took+p.verificationMargin) {
 		_ = socket.Close()
-		return nil, errTurnedAway
+		return nil, errRejected
 	}
 	p.OpenCount.Add(1)
 	return newConnection(socket, func() { p.OpenCount.Add(-1) }), nil
@@ -65,7 +65,7 @@
 	}
 	p.OpenedTotal.Add(1)
 	defer func() { _ = socket.Close() }()
-	return !full && !quiet(socket, time.Since(started)+p.proofSlack)
+	return !full && !staysSilent(socket, time.Since(started)+p.verificationMargin)
 }
 
 // setUserTimeout has a connection to a peer that fell silent fail instead of hanging.
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -73,12 +73,12 @@
 	connection, err := p.connect(ctx, request)
 	if err != nil {
 		return Result{
-			Stage: NotSent, Err: failure.Wrap(err, failure.NoReplica, "no connection to the back end"), ConnectionUnused: errors.Is(err, errTurnedAway),
+			Stage: NotSent, Err: failure.Wrap(err, failure.NoReplica, "no connection to the back end"), ConnectionUnused: errors.Is(err, errRejected),
 		}
 	}
 	stop := context.AfterFunc(ctx, connection.abort)
 	result, reusable := connection.roundTrip(request)
-	result.ConnectionUnused = connection.answers == 0
+	result.ConnectionUnused = connection.answersRead == 0
 	if !stop() || !reusable {
 		connection.close()
 		return result
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -11,7 +11,7 @@
 
 // defaultProvenWithin is how long after an answer a connection counts as sound for a request that cannot be sent again.
 // A new connection costs it only a way there and back; without an answer it is lost.
-const defaultProvenWithin = 250 * time.Millisecond
+const defaultRecentAnswerWithin = 250 * time.Millisecond
 
 // Endpoint is a process at an address. Another process may take the address over: connections to the one before are not used
 // for it.
@@ -32,14 +32,14 @@
 	// OnConnected, where set, is told how long each opening of a connection took.
 	OnConnected func(time.Duration)
 	// proofSlack is waited beyond a way there and back where a new connection must prove itself.
-	proofSlack time.Duration
+	verificationMargin time.Duration
 	// provenWithin is how long after an answer a connection counts as sound for a request that cannot be sent again.
-	provenWithin time.Duration
+	recentAnswerWithin time.Duration
 }
 
 // NewPool returns an empty pool.
 func NewPool() *Pool {
-	return &Pool{clock: clock.Start(), idle: map[Endpoint][]*connection{}, proofSlack: defaultProofSlack, provenWithin: defaultProvenWithin}
+	return &Pool{clock: clock.Start(), idle: map[Endpoint][]*connection{}, verificationMargin: defaultVerificationMargin, recentAnswerWithin: defaultRecentAnswerWithin}
 }
 
 // connect takes an idle connection that is still sound, or opens one.
@@ -50,7 +50,7 @@
 			return p.open(ctx, request)
 		}
 		now := p.clock.Elapsed()
-		if kept.sound(now) && !(request.NotRepeatable && now-kept.idleSince > p.provenWithin) {
+		if kept.canReuse(now) && !(request.NotRepeatable && now-kept.idleSince > p.recentAnswerWithin) {
 			return kept, nil
 		}
 		kept.close()
@@ -74,7 +74,7 @@
 	c.idleSince = p.clock.Elapsed()
 	_ = c.socket.SetDeadline(time.Time{})
 	if request.IdleTimeout > 0 {
-		c.idleFor = min(c.idleFor, request.IdleTimeout)
+		c.idleTimeout = min(c.idleTimeout, request.IdleTimeout)
 	}
 	p.mutex.Lock()
 	kept := len(p.idle[request.Endpoint]) < request.MaximumIdle
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -201,7 +201,7 @@
 	},
 	{
 		"a new connection to a crowded back end is used at once", "internal/exchange/dial.go",
-		"if request.VerifyConnection && !quiet(", "if false && !quiet(",
+		"if request.VerifyConnection && !staysSilent(", "if false && !staysSilent(",
 		"./internal/exchange", "TestTurnedAway",
 	},
 	{
@@ -225,7 +225,7 @@
 		"./internal/follow", "TestStaleCopyIsLookedAt",
 	},
 	{
-		"a connection on which nothing is acknowledged is kept", "internal/transport/sending.go",
+		"a connection on which nothing is acknowledged is kept", "internal/transport/outgoing_connection.go",
 		"if s.unacknowledged > 0 {", "if false {",
 		"./internal/transport", "TestSilentConnectionIsReplaced",
 	},
@@ -251,7 +251,7 @@
 	},
 	{
 		"a request that cannot be sent again goes over a connection that may have fallen silent", "internal/exchange/pool.go",
-		"kept.sound(now) && !(request.NotRepeatable && now-kept.idleSince > p.provenWithin)", "kept.sound(now)",
+		"kept.canReuse(now) && !(request.NotRepeatable && now-kept.idleSince > p.recentAnswerWithin)", "kept.canReuse(now)",
 		"./internal/exchange", "TestIdleConnectionIsNotTrustedOnce",
 	},
 	{
@@ -261,7 +261,7 @@
 	},
 	{
 		"a node without descriptors ends", "internal/serving/callers.go",
-		"if exhausted(err) {", "if false {",
+		"if resourcesExhausted(err) {", "if false {",
 		"./internal/serving", "TestConnectionsAreTakenAgain",
 	},
 	{
--- a/internal/serving/accept_test.go
+++ b/internal/serving/accept_test.go
@@ -15,13 +15,13 @@
 )
 
 // lacking is a listener whose process has no descriptors left for a while.
-type lacking struct {
+type descriptorLimitedListener struct {
 	net.Listener
 	failures int
 }
 
 // Accept implements net.Listener.
-func (e *lacking) Accept() (net.Conn, error) {
+func (e *descriptorLimitedListener) Accept() (net.Conn, error) {
 	if e.failures > 0 {
 		e.failures--
 		return nil, &net.OpError{Op: "accept", Net: "memory", Err: syscall.EMFILE}
@@ -38,7 +38,7 @@
 			t.Fatal(err)
 		}
 		hello := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("hello")) })
-		c := newCallerListener(&lacking{l, 5}, hello, nil, io.Discard)
+		c := newCallerListener(&descriptorLimitedListener{l, 5}, hello, nil, io.Discard)
 		ended := make(chan error, 1)
 		idle := time.Minute
 		go func() {
--- a/internal/serving/caller.go
+++ b/internal/serving/caller.go
@@ -20,7 +20,7 @@
 type callerKey struct{}
 
 // withCaller gives the context of the requests of a connection.
-func withCaller(ctx context.Context, connection net.Conn) context.Context {
+func callerContext(ctx context.Context, connection net.Conn) context.Context {
 	return context.WithValue(ctx, callerKey{}, NewCaller(connection))
 }
 
@@ -47,7 +47,7 @@
 // milliseconds, and not while the machine is suspended.
 func (c Caller) UnreadFor() time.Duration {
 	var waited time.Duration
-	c.look(func(fd int) {
+	c.withDescriptor(func(fd int) {
 		if info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 			waited = time.Duration(info.Last_data_recv) * time.Millisecond
 		}
@@ -58,7 +58,7 @@
 // Disconnected reports whether the caller has closed its end, or the connection has broken: there is nobody to answer. A caller that has
 // sent more meanwhile passes for there.
 func (c Caller) Disconnected() (gone bool) {
-	c.look(func(fd int) {
+	c.withDescriptor(func(fd int) {
 		var next [1]byte
 		n, _, err := unix.Recvfrom(fd, next[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		gone = n == 0 && err == nil || err != nil && err != unix.EAGAIN && err != unix.EINTR
@@ -67,7 +67,7 @@
 }
 
 // look calls a function with the connection's descriptor, unless the connection is closed.
-func (c Caller) look(at func(fd int)) {
+func (c Caller) withDescriptor(at func(fd int)) {
 	if c.socket != nil {
 		// A connection that this node has closed tells nothing, which is what the caller's zero value says.
 		_ = c.socket.Control(func(fd uintptr) { at(int(fd)) })
--- a/internal/serving/caller_test.go
+++ b/internal/serving/caller_test.go
@@ -24,7 +24,7 @@
 }
 
 // serveLate serves callers on the loopback address, from the moment at which take is called.
-func serveLate(t *testing.T, handler http.Handler) (address string, take func()) {
+func serveAfterDelay(t *testing.T, handler http.Handler) (address string, take func()) {
 	t.Helper()
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -57,7 +57,7 @@
 	const unread, tick = 200 * time.Millisecond, 10 * time.Millisecond
 	waited := make(chan time.Duration, 2)
 	hold := make(chan struct{}, 2)
-	address, take := serveLate(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	address, take := serveAfterDelay(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		waited <- CallerOf(r.Context()).UnreadFor()
 		<-hold
 	}))
@@ -94,7 +94,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			gone := make(chan bool, 2)
-			address, take := serveLate(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { gone <- CallerOf(r.Context()).Disconnected() }))
+			address, take := serveAfterDelay(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { gone <- CallerOf(r.Context()).Disconnected() }))
 			c.leave(send(t, address))
 			// What the caller did last lies in the machine once a connection that came later can be had.
 			later, err := net.Dial("tcp4", address)
--- a/internal/serving/callers.go
+++ b/internal/serving/callers.go
@@ -19,34 +19,34 @@
 // server's limits at any time, so they can't be changed on a running one: when they change, a new server takes the connections
 // from then on, and the old one serves those it has.
 type callerListener struct {
-	listener   net.Listener
-	handler    http.Handler
-	onState    func(net.Conn, http.ConnState)
-	complaints *log.Logger
+	listener net.Listener
+	handler  http.Handler
+	onState  func(net.Conn, http.ConnState)
+	errorLog *log.Logger
 
 	mutex  sync.Mutex
 	limits routing.Limits
 	// current takes connections for the newest of the servers.
-	current *handedOver
+	current *handoverListener
 	servers []*http.Server
 	closed  bool
 }
 
-func newCallerListener(listener net.Listener, handler http.Handler, onState func(net.Conn, http.ConnState), complaints io.Writer) *callerListener {
-	c := &callerListener{listener: listener, handler: handler, onState: onState, complaints: log.New(complaints, "", 0)}
-	c.open()
+func newCallerListener(listener net.Listener, handler http.Handler, onState func(net.Conn, http.ConnState), errorLog io.Writer) *callerListener {
+	c := &callerListener{listener: listener, handler: handler, onState: onState, errorLog: log.New(errorLog, "", 0)}
+	c.startServer()
 	return c
 }
 
 // open starts a server with the limits as they are; the lock is held, or nobody else knows the listener yet.
-func (c *callerListener) open() {
+func (c *callerListener) startServer() {
 	server := &http.Server{
-		Handler: c.handler, ConnState: c.onState, ConnContext: withCaller, DisableGeneralOptionsHandler: true, ErrorLog: c.complaints,
+		Handler: c.handler, ConnState: c.onState, ConnContext: callerContext, DisableGeneralOptionsHandler: true, ErrorLog: c.errorLog,
 		ReadHeaderTimeout: orDefault(c.limits.HeaderTimeout, defaultHeaderTimeout),
 		IdleTimeout:       orDefault(c.limits.IdleTimeout, defaultIdleTimeout),
 		MaxHeaderBytes:    orDefault(c.limits.HeaderBytes, defaultHeaderBytes),
 	}
-	c.current = &handedOver{address: c.listener.Addr(), connections: make(chan net.Conn), done: make(chan struct{})}
+	c.current = &handoverListener{address: c.listener.Addr(), connections: make(chan net.Conn), done: make(chan struct{})}
 	c.servers = append(c.servers, server)
 	go func(listener net.Listener) { _ = server.Serve(listener) }(c.current)
 }
@@ -59,7 +59,7 @@
 }
 
 // use applies limits to connections that come from now on.
-func (c *callerListener) use(limits routing.Limits) {
+func (c *callerListener) applyLimits(limits routing.Limits) {
 	// The limit of bodies is not the server's, which need not change with it.
 	limits.BodyBytes = 0
 	c.mutex.Lock()
@@ -69,7 +69,7 @@
 	}
 	c.limits = limits
 	previous := c.current
-	c.open()
+	c.startServer()
 	_ = previous.Close()
 }
 
@@ -85,8 +85,8 @@
 	wait := firstAcceptPause
 	for {
 		connection, err := c.listener.Accept()
-		if exhausted(err) {
-			c.complaints.Printf("no connection can be taken: %v; tried again after %v", err, wait)
+		if resourcesExhausted(err) {
+			c.errorLog.Printf("no connection can be taken: %v; tried again after %v", err, wait)
 			time.Sleep(wait)
 			wait = min(2*wait, longestAcceptPause)
 			continue
@@ -96,16 +96,16 @@
 		}
 		wait = firstAcceptPause
 		if known, ok := limits(); ok {
-			c.use(known)
+			c.applyLimits(known)
 		}
 		c.handOver(connection)
 	}
 }
 
 // exhausted reports whether the machine lacks what a connection takes, which passes.
-func exhausted(err error) bool {
-	for _, lacking := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
-		if errors.Is(err, lacking) {
+func resourcesExhausted(err error) bool {
+	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
+		if errors.Is(err, errno) {
 			return true
 		}
 	}
--- a/internal/serving/handover.go
+++ b/internal/serving/handover.go
@@ -6,7 +6,7 @@
 )
 
 // handedOver is a listener whose connections another one accepted.
-type handedOver struct {
+type handoverListener struct {
 	address     net.Addr
 	connections chan net.Conn
 	closeOnce   sync.Once
@@ -14,7 +14,7 @@
 }
 
 // Accept implements net.Listener.
-func (h *handedOver) Accept() (net.Conn, error) {
+func (h *handoverListener) Accept() (net.Conn, error) {
 	select {
 	case connection := <-h.connections:
 		return connection, nil
@@ -24,10 +24,10 @@
 }
 
 // Close implements net.Listener.
-func (h *handedOver) Close() error {
+func (h *handoverListener) Close() error {
 	h.closeOnce.Do(func() { close(h.done) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (h *handedOver) Addr() net.Addr { return h.address }
+func (h *handoverListener) Addr() net.Addr { return h.address }
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -39,14 +39,14 @@
 // Times of a planned stop and of callers' connections.
 const (
 	// noticeTime is how long after a stop began requests still come, sent by those that have not noticed.
-	noticeTime = 2500 * time.Millisecond
+	minimumDrainTime = 2500 * time.Millisecond
 	// lastPart of a stop's time, one in so many, is kept for the last answers and the end of the process: what still
 	// runs then is given up.
-	lastPart = 6
+	finalPart = 6
 	// shutdownTime bounds the writing of the last answers.
-	shutdownTime = 300 * time.Millisecond
+	shutdownTimeout = 300 * time.Millisecond
 	// checkInterval is the pause between looks whether a stop may end.
-	checkInterval = 50 * time.Millisecond
+	stopPollInterval = 50 * time.Millisecond
 	// The defaults hold until a configuration states others.
 	defaultHeaderTimeout = 10 * time.Second
 	defaultIdleTimeout   = 60 * time.Second
@@ -58,7 +58,7 @@
 	node    Node
 	callers *callerListener
 	// others serve readiness and metrics.
-	others []*http.Server
+	auxiliary []*http.Server
 	// connections of callers that are open.
 	connections atomic.Int64
 	stopping    atomic.Bool
@@ -71,13 +71,13 @@
 	if err := s.listenForCallers(addresses.Callers, callers, errors); err != nil {
 		return nil, err
 	}
-	if err := s.listenAside(addresses.Ready, http.HandlerFunc(s.serveReady)); err != nil {
+	if err := s.listenAuxiliary(addresses.Ready, http.HandlerFunc(s.serveReady)); err != nil {
 		return nil, err
 	}
 	if addresses.Metrics == "" {
 		return s, nil
 	}
-	return s, s.listenAside(addresses.Metrics, metrics)
+	return s, s.listenAuxiliary(addresses.Metrics, metrics)
 }
 
 // Failed delivers the failure of a listener.
@@ -88,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	s.callers = newCallerListener(listener, handler, s.count, errors)
+	s.callers = newCallerListener(listener, handler, s.countConnection, errors)
 	go func() {
 		if err := s.callers.accept(s.node.Limits); !s.stopping.Load() {
 			s.failed <- err
@@ -105,13 +105,13 @@
 	return listener, nil
 }
 
-func (s *Server) listenAside(address string, handler http.Handler) error {
+func (s *Server) listenAuxiliary(address string, handler http.Handler) error {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout}
 	listener, err := listen(address)
 	if err != nil {
 		return err
 	}
-	s.others = append(s.others, server)
+	s.auxiliary = append(s.auxiliary, server)
 	go func() {
 		if err := server.Serve(listener); err != http.ErrServerClosed {
 			s.failed <- failure.Wrap(err, failure.Internal, "the listener at "+address+" failed")
@@ -120,7 +120,7 @@
 	return nil
 }
 
-func (s *Server) count(_ net.Conn, state http.ConnState) {
+func (s *Server) countConnection(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
 		s.connections.Add(1)
@@ -143,19 +143,19 @@
 func (s *Server) Stop(within time.Duration) bool {
 	started := time.Now()
 	s.node.Leave()
-	for elapsed := time.Duration(0); elapsed < within-within/lastPart; elapsed = time.Since(started) {
-		if elapsed > noticeTime && s.node.InFlight() == 0 && s.Connections() == 0 {
+	for elapsed := time.Duration(0); elapsed < within-within/finalPart; elapsed = time.Since(started) {
+		if elapsed > minimumDrainTime && s.node.InFlight() == 0 && s.Connections() == 0 {
 			break
 		}
-		time.Sleep(checkInterval)
+		time.Sleep(stopPollInterval)
 	}
 	whole := s.node.InFlight() == 0
 	s.node.FinishInFlight()
-	bounded, cancel := context.WithTimeout(context.Background(), shutdownTime)
+	bounded, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	s.stopping.Store(true)
 	s.callers.shutdown(bounded)
-	for _, server := range s.others {
+	for _, server := range s.auxiliary {
 		_ = server.Close()
 	}
 	return whole
--- a/internal/transport/incoming.go
+++ b/internal/transport/incoming.go
@@ -21,7 +21,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(redialWait)
+			time.Sleep(retryDelay)
 			continue
 		}
 		select {
--- a/internal/transport/outgoing_connection.go
+++ b/internal/transport/outgoing_connection.go
@@ -12,30 +12,30 @@
 
 // sending is what a line has written to one connection. No write tells of silence: frames go into the machine's own
 // buffer. So the peer acknowledges each one, and a connection on which that takes too long is given up for a new one.
-type sending struct {
-	line       *line
+type outgoingConnection struct {
+	link       *peerLink
 	connection net.Conn
 	writer     *bufio.Writer
 	// unacknowledged frames, and the bytes written since there were none.
 	unacknowledged      int
 	unacknowledgedBytes int
 	// overdue fires when an acknowledgement is missing for too long, idle when nothing was sent for long.
-	overdue *time.Timer
-	idle    *time.Timer
+	acknowledgementTimer *time.Timer
+	idleTimer            *time.Timer
 }
 
 // write sends what is queued over one connection until it breaks, falls silent or is idle.
-func (l *line) write(connection net.Conn, first queued) {
+func (l *peerLink) write(connection net.Conn, first queuedMessage) {
 	over := make(chan struct{})
 	defer close(over)
 	defer func() { _ = connection.Close() }()
-	acknowledged := l.watch(connection, over)
-	s := &sending{line: l, connection: connection, writer: bufio.NewWriterSize(connection, l.transport.sizes.Buffer)}
+	acknowledged := l.readAcknowledgements(connection, over)
+	s := &outgoingConnection{link: l, connection: connection, writer: bufio.NewWriterSize(connection, l.transport.sizes.Buffer)}
 	hello := message.Encode(&message.Hello{Address: l.transport.address})
 	_, _ = s.writer.Write(hello)
-	s.idle, s.overdue = time.NewTimer(idleTimeout), time.NewTimer(idleTimeout)
-	defer s.idle.Stop()
-	defer s.overdue.Stop()
+	s.idleTimer, s.acknowledgementTimer = time.NewTimer(idleTimeout), time.NewTimer(idleTimeout)
+	defer s.idleTimer.Stop()
+	defer s.acknowledgementTimer.Stop()
 	if !s.send(first) {
 		return
 	}
@@ -47,16 +47,16 @@
 			}
 		case count, open := <-acknowledged:
 			if !open {
-				l.lost()
+				l.connectionLost()
 				return
 			}
-			s.acknowledged(count)
-		case <-s.overdue.C:
+			s.recordAcknowledged(count)
+		case <-s.acknowledgementTimer.C:
 			if s.unacknowledged > 0 {
-				l.silent(connection)
+				l.closeSilent(connection)
 				return
 			}
-		case <-s.idle.C:
+		case <-s.idleTimer.C:
 			return
 		case <-l.transport.ctx.Done():
 			return
@@ -65,51 +65,51 @@
 }
 
 // send writes an item and all that is queued behind it; false ends the connection.
-func (s *sending) send(item queued) bool {
-	frames, size, sound := s.line.writeBatch(s.connection, s.writer, item)
+func (s *outgoingConnection) send(item queuedMessage) bool {
+	frames, size, sound := s.link.writeBatch(s.connection, s.writer, item)
 	if !sound {
-		s.line.lost()
+		s.link.connectionLost()
 		return false
 	}
 	s.unacknowledgedBytes += size
 	if s.unacknowledged == 0 || size > largeFrame {
-		s.overdue.Reset(s.line.key.acknowledgedWithin(s.unacknowledgedBytes))
+		s.acknowledgementTimer.Reset(s.link.key.acknowledgementTimeout(s.unacknowledgedBytes))
 	}
 	s.unacknowledged += frames
-	s.idle.Reset(idleTimeout)
+	s.idleTimer.Reset(idleTimeout)
 	return true
 }
 
 // acknowledged takes in that the peer has read more frames.
-func (s *sending) acknowledged(frames int) {
+func (s *outgoingConnection) recordAcknowledged(frames int) {
 	if s.unacknowledged -= frames; s.unacknowledged == 0 {
 		s.unacknowledgedBytes = 0
 	}
-	s.overdue.Reset(s.line.key.acknowledgedWithin(s.unacknowledgedBytes))
+	s.acknowledgementTimer.Reset(s.link.key.acknowledgementTimeout(s.unacknowledgedBytes))
 }
 
 // acknowledgedWithin is how long frames of some bytes together may stay unacknowledged.
-func (k lineKey) acknowledgedWithin(size int) time.Duration {
-	transfer := time.Duration(size) * time.Second / slowestLink
+func (k peerLinkKey) acknowledgementTimeout(size int) time.Duration {
+	transfer := time.Duration(size) * time.Second / minimumBandwidth
 	if k.control {
-		return controlSilence + transfer
+		return controlAcknowledgementTimeout + transfer
 	}
-	return querySilence + transfer
+	return queryAcknowledgementTimeout + transfer
 }
 
 // silent gives up a connection on which nothing is acknowledged. What the machine still holds for it is dropped: news
 // that arrives much later would pass for recent.
-func (l *line) silent(connection net.Conn) {
+func (l *peerLink) closeSilent(connection net.Conn) {
 	if socket, ok := connection.(*net.TCPConn); ok {
 		_ = socket.SetLinger(0)
 	}
 	l.transport.Counters.SilentConnections.Add(1)
 	go l.transport.handler.Silent(l.key.to)
-	l.lost()
+	l.connectionLost()
 }
 
 // watch returns how many more frames the peer has acknowledged; the channel closes when the peer closes the connection.
-func (l *line) watch(connection net.Conn, over <-chan struct{}) <-chan int {
+func (l *peerLink) readAcknowledgements(connection net.Conn, over <-chan struct{}) <-chan int {
 	acknowledged := make(chan int)
 	l.transport.tasks.Go(func() {
 		defer close(acknowledged)
@@ -133,7 +133,7 @@
 
 // writeBatch writes an item and all that is queued behind it, then flushes, and returns the frames and bytes that it
 // wrote. After an error the peer may have got any of the batch.
-func (l *line) writeBatch(connection net.Conn, writer *bufio.Writer, item queued) (frames, size int, sound bool) {
+func (l *peerLink) writeBatch(connection net.Conn, writer *bufio.Writer, item queuedMessage) (frames, size int, sound bool) {
 	_ = connection.SetWriteDeadline(time.Now().Add(writeTimeout))
 	var batch []message.Message
 	for {
@@ -159,8 +159,8 @@
 
 // encode writes one frame into the buffer and returns its size, 0 for one that is not sent. A sub-query whose time ran
 // out while it was queued, as in a process that was frozen, is not written any more.
-func (l *line) encode(writer *bufio.Writer, item queued) int {
-	elapsed := l.transport.clock.Elapsed() - item.at
+func (l *peerLink) encode(writer *bufio.Writer, item queuedMessage) int {
+	elapsed := l.transport.clock.Elapsed() - item.queuedAt
 	if sub, ok := item.message.(*message.SubQuery); ok {
 		waited := uint64(elapsed.Microseconds())
 		if waited >= sub.RemainingMicroseconds {
--- a/internal/transport/peer_link.go
+++ b/internal/transport/peer_link.go
@@ -9,21 +9,21 @@
 )
 
 // queued is a message that waits to be written.
-type queued struct {
+type queuedMessage struct {
 	message message.Message
 	// at is when it was queued, on the transport's clock.
-	at time.Duration
+	queuedAt time.Duration
 }
 
 // line carries messages to a peer, over one connection at a time.
-type line struct {
+type peerLink struct {
 	transport *Transport
-	key       lineKey
-	queue     chan queued
+	key       peerLinkKey
+	queue     chan queuedMessage
 }
 
 // run writes what is queued until the line is idle or the transport closes.
-func (l *line) run() {
+func (l *peerLink) run() {
 	for {
 		first, ok := l.next()
 		if !ok {
@@ -31,7 +31,7 @@
 		}
 		connection, err := l.dial()
 		if err != nil {
-			l.fail(first)
+			l.reportUndelivered(first)
 			continue
 		}
 		l.write(connection, first)
@@ -39,12 +39,12 @@
 }
 
 // next waits for a message; false ends the line, which no message can be left in.
-func (l *line) next() (queued, bool) {
+func (l *peerLink) next() (queuedMessage, bool) {
 	select {
 	case item := <-l.queue:
 		return item, true
 	case <-l.transport.ctx.Done():
-		return queued{}, false
+		return queuedMessage{}, false
 	case <-time.After(idleTimeout):
 	}
 	l.transport.mutex.Lock()
@@ -53,21 +53,21 @@
 	case item := <-l.queue:
 		return item, true
 	default:
-		delete(l.transport.lines, l.key)
-		return queued{}, false
+		delete(l.transport.links, l.key)
+		return queuedMessage{}, false
 	}
 }
 
-func (l *line) dial() (net.Conn, error) {
+func (l *peerLink) dial() (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(l.transport.ctx, dialTimeout)
 	defer cancel()
 	return l.transport.network.Dial(ctx, l.key.to)
 }
 
 // fail reports what waits for a peer that cannot be reached, for a short while, before it is dialled again.
-func (l *line) fail(first queued) {
+func (l *peerLink) reportUndelivered(first queuedMessage) {
 	l.transport.undelivered(l.key.to, first.message, false)
-	wait := time.After(redialWait)
+	wait := time.After(retryDelay)
 	for {
 		select {
 		case item := <-l.queue:
@@ -81,7 +81,7 @@
 }
 
 // lost reports the loss of a connection on which queries were sent.
-func (l *line) lost() {
+func (l *peerLink) connectionLost() {
 	if !l.key.control {
 		go l.transport.handler.Disconnected(l.key.to)
 	}
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -29,12 +29,12 @@
 	writeTimeout   = 5 * time.Second
 	idleTimeout    = 30 * time.Second
 	// redialWait is the pause after a failure to dial a peer or to take a connection.
-	redialWait = 250 * time.Millisecond
+	retryDelay = 250 * time.Millisecond
 	// controlSilence and querySilence are how long a frame may stay unacknowledged before its connection counts as
 	// silent. Control goes on every second, and a way there and back takes some tens of milliseconds; a peer that
 	// stands still for a while must not lose its queries for it.
-	controlSilence = time.Second
-	querySilence   = 5 * time.Second
+	controlAcknowledgementTimeout = time.Second
+	queryAcknowledgementTimeout   = 5 * time.Second
 	// maximumIncoming connections of peers are open at a time.
 	maximumIncoming = 16384
 )
@@ -42,8 +42,8 @@
 // slowestLink is what a connection carries at least, in bytes a second, a tenth of what the smallest machines have.
 // largeFrame is one of that many bytes, which has longer until it is acknowledged for that.
 const (
-	slowestLink = 256 << 10
-	largeFrame  = 64 << 10
+	minimumBandwidth = 256 << 10
+	largeFrame       = 64 << 10
 )
 
 // Sizes of what a transport holds per connection.
@@ -105,7 +105,7 @@
 	SilentConnections atomic.Uint64
 }
 
-type lineKey struct {
+type peerLinkKey struct {
 	to      string
 	control bool
 }
@@ -124,7 +124,7 @@
 	tasks    sync.WaitGroup
 
 	mutex sync.Mutex
-	lines map[lineKey]*line
+	links map[peerLinkKey]*peerLink
 
 	// Counters may be read at any time.
 	Counters Counters
@@ -153,7 +153,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	return &Transport{
 		address: advertised, clock: clock.Start(), sizes: sizes, network: network, listener: listener, incoming: make(chan struct{}, maximumIncoming),
-		ctx: ctx, stop: stop, lines: map[lineKey]*line{},
+		ctx: ctx, stop: stop, links: map[peerLinkKey]*peerLink{},
 	}, nil
 }
 
@@ -175,20 +175,20 @@
 
 // Send queues a message for a peer. It does not block; what cannot be queued is reported as undelivered.
 func (t *Transport) Send(to string, m message.Message) {
-	key := lineKey{to: to, control: message.Control(m)}
+	key := peerLinkKey{to: to, control: message.Control(m)}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.ctx.Err() != nil {
 		return
 	}
-	l := t.lines[key]
+	l := t.links[key]
 	if l == nil {
-		l = &line{transport: t, key: key, queue: make(chan queued, t.sizes.Queue)}
-		t.lines[key] = l
+		l = &peerLink{transport: t, key: key, queue: make(chan queuedMessage, t.sizes.Queue)}
+		t.links[key] = l
 		t.tasks.Go(l.run)
 	}
 	select {
-	case l.queue <- queued{message: m, at: t.clock.Elapsed()}:
+	case l.queue <- queuedMessage{message: m, queuedAt: t.clock.Elapsed()}:
 	default:
 		t.undelivered(to, m, false)
 	}
