--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -27,7 +27,7 @@
 	{
 		"what a copy says as it was known is news", "internal/spread/spread.go",
 		"	return !same\n", "	return !same || found\n",
-		"./internal/spread", "TestSameValueIsNoNews",
+		"./internal/spread", "TestSameValueIsNoChange",
 	},
 	{
 		"what is gone after a copy was said by somebody", "internal/spread/confirmation.go",
@@ -72,7 +72,7 @@
 	{
 		"a node asks for ever for a configuration that it turns down", "internal/spread/era.go",
 		"if c.retainedRequests >= maximumRetainedRequests {", "if false {",
-		"./internal/spread", "TestKeptConfiguration",
+		"./internal/spread", "TestRetainedConfiguration",
 	},
 	{
 		"a quarantine that a copy lacks is over", "internal/gateway/quarantine_evidence.go",
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -137,7 +137,7 @@
 	{
 		"an answer to an earlier life counts as complete", "internal/spread/spread.go",
 		"if m.Complete || !m.Since.After(c.revision) {", "if true {",
-		"./internal/spread", "TestAnswerToAnEarlierLife",
+		"./internal/spread", "TestAnswerToAnEarlierProcess",
 	},
 	{
 		"a node does not ask peers that know more", "internal/spread/spread.go",
@@ -334,7 +334,7 @@
 	{
 		"changes after a gap count as all", "internal/spread/spread.go",
 		"if m.Complete || !m.Since.After(c.revision) {", "if true {",
-		"./internal/spread", "TestGapIsAskedFor",
+		"./internal/spread", "TestMissingChangesAreRequested",
 	},
 	{
 		"a young node uses its whole share of connections", "internal/gateway/fleet_share.go",
--- a/internal/spread/confirmation.go
+++ b/internal/spread/confirmation.go
@@ -15,7 +15,7 @@
 	at       clock.Ms
 }
 
-// Confirm takes in that the store itself has just told all changes up to the revision that is known.
+// Confirm records that the store itself has just returned all changes up to the node's revision.
 func (c *Core) Confirm(now time.Duration) {
 	c.confirm(now, confirmation{known: true, revision: c.revision, at: clock.FromDuration(now)})
 }
@@ -27,32 +27,34 @@
 	c.confirmed = latest
 }
 
-// DeletionsReliable reports whether an entry that has gone says that its back end leaves. It does unless the store may have been away
-// from all for so long, a short while ago, that entries of sound back ends have lapsed. That a call of this node failed says
-// nothing of that: the copies of all nodes are confirmed by whoever reaches the store.
+// DeletionsReliable reports whether a missing entry proves that its back end is leaving. It does not if all nodes
+// may recently have been unable to reach the store for so long that entries of healthy back ends expired. A failed
+// call of this node alone does not matter: any node that reaches the store confirms the copies of all nodes.
 func (c *Core) DeletionsReliable(now time.Duration) bool {
 	at := clock.FromDuration(now)
 	return c.confirmed.known && at-c.confirmed.at < c.settings.EntryLifetime && at-c.reconfirmedAt >= c.settings.RewriteWindow &&
 		c.RewriteRemaining(now) == 0
 }
 
-// ConfirmedWithin reports whether the copy was complete at some moment within the given time.
+// ConfirmedWithin reports whether the copy is known to have been complete at some moment within the given time.
 func (c *Core) ConfirmedWithin(now time.Duration, within clock.Ms) bool {
 	return c.confirmed.known && clock.FromDuration(now)-c.confirmed.at <= within
 }
 
-// CopyAge is how long ago the copy was last known to be complete; false where it never was.
+// CopyAge returns the time since the copy was last known to be complete. It returns false if the copy never was.
 func (c *Core) CopyAge(now time.Duration) (age clock.Ms, known bool) {
 	return max(0, clock.FromDuration(now)-c.confirmed.at), c.confirmed.known
 }
 
-// PeersConfirmedWithin reports whether a peer's copy was complete at some moment within the given time, as that peer has said.
+// PeersConfirmedWithin reports whether, by its own report, the copy of at least one peer was complete at some
+// moment within the given time.
 func (c *Core) PeersConfirmedWithin(now time.Duration, within clock.Ms) bool {
 	return c.peerConfirmationReceived && clock.FromDuration(now)-c.latestPeerConfirmation <= within
 }
 
-// receiveConfirmation takes in what a peer says of when the store held nothing beyond a revision. It tells of the own copy once
-// that has the revision, since the own copy then has all that the peer's had.
+// receiveConfirmation records the peer's report of when the store held no change beyond a revision. It also
+// confirms this node's copy once that has reached the revision, since the copy then contains everything that the
+// peer's contained.
 func (c *Core) receiveConfirmation(now time.Duration, revision history.Revision, m message.Confirmation) {
 	if !m.Confirmed || revision.Unknown() {
 		return
@@ -67,7 +69,8 @@
 	c.adoptPeerConfirmation(now)
 }
 
-// adoptPeerConfirmation takes a peer's confirmation over once the own copy has its revision.
+// adoptPeerConfirmation confirms this node's copy by the peer's confirmation once the copy has reached the peer's
+// revision.
 func (c *Core) adoptPeerConfirmation(now time.Duration) {
 	if !c.peerConfirmed.known || c.peerConfirmed.revision.After(c.revision) {
 		return
@@ -78,10 +81,10 @@
 	c.peerConfirmed = confirmation{}
 }
 
-// maximumAge bounds what is said of ages; a confirmation that is older is none.
+// maximumAge caps reported ages. An older confirmation is not reported.
 const maximumAge = 60 * clock.Second
 
-// confirmation gives what others are told.
+// confirmation returns the confirmation that is sent to peers.
 func (c *Core) confirmation(now time.Duration) message.Confirmation {
 	if !c.confirmed.known {
 		return message.Confirmation{}
@@ -90,7 +93,8 @@
 	return message.Confirmation{Confirmed: age < maximumAge, AgeMs: uint32(min(age, maximumAge))}
 }
 
-// Announce sends peers the changes after a revision that the store has just told, or only that there were none.
+// Announce returns messages that send peers the changes after a revision that the store has just returned. If there
+// are no changes, it sends them a digest, which confirms their copies.
 func (c *Core) Announce(now time.Duration, peers []string, since history.Revision, records []message.StoreRecord) []Send {
 	var m message.Message = c.digest(now)
 	if len(records) > 0 {
--- a/internal/spread/era.go
+++ b/internal/spread/era.go
@@ -9,10 +9,11 @@
 	"stiletrail/internal/message"
 )
 
-// maximumKeptTries to learn a configuration that a peer has in force: this node may turn it down, by settings of its own.
+// maximumRetainedRequests is how often a node asks peers for a configuration version that they have in force. It is
+// bounded because this node's own settings may make it reject the version every time.
 const maximumRetainedRequests = 3
 
-// observeEra takes in that something was said of an era.
+// observeEra records that a message or an answer of the store mentioned an era.
 func (c *Core) observeEra(now time.Duration, era uint64) {
 	if c.knowsEra && era > c.era {
 		c.restored, c.restoredAt = true, clock.FromDuration(now)
@@ -20,8 +21,9 @@
 	c.era, c.knowsEra = max(c.era, era), true
 }
 
-// RewriteRemaining is how much longer a restored store may lack what it had confirmed before: it is written again by whoever wrote
-// it. It is 0 where the store was not restored of late, as far as this node knows.
+// RewriteRemaining returns for how much longer the restored store may lack records that it had confirmed before.
+// The writers of those records write them again within that time. It returns 0 if this node knows of no recent
+// restore.
 func (c *Core) RewriteRemaining(now time.Duration) clock.Ms {
 	if !c.restored {
 		return 0
@@ -29,18 +31,19 @@
 	return max(0, c.restoredAt+c.settings.RewriteWindow-clock.FromDuration(now))
 }
 
-// Era is the latest one of which anything was said; restored reports whether the store was restored into it, as far as this
-// node knows.
+// Era returns the latest era mentioned so far. It also reports whether, as far as this node knows, that era began
+// with a restore of the store.
 func (c *Core) Era() (era uint64, restored bool) { return c.era, c.restored }
 
-// Retain has nodes that ask be told an item that this node goes by though the restored store says otherwise. A node that starts
-// then has no other way to know it.
+// Retain marks a record as in force at this node although the restored store has another value for its key or none.
+// Answers to peers' requests include retained records, since a node that has just started cannot learn them in any
+// other way.
 func (c *Core) Retain(record message.StoreRecord) { c.retained[record.Key] = record }
 
-// StopRetaining ends that for a key.
+// StopRetaining removes the retained record of a key.
 func (c *Core) StopRetaining(key string) { delete(c.retained, key) }
 
-// SetConfiguration notes the version of the configuration in force, which digests tell.
+// SetConfiguration sets the version of the configuration in force, which digests report.
 func (c *Core) SetConfiguration(version uint64) { c.configurationVersion = version }
 
 func (c *Core) retainedRecords() (records []message.StoreRecord) {
@@ -50,13 +53,14 @@
 	return records
 }
 
-// digest says how much of the store the node knows.
+// digest returns the message that reports how much of the store this node knows.
 func (c *Core) digest(now time.Duration) *message.StoreDigest {
 	return &message.StoreDigest{Revision: c.revision, Configuration: c.configurationVersion, Confirmation: c.confirmation(now)}
 }
 
-// askForKept asks a peer for all that it knows where, at the same revision of the store, it has a newer configuration in force:
-// it keeps one that the store has lost.
+// requestRetained asks a peer for all of its records. It does so if the peer is at the same revision of the store
+// but has a newer configuration in force, which means that the peer retains a configuration that the store has
+// lost.
 func (c *Core) requestRetained(now time.Duration, peer string, version uint64) []Send {
 	if version <= c.configurationVersion || now < c.nextRequestAt {
 		return nil
--- a/internal/spread/era_test.go
+++ b/internal/spread/era_test.go
@@ -10,8 +10,9 @@
 	"stiletrail/internal/spread"
 )
 
-// inEra is a core that knows all up to a revision of the first era: a key, and another one that is gone.
-func inEra(number uint64) *spread.Core {
+// copyOfFirstEra returns a copy that is complete up to a revision of the first era. It holds one key and the tombstone of
+// another.
+func copyOfFirstEra(number uint64) *spread.Core {
 	core := spread.New(settings, func(int) []string { return nil })
 	core.Apply(0, message.StoreRecord{Key: "k", Revision: at(number), Value: []byte("later")})
 	core.Apply(0, message.StoreRecord{Key: "gone", Revision: at(number - 1), Deleted: true})
@@ -19,66 +20,70 @@
 	return core
 }
 
-// TestLaterEraGoesFirst: what is said in a later era counts, whatever its number; what is said in an earlier one does not any
-// more.
-func TestLaterEraGoesFirst(t *testing.T) {
-	core := inEra(68)
+// TestLaterEraWins: records of a later era replace those of an earlier era, whatever their revision numbers.
+// Records of an earlier era are then ignored.
+func TestLaterEraWins(t *testing.T) {
+	core := copyOfFirstEra(68)
 	later := &message.StoreRecords{Complete: true, Revision: history.At(2, 65), Records: []message.StoreRecord{
 		{Key: "k", Revision: history.At(2, 60), Value: []byte("earlier")}, {Key: "gone", Revision: history.At(2, 50)},
 	}}
 	received := core.Receive(0, "peer", later, false)
 	if !received.Advanced || len(received.Records) != 2 || core.Revision() != history.At(2, 65) {
-		t.Errorf("received %+v, revision %v", received, core.Revision())
+		t.Errorf("received %+v, want two records and an advance; the revision is %v, want 65 of the second era", received, core.Revision())
 	}
 	old := &message.StoreRecords{Since: at(60), Revision: at(99), Records: []message.StoreRecord{
 		{Key: "k", Revision: at(99), Value: []byte("of before")}, {Key: "new", Revision: at(98)},
 	}}
 	if received := core.Receive(0, "peer", old, false); received.Advanced || len(received.Records) != 0 || core.Revision() != history.At(2, 65) {
-		t.Errorf("of an earlier era: %+v, revision %v", received, core.Revision())
+		t.Errorf("received %+v from an earlier era, want no record and no advance; the revision is %v, want 65 of the second era", received, core.Revision())
 	}
 	if !core.Apply(0, message.StoreRecord{Key: "k", Revision: history.At(2, 66), Value: []byte("newest")}) {
-		t.Error("the next change is dropped")
+		t.Error("the next change of the later era is dropped")
 	}
 }
 
-// TestWholeToAnEarlierEra: who asks from a revision of an earlier era is told all that there is, and drops what is not.
-func TestWholeToAnEarlierEra(t *testing.T) {
-	ahead, behind := inEra(68), inEra(70)
+// TestEarlierEraIsSentAllRecords: a node that requests changes since a revision of an earlier era is sent all
+// records. It deletes the keys that are not among them.
+func TestEarlierEraIsSentAllRecords(t *testing.T) {
+	ahead, behind := copyOfFirstEra(68), copyOfFirstEra(70)
 	ahead.Apply(0, message.StoreRecord{Key: "k", Revision: history.At(2, 60)})
 	ahead.ApplyListing(0, map[string]bool{"k": true}, history.At(2, 65))
 	ahead.Advance(0, history.At(2, 65))
 	behind.Apply(0, message.StoreRecord{Key: "lost", Revision: at(71)})
 	sends := ahead.Receive(0, "behind", &message.StoreRequest{Revision: behind.Revision()}, true).Sends
 	if len(sends) != 1 || !sends[0].Message.(*message.StoreRecords).Complete {
-		t.Fatalf("answered %+v", sends)
+		t.Fatalf("the request is answered with %+v, want all records in one message", sends)
 	}
 	received := behind.Receive(0, "ahead", sends[0].Message, true)
 	if !slices.Equal(received.Deleted, []string{"lost"}) || behind.Revision() != history.At(2, 65) {
-		t.Errorf("received %+v, revision %v", received, behind.Revision())
+		t.Errorf("received %+v, want key lost deleted; the revision is %v, want 65 of the second era", received, behind.Revision())
 	}
-	// Who is ahead by the era answers a digest of a greater number with its own.
+	// A digest of an earlier era is answered with the node's own digest, although the earlier era's revision number
+	// is greater.
 	sends = ahead.Receive(0, "late", &message.StoreDigest{Revision: at(900)}, true).Sends
 	if len(sends) != 1 || sends[0].Message.(*message.StoreDigest).Revision != history.At(2, 65) {
-		t.Errorf("answered %+v to a digest of an earlier era", sends)
+		t.Errorf("a digest of an earlier era is answered with %+v, want the node's own digest", sends)
 	}
 }
 
-// TestSameValueIsNoNews: what a store that is back from a copy says as it was known is not news.
-func TestSameValueIsNoNews(t *testing.T) {
-	core := inEra(68)
+// TestSameValueIsNoChange: a store restored from a backup returns a known value under a revision of a later era.
+// That is not reported as a change.
+func TestSameValueIsNoChange(t *testing.T) {
+	core := copyOfFirstEra(68)
 	if core.Apply(0, message.StoreRecord{Key: "k", Revision: history.At(2, 60), Value: []byte("later")}) {
-		t.Error("the same value is news")
+		t.Error("a known value under a revision of a later era is reported as a change")
 	}
 	if !core.Apply(0, message.StoreRecord{Key: "k", Revision: history.At(2, 66), Value: []byte("later")}) {
-		t.Error("a write of the same era is no news")
+		t.Error("a write in the same era is not reported as a change")
 	}
 	if !core.Apply(0, message.StoreRecord{Key: "gone", Revision: history.At(2, 60)}) {
-		t.Error("a key that was gone is no news")
+		t.Error("the return of a deleted key is not reported as a change")
 	}
 }
 
-// TestUnwritten: nothing that is gone counts as said by anybody until who had written it has had the time to write it again.
-func TestUnwritten(t *testing.T) {
+// TestDeletionsUnreliableAfterRestore: a missing entry does not prove that its back end is leaving until the owners
+// of lost entries have had RewriteWindow to write them again.
+func TestDeletionsUnreliableAfterRestore(t *testing.T) {
 	core := spread.New(spread.Settings{EntryLifetime: 2400, RewriteWindow: 2500, Interval: time.Second}, func(int) []string { return nil })
 	core.Advance(0, at(68))
 	core.Confirm(0)
@@ -86,23 +91,24 @@
 		core.Confirm(now)
 	}
 	if !core.DeletionsReliable(5*time.Second) || core.RewriteRemaining(5*time.Second) != 0 {
-		t.Fatal("not settled before")
+		t.Fatal("deletions are not reliable before the restore, or records are reported as not yet rewritten")
 	}
 	core.Advance(5*time.Second, history.At(2, 65))
 	core.Confirm(5 * time.Second)
 	if core.DeletionsReliable(5*time.Second) || core.RewriteRemaining(6*time.Second) != 1500 {
-		t.Errorf("settled at once, for %d ms", core.RewriteRemaining(6*time.Second))
+		t.Errorf("deletions are reliable right after the restore, or the remaining rewrite time is %d ms, want 1500 ms", core.RewriteRemaining(6*time.Second))
 	}
 	core.Confirm(7 * time.Second)
 	if !core.DeletionsReliable(7500 * time.Millisecond) {
-		t.Error("not settled in the end")
+		t.Error("deletions are not reliable after RewriteWindow")
 	}
 }
 
-// TestKeptConfiguration: a node that has an older configuration in force at the same revision asks for the newer one, not for
-// ever, and not where it has it.
-func TestKeptConfiguration(t *testing.T) {
-	ahead, starts := inEra(68), inEra(68)
+// TestRetainedConfiguration: a node at the same revision as a peer, but with an older configuration in force,
+// requests the newer one. It does not request a version that it already has, and gives up after some requests for
+// one that it keeps rejecting.
+func TestRetainedConfiguration(t *testing.T) {
+	ahead, starts := copyOfFirstEra(68), copyOfFirstEra(68)
 	ahead.SetConfiguration(21)
 	ahead.Retain(message.StoreRecord{Key: "configuration", Revision: at(60), Value: []byte("21")})
 	starts.SetConfiguration(12)
@@ -110,28 +116,28 @@
 	now := time.Duration(0)
 	sends := starts.Receive(now, "ahead", digest, true).Sends
 	if len(sends) != 1 {
-		t.Fatalf("asked %+v", sends)
+		t.Fatalf("the node sends %+v, want one request", sends)
 	}
 	reply := ahead.Receive(now, "starts", sends[0].Message, true).Sends
 	if len(reply) != 1 {
-		t.Fatalf("answered %+v", reply)
+		t.Fatalf("the request is answered with %+v, want one message", reply)
 	}
 	if kept := starts.Receive(now, "ahead", reply[0].Message, true).Retained; len(kept) != 1 || string(kept[0].Value) != "21" {
-		t.Errorf("told %+v", kept)
+		t.Errorf("the retained records are %+v, want the configuration of version 21", kept)
 	}
 	asked := 1
 	for ; now < time.Minute; now += time.Second {
 		asked += len(starts.Receive(now, "ahead", digest, true).Sends)
 	}
 	if asked > 3 {
-		t.Errorf("asked %d times for a version that it turns down", asked)
+		t.Errorf("the node requested a version that it rejects %d times, want at most 3", asked)
 	}
 	if sends := ahead.Receive(now, "starts", &message.StoreDigest{Revision: at(68), Configuration: 12}, true).Sends; len(sends) != 0 {
-		t.Errorf("asks %+v for what it has", sends)
+		t.Errorf("the node sends %+v, want no request for a version that it has", sends)
 	}
 	ahead.StopRetaining("configuration")
 	reply = ahead.Receive(now, "another", &message.StoreRequest{}, true).Sends
 	if len(reply[0].Message.(*message.StoreRecords).Retained) != 0 {
-		t.Error("what the store says again is told as kept")
+		t.Error("a record is still sent as retained after StopRetaining")
 	}
 }
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -1,12 +1,14 @@
-// Package spread keeps a node's copy of the store and decides how nodes tell each other what they know of it, so that a node
-// that the store does not serve, or whose watch has missed a change, learns it from others.
+// Package spread keeps a node's copy of the metadata store and decides how nodes replicate it to each other. A node
+// that cannot reach the store, or whose watch has missed a change, thereby learns the change from its peers.
 //
-// Each record carries the revision of its last change, and the newer one wins: the order and number of messages are of no
-// matter, and nothing goes back. Where the store is restored from a backup, which lacks its latest changes, its revisions are
-// of a new era, which goes before their numbers.
+// Each record carries the revision of its last change, and the newer record of a key wins. The result therefore
+// does not depend on the order or the number of messages, and no record goes back to an older value. A store that
+// is restored from a backup lacks its latest changes. Its revisions then belong to a new era, and revisions are
+// compared by era first and by number second.
 //
-// The package owns the copy of the store: its records, the revision up to which they are whole, when that was last confirmed,
-// and the era. It does no I/O, reads no clock and has no lock: callers give the time, send what it returns and serialise calls.
+// The package owns the copy: its records, the revision up to which it is complete, the time at which that was last
+// confirmed, and the era. It does no I/O, reads no clock and has no lock. The caller passes in the time, sends the
+// returned messages and serialises access.
 package spread
 
 import (
@@ -19,88 +21,95 @@
 	"stiletrail/internal/message"
 )
 
-// Settings of the spreading.
+// Settings holds the intervals and limits of the replication between nodes.
 type Settings struct {
-	// Interval is the pause between two digests sent to a random peer.
+	// Interval is the time between two digests, each sent to one random peer.
 	Interval time.Duration
-	// Fanout is the number of peers told at once when more is known.
+	// Fanout is the number of peers that are sent a digest at once when the node's revision advances.
 	Fanout int
-	// PeerRequestDelay is how long a node that the store serves waits for its own watch when a peer knows more.
+	// PeerRequestDelay is how long a node that reaches the store waits for its own watch before it requests changes
+	// from a peer with a later revision.
 	PeerRequestDelay time.Duration
-	// AnswerTimeout is how long a node waits for a peer's answer before it asks another.
+	// AnswerTimeout is how long a node waits for a peer's answer before it asks another peer.
 	AnswerTimeout time.Duration
-	// TombstoneRetention is how long it is remembered that a key is gone.
+	// TombstoneRetention is how long the node remembers that a key was deleted.
 	TombstoneRetention time.Duration
-	// EntryLifetime is the shortest time for which the store must have been away for entries of sound back ends to be gone by that.
+	// EntryLifetime is the shortest outage of the store after which entries of healthy back ends may have expired.
 	EntryLifetime clock.Ms
-	// RewriteWindow is how long after the store was away, or was restored, what it lacks by that may still be missing: its owners
-	// write it again.
+	// RewriteWindow is how long after an outage or a restore of the store records may be missing that were lost by
+	// it. Their owners write them again within that time.
 	RewriteWindow clock.Ms
 }
 
-// Record is an item of the store, or that it is gone.
+// Record is an item of the store or the tombstone of a deleted key.
 type Record struct {
 	message.StoreRecord
 	deletedAt time.Duration
 }
 
-// Send is a message to a peer.
+// Send is a message for a peer.
 type Send struct {
 	To      string
 	Message message.Message
 }
 
-// PeerPicker picks up to count random peers.
+// PeerPicker returns up to count random peers.
 type PeerPicker func(count int) []string
 
-// Core is a node's copy.
+// Core is a node's copy of the store.
 type Core struct {
 	settings Settings
 	peers    PeerPicker
 	records  map[string]Record
-	// revision up to which all changes are known, unknown while nothing whole is.
+	// revision is the revision up to which the node knows all changes. It is unknown until the copy is complete for
+	// the first time.
 	revision history.Revision
-	// horizon is the latest revision of which it is not remembered whether a key is gone.
+	// compactedRevision is the latest revision for which tombstones of deleted keys have been discarded.
 	compactedRevision history.Revision
 	nextDigestAt      time.Duration
-	// aheadPeer knows more, since aheadSince.
+	// aheadPeer is a peer that reported a later revision, aheadRevision, at the time aheadSince.
 	aheadPeer     string
 	aheadRevision history.Revision
 	aheadSince    time.Duration
-	// confirmed is when the copy was last known to be complete; peerConfirmed is what a peer that knows more says of its own.
+	// confirmed is when the copy was last known to be complete. peerConfirmed is the confirmation of a peer whose
+	// revision is later than this node's; it is adopted once this node reaches that revision.
 	confirmed     confirmation
 	peerConfirmed confirmation
-	// reconfirmedAt is when the copy was confirmed after entries may have lapsed; from the first confirmation on.
+	// reconfirmedAt is when the copy was confirmed for the first time, or for the first time after entries may have
+	// expired.
 	reconfirmedAt clock.Ms
-	// peersHeardAt is the latest moment of which a peer has said that its copy was complete; peersHeard, whether one ever has.
+	// peerConfirmationReceived is set once any peer has reported that its copy was complete. latestPeerConfirmation
+	// is the latest moment for which one has reported that.
 	peerConfirmationReceived bool
 	latestPeerConfirmation   clock.Ms
-	// askedUntil: a peer was asked, and no other is before then. Copies are large where there are many back ends.
+	// nextRequestAt is the earliest time for the next request to a peer, while an earlier request is unanswered.
+	// Copies are large when there are many back ends.
 	nextRequestAt time.Duration
-	// era is the latest one of which anything was said, knowsEra whether anything was; restoredAt is when a later one was first
-	// heard of, where restored.
+	// era is the latest era mentioned so far, valid if knowsEra is set. restoredAt is when the node first heard of
+	// a later era than the one it knew, valid if restored is set.
 	era        uint64
 	knowsEra   bool
 	restored   bool
 	restoredAt clock.Ms
-	// kept are items that the node goes by though the restored store says otherwise; configuration is the version in force, 0
-	// without one.
+	// retained holds the records that are in force at this node although the restored store says otherwise.
+	// configurationVersion is the version of the configuration in force, or 0 without one.
 	retained             map[string]message.StoreRecord
 	configurationVersion uint64
-	// keptAsked is the version of the configuration that peers were asked for so many times as keptTries.
+	// retainedVersionRequested is the configuration version that the node last requested from peers, and
+	// retainedRequests is how often it has.
 	retainedVersionRequested uint64
 	retainedRequests         int
 }
 
-// New returns a core that knows nothing.
+// New returns an empty copy.
 func New(settings Settings, peers PeerPicker) *Core {
 	return &Core{settings: settings, peers: peers, records: map[string]Record{}, retained: map[string]message.StoreRecord{}}
 }
 
-// Revision up to which all changes are known.
+// Revision returns the revision up to which the node knows all changes.
 func (c *Core) Revision() history.Revision { return c.revision }
 
-// Records gives all records, those remembered as gone included, ordered by key.
+// Records returns all records, tombstones included, ordered by key.
 func (c *Core) Records() []message.StoreRecord {
 	records := make([]message.StoreRecord, 0, len(c.records))
 	for _, known := range c.records {
@@ -110,24 +119,26 @@
 	return records
 }
 
-// Record gives what is known of a key, also that it is gone; false where nothing is.
+// Record returns the record or the tombstone of a key. It returns false if nothing is known of the key.
 func (c *Core) Record(key string) (record message.StoreRecord, known bool) {
 	found, known := c.records[key]
 	return found.StoreRecord, known
 }
 
-// Apply takes a record in if it is newer than what is known of its key, and reports whether it says something else.
+// Apply stores a record if it is newer than the known record of its key. It reports whether the record changes
+// anything but the revision.
 func (c *Core) Apply(now time.Duration, record message.StoreRecord) bool {
 	known, found := c.records[record.Key]
 	if found && !record.Revision.After(known.Revision) {
 		return false
 	}
-	// All changes up to the revision are known: a key that is not there is gone, and what says otherwise is old.
+	// The node knows all changes up to its revision. A key without a record is deleted, and an older record that
+	// says otherwise is obsolete.
 	if !found && !record.Revision.After(c.revision) {
 		return false
 	}
-	// A restored store tells all that it has, and most of it was known: a back end whose entry tells how much longer it is cold
-	// would be cold anew.
+	// A restored store returns all of its records, most of which are known already. Treating them as changes would
+	// do harm: a back end whose entry states how much longer it warms up would start its warm-up again.
 	same := found && !known.Deleted && !record.Deleted && bytes.Equal(known.Value, record.Value) &&
 		record.Revision.Era != known.Revision.Era
 	c.observeEra(now, record.Revision.Era)
@@ -143,30 +154,33 @@
 	return !same
 }
 
-// ApplyListing takes in that the keys listed are all there were at a revision, and returns the keys that are gone since.
+// ApplyListing records that the listed keys are all that the store held at a revision. It returns the keys that
+// have been deleted.
 func (c *Core) ApplyListing(now time.Duration, listed map[string]bool, revision history.Revision) []string {
-	var gone []string
+	var deleted []string
 	for key, known := range c.records {
 		if listed[key] || known.Deleted || known.Revision.After(revision) {
 			continue
 		}
 		c.records[key] = Record{StoreRecord: message.StoreRecord{Key: key, Revision: revision, Deleted: true}, deletedAt: now}
-		gone = append(gone, key)
+		deleted = append(deleted, key)
 	}
-	// What was gone before is not remembered: whoever knows less than this revision must be sent everything.
+	// The listing does not say which other keys were deleted before it. A peer with an earlier revision must
+	// therefore be sent all records.
 	c.compactedRevision = history.Latest(c.compactedRevision, revision)
-	sort.Strings(gone)
-	return gone
+	sort.Strings(deleted)
+	return deleted
 }
 
-// Advance takes in that all changes up to a revision are known, and tells some peers if that is news.
+// Advance records that all changes up to a revision are known. If the revision is new, it returns digests for some
+// peers.
 func (c *Core) Advance(now time.Duration, revision history.Revision) []Send {
 	if !revision.After(c.revision) {
 		return nil
 	}
 	c.observeEra(now, revision.Era)
 	c.revision = revision
-	// Whatever brought this news may bring the rest: patience with it begins anew.
+	// The source of this advance may bring the remaining changes too, so PeerRequestDelay starts again.
 	c.aheadPeer = ""
 	c.adoptPeerConfirmation(now)
 	return c.digests(now, c.settings.Fanout)
@@ -180,11 +194,12 @@
 	return sends
 }
 
-// quietFactor times the interval lies between digests of a node that watchers tell of the store.
+// nonWatcherIntervalFactor multiplies Settings.Interval for a node to which watchers announce the store's changes.
 const nonWatcherIntervalFactor = 10
 
-// Tick takes in the passing of time. Served says whether the store's changes come to this node; if not, others are asked at
-// once. WatchersTell says that watchers tell it of them: what it knows is news to hardly anyone.
+// Tick sends the digests and requests that are due. Parameter storeReachable says whether this node receives the
+// store's changes itself; if it does not, it asks peers without delay. Parameter watchersAnnounce says whether
+// watchers announce the changes to this node; its digests are then news to hardly any peer and are sent less often.
 func (c *Core) Tick(now time.Duration, storeReachable, watchersAnnounce bool) []Send {
 	var sends []Send
 	if now >= c.nextDigestAt {
@@ -198,7 +213,8 @@
 	return append(sends, c.requestRecords(now, storeReachable)...)
 }
 
-// request asks the peer that knows more, once it is certain enough that the own watch does not tell it.
+// requestRecords asks the peer with a later revision for its records, once PeerRequestDelay has passed without the
+// node's own watch bringing them.
 func (c *Core) requestRecords(now time.Duration, storeReachable bool) []Send {
 	if c.aheadPeer == "" {
 		return nil
@@ -216,20 +232,21 @@
 	return []Send{{peer, &message.StoreRequest{Revision: c.revision}}}
 }
 
-// Received is what a message from a peer brought.
+// Received is the effect of a message from a peer.
 type Received struct {
 	Sends []Send
-	// Records are those that were newer than what was known.
+	// Records holds the received records that were newer than the known ones.
 	Records []message.StoreRecord
-	// Deleted keys were known and are not there any more.
+	// Deleted holds the keys that were known and have been deleted.
 	Deleted []string
-	// Retained are those that the peer goes by though the restored store says otherwise.
+	// Retained holds the records that are in force at the peer although the restored store says otherwise.
 	Retained []message.StoreRecord
-	// Advanced: all changes up to Revision are known now.
+	// Advanced is set if all changes up to a later revision than before are now known.
 	Advanced bool
 }
 
-// Receive takes in a message of this package's kinds. Served says whether the store answers this node.
+// Receive handles a message of this package's kinds. Parameter storeReachable says whether the store answers this
+// node.
 func (c *Core) Receive(now time.Duration, from string, m message.Message, storeReachable bool) Received {
 	switch m := m.(type) {
 	case *message.StoreDigest:
@@ -257,7 +274,8 @@
 	return Received{Sends: c.requestRetained(now, from, m.Configuration)}
 }
 
-// answer sends what has changed beyond the revision asked for, or everything where it is not remembered what has gone since.
+// answerRequest sends the changes after the requested revision. It sends all records if the tombstones since that
+// revision have been discarded.
 func (c *Core) answerRequest(now time.Duration, to string, m *message.StoreRequest) []Send {
 	if !c.revision.After(m.Revision) {
 		return nil
@@ -289,19 +307,20 @@
 	if m.Complete {
 		received.Deleted = c.ApplyListing(now, listed, m.Revision)
 	}
-	// An answer to a request of an earlier life of this node may still come; what it leaves out is not known in this one.
+	// The answer may belong to a request that an earlier process at this address made. This process does not know
+	// the changes that the answer leaves out.
 	if m.Complete || !m.Since.After(c.revision) {
 		received.Advanced = m.Revision.After(c.revision)
 		received.Sends = c.Advance(now, m.Revision)
 	} else if m.Revision.After(c.revision) {
-		// Changes before these are not known: the sender is asked for them.
+		// Changes before these are missing. The node requests them from the sender.
 		c.aheadPeer, c.aheadRevision, c.aheadSince = from, m.Revision, now-c.settings.PeerRequestDelay
 		received.Sends = c.requestRecords(now, false)
 	}
 	return received
 }
 
-// forget drops the memory of keys that are gone since long.
+// discardTombstones discards tombstones that are older than TombstoneRetention.
 func (c *Core) discardTombstones(now time.Duration) {
 	for key, known := range c.records {
 		if known.Deleted && now-known.deletedAt >= c.settings.TombstoneRetention {
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -13,31 +13,31 @@
 	"stiletrail/internal/spread"
 )
 
-// at is a revision of the first era.
+// at returns a revision of the first era.
 func at(number uint64) history.Revision { return history.At(1, number) }
 
 var settings = spread.Settings{Interval: time.Second, Fanout: 2, PeerRequestDelay: time.Second, AnswerTimeout: time.Second, TombstoneRetention: 20 * time.Second}
 
-// world is some nodes, the store they follow, and the messages between them.
+// world is a set of nodes, the store that they read, and the messages between them.
 type world struct {
 	now     time.Duration
 	records map[string]message.StoreRecord
 	history []message.StoreRecord
-	// era of the store; it has come back from a copy so many times, and once more.
+	// era is the store's era. It starts at 1 and rises with each restore from a backup.
 	era    uint64
 	nodes  []*node
 	random *rand.Rand
 }
 
-// node has its copy; served says whether it reads the store.
+// node is a node with its copy of the store. storeReachable says whether it reads the store itself.
 type node struct {
 	name           string
 	core           *spread.Core
 	storeReachable bool
-	inbox          []letter
+	inbox          []envelope
 }
 
-type letter struct {
+type envelope struct {
 	from    string
 	message message.Message
 }
@@ -69,23 +69,23 @@
 	for _, send := range sends {
 		for _, to := range w.nodes {
 			if to.name == send.To {
-				to.inbox = append(to.inbox, letter{from.name, send.Message})
+				to.inbox = append(to.inbox, envelope{from.name, send.Message})
 			}
 		}
 	}
 }
 
-// change writes or removes a key in the store.
-func (w *world) change(key string, gone bool) {
-	record := message.StoreRecord{Key: key, Revision: history.At(w.era, uint64(len(w.history)+1)), Deleted: gone, Value: []byte(fmt.Sprint(len(w.history)))}
-	if gone {
+// change writes a key to the store or deletes it.
+func (w *world) change(key string, deleted bool) {
+	record := message.StoreRecord{Key: key, Revision: history.At(w.era, uint64(len(w.history)+1)), Deleted: deleted, Value: []byte(fmt.Sprint(len(w.history)))}
+	if deleted {
 		record.Value = nil
 	}
 	w.records[key] = record
 	w.history = append(w.history, record)
 }
 
-// restore has the store come back from a copy that lacks its latest changes.
+// restore restores the store from a backup that lacks its latest changes.
 func (w *world) restore() {
 	w.era++
 	w.history = w.history[:w.random.IntN(len(w.history)+1)]
@@ -96,7 +96,7 @@
 	}
 }
 
-// list lets a node read all that there is.
+// list makes a node read a complete listing of the store.
 func (w *world) list(n *node) {
 	listed := map[string]bool{}
 	for key, record := range w.records {
@@ -110,7 +110,7 @@
 	w.deliver(n, n.core.Advance(w.now, revision))
 }
 
-// read lets a node that is served read all changes it does not know.
+// read makes a node read all changes in the store that it does not know.
 func (w *world) read(n *node) {
 	if known := n.core.Revision(); !known.Unknown() && known.Era != w.era {
 		w.list(n)
@@ -122,7 +122,7 @@
 	w.deliver(n, n.core.Advance(w.now, history.At(w.era, uint64(len(w.history)))))
 }
 
-// step lets time pass: nodes read the store if they are served, take their messages, and tick.
+// step advances time. Nodes that reach the store read it. Then each node handles its messages and ticks.
 func (w *world) step(length time.Duration) {
 	w.now += length
 	for _, n := range w.nodes {
@@ -131,15 +131,15 @@
 		}
 		inbox := n.inbox
 		n.inbox = nil
-		for _, letter := range inbox {
-			w.deliver(n, n.core.Receive(w.now, letter.from, letter.message, n.storeReachable).Sends)
+		for _, envelope := range inbox {
+			w.deliver(n, n.core.Receive(w.now, envelope.from, envelope.message, n.storeReachable).Sends)
 		}
 		w.deliver(n, n.core.Tick(w.now, n.storeReachable, false))
 	}
 }
 
-// TestNodesWithoutTheStoreLearn: with one node served, all others know each change within seconds.
-func TestNodesWithoutTheStoreLearn(t *testing.T) {
+// TestNodesWithoutTheStoreLearnChanges: if only one node reaches the store, all others know each change within 3 s.
+func TestNodesWithoutTheStoreLearnChanges(t *testing.T) {
 	w := newWorld(9, rand.New(rand.NewPCG(1, 1)))
 	for _, n := range w.nodes[1:] {
 		n.storeReachable = false
@@ -151,76 +151,81 @@
 		}
 		for _, n := range w.nodes {
 			if n.core.Revision() != at(uint64(i+1)) {
-				t.Fatalf("node %s knows revision %d three seconds after %d", n.name, n.core.Revision(), i+1)
+				t.Fatalf("node %s is at revision %d three seconds after the change with revision %d", n.name, n.core.Revision(), i+1)
 			}
 		}
 	}
 }
 
-// TestServedNodesWaitForTheirOwnWatch: a node that the store serves asks a peer only after its patience.
-func TestServedNodesWaitForTheirOwnWatch(t *testing.T) {
+// TestNodeWaitsForItsOwnWatch: a node that reaches the store requests changes from a peer only after
+// PeerRequestDelay, since its own watch usually brings them.
+func TestNodeWaitsForItsOwnWatch(t *testing.T) {
 	core := spread.New(settings, func(int) []string { return []string{"peer"} })
 	core.Apply(0, message.StoreRecord{Key: "k", Revision: at(1)})
 	core.Advance(0, at(1))
 	if received := core.Receive(0, "peer", &message.StoreDigest{Revision: at(5)}, true); len(received.Sends) != 0 {
-		t.Errorf("asked at once: %+v", received.Sends)
+		t.Errorf("the node requested the changes at once: %+v", received.Sends)
 	}
 	if sends := requests(core.Tick(900*time.Millisecond, true, false)); sends != 0 {
-		t.Error("asked before the patience was over")
+		t.Error("the node requested the changes before PeerRequestDelay had passed")
 	}
 	if sends := requests(core.Tick(time.Second, true, false)); sends != 1 {
-		t.Error("did not ask after the patience was over")
+		t.Error("the node did not request the changes exactly once after PeerRequestDelay")
 	}
 	core.Receive(2*time.Second, "peer", &message.StoreDigest{Revision: at(5)}, true)
 	core.Advance(0, at(5))
 	if sends := requests(core.Tick(4*time.Second, true, false)); sends != 0 {
-		t.Error("asked for what the watch has told meanwhile")
+		t.Error("the node requested changes that its own watch had brought")
 	}
 }
 
-// TestOlderRecordsAreDropped, from the store or a peer, in whatever order they come.
+// TestOlderRecordsAreDropped: an older record of a key never replaces a newer one, whether it comes from the store
+// or from a peer, and in whatever order.
 func TestOlderRecordsAreDropped(t *testing.T) {
 	core := spread.New(settings, func(int) []string { return nil })
 	if !core.Apply(0, message.StoreRecord{Key: "k", Revision: at(5)}) {
-		t.Error("a first record is not taken")
+		t.Error("the first record of a key is not taken")
 	}
 	for _, revision := range []uint64{3, 5} {
 		if core.Apply(0, message.StoreRecord{Key: "k", Revision: at(revision), Deleted: revision == 3}) {
-			t.Errorf("revision %d replaces 5", revision)
+			t.Errorf("revision %d replaces revision 5", revision)
 		}
 	}
 	core.Receive(0, "peer", &message.StoreRecords{Complete: true, Revision: at(4), Records: []message.StoreRecord{{Key: "k", Revision: at(4)}}}, true)
 	if records := core.Records(); len(records) != 1 || records[0].Revision != at(5) {
-		t.Errorf("the records are %+v", records)
+		t.Errorf("the records are %+v, want one at revision 5", records)
 	}
 }
 
-// TestAnswerToAnEarlierLife: what a peer sends beyond a revision that this life of the node never knew is not all there is.
-func TestAnswerToAnEarlierLife(t *testing.T) {
+// TestAnswerToAnEarlierProcess: a peer answers a request that an earlier process at this address made. The changes
+// after a revision that this process never reached are not taken for a complete copy.
+func TestAnswerToAnEarlierProcess(t *testing.T) {
 	core := spread.New(settings, func(int) []string { return nil })
 	late := &message.StoreRecords{Since: at(10), Revision: at(17), Records: []message.StoreRecord{{Key: "k", Revision: at(12)}}}
 	if received := core.Receive(0, "peer", late, false); received.Advanced || !core.Revision().Unknown() {
-		t.Errorf("taken for all changes up to %v", core.Revision())
+		t.Errorf("the answer is taken for all changes up to %v, want an unknown revision", core.Revision())
 	}
 }
 
-// TestPatienceBeginsAnew: a node whose own watch brings news in steps is not taken for one that misses changes.
-func TestPatienceBeginsAnew(t *testing.T) {
+// TestPeerRequestDelayRestarts: a node whose own watch advances step by step does not request changes from peers as
+// if its watch had missed them.
+func TestPeerRequestDelayRestarts(t *testing.T) {
 	core := spread.New(settings, func(int) []string { return []string{"peer"} })
 	core.Advance(0, at(1))
 	core.Receive(0, "peer", &message.StoreDigest{Revision: at(5)}, true)
 	core.Advance(0, at(3))
 	core.Receive(900*time.Millisecond, "peer", &message.StoreDigest{Revision: at(7)}, true)
 	if sends := requests(core.Tick(1100*time.Millisecond, true, false)); sends != 0 {
-		t.Error("asked 0.2 s after the peer was found ahead of what the watch has brought")
+		t.Error("the node requested changes 0.2 s after the peer was found ahead of the latest advance")
 	}
 	if sends := requests(core.Tick(2*time.Second, true, false)); sends != 1 {
-		t.Error("did not ask after the patience was over")
+		t.Error("the node did not request the changes exactly once after PeerRequestDelay")
 	}
 }
 
-// TestOneQuestionAtATime: copies are large, so a node that waits for one does not ask for another, unless none comes.
-func TestOneQuestionAtATime(t *testing.T) {
+// TestOneRequestAtATime: copies are large, so a node that waits for one does not request another. It requests one
+// from another peer if no answer comes.
+func TestOneRequestAtATime(t *testing.T) {
 	core := spread.New(settings, func(int) []string { return []string{"peer"} })
 	asked := 0
 	for i := range 10 {
@@ -228,11 +233,11 @@
 		asked += requests(core.Receive(now, fmt.Sprint("peer-", i), &message.StoreDigest{Revision: at(5)}, false).Sends)
 	}
 	if asked != 1 {
-		t.Errorf("asked %d times within a second", asked)
+		t.Errorf("the node made %d requests within one second, want 1", asked)
 	}
 	asked += requests(core.Receive(time.Second, "another", &message.StoreDigest{Revision: at(5)}, false).Sends)
 	if asked += requests(core.Tick(1100*time.Millisecond, false, false)); asked != 2 {
-		t.Error("did not ask another when no answer came")
+		t.Error("the node did not request from another peer when no answer came")
 	}
 }
 
@@ -246,8 +251,9 @@
 	return count
 }
 
-// TestConverge: over random changes, outages, restarts, returns of the store from a copy and lost or repeated messages no
-// record goes back, and once things are calm all nodes hold what the store holds.
+// TestConverge: changes, outages, restarts, restores of the store from a backup, and lost, repeated or reordered
+// messages happen at random. No record goes back to an older revision, and once the faults end all nodes hold what
+// the store holds.
 func TestConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
@@ -274,7 +280,7 @@
 			}
 			w.step(time.Duration(rapid.IntRange(50, 8000).Draw(rt, "pass")) * time.Millisecond)
 			for _, n := range w.nodes {
-				neverBack(rt, taken, n)
+				checkNeverBack(rt, taken, n)
 			}
 		}
 		w.nodes[0].storeReachable = true
@@ -285,25 +291,25 @@
 			w.step(500 * time.Millisecond)
 		}
 		for _, n := range w.nodes {
-			same(rt, w, n)
+			checkSameAsStore(rt, w, n)
 		}
 	})
 }
 
-// neverBack checks that no key is known at an older revision than before within one life of a node.
-func neverBack(rt *rapid.T, taken map[string]map[string]history.Revision, n *node) {
+// checkNeverBack checks that within one life of a node's process no key goes back to an older revision.
+func checkNeverBack(rt *rapid.T, taken map[string]map[string]history.Revision, n *node) {
 	if taken[n.name] == nil {
 		taken[n.name] = map[string]history.Revision{}
 	}
 	for _, record := range n.core.Records() {
 		if record.Revision.Before(taken[n.name][record.Key]) {
-			rt.Fatalf("node %s went back on %s from %v to %v", n.name, record.Key, taken[n.name][record.Key], record.Revision)
+			rt.Fatalf("node %s: key %s went back from %v to %v", n.name, record.Key, taken[n.name][record.Key], record.Revision)
 		}
 		taken[n.name][record.Key] = record.Revision
 	}
 }
 
-func same(rt *rapid.T, w *world, n *node) {
+func checkSameAsStore(rt *rapid.T, w *world, n *node) {
 	if len(w.history) == 0 {
 		return
 	}
@@ -315,7 +321,7 @@
 	}
 	for key, record := range w.records {
 		if known, found := held[key]; found == record.Deleted || (found && known.Revision != record.Revision) {
-			rt.Fatalf("node %s holds %+v of %s, the store %+v", n.name, known, key, record)
+			rt.Fatalf("node %s holds %+v of key %s, the store holds %+v", n.name, known, key, record)
 		}
 	}
 }
--- a/internal/spread/watchers.go
+++ b/internal/spread/watchers.go
@@ -7,11 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// allWatchFactor: where the nodes are no more than so many times the watchers wanted, all watch.
+// allWatchFactor is the multiple of the wanted number of watchers up to which all nodes watch the store.
 const allWatchFactor = 2
 
-// Watchers returns which of some nodes watch the store and tell the others, in the order of their turns. It goes by hashes of the
-// addresses, so that nodes that know the same members agree without an exchange; where they do not, some more or fewer watch.
+// Watchers returns the nodes that watch the store and send its changes to the other nodes, in the order of their
+// scheduled polls. It chooses them by hashes of the addresses, so that nodes with the same view of the members
+// agree without exchanging messages. If views differ, somewhat more or fewer nodes watch.
 func Watchers(addresses []string, wanted int) []string {
 	watchers := slices.Clone(addresses)
 	slices.SortFunc(watchers, func(a, b string) int {
