--- a/internal/exchange/connection.go
+++ b/internal/exchange/connection.go
@@ -18,47 +18,50 @@
 )
 
 const (
-	// defaultIdle is how long a connection is idle where the back end names no time.
+	// defaultIdleTimeout is how long a connection may be idle if the back end states no time.
 	defaultIdleTimeout = 4 * time.Second
-	// idleMargin is kept before the time a back end names, so that a request does not cross its close.
+	// idleMargin is subtracted from the idle time that a back end states, so that no request is sent while the back
+	// end closes the connection.
 	idleMargin = 500 * time.Millisecond
-	// Sizes of the buffers of a connection, in bytes.
+	// readBuffer and writeBuffer are the sizes of a connection's buffers, in bytes.
 	readBuffer  = 2048
 	writeBuffer = 1024
 )
 
-// connection to a back end, used by one exchange at a time.
+// connection is a connection to a back end. One exchange uses it at a time.
 type connection struct {
 	socket  net.Conn
 	reader  *bufio.Reader
 	counter *countingWriter
 	writer  *bufio.Writer
-	// idleSince, on the pool's clock, and idleFor bound how long it may be idle, as the back end said.
+	// idleSince is the time, on the pool's clock, at which the connection became idle. idleTimeout is how long it
+	// may stay idle, as the back end stated.
 	idleSince   time.Duration
 	idleTimeout time.Duration
-	// closed is told of its end.
-	closed func()
-	// answers that it has carried.
+	// onClose is called when the connection is closed.
+	onClose func()
+	// answersRead is the number of answers read on the connection.
 	answersRead int
 }
 
-// countingWriter knows whether anything was written.
+// countingWriter counts the bytes written to the connection.
 type countingWriter struct {
 	net.Conn
 	written atomic.Int64
 }
 
-// Write implements io.Writer. Bytes count as written before the call, since a failed call may have sent some.
+// Write implements io.Writer. It counts the bytes before the write, since a failed write may have sent some of
+// them.
 func (w *countingWriter) Write(data []byte) (int, error) {
 	w.written.Add(int64(len(data)))
 	return w.Conn.Write(data)
 }
 
-func newConnection(socket net.Conn, closed func()) *connection {
+func newConnection(socket net.Conn, onClose func()) *connection {
 	counter := &countingWriter{Conn: socket}
 	return &connection{
 		socket: socket, counter: counter, reader: bufio.NewReaderSize(socket, readBuffer),
-		writer: bufio.NewWriterSize(counter, writeBuffer), idleTimeout: defaultIdleTimeout, closed: closed,
+		writer: bufio.NewWriterSize(counter, writeBuffer), idleTimeout: defaultIdleTimeout, onClose: onClose,
 	}
 }
 
@@ -66,13 +69,13 @@
 
 func (c *connection) close() {
 	_ = c.socket.Close()
-	if c.closed != nil {
-		c.closed()
+	if c.onClose != nil {
+		c.onClose()
 	}
 }
 
-// roundTrip writes the request and reads the answer. The connection is reusable only if nothing is left in doubt: the whole
-// request was written, a whole answer with a stated length was read, and nothing came after it.
+// roundTrip writes the request and reads the answer. The connection is reusable only if the whole request was
+// written, a complete answer of a stated length was read, and no byte followed it.
 func (c *connection) roundTrip(request Request) (result Result, reusable bool) {
 	c.counter.written.Store(0)
 	message, err := request.Prepare()
@@ -80,16 +83,16 @@
 		return Result{Stage: NotSent, Err: err}, true
 	}
 	if err := c.socket.SetDeadline(request.Deadline); err != nil {
-		return Result{Stage: NotSent, Err: failure.Wrap(err, failure.NoReplica, "the connection is closed")}, false
+		return Result{Stage: NotSent, Err: failure.Wrap(err, failure.NoReplica, "cannot set the deadline: the connection to the back end is closed")}, false
 	}
 	written := c.write(message)
 	response, err := c.readHead(message)
 	if err != nil {
-		return Result{Stage: c.stage(), Err: failure.Wrap(err, failure.OutcomeUnknown, "no answer")}, false
+		return Result{Stage: c.stage(), Err: failure.Wrap(err, failure.OutcomeUnknown, "the connection ended before the back end answered")}, false
 	}
 	body, err := readBody(message, response, request.MaximumBody)
 	if err != nil {
-		return Result{Stage: c.stage(), Err: failure.Wrap(err, failure.OutcomeUnknown, "the answer broke off")}, false
+		return Result{Stage: c.stage(), Err: failure.Wrap(err, failure.OutcomeUnknown, "the connection ended within the back end's answer")}, false
 	}
 	c.answersRead++
 	result = Result{Stage: Answered, Status: response.StatusCode, Header: response.Header, Body: body}
@@ -97,8 +100,9 @@
 	return result, reusable
 }
 
-// write sends the request. A request with a body is written beside the reading of the answer, which may come before the body
-// was read. The function returned reports, without waiting, whether all of it was written.
+// write sends the request. A request with a body is written by a separate goroutine while the answer is read, since
+// the back end may answer before it has read the body. The returned function reports, without waiting, whether the
+// whole request has been written.
 func (c *connection) write(message *http.Request) func() bool {
 	if message.Body == nil || message.Body == http.NoBody {
 		err := c.writeAll(message)
@@ -123,7 +127,7 @@
 	return Sent
 }
 
-// readHead reads the head of the final answer; interim ones are passed over.
+// readHead reads the head of the final answer and skips interim answers.
 func (c *connection) readHead(message *http.Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.reader, message)
@@ -136,7 +140,7 @@
 	}
 }
 
-var errTooLarge = errors.New("the answer is larger than allowed")
+var errTooLarge = errors.New("the back end's answer exceeds the size limit")
 
 func readBody(message *http.Request, response *http.Response, maximum int64) ([]byte, error) {
 	if message.Method == http.MethodHead {
@@ -158,7 +162,8 @@
 	return buffer.Bytes(), err
 }
 
-// framed: the answer said where it ends, the back end keeps the connection, and nothing follows the answer.
+// canKeepAlive reports whether the answer stated its length, the back end keeps the connection open, and no byte
+// followed the answer.
 func (c *connection) canKeepAlive(response *http.Response) bool {
 	lengthKnown := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 	if !lengthKnown || response.Close || c.reader.Buffered() > 0 {
@@ -168,7 +173,7 @@
 	return c.idleTimeout > 0
 }
 
-// keepAliveTimeout is how long a connection may be idle by what the back end says.
+// keepAliveTimeout returns how long a connection may be idle according to the back end's Keep-Alive header.
 func keepAliveTimeout(header http.Header) time.Duration {
 	for part := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -184,8 +189,8 @@
 	return now-c.idleSince >= c.idleTimeout
 }
 
-// sound reports whether a connection may carry another request: it has not been idle too long, the back end has not closed it,
-// and no byte came that belongs to no request.
+// canReuse reports whether the connection may carry another request: it has not been idle for too long, the back
+// end has not closed it, and no unexpected byte has arrived.
 func (c *connection) canReuse(now time.Duration) bool {
 	if c.idleTooLong(now) {
 		return false
--- a/internal/exchange/dial.go
+++ b/internal/exchange/dial.go
@@ -12,16 +12,18 @@
 )
 
 const (
-	// userTimeout is how long written bytes may stay unacknowledged before a connection is given up.
+	// userTimeout is how long written bytes may stay unacknowledged before the connection fails.
 	userTimeout = 2 * time.Second
-	// defaultProofSlack is enough for a back end to notice a connection over its limit and to close it.
+	// defaultVerificationMargin is the time in which a back end at its connection limit notices the new connection
+	// and closes it.
 	defaultVerificationMargin = 2 * time.Millisecond
 )
 
-// errTurnedAway: the back end closed a new connection before anything was sent on it.
+// errRejected is returned if the back end closed a new connection before anything was sent on it, as a back end at
+// its connection limit does.
 var errRejected = errors.New("the back end closed the new connection at once")
 
-// quiet reports whether nothing comes on a new connection, neither a byte nor its end, for some time.
+// staysSilent reports whether a new connection stays open without receiving a byte for the given time.
 func staysSilent(socket net.Conn, length time.Duration) bool {
 	if err := socket.SetReadDeadline(time.Now().Add(length)); err != nil {
 		return false
@@ -52,10 +54,11 @@
 	return newConnection(socket, func() { p.OpenCount.Add(-1) }), nil
 }
 
-// BackEndCrashed reports whether nobody serves at an address any more, as after the end of a process, whether its connections
-// are refused or closed at once by what stands in front of it. It takes one or two ways there and back, and costs a
-// connection where somebody does. Full says that a back end which is at its limit of connections, and closes new ones,
-// counts as serving.
+// BackEndCrashed reports whether no process serves at an address any more. After a crash, connections are refused,
+// or a proxy in front of the back end closes them at once.
+//
+// The check takes one or two round trips, and opens one connection if a process still serves. If full is set, a
+// back end at its connection limit, which closes new connections at once, counts as serving.
 func (p *Pool) BackEndCrashed(ctx context.Context, address string, timeout time.Duration, full bool) bool {
 	started := time.Now()
 	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
@@ -68,7 +71,7 @@
 	return !full && !staysSilent(socket, time.Since(started)+p.verificationMargin)
 }
 
-// setUserTimeout has a connection to a peer that fell silent fail instead of hanging.
+// setUserTimeout makes a connection to a back end that has stopped acknowledging fail instead of hanging.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(descriptor uintptr) {
 		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,14 +1,15 @@
 // Package exchange sends one HTTP/1.1 request over one connection and reads its answer, at most once.
 //
-// net/http's Transport sends some requests a second time on its own when a reused connection turns out to be closed. Here a
-// request is written to exactly one connection, and the caller learns whether any byte of it was written. Requests are written
-// and answers parsed by net/http.
+// The Transport of net/http sends some requests a second time if a reused connection turns out to be closed. This
+// package writes a request to exactly one connection and tells the caller whether any byte of it was written. It
+// uses net/http to write requests and to parse answers.
 //
-// It owns the connections to back ends. A connection belongs to the exchange that uses it (connection.go), between
-// exchanges to the pool, which closes it when it has been idle for as long as it may (pool.go); one that leaves
-// anything in doubt is closed. What bounds the waits: Request.ConnectTimeout the opening of a connection,
-// Request.Deadline and the context all of an exchange, userTimeout bytes that nobody acknowledges. It reads the
-// machine's clocks and does network I/O; a Pool has a lock of its own, which is not held during I/O.
+// The package owns the connections to back ends. During an exchange, a connection belongs to that exchange
+// (connection.go). Between exchanges it belongs to the pool, which closes it once its idle time is over (pool.go).
+// A connection in an uncertain state is closed. Request.ConnectTimeout bounds the opening of a connection.
+// Request.Deadline and the context bound the whole exchange. userTimeout bounds the time for which written bytes
+// may stay unacknowledged. The package reads the machine's clocks and does network I/O. A Pool has its own lock,
+// which is not held during I/O.
 package exchange
 
 import (
@@ -20,55 +21,63 @@
 	"stiletrail/internal/failure"
 )
 
-// Stage says how far an exchange came.
+// Stage is how far an exchange has progressed.
 type Stage int
 
 // The stages.
 const (
 	// NotSent: no byte of the request was written.
 	NotSent Stage = iota
-	// Sent: some of the request was written; the back end may have run it.
+	// Sent: at least a part of the request was written, so the back end may have executed it.
 	Sent
-	// Answered: a whole answer was read.
+	// Answered: a complete answer was read.
 	Answered
 )
 
-// Result of an exchange.
+// Result is the outcome of an exchange.
 type Result struct {
 	Stage  Stage
 	Status int
 	Header http.Header
 	Body   []byte
 	Err    error
-	// ConnectionUnused: the connection ended before it had carried a single answer, as one over the back end's limit does.
+	// ConnectionUnused is set if the connection ended before it had carried any answer. A back end at its
+	// connection limit ends connections in this way.
 	ConnectionUnused bool
 }
 
-// Request to be sent.
+// Request is a request and the conditions under which it is sent.
 type Request struct {
 	Endpoint
-	// Deadline bounds the exchange.
+	// Deadline is the time at which the exchange ends.
 	Deadline time.Time
-	// ConnectTimeout bounds the opening of a connection.
+	// ConnectTimeout is the time limit for opening a connection.
 	ConnectTimeout time.Duration
-	// VerifyConnection has a new connection wait for a way there and back before it is used: a back end at its limit has closed it by then.
+	// VerifyConnection delays the use of a new connection by one round trip. A back end at its connection limit has
+	// closed the connection by then.
 	VerifyConnection bool
-	// NotRepeatable: the request cannot be sent again if nothing comes back. It goes over a connection that has carried an
-	// answer within provenWithin, or over a new one: a connection that has been idle for longer may have fallen silent.
+	// NotRepeatable marks a request that must not be sent again if no answer arrives. It is sent over a new
+	// connection or over one that has carried an answer within recentAnswerWithin. A connection that has been idle
+	// for longer may have stopped working unnoticed.
 	NotRepeatable bool
-	// Prepare builds the message at the moment at which it is written, when the connection is there.
+	// Prepare builds the HTTP request. It is called when the connection is open, immediately before the request is
+	// written.
 	Prepare func() (*http.Request, error)
-	// MaximumBody bounds the answer in bytes.
+	// MaximumBody is the largest accepted body of an answer, in bytes.
 	MaximumBody int64
-	// MaximumIdle is how many connections to the endpoint may be kept idle for later requests; one more is closed after its answer.
+	// MaximumIdle is the number of connections to the endpoint that may be kept idle for later requests. A further
+	// connection is closed after its answer.
 	MaximumIdle int
-	// IdleTimeout bounds how long it is idle, beside what the back end says; 0 does not.
+	// IdleTimeout limits how long the connection may be idle afterwards, in addition to the limit that the back end
+	// states. 0 means no additional limit.
 	IdleTimeout time.Duration
-	// AnswerMatches reports whether an answer belongs to the request; the connection is not used again if it does not.
+	// AnswerMatches reports whether an answer belongs to the request. If it does not, the connection is not used
+	// again.
 	AnswerMatches func(status int, header http.Header) bool
 }
 
-// Do carries out one exchange. When the context ends the connection is closed, so that the back end stops working.
+// Do carries out one exchange. If the context ends, Do closes the connection, so that the back end stops working on
+// the request.
 func (p *Pool) Do(ctx context.Context, request Request) Result {
 	connection, err := p.connect(ctx, request)
 	if err != nil {
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -15,7 +15,7 @@
 	"stiletrail/internal/testio"
 )
 
-// server answers each request on a connection by a function, and counts requests and connections.
+// server answers each request on a connection by calling a function. It counts requests and connections.
 type server struct {
 	listener    net.Listener
 	requests    atomic.Int64
@@ -72,8 +72,9 @@
 	_, _ = fmt.Fprintf(socket, "HTTP/1.1 200 OK\r\n%sContent-Length: 2\r\n\r\nok", header)
 }
 
-// TestNeverSentTwice: a GET on a kept connection that the server closes after reading it is not sent again.
-func TestNeverSentTwice(t *testing.T) {
+// TestRequestIsNeverSentTwice: the server closes a kept connection after reading a GET request. The request may
+// have been executed, so it is not sent again.
+func TestRequestIsNeverSentTwice(t *testing.T) {
 	s := serve(t, func(socket net.Conn, number int64) bool {
 		if number == 1 {
 			respond(socket, "")
@@ -83,18 +84,19 @@
 	})
 	pool := exchange.NewPool()
 	if result := pool.Do(context.Background(), request(s.address())); result.Stage != exchange.Answered {
-		t.Fatalf("the first: %+v", result)
+		t.Fatalf("the first exchange ended with %+v, want Answered", result)
 	}
 	if result := pool.Do(context.Background(), request(s.address())); result.Stage != exchange.Sent {
-		t.Errorf("the second is %v: it was written and may have run", result.Stage)
+		t.Errorf("the second exchange ended in stage %v, want Sent: the request was written and may have been executed", result.Stage)
 	}
 	if s.requests.Load() != 2 {
-		t.Errorf("%d requests arrived for two exchanges", s.requests.Load())
+		t.Errorf("%d requests arrived for two exchanges, want 2", s.requests.Load())
 	}
 }
 
-// TestClosedWhileIdle: a connection that was closed while idle is not used, and nothing is lost by it.
-func TestClosedWhileIdle(t *testing.T) {
+// TestConnectionClosedWhileIdle: a connection that the server closed while it was idle is not used, and no request
+// is lost.
+func TestConnectionClosedWhileIdle(t *testing.T) {
 	closed := make(chan struct{}, 9)
 	s := serve(t, func(socket net.Conn, _ int64) bool {
 		respond(socket, "")
@@ -105,26 +107,27 @@
 	for i := range 3 {
 		result := pool.Do(context.Background(), request(s.address()))
 		if result.Stage == exchange.Sent {
-			// The close crossed the request; that may have run, and says so.
+			// The server closed the connection while the request was being sent. The result reports that the
+			// request may have been executed.
 			continue
 		}
 		if result.Stage != exchange.Answered {
-			t.Fatalf("exchange %d: %+v", i, result)
+			t.Fatalf("exchange %d ended with %+v, want Answered or Sent", i, result)
 		}
 		<-closed
 	}
 }
 
-// TestUnreachable: without a connection nothing was sent.
+// TestUnreachable: if no connection can be opened, the result reports that nothing was sent.
 func TestUnreachable(t *testing.T) {
 	address := testio.FreeAddress(t)
 	if result := exchange.NewPool().Do(context.Background(), request(address)); result.Stage != exchange.NotSent || result.Err == nil {
-		t.Errorf("%+v", result)
+		t.Errorf("without a connection the exchange ended with %+v, want NotSent and an error", result)
 	}
 }
 
-// TestNothingToSend: where the request cannot be prepared any more, nothing is sent and the connection is kept.
-func TestNothingToSend(t *testing.T) {
+// TestPrepareFails: if the request cannot be prepared any more, nothing is sent and the connection is kept.
+func TestPrepareFails(t *testing.T) {
 	s := serve(t, func(socket net.Conn, _ int64) bool {
 		respond(socket, "")
 		return true
@@ -133,16 +136,16 @@
 	late := request(s.address())
 	late.Prepare = func() (*http.Request, error) { return nil, context.DeadlineExceeded }
 	if result := pool.Do(context.Background(), late); result.Stage != exchange.NotSent {
-		t.Errorf("%+v", result)
+		t.Errorf("without a request the exchange ended with %+v, want NotSent", result)
 	}
 	pool.Do(context.Background(), request(s.address()))
 	if s.requests.Load() != 1 || s.connections.Load() != 1 {
-		t.Errorf("%d requests, %d connections", s.requests.Load(), s.connections.Load())
+		t.Errorf("%d requests over %d connections, want 1 of each", s.requests.Load(), s.connections.Load())
 	}
 }
 
-// TestWithdrawn: when the context ends, the connection is closed.
-func TestWithdrawn(t *testing.T) {
+// TestCancelledExchange: the connection is closed when the context ends, so that the server stops working.
+func TestCancelledExchange(t *testing.T) {
 	arrived, ended := make(chan struct{}), make(chan struct{})
 	s := serve(t, func(socket net.Conn, _ int64) bool {
 		close(arrived)
@@ -156,13 +159,14 @@
 		cancel()
 	}()
 	if result := exchange.NewPool().Do(ctx, request(s.address())); result.Stage != exchange.Sent {
-		t.Errorf("%+v", result)
+		t.Errorf("after the context ended the exchange ended with %+v, want Sent", result)
 	}
 	<-ended
 }
 
-// TestKeptFor: a connection is not used beyond the time the server gives it, nor where the server says that it closes.
-func TestKeptFor(t *testing.T) {
+// TestIdleTimeOfBackEnd: a connection is not reused after the idle time that the server stated, nor if the server
+// announced that it closes the connection.
+func TestIdleTimeOfBackEnd(t *testing.T) {
 	for header, connections := range map[string]int64{
 		"": 1, "Keep-Alive: timeout=60\r\n": 1, "Keep-Alive: timeout=0\r\n": 2, "Connection: close\r\n": 2,
 	} {
@@ -174,33 +178,35 @@
 		pool.Do(context.Background(), request(s.address()))
 		pool.Do(context.Background(), request(s.address()))
 		if s.connections.Load() != connections {
-			t.Errorf("with %q: %d connections, want %d", header, s.connections.Load(), connections)
+			t.Errorf("after an answer with header %q: %d connections, want %d", header, s.connections.Load(), connections)
 		}
 	}
 }
 
-// TestMaximumIdle: no more connections rest than may; one more is closed after its answer.
-func TestMaximumIdle(t *testing.T) {
+// TestMaximumIdleConnections: no more connections than MaximumIdle are kept idle. A further connection is closed
+// after its answer.
+func TestMaximumIdleConnections(t *testing.T) {
 	s := serve(t, func(socket net.Conn, _ int64) bool {
 		respond(socket, "")
 		return true
 	})
-	for resting := range int64(2) {
+	for maximumIdle := range int64(2) {
 		pool := exchange.NewPool()
 		limited := request(s.address())
-		limited.MaximumIdle = int(resting)
+		limited.MaximumIdle = int(maximumIdle)
 		if result := pool.Do(context.Background(), limited); result.Stage != exchange.Answered {
-			t.Errorf("%+v", result)
+			t.Errorf("the exchange ended with %+v, want Answered", result)
 		}
-		if got := pool.OpenCount.Load(); got != resting {
-			t.Errorf("%d connections rest, %d may", got, resting)
+		if got := pool.OpenCount.Load(); got != maximumIdle {
+			t.Errorf("%d connections are kept idle, want %d", got, maximumIdle)
 		}
 	}
 }
 
-// TestIdleConnectionIsNotTrustedOnce: a request that cannot be sent again takes no connection that has been idle for long enough to have fallen
-// silent unseen; others do, and so does it where the connection has just carried an answer.
-func TestIdleConnectionIsNotTrustedOnce(t *testing.T) {
+// TestIdleConnectionForNotRepeatableRequest: a request that must not be repeated is not sent over a connection that
+// has been idle long enough to have stopped working unnoticed. Other requests may use that connection, and so may
+// this one shortly after an answer.
+func TestIdleConnectionForNotRepeatableRequest(t *testing.T) {
 	s := serve(t, func(socket net.Conn, _ int64) bool {
 		respond(socket, "")
 		return true
@@ -215,33 +221,33 @@
 		r := request(s.address())
 		r.NotRepeatable = c.once
 		if result := pool.Do(context.Background(), r); result.Stage != exchange.Answered {
-			t.Fatalf("%+v", result)
+			t.Fatalf("the exchange ended with %+v, want Answered", result)
 		}
 		if got := s.connections.Load(); got != c.connections {
-			t.Errorf("%+v: %d connections", c, got)
+			t.Errorf("with %+v: %d connections were opened", c, got)
 		}
 	}
 }
 
-// TestIdleFor: a connection that has been idle as long as the request allowed is not used again.
-func TestIdleFor(t *testing.T) {
-	for restFor, connections := range map[time.Duration]int64{time.Nanosecond: 2, time.Hour: 1, 0: 1} {
+// TestIdleTimeoutOfRequest: a connection that has been idle for the request's IdleTimeout is not reused.
+func TestIdleTimeoutOfRequest(t *testing.T) {
+	for idleTimeout, connections := range map[time.Duration]int64{time.Nanosecond: 2, time.Hour: 1, 0: 1} {
 		s := serve(t, func(socket net.Conn, _ int64) bool {
 			respond(socket, "")
 			return true
 		})
 		pool := exchange.NewPool()
 		bounded := request(s.address())
-		bounded.IdleTimeout = restFor
+		bounded.IdleTimeout = idleTimeout
 		pool.Do(context.Background(), bounded)
 		pool.Do(context.Background(), bounded)
 		if got := s.connections.Load(); got != connections {
-			t.Errorf("resting for %s: %d connections, want %d", restFor, got, connections)
+			t.Errorf("with an idle timeout of %s: %d connections, want %d", idleTimeout, got, connections)
 		}
 	}
 }
 
-// TestPrune: connections to addresses out of use are closed.
+// TestPrune: connections to endpoints that are no longer in use are closed.
 func TestPrune(t *testing.T) {
 	s := serve(t, func(socket net.Conn, _ int64) bool {
 		respond(socket, "")
@@ -251,16 +257,17 @@
 	pool.Do(context.Background(), request(s.address()))
 	pool.Prune(func(exchange.Endpoint) bool { return true })
 	if pool.OpenCount.Load() != 1 {
-		t.Error("a connection in use was closed")
+		t.Error("a connection to an endpoint in use was closed")
 	}
 	pool.Prune(func(exchange.Endpoint) bool { return false })
 	if pool.OpenCount.Load() != 0 {
-		t.Error("a connection out of use was kept")
+		t.Error("a connection to an endpoint out of use was kept")
 	}
 }
 
-// TestOtherProcess: a connection at rest to the process that an address had before is not used for the one that has it now.
-func TestOtherProcess(t *testing.T) {
+// TestConnectionToEarlierProcess: an idle connection to an earlier process at an address is not used for the
+// process that is there now.
+func TestConnectionToEarlierProcess(t *testing.T) {
 	s := serve(t, func(socket net.Conn, _ int64) bool {
 		respond(socket, "")
 		return true
@@ -270,25 +277,25 @@
 		r := request(s.address())
 		r.Process = process
 		if result := pool.Do(context.Background(), r); result.Stage != exchange.Answered {
-			t.Fatalf("%v", result.Err)
+			t.Fatalf("the exchange failed: %v", result.Err)
 		}
 		if want := int64(max(opened, 1)); pool.OpenedTotal.Load() != want {
-			t.Errorf("%d connections opened after a request to %s, want %d", pool.OpenedTotal.Load(), process, want)
+			t.Errorf("%d connections were opened after a request to process %s, want %d", pool.OpenedTotal.Load(), process, want)
 		}
 	}
 	pool.Prune(func(e exchange.Endpoint) bool { return e.Process == "x@2" })
 	if pool.OpenCount.Load() != 1 {
-		t.Errorf("%d connections are open, want that to the process in use", pool.OpenCount.Load())
+		t.Errorf("%d connections are open, want only the one to the process in use", pool.OpenCount.Load())
 	}
 }
 
-// TestAnswerTooLarge: an answer beyond the limit is no whole answer.
+// TestAnswerTooLarge: an answer above the size limit does not count as a complete answer.
 func TestAnswerTooLarge(t *testing.T) {
 	s := serve(t, func(socket net.Conn, _ int64) bool {
 		_, _ = fmt.Fprintf(socket, "HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n%2000d", 1)
 		return true
 	})
 	if result := exchange.NewPool().Do(context.Background(), request(s.address())); result.Stage != exchange.Sent {
-		t.Errorf("%+v", result.Stage)
+		t.Errorf("with an answer above the limit the exchange ended in stage %+v, want Sent", result.Stage)
 	}
 }
--- a/internal/exchange/export_test.go
+++ b/internal/exchange/export_test.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// SetVerificationMargin sets how long beyond a way there and back a new connection is watched for its end.
+// SetVerificationMargin sets the time that is added to the round-trip time when a new connection is verified.
 func (p *Pool) SetVerificationMargin(slack time.Duration) { p.verificationMargin = slack }
 
-// SetRecentAnswerWithin sets how long after an answer a connection counts as sound for a request that cannot be sent again.
+// SetRecentAnswerWithin sets how long after an answer a connection is considered reliable for a request that must
+// not be repeated.
 func (p *Pool) SetRecentAnswerWithin(within time.Duration) { p.recentAnswerWithin = within }
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -9,12 +9,13 @@
 	"stiletrail/internal/clock"
 )
 
-// defaultProvenWithin is how long after an answer a connection counts as sound for a request that cannot be sent again.
-// A new connection costs it only a way there and back; without an answer it is lost.
+// defaultRecentAnswerWithin is how long after an answer a connection is considered reliable for a request that must
+// not be repeated. A new connection costs such a request one round trip, while a connection that no longer works
+// loses it.
 const defaultRecentAnswerWithin = 250 * time.Millisecond
 
-// Endpoint is a process at an address. Another process may take the address over: connections to the one before are not used
-// for it.
+// Endpoint is a process at an address. If another process takes over the address, connections to the earlier
+// process are not used for it.
 type Endpoint struct {
 	Address string
 	Process string
@@ -22,18 +23,20 @@
 
 // Pool keeps idle connections by endpoint. It is safe for concurrent use.
 type Pool struct {
-	// clock counts how long connections are idle, also while the machine is suspended: back ends close them meanwhile.
+	// clock measures how long connections are idle. It includes the time for which the machine is suspended, during
+	// which back ends close idle connections.
 	clock clock.Clock
 	mutex sync.Mutex
 	idle  map[Endpoint][]*connection
-	// OpenedTotal counts connections opened since the start; Open is how many there are.
+	// OpenedTotal counts the connections opened since the start. OpenCount is the number that are open now.
 	OpenedTotal atomic.Int64
 	OpenCount   atomic.Int64
-	// OnConnected, where set, is told how long each opening of a connection took.
+	// OnConnected, if set, is called with the time that each opening of a connection took.
 	OnConnected func(time.Duration)
-	// proofSlack is waited beyond a way there and back where a new connection must prove itself.
+	// verificationMargin is added to the round-trip time when a new connection is verified.
 	verificationMargin time.Duration
-	// provenWithin is how long after an answer a connection counts as sound for a request that cannot be sent again.
+	// recentAnswerWithin is how long after an answer a connection is considered reliable for a request that must
+	// not be repeated.
 	recentAnswerWithin time.Duration
 }
 
@@ -42,7 +45,7 @@
 	return &Pool{clock: clock.Start(), idle: map[Endpoint][]*connection{}, verificationMargin: defaultVerificationMargin, recentAnswerWithin: defaultRecentAnswerWithin}
 }
 
-// connect takes an idle connection that is still sound, or opens one.
+// connect returns an idle connection that can be reused, or opens a new one.
 func (p *Pool) connect(ctx context.Context, request Request) (*connection, error) {
 	for {
 		kept := p.take(request.Endpoint)
@@ -69,7 +72,7 @@
 	return last
 }
 
-// put keeps a connection idle, or closes it where as many are idle already as may be.
+// put keeps a connection idle, or closes it if the maximum number of idle connections is reached.
 func (p *Pool) put(request Request, c *connection) {
 	c.idleSince = p.clock.Elapsed()
 	_ = c.socket.SetDeadline(time.Time{})
@@ -87,7 +90,7 @@
 	}
 }
 
-// Prune closes connections that have been idle as long as they may, and all to endpoints that are no longer in use.
+// Prune closes the connections whose idle time is over, and all connections to endpoints that are no longer in use.
 func (p *Pool) Prune(inUse func(Endpoint) bool) {
 	now := p.clock.Elapsed()
 	var stale []*connection
--- a/internal/exchange/proof_test.go
+++ b/internal/exchange/verification_test.go
@@ -10,27 +10,27 @@
 	"stiletrail/internal/exchange"
 )
 
-// TestTurnedAway: a back end at its limit closes a new connection at once. One that must prove itself tells so before the request is
-// written; one that need not has the request lost.
-func TestTurnedAway(t *testing.T) {
-	for prove, want := range map[bool]exchange.Stage{true: exchange.NotSent, false: exchange.Sent} {
+// TestRejectedConnection: a back end at its limit closes a new connection at once. If the connection is verified,
+// this is noticed before the request is written. If it is not verified, the request is lost.
+func TestRejectedConnection(t *testing.T) {
+	for verify, want := range map[bool]exchange.Stage{true: exchange.NotSent, false: exchange.Sent} {
 		s := serve(t, func(net.Conn, int64) bool { return false })
-		if prove {
-			s = turnAway(t)
+		if verify {
+			s = rejectConnections(t)
 		}
 		pool := exchange.NewPool()
 		pool.SetVerificationMargin(time.Minute)
 		r := request(s.address())
-		r.VerifyConnection = prove
+		r.VerifyConnection = verify
 		result := pool.Do(context.Background(), r)
 		if result.Stage != want || !result.ConnectionUnused || result.Err == nil {
-			t.Errorf("prove %v: %+v", prove, result)
+			t.Errorf("with VerifyConnection %v: the exchange ended with %+v", verify, result)
 		}
 	}
 }
 
-// turnAway returns a server that closes each connection at once.
-func turnAway(t *testing.T) *server {
+// rejectConnections returns a server that closes each connection at once.
+func rejectConnections(t *testing.T) *server {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -49,8 +49,9 @@
 	return &server{listener: listener}
 }
 
-// TestProved: a connection that stays quiet is used, and a kept one that has carried an answer is not an unused one when it ends.
-func TestProved(t *testing.T) {
+// TestVerifiedConnection: a connection that passes verification is used. If it ends after it has carried an answer,
+// it is not reported as unused.
+func TestVerifiedConnection(t *testing.T) {
 	s := serve(t, func(socket net.Conn, number int64) bool {
 		if number > 1 {
 			return false
@@ -63,12 +64,12 @@
 	r := request(s.address())
 	r.VerifyConnection = true
 	if first := pool.Do(context.Background(), r); first.Stage != exchange.Answered || first.Status != http.StatusOK {
-		t.Fatalf("first %+v", first)
+		t.Fatalf("the first exchange ended with %+v, want Answered with status 200", first)
 	}
 	if second := pool.Do(context.Background(), r); second.Stage != exchange.Sent || second.ConnectionUnused {
-		t.Errorf("second %+v", second)
+		t.Errorf("the second exchange ended with %+v, want Sent on a used connection", second)
 	}
 	if opened := pool.OpenedTotal.Load(); opened != 1 {
-		t.Errorf("%d connections opened", opened)
+		t.Errorf("%d connections were opened, want 1", opened)
 	}
 }
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -67,7 +67,7 @@
 	{
 		"connections to an earlier start are used", "internal/exchange/pool.go",
 		"	idle := p.idle[to]\n	if len(idle) == 0", "	for e := range p.idle {\n		if e.Address == to.Address {\n			to = e\n		}\n	}\n	idle := p.idle[to]\n	if len(idle) == 0",
-		"./internal/exchange", "TestOtherProcess",
+		"./internal/exchange", "TestConnectionToEarlierProcess",
 	},
 	{
 		"an answer that a caller asked for ejects its back end", "internal/gateway/attempt.go",
@@ -202,7 +202,7 @@
 	{
 		"a new connection to a crowded back end is used at once", "internal/exchange/dial.go",
 		"if request.VerifyConnection && !staysSilent(", "if false && !staysSilent(",
-		"./internal/exchange", "TestTurnedAway",
+		"./internal/exchange", "TestRejectedConnection",
 	},
 	{
 		"a back end that is full counts as failing", "internal/replica/replica.go",
@@ -252,7 +252,7 @@
 	{
 		"a request that cannot be sent again goes over a connection that may have fallen silent", "internal/exchange/pool.go",
 		"kept.canReuse(now) && !(request.NotRepeatable && now-kept.idleSince > p.recentAnswerWithin)", "kept.canReuse(now)",
-		"./internal/exchange", "TestIdleConnectionIsNotTrustedOnce",
+		"./internal/exchange", "TestIdleConnectionForNotRepeatableRequest",
 	},
 	{
 		"a request is sent whose caller has left", "internal/gateway/serve.go",
@@ -354,7 +354,7 @@
 	{
 		"any number of connections rests", "internal/exchange/pool.go",
 		"kept := len(p.idle[request.Endpoint]) < request.MaximumIdle", "kept := true",
-		"./internal/exchange", "TestMaximumIdle",
+		"./internal/exchange", "TestMaximumIdleConnections",
 	},
 	{
 		"a node spreads over all near replicas", "internal/replica/subset.go",
