--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -262,7 +262,7 @@
 	{
 		"a node without descriptors ends", "internal/serving/callers.go",
 		"if resourcesExhausted(err) {", "if false {",
-		"./internal/serving", "TestConnectionsAreTakenAgain",
+		"./internal/serving", "TestAcceptResumesAfterResourceExhaustion",
 	},
 	{
 		"a request does not wait for back ends to come back", "internal/gateway/serve.go",
--- a/internal/serving/accept_test.go
+++ b/internal/serving/accept_test.go
@@ -14,7 +14,7 @@
 	"stiletrail/internal/routing"
 )
 
-// lacking is a listener whose process has no descriptors left for a while.
+// descriptorLimitedListener is a listener of a process that has no file descriptors left for the first accepts.
 type descriptorLimitedListener struct {
 	net.Listener
 	failures int
@@ -29,8 +29,9 @@
 	return e.Listener.Accept()
 }
 
-// TestConnectionsAreTakenAgain: callers' connections are taken again once there are descriptors, and none is lost to a change of the limits.
-func TestConnectionsAreTakenAgain(t *testing.T) {
+// TestAcceptResumesAfterResourceExhaustion: callers' connections are accepted again once file descriptors are
+// available. No connection is lost when the limits change.
+func TestAcceptResumesAfterResourceExhaustion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := networktest.New(1)
 		l, err := network.Listen("node:1")
@@ -57,7 +58,7 @@
 		}
 		_ = l.Close()
 		if err := <-ended; err == nil {
-			t.Error("a listener that is closed does not end the accepting")
+			t.Error("accept returned no error after its listener was closed")
 		}
 		c.shutdown(t.Context())
 	})
--- a/internal/serving/caller.go
+++ b/internal/serving/caller.go
@@ -9,22 +9,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// Caller is the connection that a request came by, as the machine knows it. What a process learns by reading may be late: a
-// request lies in the machine until the process comes to it, and so does the word that its caller has left. The zero value is of a
-// connection of which nothing is known.
+// Caller is the state of a caller's connection as the kernel knows it. The process learns of events late: a request
+// stays in the kernel's receive buffer until the process reads it, and so does the close of the caller's end. The
+// zero value stands for a connection of unknown state.
 type Caller struct {
 	socket syscall.RawConn
 }
 
-// callerKey is under which a request's context has its Caller.
+// callerKey is the context key of a request's Caller.
 type callerKey struct{}
 
-// withCaller gives the context of the requests of a connection.
+// callerContext returns the context for the requests of a connection.
 func callerContext(ctx context.Context, connection net.Conn) context.Context {
 	return context.WithValue(ctx, callerKey{}, NewCaller(connection))
 }
 
-// NewCaller returns what the machine knows of a connection.
+// NewCaller returns the Caller of a connection.
 func NewCaller(connection net.Conn) Caller {
 	withSocket, ok := connection.(syscall.Conn)
 	if !ok {
@@ -37,14 +37,14 @@
 	return Caller{socket}
 }
 
-// CallerOf returns the Caller of a request by its context.
+// CallerOf returns the Caller stored in a request's context.
 func CallerOf(ctx context.Context) Caller {
 	caller, _ := ctx.Value(callerKey{}).(Caller)
 	return caller
 }
 
-// UnreadFor is how long ago the last bytes came that the caller has sent, 0 where the machine does not tell. It counts in whole
-// milliseconds, and not while the machine is suspended.
+// UnreadFor returns the time since the caller's last bytes arrived, or 0 if the kernel does not report it. The unit
+// of the count is one millisecond. The time for which the machine is suspended is not included.
 func (c Caller) UnreadFor() time.Duration {
 	var waited time.Duration
 	c.withDescriptor(func(fd int) {
@@ -55,8 +55,8 @@
 	return waited
 }
 
-// Disconnected reports whether the caller has closed its end, or the connection has broken: there is nobody to answer. A caller that has
-// sent more meanwhile passes for there.
+// Disconnected reports whether the caller has closed its end or the connection has broken, so that nobody would
+// receive an answer. A caller with further unread bytes counts as connected.
 func (c Caller) Disconnected() (gone bool) {
 	c.withDescriptor(func(fd int) {
 		var next [1]byte
@@ -66,10 +66,11 @@
 	return gone
 }
 
-// look calls a function with the connection's descriptor, unless the connection is closed.
+// withDescriptor calls at with the connection's file descriptor, unless the connection is closed.
 func (c Caller) withDescriptor(at func(fd int)) {
 	if c.socket != nil {
-		// A connection that this node has closed tells nothing, which is what the caller's zero value says.
+		// Control fails if this node has closed the connection. Nothing is known then, and the callers return their
+		// zero values.
 		_ = c.socket.Control(func(fd uintptr) { at(int(fd)) })
 	}
 }
--- a/internal/serving/caller_test.go
+++ b/internal/serving/caller_test.go
@@ -11,7 +11,7 @@
 	"stiletrail/internal/routing"
 )
 
-// lateListener has connections lie in the machine until it is told to take them.
+// lateListener leaves connections in the kernel's accept queue until take is closed.
 type lateListener struct {
 	net.Listener
 	take chan struct{}
@@ -23,7 +23,7 @@
 	return l.Listener.Accept()
 }
 
-// serveLate serves callers on the loopback address, from the moment at which take is called.
+// serveAfterDelay serves callers on the loopback address once take is called.
 func serveAfterDelay(t *testing.T, handler http.Handler) (address string, take func()) {
 	t.Helper()
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -51,9 +51,10 @@
 	return socket
 }
 
-// TestRequestThatLayUnread: the node knows how long a request lay in the machine before it was read, on a new connection and on a kept one.
-func TestRequestThatLayUnread(t *testing.T) {
-	// The machine counts in ticks of up to ten milliseconds.
+// TestUnreadTimeOfRequest: the node knows how long a request stayed in the kernel's receive buffer before it was
+// read. This holds on a new connection and on a kept one.
+func TestUnreadTimeOfRequest(t *testing.T) {
+	// The kernel counts in ticks of up to ten milliseconds.
 	const unread, tick = 200 * time.Millisecond, 10 * time.Millisecond
 	waited := make(chan time.Duration, 2)
 	hold := make(chan struct{}, 2)
@@ -65,20 +66,21 @@
 	time.Sleep(unread)
 	take()
 	if got := <-waited; got < unread-tick {
-		t.Errorf("a request that was taken %v late is known to have waited %v", unread, got)
+		t.Errorf("a request on a connection that was accepted %v late was unread for %v, want at least the delay", unread, got)
 	}
-	// The next one on the connection is read when the first is answered.
+	// The next request on the connection is read once the first has been answered.
 	_, _ = io.WriteString(socket, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	time.Sleep(unread)
 	hold <- struct{}{}
 	if got := <-waited; got < unread-tick {
-		t.Errorf("a request that was read %v late is known to have waited %v", unread, got)
+		t.Errorf("a request that was read %v late was unread for %v, want at least the delay", unread, got)
 	}
 	hold <- struct{}{}
 }
 
-// TestCallerThatLeftUnread: that a caller has left is known before its request is served, also where nobody has read its connection since; one that waits is there.
-func TestCallerThatLeftUnread(t *testing.T) {
+// TestDisconnectedCallerIsDetected: a disconnected caller is detected before its request is served, even if nothing
+// has read its connection since. A caller that waits counts as connected.
+func TestDisconnectedCallerIsDetected(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		leave func(net.Conn)
@@ -96,7 +98,7 @@
 			gone := make(chan bool, 2)
 			address, take := serveAfterDelay(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { gone <- CallerOf(r.Context()).Disconnected() }))
 			c.leave(send(t, address))
-			// What the caller did last lies in the machine once a connection that came later can be had.
+			// Once a later connection has been established, the caller's last action has reached the kernel.
 			later, err := net.Dial("tcp4", address)
 			if err != nil {
 				t.Fatal(err)
@@ -104,19 +106,19 @@
 			defer func() { _ = later.Close() }()
 			take()
 			if got := <-gone; got != c.want {
-				t.Errorf("gone %v", got)
+				t.Errorf("the caller is reported as disconnected: %v, want the opposite", got)
 			}
 		})
 	}
 }
 
-// TestUnknownCaller: of a connection that is no socket nothing is known.
-func TestUnknownCaller(t *testing.T) {
+// TestCallerWithoutSocket: the state of a connection without a socket is unknown.
+func TestCallerWithoutSocket(t *testing.T) {
 	near, far := net.Pipe()
 	_ = far.Close()
 	for _, unknown := range []Caller{NewCaller(near), CallerOf(context.Background())} {
 		if unknown.Disconnected() || unknown.UnreadFor() != 0 {
-			t.Error("something is known")
+			t.Error("a connection without a socket has a state, want none")
 		}
 	}
 }
--- a/internal/serving/callers.go
+++ b/internal/serving/callers.go
@@ -15,9 +15,10 @@
 	"stiletrail/internal/routing"
 )
 
-// callerListener takes callers' connections and gives each to a server with the limits in force when it came. net/http reads a
-// server's limits at any time, so they can't be changed on a running one: when they change, a new server takes the connections
-// from then on, and the old one serves those it has.
+// callerListener accepts callers' connections. It hands each one to an HTTP server that has the limits in force at
+// that time. net/http may read a server's limits at any time, so the limits of a running server cannot be changed.
+// When they change, a new server takes the connections from then on, and the old one keeps serving those that it
+// has.
 type callerListener struct {
 	listener net.Listener
 	handler  http.Handler
@@ -26,7 +27,7 @@
 
 	mutex  sync.Mutex
 	limits routing.Limits
-	// current takes connections for the newest of the servers.
+	// current is the listener of the newest server.
 	current *handoverListener
 	servers []*http.Server
 	closed  bool
@@ -38,7 +39,8 @@
 	return c
 }
 
-// open starts a server with the limits as they are; the lock is held, or nobody else knows the listener yet.
+// startServer starts a server with the current limits. The caller holds the lock, or no other goroutine has access
+// to c yet.
 func (c *callerListener) startServer() {
 	server := &http.Server{
 		Handler: c.handler, ConnState: c.onState, ConnContext: callerContext, DisableGeneralOptionsHandler: true, ErrorLog: c.errorLog,
@@ -58,9 +60,9 @@
 	return otherwise
 }
 
-// use applies limits to connections that come from now on.
+// applyLimits sets the limits of connections that are accepted from now on.
 func (c *callerListener) applyLimits(limits routing.Limits) {
-	// The limit of bodies is not the server's, which need not change with it.
+	// The HTTP server does not enforce the body limit, so a change of it needs no new server.
 	limits.BodyBytes = 0
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -73,26 +75,27 @@
 	_ = previous.Close()
 }
 
-// Pauses after the machine had nothing left for another connection, each twice as long as the one before. A node that
-// is ready must take connections again as soon as it can.
+// firstAcceptPause and longestAcceptPause bound the pause after an accept failed because the machine lacked
+// resources. The pause doubles with each failure. It stays short, since a node that is ready must accept
+// connections again as soon as it can.
 const (
 	firstAcceptPause   = 5 * time.Millisecond
 	longestAcceptPause = 500 * time.Millisecond
 )
 
-// accept hands connections over until the listener is closed.
+// accept accepts connections and hands them over until the listener is closed.
 func (c *callerListener) accept(limits func() (routing.Limits, bool)) error {
 	wait := firstAcceptPause
 	for {
 		connection, err := c.listener.Accept()
 		if resourcesExhausted(err) {
-			c.errorLog.Printf("no connection can be taken: %v; tried again after %v", err, wait)
+			c.errorLog.Printf("cannot accept a connection: %v; next attempt in %v", err, wait)
 			time.Sleep(wait)
 			wait = min(2*wait, longestAcceptPause)
 			continue
 		}
 		if err != nil {
-			return failure.Wrap(err, failure.Internal, "the listener for callers failed")
+			return failure.Wrap(err, failure.Internal, "the listener for callers' connections failed")
 		}
 		wait = firstAcceptPause
 		if known, ok := limits(); ok {
@@ -102,7 +105,8 @@
 	}
 }
 
-// exhausted reports whether the machine lacks what a connection takes, which passes.
+// resourcesExhausted reports whether an accept failed because file descriptors or memory ran out, which is
+// temporary.
 func resourcesExhausted(err error) bool {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		if errors.Is(err, errno) {
@@ -112,7 +116,7 @@
 	return false
 }
 
-// handOver gives a connection to the server with the limits in force. After shutdown nobody takes it.
+// handOver gives a connection to the server with the limits in force. After shutdown it closes the connection.
 func (c *callerListener) handOver(connection net.Conn) {
 	for {
 		c.mutex.Lock()
@@ -130,7 +134,8 @@
 	}
 }
 
-// shutdown stops taking connections, and ends those there are when they are idle or the context ends.
+// shutdown stops accepting connections. It closes each open connection once it is idle, and returns when all are
+// closed or the context ends.
 func (c *callerListener) shutdown(ctx context.Context) {
 	_ = c.listener.Close()
 	c.mutex.Lock()
--- a/internal/serving/handover.go
+++ b/internal/serving/handover.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// handedOver is a listener whose connections another one accepted.
+// handoverListener is a listener that returns connections which another listener has accepted.
 type handoverListener struct {
 	address     net.Addr
 	connections chan net.Conn
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -1,8 +1,9 @@
-// Package serving listens for callers, says whether the node is ready, serves its metrics, and stops it as planned.
+// Package serving accepts callers' connections, reports whether the node is ready, serves its metrics, and stops
+// the node in a planned way.
 //
-// It owns the listeners and callers' connections, and tells of one what the machine knows (caller.go); what is served is a
-// Node and the handlers handed to Start. Its times are the standard library's: a planned stop takes no longer than the caller of
-// Stop allows.
+// The package owns the listeners and the callers' connections. It also reports what the kernel knows of a
+// connection (caller.go). It relies on a Node, and on the handlers passed to Start, for the content that it serves.
+// It measures time with the standard library. A planned stop takes no longer than the caller of Stop allows.
 package serving
 
 import (
@@ -17,37 +18,38 @@
 	"stiletrail/internal/routing"
 )
 
-// Node is what is served.
+// Node is the node that a Server serves.
 type Node interface {
 	Ready() bool
-	// Leave makes Ready false; the node serves on.
+	// Leave makes Ready return false. The node continues to serve requests.
 	Leave()
-	// FinishInFlight answers all requests under way at once.
+	// FinishInFlight answers all requests in flight at once.
 	FinishInFlight()
 	InFlight() int64
-	// Limits of what callers may send, false while unknown.
+	// Limits returns the limits of callers' requests. It returns false while they are unknown.
 	Limits() (routing.Limits, bool)
 }
 
-// Addresses to listen at. Metrics may be empty.
+// Addresses holds the addresses to listen on. Metrics may be empty.
 type Addresses struct {
 	Callers string
 	Ready   string
 	Metrics string
 }
 
-// Times of a planned stop and of callers' connections.
+// Times of a planned stop, and default limits of callers' connections.
 const (
-	// noticeTime is how long after a stop began requests still come, sent by those that have not noticed.
+	// minimumDrainTime is how long after the start of a stop callers may still send requests because they have not
+	// noticed it.
 	minimumDrainTime = 2500 * time.Millisecond
-	// lastPart of a stop's time, one in so many, is kept for the last answers and the end of the process: what still
-	// runs then is given up.
+	// finalPart is the divisor of the time for a stop that gives its last part. That part is reserved for the last
+	// answers and the end of the process: requests still in flight at its start are answered at once.
 	finalPart = 6
-	// shutdownTime bounds the writing of the last answers.
+	// shutdownTimeout bounds the writing of the last answers.
 	shutdownTimeout = 300 * time.Millisecond
-	// checkInterval is the pause between looks whether a stop may end.
+	// stopPollInterval is the time between two checks whether a stop may end.
 	stopPollInterval = 50 * time.Millisecond
-	// The defaults hold until a configuration states others.
+	// The defaults apply until a configuration sets other values.
 	defaultHeaderTimeout = 10 * time.Second
 	defaultIdleTimeout   = 60 * time.Second
 	defaultHeaderBytes   = 64 << 10
@@ -57,15 +59,16 @@
 type Server struct {
 	node    Node
 	callers *callerListener
-	// others serve readiness and metrics.
+	// auxiliary holds the servers for readiness and metrics.
 	auxiliary []*http.Server
-	// connections of callers that are open.
+	// connections is the number of open connections of callers.
 	connections atomic.Int64
 	stopping    atomic.Bool
 	failed      chan error
 }
 
-// Start listens at all addresses. What net/http has to say of callers' connections is written to errors.
+// Start listens on all addresses and serves the node. The messages of net/http about callers' connections are
+// written to errors.
 func Start(node Node, addresses Addresses, callers, metrics http.Handler, errors io.Writer) (*Server, error) {
 	s := &Server{node: node, failed: make(chan error, 3)}
 	if err := s.listenForCallers(addresses.Callers, callers, errors); err != nil {
@@ -80,7 +83,7 @@
 	return s, s.listenAuxiliary(addresses.Metrics, metrics)
 }
 
-// Failed delivers the failure of a listener.
+// Failed returns the channel on which the failure of a listener is reported.
 func (s *Server) Failed() <-chan error { return s.failed }
 
 func (s *Server) listenForCallers(address string, handler http.Handler, errors io.Writer) error {
@@ -100,7 +103,7 @@
 func listen(address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.SettingsInvalid, "cannot listen at "+address)
+		return nil, failure.Wrap(err, failure.SettingsInvalid, "cannot listen on "+address)
 	}
 	return listener, nil
 }
@@ -129,7 +132,7 @@
 	}
 }
 
-// Connections of callers that are open.
+// Connections returns the number of open connections of callers.
 func (s *Server) Connections() int64 { return s.connections.Load() }
 
 func (s *Server) serveReady(w http.ResponseWriter, _ *http.Request) {
@@ -138,8 +141,9 @@
 	}
 }
 
-// Stop stops the node within the given time: it says that it is not ready, serves what still comes, and ends when nobody is
-// connected any more or the time is over. It reports whether nothing was cut short.
+// Stop stops the node within the given time. The node reports that it is not ready, serves the requests that still
+// arrive, and ends once no caller is connected or the time is over. Stop reports whether all requests were
+// completed.
 func (s *Server) Stop(within time.Duration) bool {
 	started := time.Now()
 	s.node.Leave()
@@ -149,7 +153,7 @@
 		}
 		time.Sleep(stopPollInterval)
 	}
-	whole := s.node.InFlight() == 0
+	completed := s.node.InFlight() == 0
 	s.node.FinishInFlight()
 	bounded, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -158,5 +162,5 @@
 	for _, server := range s.auxiliary {
 		_ = server.Close()
 	}
-	return whole
+	return completed
 }
--- a/internal/serving/serving_test.go
+++ b/internal/serving/serving_test.go
@@ -13,17 +13,17 @@
 	"stiletrail/internal/testio"
 )
 
-// fakeNode has one request under way until it is released or given up.
+// fakeNode is a node with a given number of requests in flight.
 type fakeNode struct {
 	leaving  atomic.Bool
-	gaveUp   atomic.Bool
-	underWay atomic.Int64
+	inFlightFinished   atomic.Bool
+	inFlight atomic.Int64
 }
 
 func (n *fakeNode) Ready() bool                    { return !n.leaving.Load() }
 func (n *fakeNode) Leave()                         { n.leaving.Store(true) }
-func (n *fakeNode) FinishInFlight()                { n.gaveUp.Store(true) }
-func (n *fakeNode) InFlight() int64                { return n.underWay.Load() }
+func (n *fakeNode) FinishInFlight()                { n.inFlightFinished.Store(true) }
+func (n *fakeNode) InFlight() int64                { return n.inFlight.Load() }
 func (n *fakeNode) Limits() (routing.Limits, bool) { return routing.Limits{}, false }
 
 func start(t *testing.T, node *fakeNode) (*serving.Server, serving.Addresses) {
@@ -47,12 +47,13 @@
 	return response.StatusCode
 }
 
-// TestPlannedStop: the node is not ready at once, serves on, and ends without cutting anything short.
+// TestPlannedStop: a node that is being stopped reports that it is not ready, continues to serve, and ends with all
+// requests completed.
 func TestPlannedStop(t *testing.T) {
 	node := &fakeNode{}
 	server, addresses := start(t, node)
 	if got := status(t, addresses.Ready); got != 200 {
-		t.Errorf("ready answers %d", got)
+		t.Errorf("the readiness request is answered with status %d, want 200", got)
 	}
 	stopped := make(chan bool)
 	go func() { stopped <- server.Stop(time.Minute) }()
@@ -60,39 +61,40 @@
 		time.Sleep(time.Millisecond)
 	}
 	if got := status(t, addresses.Ready); got != 503 {
-		t.Errorf("ready answers %d while it stops", got)
+		t.Errorf("during the stop the readiness request is answered with status %d, want 503", got)
 	}
 	if got := status(t, addresses.Callers); got != 200 {
-		t.Errorf("callers get %d while it stops", got)
+		t.Errorf("during the stop a caller's request is answered with status %d, want 200", got)
 	}
 	http.DefaultClient.CloseIdleConnections()
 	if !<-stopped {
-		t.Error("something was cut short")
+		t.Error("Stop reports that requests were not completed")
 	}
 }
 
-// TestStopEndsInTime: what is still under way at the end is given up, and the stop says so.
-func TestStopEndsInTime(t *testing.T) {
+// TestStopAbortsRequestsInFlight: requests still in flight at the end of the stop time are answered at once, and
+// Stop reports that not all requests were completed.
+func TestStopAbortsRequestsInFlight(t *testing.T) {
 	node := &fakeNode{}
-	node.underWay.Store(1)
+	node.inFlight.Store(1)
 	server, _ := start(t, node)
-	if server.Stop(time.Second) || !node.gaveUp.Load() {
-		t.Error("a request under way was not given up")
+	if server.Stop(time.Second) || !node.inFlightFinished.Load() {
+		t.Error("Stop reports that all requests were completed, or did not end the request in flight")
 	}
 }
 
-// TestAddressTaken: a listener that cannot be had is a failure at the start.
+// TestAddressTaken: Start fails if an address is already in use.
 func TestAddressTaken(t *testing.T) {
 	node := &fakeNode{}
 	_, addresses := start(t, node)
 	if _, err := serving.Start(node, addresses, http.NotFoundHandler(), http.NotFoundHandler(), io.Discard); err == nil {
-		t.Error("started twice at the same addresses")
+		t.Error("a second server started on addresses that are in use")
 	}
 }
 
-// TestLimitsFollowTheConfiguration: connections that come after the limits changed are bound by the new ones, and those there
-// are go on.
-func TestLimitsFollowTheConfiguration(t *testing.T) {
+// TestNewLimitsApplyToNewConnections: connections accepted after a change of the limits are bound by the new
+// limits. Connections accepted before it continue.
+func TestNewLimitsApplyToNewConnections(t *testing.T) {
 	node := &limitedNode{}
 	node.limits.Store(&routing.Limits{HeaderBytes: 8 << 10})
 	addresses := serving.Addresses{Callers: testio.FreeAddress(t), Ready: testio.FreeAddress(t)}
@@ -113,21 +115,21 @@
 	}
 	early := &http.Client{Transport: &http.Transport{}}
 	if got := status(early, 100); got != 200 {
-		t.Errorf("a short header is answered %d", got)
+		t.Errorf("a request with a short header is answered with status %d, want 200", got)
 	}
 	if got := status(&http.Client{Transport: &http.Transport{}}, 20<<10); got != 431 {
-		t.Errorf("a header over the limit is answered %d", got)
+		t.Errorf("a request with a header above the limit is answered with status %d, want 431", got)
 	}
 	node.limits.Store(&routing.Limits{HeaderBytes: 32 << 10})
 	if got := status(&http.Client{Transport: &http.Transport{}}, 20<<10); got != 200 {
-		t.Errorf("a header within the new limit is answered %d", got)
+		t.Errorf("a request with a header within the new limit is answered with status %d, want 200", got)
 	}
 	if got := status(early, 100); got != 200 {
-		t.Errorf("a connection of before is answered %d", got)
+		t.Errorf("a request on an earlier connection is answered with status %d, want 200", got)
 	}
 }
 
-// limitedNode states limits that change.
+// limitedNode is a node whose limits can be changed.
 type limitedNode struct {
 	fakeNode
 	limits atomic.Pointer[routing.Limits]
