--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -16,7 +16,7 @@
 	},
 	{
 		"pages of two eras make a listing", "internal/follow/follow.go",
-		"if at.Era != c.listedAt.Era {", "if false {",
+		"if at.Era != c.listingRevision.Era {", "if false {",
 		"./internal/follow", "TestAnotherEra",
 	},
 	{
@@ -27,7 +27,7 @@
 	{
 		"what a copy says as it was known is news", "internal/spread/spread.go",
 		"	return !same\n", "	return !same || found\n",
-		"./internal/spread", "TestSameValueIsNoNews",
+		"./internal/spread", "TestSameValueIsNoChange",
 	},
 	{
 		"what is gone after a copy was said by somebody", "internal/spread/confirmation.go",
@@ -71,8 +71,8 @@
 	},
 	{
 		"a node asks for ever for a configuration that it turns down", "internal/spread/era.go",
-		"if c.keptTries >= maximumKeptTries {", "if false {",
-		"./internal/spread", "TestKeptConfiguration",
+		"if c.retainedRequests >= maximumRetainedRequests {", "if false {",
+		"./internal/spread", "TestRetainedConfiguration",
 	},
 	{
 		"a quarantine that a copy lacks is over", "internal/gateway/quarantine_evidence.go",
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -67,7 +67,7 @@
 	{
 		"connections to an earlier start are used", "internal/exchange/pool.go",
 		"	idle := p.idle[to]\n	if len(idle) == 0", "	for e := range p.idle {\n		if e.Address == to.Address {\n			to = e\n		}\n	}\n	idle := p.idle[to]\n	if len(idle) == 0",
-		"./internal/exchange", "TestOtherProcess",
+		"./internal/exchange", "TestConnectionToEarlierProcess",
 	},
 	{
 		"an answer that a caller asked for ejects its back end", "internal/gateway/attempt.go",
@@ -137,7 +137,7 @@
 	{
 		"an answer to an earlier life counts as complete", "internal/spread/spread.go",
 		"if m.Complete || !m.Since.After(c.revision) {", "if true {",
-		"./internal/spread", "TestAnswerToAnEarlierLife",
+		"./internal/spread", "TestAnswerToAnEarlierProcess",
 	},
 	{
 		"a node does not ask peers that know more", "internal/spread/spread.go",
@@ -201,8 +201,8 @@
 	},
 	{
 		"a new connection to a crowded back end is used at once", "internal/exchange/dial.go",
-		"if request.VerifyConnection && !quiet(", "if false && !quiet(",
-		"./internal/exchange", "TestTurnedAway",
+		"if request.VerifyConnection && !staysSilent(", "if false && !staysSilent(",
+		"./internal/exchange", "TestRejectedConnection",
 	},
 	{
 		"a back end that is full counts as failing", "internal/replica/replica.go",
@@ -222,10 +222,10 @@
 	{
 		"a node whose copy is stale waits for changes", "internal/follow/follow.go",
 		"poll := c.pollNext || state.Stale", "poll := c.pollNext",
-		"./internal/follow", "TestStaleCopyIsLookedAt",
+		"./internal/follow", "TestStaleCopyIsPolled",
 	},
 	{
-		"a connection on which nothing is acknowledged is kept", "internal/transport/sending.go",
+		"a connection on which nothing is acknowledged is kept", "internal/transport/outgoing_connection.go",
 		"if s.unacknowledged > 0 {", "if false {",
 		"./internal/transport", "TestSilentConnectionIsReplaced",
 	},
@@ -251,8 +251,8 @@
 	},
 	{
 		"a request that cannot be sent again goes over a connection that may have fallen silent", "internal/exchange/pool.go",
-		"kept.sound(now) && !(request.NotRepeatable && now-kept.idleSince > p.provenWithin)", "kept.sound(now)",
-		"./internal/exchange", "TestIdleConnectionIsNotTrustedOnce",
+		"kept.canReuse(now) && !(request.NotRepeatable && now-kept.idleSince > p.recentAnswerWithin)", "kept.canReuse(now)",
+		"./internal/exchange", "TestIdleConnectionForNotRepeatableRequest",
 	},
 	{
 		"a request is sent whose caller has left", "internal/gateway/serve.go",
@@ -261,8 +261,8 @@
 	},
 	{
 		"a node without descriptors ends", "internal/serving/callers.go",
-		"if exhausted(err) {", "if false {",
-		"./internal/serving", "TestConnectionsAreTakenAgain",
+		"if resourcesExhausted(err) {", "if false {",
+		"./internal/serving", "TestAcceptResumesAfterResourceExhaustion",
 	},
 	{
 		"a request does not wait for back ends to come back", "internal/gateway/serve.go",
@@ -288,7 +288,7 @@
 	{
 		"a lost history is listed again and again without a pause", "internal/follow/follow.go",
 		"		if !repeated {\n			return\n		}\n", "		_ = repeated\n		return\n",
-		"./internal/follow", "TestTrouble",
+		"./internal/follow", "TestCallFailures",
 	},
 	{
 		"no copy of the store crosses a region's border", "internal/gateway/fleet.go",
@@ -334,7 +334,7 @@
 	{
 		"changes after a gap count as all", "internal/spread/spread.go",
 		"if m.Complete || !m.Since.After(c.revision) {", "if true {",
-		"./internal/spread", "TestGapIsAskedFor",
+		"./internal/spread", "TestMissingChangesAreRequested",
 	},
 	{
 		"a young node uses its whole share of connections", "internal/gateway/fleet_share.go",
@@ -354,7 +354,7 @@
 	{
 		"any number of connections rests", "internal/exchange/pool.go",
 		"kept := len(p.idle[request.Endpoint]) < request.MaximumIdle", "kept := true",
-		"./internal/exchange", "TestMaximumIdle",
+		"./internal/exchange", "TestMaximumIdleConnections",
 	},
 	{
 		"a node spreads over all near replicas", "internal/replica/subset.go",
