--- a/internal/quarantine/outcome.go
+++ b/internal/quarantine/outcome.go
@@ -116,7 +116,9 @@
 		r.safeVersions = appendNew(r.safeVersions, version, maximumVersions)
 		return
 	}
-	r.crashes = slices.DeleteFunc(r.crashes, func(crash Crash) bool { return crash.Service == service && crash.CrashedAt <= now })
+	r.crashes = slices.DeleteFunc(r.crashes, func(crash Crash) bool {
+		return crash.Service == service && crash.CrashedAt <= now
+	})
 	delete(r.shardsExcludedUntil, service)
 	if !r.answered || now > r.answeredAt {
 		r.answered, r.answeredAt = true, now
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -40,14 +40,17 @@
 		"ten concurrent": {many(10, func(i int) quarantine.Crash {
 			return run(fmt.Sprint("s", i), fmt.Sprint(i), clock.Ms(i), 100+clock.Ms(i))
 		}), quarantine.Suspect},
-		"two successive":   {[]quarantine.Crash{run("s", "1", 0, 10), run("s", "2", 10, 20)}, quarantine.Suspect},
-		"three successive": {[]quarantine.Crash{run("s", "1", 0, 10), run("s", "2", 10, 20), run("s", "3", 25, 30)}, quarantine.Quarantined},
+		"two successive": {[]quarantine.Crash{run("s", "1", 0, 10), run("s", "2", 10, 20)}, quarantine.Suspect},
+		"three successive": {[]quarantine.Crash{run("s", "1", 0, 10), run("s", "2", 10, 20), run("s", "3", 25, 30)},
+			quarantine.Quarantined},
 		"three successive, reported out of order": {
 			[]quarantine.Crash{run("s", "3", 25, 30), run("s", "1", 0, 10), run("s", "2", 10, 20)}, quarantine.Quarantined,
 		},
-		"the same back end three times": {[]quarantine.Crash{run("s", "1", 0, 10), run("s", "1", 10, 20), run("s", "1", 25, 30)}, quarantine.Suspect},
+		"the same back end three times": {[]quarantine.Crash{run("s", "1", 0, 10), run("s", "1", 10, 20), run("s", "1", 25, 30)},
+			quarantine.Suspect},
 		"three successive besides a long execution": {
-			[]quarantine.Crash{run("s", "1", 0, 100), run("s", "2", 0, 10), run("s", "3", 20, 30), run("s", "4", 40, 50)}, quarantine.Quarantined,
+			[]quarantine.Crash{run("s", "1", 0, 100), run("s", "2", 0, 10), run("s", "3", 20, 30), run("s", "4", 40, 50)},
+			quarantine.Quarantined,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -84,7 +87,8 @@
 func TestQuarantineExpires(t *testing.T) {
 	core, id := newCore(), requestBy("a", "x")
 	now := quarantineRequest(core, id, 1000)
-	if got, remaining := core.Verdict(now, id), core.Remaining(now, id); got != quarantine.Quarantined || remaining < quarantineDuration-100 || remaining > quarantineDuration {
+	if got, remaining := core.Verdict(now, id), core.Remaining(now, id); got != quarantine.Quarantined ||
+		remaining < quarantineDuration-100 || remaining > quarantineDuration {
 		t.Fatalf("verdict %v, %d ms remaining; want quarantined for about the whole duration", got, remaining)
 	}
 	now += quarantineDuration
@@ -119,14 +123,16 @@
 	}
 	now := quarantineRequest(core, id, 100)
 	core.RecordAnswer(now, id, "s", "v2")
-	if got, safe := core.Verdict(now, id), core.SafeVersions(now, id); got != quarantine.Quarantined || !slices.Equal(safe, []string{"v2"}) {
+	if got, safe := core.Verdict(now, id), core.SafeVersions(now, id); got != quarantine.Quarantined ||
+		!slices.Equal(safe, []string{"v2"}) {
 		t.Errorf("verdict %v, safe versions %v after version v2 answered; want quarantined, v2", got, safe)
 	}
 	core.EvidenceOf(now, id.Request, id.CallerRequest)
 	if change := core.RecordAnswer(now, id, "s", "v2"); len(change.VerdictChanged)+len(change.Share) > 0 {
 		t.Errorf("the second answer of version v2 changes something: %+v", change)
 	}
-	if change := core.RecordAnswer(now, id, "s", "v1"); len(change.VerdictChanged) == 0 || core.Verdict(now, id) != quarantine.Clear {
+	if change := core.RecordAnswer(now, id, "s", "v1"); len(change.VerdictChanged) == 0 ||
+		core.Verdict(now, id) != quarantine.Clear {
 		t.Errorf("verdict %v after the version that crashed has answered, want clear and reported as changed",
 			core.Verdict(now, id))
 	}
@@ -158,7 +164,8 @@
 		core.RecordCrash(i*100+10, id, run("bad", fmt.Sprint(i), i*100, i*100+10))
 		core.RecordAnswer(i*100+20, id, "good", "v1")
 	}
-	if core.Verdict(400, id) == quarantine.Quarantined || !core.ShardExcluded(400, id, "bad") || core.ShardExcluded(400, id, "good") {
+	if core.Verdict(400, id) == quarantine.Quarantined || !core.ShardExcluded(400, id, "bad") ||
+		core.ShardExcluded(400, id, "good") {
 		t.Errorf("verdict %v, shard \"bad\" excluded %v, \"good\" excluded %v; want not quarantined, true, false",
 			core.Verdict(400, id), core.ShardExcluded(400, id, "bad"), core.ShardExcluded(400, id, "good"))
 	}
@@ -207,7 +214,8 @@
 		t.Error("the caller whose requests crashed back ends is taken for another caller")
 	}
 	core.RecordAnswer(now, requestBy("b", "x"), "s", "v1")
-	if core.Verdict(now, requestBy("b", "x")) == quarantine.Quarantined || core.Verdict(now, requestBy("a", "x")) != quarantine.Suspect {
+	if core.Verdict(now, requestBy("b", "x")) == quarantine.Quarantined ||
+		core.Verdict(now, requestBy("a", "x")) != quarantine.Suspect {
 		t.Errorf("after an answer: verdict %v for the other caller, %v for the first; want not quarantined, suspect",
 			core.Verdict(now, requestBy("b", "x")), core.Verdict(now, requestBy("a", "x")))
 	}
@@ -305,12 +313,15 @@
 		ms := rapid.Uint32()
 		drawn := rapid.Custom(func(t *rapid.T) message.RequestEvidence {
 			evidence := message.RequestEvidence{
-				Mark: [16]byte{rapid.Byte().Draw(t, "mark")}, Shared: rapid.Bool().Draw(t, "wide"), Answered: rapid.Bool().Draw(t, "answered"),
-				AnsweredAgoMs: ms.Draw(t, "answered ago"), QuarantineRemainingMs: ms.Draw(t, "left"), EndedVersions: rapid.SliceOf(text).Draw(t, "versions"),
+				Mark: [16]byte{rapid.Byte().Draw(t, "mark")}, Shared: rapid.Bool().Draw(t, "wide"),
+				Answered:      rapid.Bool().Draw(t, "answered"),
+				AnsweredAgoMs: ms.Draw(t, "answered ago"), QuarantineRemainingMs: ms.Draw(t, "left"),
+				EndedVersions: rapid.SliceOf(text).Draw(t, "versions"),
 			}
 			for range rapid.IntRange(0, 30).Draw(t, "runs") {
 				evidence.Runs = append(evidence.Runs, message.EndedRun{
-					Service: text.Draw(t, "service"), BackEnd: text.Draw(t, "back end"), StartedAgoMs: ms.Draw(t, "began"), EndedAgoMs: ms.Draw(t, "ended"),
+					Service: text.Draw(t, "service"), BackEnd: text.Draw(t, "back end"),
+					StartedAgoMs: ms.Draw(t, "began"), EndedAgoMs: ms.Draw(t, "ended"),
 				})
 			}
 			return evidence
@@ -340,10 +351,12 @@
 		if decoded, found := quarantine.ParseKey(quarantine.KeyOf(fingerprint)); !found || decoded != fingerprint {
 			t.Errorf("the key of %v is parsed as that of %v", fingerprint, decoded)
 		}
-		if _, err := other.ApplyStored(now, fingerprint, []byte("{nonsense")); failure.CodeOf(err) != failure.Malformed || other.Len() != 0 {
+		if _, err := other.ApplyStored(now, fingerprint, []byte("{nonsense")); failure.CodeOf(err) != failure.Malformed ||
+			other.Len() != 0 {
 			t.Errorf("malformed item: error %v, %d records; want code MALFORMED, none", err, other.Len())
 		}
-		if newlyQuarantined, err := other.ApplyStored(now, fingerprint, core.Encode(fingerprint)); err != nil || !newlyQuarantined || other.Verdict(now, id) != quarantine.Quarantined {
+		if newlyQuarantined, err := other.ApplyStored(now, fingerprint, core.Encode(fingerprint)); err != nil ||
+			!newlyQuarantined || other.Verdict(now, id) != quarantine.Quarantined {
 			t.Errorf("stored quarantine: newly quarantined %v, error %v; want true, none", newlyQuarantined, err)
 		}
 		if _, _, may := other.OtherCaller(now, id); may {
--- a/internal/quarantine/stored_test.go
+++ b/internal/quarantine/stored_test.go
@@ -26,7 +26,8 @@
 func TestStoredFingerprints(t *testing.T) {
 	id := storedIdentity()
 	for want, fingerprint := range map[string]quarantine.Fingerprint{
-		storedRequest: id.Request, storedCallerRequest: id.CallerRequest, storedResource: id.Resource, storedCaller: id.Caller,
+		storedRequest: id.Request, storedCallerRequest: id.CallerRequest, storedResource: id.Resource,
+		storedCaller: id.Caller,
 	} {
 		text, err := fingerprint.MarshalText()
 		if err != nil || string(text) != want {
@@ -85,7 +86,8 @@
 	for i := range 4 {
 		began := now
 		now += clock.Second / 2
-		core.RecordCrash(now, id, quarantine.Crash{Service: "s", BackEnd: fmt.Sprint(i), Version: "1.0", StartedAt: began, CrashedAt: now})
+		core.RecordCrash(now, id, quarantine.Crash{Service: "s", BackEnd: fmt.Sprint(i), Version: "1.0",
+			StartedAt: began, CrashedAt: now})
 	}
 	expect(ended)
 	core.RecordAnswer(now, id, "s", "2.0")
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -15,7 +15,8 @@
 	set := newSet(entries...)
 	withPenalties := settings
 	withPenalties.OtherRegionPenalty, withPenalties.FaultPenalty = 0.3, 2
-	set.Reconfigure(withPenalties, replica.Topology{Zone: "a1", Regions: map[string]string{"a1": "a", "a2": "a", "b1": "b", "c1": "c"}})
+	set.Reconfigure(withPenalties, replica.Topology{Zone: "a1",
+		Regions: map[string]string{"a1": "a", "a2": "a", "b1": "b", "c1": "c"}})
 	return set
 }
 
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -163,7 +163,8 @@
 	if got := picked(set, now+100*time.Millisecond); got != "own" {
 		t.Errorf("picked %q 100 ms after rejected connections, want \"own\"", got)
 	}
-	if !set.MustVerify(now+3*time.Second, own) || set.MustVerify(now+5*time.Second, own) || set.MustVerify(now, set.Get("near")) {
+	if !set.MustVerify(now+3*time.Second, own) || set.MustVerify(now+5*time.Second, own) ||
+		set.MustVerify(now, set.Get("near")) {
 		t.Error("want connections verified to the rejecting back end alone, after 3 s but not after 5 s")
 	}
 	if set.SetManyNodesStarting(true); !set.MustVerify(now+5*time.Second, own) {
@@ -181,9 +182,11 @@
 		choice replica.PickOptions
 		at     time.Duration
 	}{
-		"one is not ejected":               {replica.PickOptions{}, 0},
-		"all are ejected":                  {replica.PickOptions{Only: []*replica.Replica{a, b}}, 250 * time.Millisecond},
-		"the first to recover is excluded": {replica.PickOptions{Only: []*replica.Replica{a, b}, Excluded: []*replica.Replica{a}}, 260 * time.Millisecond},
+		"one is not ejected": {replica.PickOptions{}, 0},
+		"all are ejected":    {replica.PickOptions{Only: []*replica.Replica{a, b}}, 250 * time.Millisecond},
+		"the first to recover is excluded": {
+			replica.PickOptions{Only: []*replica.Replica{a, b}, Excluded: []*replica.Replica{a}}, 260 * time.Millisecond,
+		},
 	} {
 		if at, known := set.EarliestRecovery("s", c.choice); at != c.at || !known {
 			t.Errorf("%s: recovery at %v, known %v; want 0 if one is not ejected, else the end of the first ejection",
@@ -235,7 +238,8 @@
 func TestIdleLimit(t *testing.T) {
 	set := newSet(entry("own", "a1"), entry("near", "a2"), entry("far", "b1"))
 	for share, limits := range map[replica.ConnectionShare]map[string]replica.IdleLimit{
-		{SameRegion: 2, OtherRegions: 1}: {"own": {MaximumIdle: 1}, "near": {MaximumIdle: 1}, "far": {MaximumIdle: 1, IdleTimeout: clock.Second}},
+		{SameRegion: 2, OtherRegions: 1}: {"own": {MaximumIdle: 1}, "near": {MaximumIdle: 1},
+			"far": {MaximumIdle: 1, IdleTimeout: clock.Second}},
 		{SameRegion: 3, OtherRegions: 3}: {"own": {MaximumIdle: 3}, "near": {MaximumIdle: 3}, "far": {MaximumIdle: 3}},
 	} {
 		set.SetConnectionShares(map[string]replica.ConnectionShare{"s": share})
@@ -260,7 +264,8 @@
 func TestSubsetSelection(t *testing.T) {
 	used := map[string]int{}
 	for node := range 60 {
-		places := replica.Topology{Node: fmt.Sprint("node-", node), Zone: "a1", Regions: map[string]string{"a1": "a", "b1": "b"}}
+		places := replica.Topology{Node: fmt.Sprint("node-", node), Zone: "a1",
+			Regions: map[string]string{"a1": "a", "b1": "b"}}
 		set := replica.NewSet(settings, places, rand.New(rand.NewPCG(1, uint64(node))))
 		set.SetConnectionShares(map[string]replica.ConnectionShare{"s": {SameRegion: 1, OtherRegions: 1}})
 		for i := range 10 {
--- a/internal/replica/start_test.go
+++ b/internal/replica/start_test.go
@@ -50,7 +50,8 @@
 	if after == before {
 		t.Fatal("the second incarnation is the same replica as the first")
 	}
-	if after.InFlight() != 0 || after.AverageLatency() != 0 || after.MinimumLatency() != 0 || after.Ejected(now) || after.Doubtful() || after.Cold(now) {
+	if after.InFlight() != 0 || after.AverageLatency() != 0 || after.MinimumLatency() != 0 || after.Ejected(now) ||
+		after.Doubtful() || after.Cold(now) {
 		t.Errorf("state of the first incarnation remains: %d attempts in flight, average latency %v, minimum latency %v, ejected %v",
 			after.InFlight(), after.AverageLatency(), after.MinimumLatency(), after.Ejected(now))
 	}
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -48,7 +48,8 @@
 			ending := running[i]
 			running = append(running[:i], running[i+1:]...)
 			if random.IntN(2) == 0 {
-				ending.at.RecordLoad(now, replica.Load{Reported: true, Running: random.IntN(5), Waiting: random.IntN(2), Slots: 4, Slowdown: 0.5 + 3*random.Float64()})
+				ending.at.RecordLoad(now, replica.Load{Reported: true, Running: random.IntN(5),
+					Waiting: random.IntN(2), Slots: 4, Slowdown: 0.5 + 3*random.Float64()})
 			}
 			result := replica.Answered
 			if random.IntN(4) == 0 {
@@ -74,7 +75,8 @@
 		case what < 84:
 			note("expire", set.ExpireDoubtful(now))
 		case what < 88 && set.Get(id) != nil:
-			set.RecordReport(now, set.Get(id).Key(), 1+4*random.Float64(), random.Float64(), now-time.Duration(random.IntN(int(time.Second))))
+			set.RecordReport(now, set.Get(id).Key(), 1+4*random.Float64(), random.Float64(),
+				now-time.Duration(random.IntN(int(time.Second))))
 		case what < 90:
 			traceZones(random, now, set, note)
 		case what < 91 && step%5 == 0:
@@ -87,10 +89,12 @@
 		case set.Get(id) != nil:
 			r := set.Get(id)
 			slowdown, faults := r.Health(now)
-			note(r.AverageLatency(), r.MinimumLatency(), r.ExpectedMinimum(now), r.ExpectedLatency(now), r.InFlight(), r.Ejected(now), r.Doubtful(), r.Cold(now), r.Evacuated(), slowdown, faults)
+			note(r.AverageLatency(), r.MinimumLatency(), r.ExpectedMinimum(now), r.ExpectedLatency(now),
+				r.InFlight(), r.Ejected(now), r.Doubtful(), r.Cold(now), r.Evacuated(), slowdown, faults)
 			note(set.MustVerify(now, r), set.IdleLimit(r))
 			at, known := set.EarliestRecovery("s", replica.PickOptions{})
-			note(at, known, set.HasCandidate("s", region.NewSet("b")), set.Versions("s", region.Set{}), set.Len(), set.RandomFloat64())
+			note(at, known, set.HasCandidate("s", region.NewSet("b")), set.Versions("s", region.Set{}), set.Len(),
+				set.RandomFloat64())
 		}
 	}
 	return sum.Sum64()
@@ -109,8 +113,10 @@
 func traceSettings(random *rand.Rand) replica.Settings {
 	often := func() bool { return random.IntN(4) > 0 }
 	return replica.Settings{
-		Connections: 1 + random.IntN(4), OtherRegionPenalty: random.Float64(), FaultPenalty: 3 * random.Float64(), UseSlowdown: often(),
-		SubsetSize: random.IntN(3), LimitIdle: often(), Ejection: often(), CancelledFactor: 1 + random.Float64(), VerifyConnections: often(),
+		Connections: 1 + random.IntN(4), OtherRegionPenalty: random.Float64(), FaultPenalty: 3 * random.Float64(),
+		UseSlowdown: often(),
+		SubsetSize:  random.IntN(3), LimitIdle: often(), Ejection: often(), CancelledFactor: 1 + random.Float64(),
+		VerifyConnections: often(),
 	}
 }
 
