--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -23,8 +23,8 @@
 	return quarantine.NewIdentity(caller, []byte("GET host/"+path), nil)
 }
 
-// run returns the crash of a back end during an execution that began and ended at the given times.
-func run(service, backEnd string, began, ended clock.Ms) quarantine.Crash {
+// crashOf returns the crash of a back end during an execution that began and ended at the given times.
+func crashOf(service, backEnd string, began, ended clock.Ms) quarantine.Crash {
 	return quarantine.Crash{Service: service, BackEnd: backEnd, Version: "v1", StartedAt: began, CrashedAt: ended}
 }
 
@@ -36,20 +36,20 @@
 		want quarantine.Verdict
 	}{
 		"no crash":  {nil, quarantine.Clear},
-		"one crash": {[]quarantine.Crash{run("s", "1", 0, 10)}, quarantine.Suspect},
-		"ten concurrent": {many(10, func(i int) quarantine.Crash {
-			return run(fmt.Sprint("s", i), fmt.Sprint(i), clock.Ms(i), 100+clock.Ms(i))
+		"one crash": {[]quarantine.Crash{crashOf("s", "1", 0, 10)}, quarantine.Suspect},
+		"ten concurrent": {generate(10, func(i int) quarantine.Crash {
+			return crashOf(fmt.Sprint("s", i), fmt.Sprint(i), clock.Ms(i), 100+clock.Ms(i))
 		}), quarantine.Suspect},
-		"two successive": {[]quarantine.Crash{run("s", "1", 0, 10), run("s", "2", 10, 20)}, quarantine.Suspect},
-		"three successive": {[]quarantine.Crash{run("s", "1", 0, 10), run("s", "2", 10, 20), run("s", "3", 25, 30)},
+		"two successive": {[]quarantine.Crash{crashOf("s", "1", 0, 10), crashOf("s", "2", 10, 20)}, quarantine.Suspect},
+		"three successive": {[]quarantine.Crash{crashOf("s", "1", 0, 10), crashOf("s", "2", 10, 20), crashOf("s", "3", 25, 30)},
 			quarantine.Quarantined},
 		"three successive, reported out of order": {
-			[]quarantine.Crash{run("s", "3", 25, 30), run("s", "1", 0, 10), run("s", "2", 10, 20)}, quarantine.Quarantined,
+			[]quarantine.Crash{crashOf("s", "3", 25, 30), crashOf("s", "1", 0, 10), crashOf("s", "2", 10, 20)}, quarantine.Quarantined,
 		},
-		"the same back end three times": {[]quarantine.Crash{run("s", "1", 0, 10), run("s", "1", 10, 20), run("s", "1", 25, 30)},
+		"the same back end three times": {[]quarantine.Crash{crashOf("s", "1", 0, 10), crashOf("s", "1", 10, 20), crashOf("s", "1", 25, 30)},
 			quarantine.Suspect},
 		"three successive besides a long execution": {
-			[]quarantine.Crash{run("s", "1", 0, 100), run("s", "2", 0, 10), run("s", "3", 20, 30), run("s", "4", 40, 50)},
+			[]quarantine.Crash{crashOf("s", "1", 0, 100), crashOf("s", "2", 0, 10), crashOf("s", "3", 20, 30), crashOf("s", "4", 40, 50)},
 			quarantine.Quarantined,
 		},
 	} {
@@ -65,7 +65,7 @@
 	}
 }
 
-func many(count int, of func(i int) quarantine.Crash) (runs []quarantine.Crash) {
+func generate(count int, of func(i int) quarantine.Crash) (runs []quarantine.Crash) {
 	for i := range count {
 		runs = append(runs, of(i))
 	}
@@ -76,7 +76,7 @@
 // the last.
 func quarantineRequest(core *quarantine.Core, id quarantine.Identity, from clock.Ms) clock.Ms {
 	for i := range 3 {
-		core.RecordCrash(from+10, id, run("s", fmt.Sprint(from, "-", i), from, from+10))
+		core.RecordCrash(from+10, id, crashOf("s", fmt.Sprint(from, "-", i), from, from+10))
 		from += 20
 	}
 	return from
@@ -95,7 +95,7 @@
 	if got := core.Verdict(now, id); got != quarantine.Suspect {
 		t.Errorf("verdict %v after the quarantine, want suspect", got)
 	}
-	if got, _ := core.RecordCrash(now+20, id, run("s", "again", now, now+10)); got != quarantine.Quarantined {
+	if got, _ := core.RecordCrash(now+20, id, crashOf("s", "again", now, now+10)); got != quarantine.Quarantined {
 		t.Errorf("verdict %v after one more crash, want quarantined", got)
 	}
 }
@@ -105,8 +105,8 @@
 // remains for the others. Other nodes are told of an answer only if it changes what they know.
 func TestAnswerEndsSuspicion(t *testing.T) {
 	core, id := newCore(), requestBy("a", "x")
-	core.RecordCrash(10, id, run("s", "1", 0, 10))
-	_, change := core.RecordCrash(30, id, run("s", "2", 20, 30))
+	core.RecordCrash(10, id, crashOf("s", "1", 0, 10))
+	_, change := core.RecordCrash(30, id, crashOf("s", "2", 20, 30))
 	if len(core.EvidenceOf(35, change.Share...).Requests) == 0 {
 		t.Error("two rounds are not shared with other nodes")
 	}
@@ -117,7 +117,7 @@
 	if change := core.RecordAnswer(45, id, "s", "v1"); len(change.Share) > 0 {
 		t.Errorf("the second of %d shared changes is known already, want the first alone", 1+len(change.Share))
 	}
-	core.RecordCrash(60, id, run("s", "3", 50, 60))
+	core.RecordCrash(60, id, crashOf("s", "3", 50, 60))
 	if got := core.Verdict(60, id); got != quarantine.Suspect {
 		t.Errorf("verdict %v, want suspect: crashes before the answer must not count", got)
 	}
@@ -143,14 +143,14 @@
 func TestUnrelatedCrashesRequireMoreRounds(t *testing.T) {
 	core, id := newCore(), requestBy("a", "x")
 	for i := range 30 {
-		core.RecordCrash(5, requestBy("b", fmt.Sprint(i)), run("s", fmt.Sprint("other-", i), 0, 5))
+		core.RecordCrash(5, requestBy("b", fmt.Sprint(i)), crashOf("s", fmt.Sprint("other-", i), 0, 5))
 	}
 	now := quarantineRequest(core, id, 10)
 	if got := core.Verdict(now, id); got != quarantine.Suspect {
 		t.Errorf("verdict %v after three rounds while other back ends crash, want suspect", got)
 	}
-	core.RecordCrash(now+10, id, run("s", "4", now, now+10))
-	core.RecordCrash(now+30, id, run("s", "5", now+20, now+30))
+	core.RecordCrash(now+10, id, crashOf("s", "4", now, now+10))
+	core.RecordCrash(now+30, id, crashOf("s", "5", now+20, now+30))
 	if got := core.Verdict(now+30, id); got != quarantine.Quarantined {
 		t.Errorf("verdict %v after five rounds, want quarantined", got)
 	}
@@ -161,7 +161,7 @@
 func TestOneShardIsExcluded(t *testing.T) {
 	core, id := newCore(), requestBy("a", "x")
 	for i := range clock.Ms(4) {
-		core.RecordCrash(i*100+10, id, run("bad", fmt.Sprint(i), i*100, i*100+10))
+		core.RecordCrash(i*100+10, id, crashOf("bad", fmt.Sprint(i), i*100, i*100+10))
 		core.RecordAnswer(i*100+20, id, "good", "v1")
 	}
 	if core.Verdict(400, id) == quarantine.Quarantined || !core.ShardExcluded(400, id, "bad") ||
@@ -182,7 +182,7 @@
 	core := newCore()
 	var got quarantine.Verdict
 	for i := range clock.Ms(5) {
-		got, _ = core.RecordCrash(i*100+10, requestBy("a", fmt.Sprint(i)), run("s", fmt.Sprint(i), i*100, i*100+10))
+		got, _ = core.RecordCrash(i*100+10, requestBy("a", fmt.Sprint(i)), crashOf("s", fmt.Sprint(i), i*100, i*100+10))
 	}
 	if got != quarantine.Quarantined {
 		t.Errorf("verdict %v after five rounds with different requests, want quarantined", got)
@@ -242,7 +242,7 @@
 		}
 		id, now := requestBy("a", "x"), clock.Ms(1000)
 		for i := range clock.Ms(3) {
-			cores[i].RecordCrash(now+10, id, run("s", fmt.Sprint(i), now, now+10))
+			cores[i].RecordCrash(now+10, id, crashOf("s", fmt.Sprint(i), now, now+10))
 			now += 20
 		}
 		exchange := func() {
@@ -288,7 +288,7 @@
 	now := quarantineRequest(core, quarantined, 0)
 	for i := range 6000 {
 		now += 10
-		core.RecordCrash(now, requestBy(fmt.Sprint("caller-", i), fmt.Sprint(i)), run("s", fmt.Sprint("b-", i), now-5, now))
+		core.RecordCrash(now, requestBy(fmt.Sprint("caller-", i), fmt.Sprint(i)), crashOf("s", fmt.Sprint("b-", i), now-5, now))
 	}
 	if core.Len() > 4096 {
 		t.Errorf("%d records, want at most 4096", core.Len())
@@ -389,7 +389,7 @@
 	if got := core.QuarantinedCount(now); got != 4096 {
 		t.Fatalf("%d records are quarantined, want 4096", got)
 	}
-	verdict, _ := core.RecordCrash(now+10, requestBy("a", "x"), run("s", "1", now, now+10))
+	verdict, _ := core.RecordCrash(now+10, requestBy("a", "x"), crashOf("s", "1", now, now+10))
 	if verdict == quarantine.Quarantined || core.Len() > 4096 {
 		t.Errorf("verdict %v, %d records; want not quarantined, at most 4096", verdict, core.Len())
 	}
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -29,7 +29,7 @@
 func TestGreyFailureIsAvoided(t *testing.T) {
 	set := penaltySet(entry("near", "a1"), entry("sound", "b1"), entry("faulty", "c1"))
 	for id, took := range map[string]time.Duration{"near": 12, "sound": 36, "faulty": 36} {
-		run(set, 0, id, took*millisecond, replica.Answered)
+		runAttempt(set, 0, id, took*millisecond, replica.Answered)
 	}
 	random := rand.New(rand.NewPCG(3, 3))
 	got := map[string]int{}
@@ -39,9 +39,9 @@
 		got[chosen.ID]++
 		if faulty && chosen.ID != "sound" && random.Float64() < 0.45 {
 			failed++
-			run(set, now, chosen.ID, 3*millisecond, replica.RefusedWithFreeSlots)
+			runAttempt(set, now, chosen.ID, 3*millisecond, replica.RefusedWithFreeSlots)
 		} else {
-			run(set, now, chosen.ID, max(chosen.AverageLatency(), 12*millisecond), replica.Answered)
+			runAttempt(set, now, chosen.ID, max(chosen.AverageLatency(), 12*millisecond), replica.Answered)
 		}
 		now += 500 * millisecond
 	}
@@ -67,12 +67,12 @@
 func TestFullReplicaIsNotFaulty(t *testing.T) {
 	set := penaltySet(entry("near", "a1"))
 	for range 5 {
-		run(set, 0, "near", 3*millisecond, replica.Refused)
+		runAttempt(set, 0, "near", 3*millisecond, replica.Refused)
 	}
 	if _, faults := set.Get("near").Health(0); faults != 0 {
 		t.Errorf("fault rate of a full replica: %v, want 0", faults)
 	}
-	run(set, 0, "near", 3*millisecond, replica.RefusedWithFreeSlots)
+	runAttempt(set, 0, "near", 3*millisecond, replica.RefusedWithFreeSlots)
 	if _, faults := set.Get("near").Health(3 * millisecond); faults < 0.25 {
 		t.Errorf("fault rate after a refusal with free slots: %v, want at least 0.25", faults)
 	}
@@ -83,8 +83,8 @@
 // long.
 func TestDistancePenaltyScalesWithTarget(t *testing.T) {
 	set := penaltySet(entry("near", "a1"), entry("far", "b1"))
-	run(set, 0, "near", 95*millisecond, replica.Answered)
-	now := run(set, 0, "far", 35*millisecond, replica.Answered)
+	runAttempt(set, 0, "near", 95*millisecond, replica.Answered)
+	now := runAttempt(set, 0, "far", 35*millisecond, replica.Answered)
 	for targetLatency, want := range map[time.Duration]string{100 * millisecond: "far", 400 * millisecond: "near"} {
 		if chosen, _ := set.Pick(now, "s", replica.PickOptions{TargetLatency: targetLatency}); chosen.ID != want {
 			t.Errorf("picked %q with a target of %v, want \"far\" at 100ms, \"near\" at 400ms", chosen.ID, targetLatency)
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -38,9 +38,9 @@
 	return chosen.ID
 }
 
-// run starts an attempt at a replica, finishes it after the given length with a result, and returns the time of its
+// runAttempt starts an attempt at a replica, finishes it after the given length with a result, and returns the time of its
 // end.
-func run(set *replica.Set, now time.Duration, id string, length time.Duration, result replica.AttemptResult) time.Duration {
+func runAttempt(set *replica.Set, now time.Duration, id string, length time.Duration, result replica.AttemptResult) time.Duration {
 	chosen := set.Get(id)
 	chosen.StartAttempt(now)
 	chosen.FinishAttempt(now+length, now, result)
@@ -63,8 +63,8 @@
 // region, and that it is tried again after ten seconds. Without the decay it would never be used again.
 func TestSlowReplicaIsAvoidedAndRetried(t *testing.T) {
 	set := newSet(entry("own", "a1"), entry("far", "b1"))
-	now := run(set, 0, "own", 400*millisecond, replica.Answered)
-	now = run(set, now, "far", 50*millisecond, replica.Answered)
+	now := runAttempt(set, 0, "own", 400*millisecond, replica.Answered)
+	now = runAttempt(set, now, "far", 50*millisecond, replica.Answered)
 	if got := picked(set, now); got != "far" {
 		t.Errorf("picked %q, want \"far\"", got)
 	}
@@ -77,8 +77,8 @@
 // answering: the age of an attempt in flight counts before the attempt ends.
 func TestUnansweredAttemptRaisesExpectedLatency(t *testing.T) {
 	set := newSet(entry("own", "a1"), entry("far", "b1"))
-	now := run(set, 0, "own", 20*millisecond, replica.Answered)
-	now = run(set, now, "far", 45*millisecond, replica.Answered)
+	now := runAttempt(set, 0, "own", 20*millisecond, replica.Answered)
+	now = runAttempt(set, now, "far", 45*millisecond, replica.Answered)
 	set.Get("own").StartAttempt(now)
 	if got := picked(set, now+20*millisecond); got != "own" {
 		t.Errorf("picked %q, want \"own\"", got)
@@ -92,12 +92,12 @@
 // younger than the expected latency tells nothing.
 func TestCancelledAttempt(t *testing.T) {
 	set := newSet(entry("own", "a1"))
-	now := run(set, 0, "own", 20*millisecond, replica.Answered)
-	now = run(set, now, "own", 15*millisecond, replica.Cancelled)
+	now := runAttempt(set, 0, "own", 20*millisecond, replica.Answered)
+	now = runAttempt(set, now, "own", 15*millisecond, replica.Cancelled)
 	if got := set.Get("own").AverageLatency(); got != 20*millisecond {
 		t.Errorf("average latency %v after an attempt of 15 ms was cancelled, want 20ms", got)
 	}
-	run(set, now, "own", 120*millisecond, replica.Cancelled)
+	runAttempt(set, now, "own", 120*millisecond, replica.Cancelled)
 	// The average moves by three tenths of the difference between 20 ms and 240 ms.
 	if got := set.Get("own").AverageLatency(); got != 86*millisecond {
 		t.Errorf("average latency %v after an attempt of 120 ms was cancelled, want 86ms", got)
@@ -110,7 +110,7 @@
 	draining := entry("draining", "a1")
 	draining.Draining = true
 	set := newSet(draining, entry("misdirected", "a1"))
-	run(set, 0, "misdirected", millisecond, replica.Misdirected)
+	runAttempt(set, 0, "misdirected", millisecond, replica.Misdirected)
 	if got := picked(set, 0); got != "" {
 		t.Errorf("picked %q, want none", got)
 	}
@@ -120,11 +120,11 @@
 // replica is still picked if there is no other.
 func TestEjection(t *testing.T) {
 	set := newSet(entry("own", "a1"), entry("far", "b1"))
-	now := run(set, 0, "own", millisecond, replica.Failed)
+	now := runAttempt(set, 0, "own", millisecond, replica.Failed)
 	if got := picked(set, now); got != "own" {
 		t.Errorf("after one failure: picked %q, want \"own\"", got)
 	}
-	now = run(set, now, "own", millisecond, replica.Failed)
+	now = runAttempt(set, now, "own", millisecond, replica.Failed)
 	if got := picked(set, now); got != "far" {
 		t.Errorf("after two failures: picked %q, want \"far\"", got)
 	}
@@ -134,11 +134,11 @@
 	if got := picked(set, now+300*millisecond); got != "own" {
 		t.Errorf("after the ejection: picked %q, want \"own\"", got)
 	}
-	now = run(set, now, "own", millisecond, replica.Unreachable)
+	now = runAttempt(set, now, "own", millisecond, replica.Unreachable)
 	if got := picked(set, now+300*millisecond); got != "far" {
 		t.Errorf("during the longer second ejection: picked %q, want \"far\"", got)
 	}
-	now = run(set, now, "own", millisecond, replica.Answered)
+	now = runAttempt(set, now, "own", millisecond, replica.Answered)
 	if got := picked(set, now); got != "own" {
 		t.Errorf("after an answer: picked %q, want \"own\"", got)
 	}
@@ -155,7 +155,7 @@
 	}
 	now := time.Duration(0)
 	for range 3 {
-		now = run(set, now, "own", time.Millisecond, replica.ConnectionRejected)
+		now = runAttempt(set, now, "own", time.Millisecond, replica.ConnectionRejected)
 	}
 	if got := picked(set, now); got != "near" {
 		t.Errorf("picked %q right after rejected connections, want \"near\"", got)
@@ -176,8 +176,8 @@
 func TestEarliestRecovery(t *testing.T) {
 	set := newSet(entry("a", "a1"), entry("b", "a2"), entry("c", "b1"))
 	a, b := set.Get("a"), set.Get("b")
-	run(set, 0, "a", 0, replica.Unreachable)
-	run(set, 10*time.Millisecond, "b", 0, replica.Unreachable)
+	runAttempt(set, 0, "a", 0, replica.Unreachable)
+	runAttempt(set, 10*time.Millisecond, "b", 0, replica.Unreachable)
 	for name, c := range map[string]struct {
 		choice replica.PickOptions
 		at     time.Duration
@@ -337,7 +337,7 @@
 	for range 400 {
 		id := picked(set, now)
 		counts[id]++
-		now = run(set, now, id, 20*millisecond, replica.Answered)
+		now = runAttempt(set, now, id, 20*millisecond, replica.Answered)
 	}
 	for id, count := range counts {
 		if count < 40 {
--- a/internal/replica/slowdown_test.go
+++ b/internal/replica/slowdown_test.go
@@ -14,8 +14,8 @@
 	withSlowdown := settings
 	withSlowdown.UseSlowdown = true
 	set.Reconfigure(withSlowdown, replica.Topology{Zone: "a1", Regions: map[string]string{"a1": "a", "b1": "b"}})
-	now := run(set, 0, "own", 12*millisecond, replica.Answered)
-	return set, run(set, now, "far", 36*millisecond, replica.Answered)
+	now := runAttempt(set, 0, "own", 12*millisecond, replica.Answered)
+	return set, runAttempt(set, now, "far", 36*millisecond, replica.Answered)
 }
 
 func load(factor float64) replica.Load {
--- a/internal/replica/start_test.go
+++ b/internal/replica/start_test.go
@@ -7,15 +7,15 @@
 	"stiletrail/internal/replica"
 )
 
-// startedAt returns an entry of a back end with a start time in Unix milliseconds.
-func startedAt(id string, start int64) replica.Entry {
+// entryStartedAt returns an entry of a back end with a start time in Unix milliseconds.
+func entryStartedAt(id string, start int64) replica.Entry {
 	e := entry(id, "a1")
 	e.StartedAt = start
 	return e
 }
 
-// leaving returns the entry with its draining flag set.
-func leaving(e replica.Entry) replica.Entry {
+// draining returns the entry with its draining flag set.
+func draining(e replica.Entry) replica.Entry {
 	e.Draining = true
 	return e
 }
@@ -23,9 +23,9 @@
 // TestRestartAfterDraining checks that a back end that drained and starts again under its id is picked: it is another
 // incarnation.
 func TestRestartAfterDraining(t *testing.T) {
-	set := newSet(startedAt("x", 1000))
-	set.Put(0, leaving(startedAt("x", 1000)))
-	if set.Put(time.Minute, startedAt("x", 61_000)); picked(set, time.Minute) != "x" {
+	set := newSet(entryStartedAt("x", 1000))
+	set.Put(0, draining(entryStartedAt("x", 1000)))
+	if set.Put(time.Minute, entryStartedAt("x", 61_000)); picked(set, time.Minute) != "x" {
 		t.Error("the second incarnation is not picked")
 	}
 }
@@ -34,18 +34,18 @@
 // load and attempts in flight of an incarnation do not affect the next one, nor does the end of an attempt that began
 // at the former one.
 func TestRestartResetsState(t *testing.T) {
-	set := newSet(startedAt("x", 1000))
+	set := newSet(entryStartedAt("x", 1000))
 	before := set.Get("x")
-	run(set, 0, "x", 3*time.Second, replica.Answered)
+	runAttempt(set, 0, "x", 3*time.Second, replica.Answered)
 	for range 4 {
-		run(set, 3*time.Second, "x", 0, replica.Failed)
+		runAttempt(set, 3*time.Second, "x", 0, replica.Failed)
 	}
 	before.RecordLoad(3*time.Second, replica.Load{Reported: true, Slots: 1, Slowdown: 9})
 	before.FinishAttempt(3*time.Second, 3*time.Second, replica.Misdirected)
 	before.StartAttempt(3 * time.Second)
 
 	now := 4 * time.Second
-	set.Put(now, startedAt("x", 2000))
+	set.Put(now, entryStartedAt("x", 2000))
 	after := set.Get("x")
 	if after == before {
 		t.Fatal("the second incarnation is the same replica as the first")
@@ -66,9 +66,9 @@
 
 // TestReportOfEarlierIncarnation checks that another node's report about an incarnation does not affect the next one.
 func TestReportOfEarlierIncarnation(t *testing.T) {
-	set := newSet(startedAt("x", 1000))
+	set := newSet(entryStartedAt("x", 1000))
 	earlier := set.Get("x").Key()
-	set.Put(time.Second, startedAt("x", 2000))
+	set.Put(time.Second, entryStartedAt("x", 2000))
 	set.RecordReport(2*time.Second, earlier, 9, 1, 2*time.Second)
 	if slowdown, faults := set.Get("x").Health(2 * time.Second); slowdown != 1 || faults != 0 {
 		t.Errorf("slowdown %v and fault rate %v after a report about the first incarnation, want 1 and 0",
@@ -89,7 +89,7 @@
 		want   string
 	}{
 		{"the later incarnation serves", func(*replica.Set) {}, "x"},
-		{"the later incarnation drains", func(set *replica.Set) { set.Put(0, leaving(startedAt("x", 2000))) }, ""},
+		{"the later incarnation drains", func(set *replica.Set) { set.Put(0, draining(entryStartedAt("x", 2000))) }, ""},
 		{"the later incarnation has left", func(set *replica.Set) { set.Remove(0, "x", 0) }, ""},
 		{"the later incarnation has left, and the store was restored", func(set *replica.Set) {
 			set.Remove(0, "x", 0)
@@ -97,11 +97,11 @@
 		}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			set := newSet(startedAt("x", 2000))
+			set := newSet(entryStartedAt("x", 2000))
 			c.before(set)
-			earlier := startedAt("x", 1000)
+			earlier := entryStartedAt("x", 1000)
 			earlier.Address = "127.0.0.1:2"
-			for _, old := range []replica.Entry{earlier, leaving(earlier)} {
+			for _, old := range []replica.Entry{earlier, draining(earlier)} {
 				if set.Put(time.Millisecond, old) {
 					t.Error("an entry of the earlier incarnation changed something")
 				}
@@ -121,10 +121,10 @@
 // TestLaterIncarnationAfterRestore checks that the hold on entries of departed back ends does not apply to a later
 // incarnation: its entry cannot come from the restored backup.
 func TestLaterIncarnationAfterRestore(t *testing.T) {
-	set := newSet(startedAt("x", 1000))
+	set := newSet(entryStartedAt("x", 1000))
 	set.Remove(0, "x", 0)
 	set.DistrustDeparted(time.Minute)
-	set.Put(time.Second, startedAt("x", 2000))
+	set.Put(time.Second, entryStartedAt("x", 2000))
 	if picked(set, time.Second) != "x" {
 		t.Error("the later incarnation is not picked; its entry was held back")
 	}
@@ -134,12 +134,12 @@
 // even if the back end's entry was removed in between.
 func TestDrainingIsFinalForAnIncarnation(t *testing.T) {
 	for _, removed := range []bool{false, true} {
-		set := newSet(startedAt("x", 1000))
-		set.Put(0, leaving(startedAt("x", 1000)))
+		set := newSet(entryStartedAt("x", 1000))
+		set.Put(0, draining(entryStartedAt("x", 1000)))
 		if removed {
 			set.Remove(0, "x", 0)
 		}
-		set.Put(time.Second, startedAt("x", 1000))
+		set.Put(time.Second, entryStartedAt("x", 1000))
 		if got := picked(set, time.Second); got != "" {
 			t.Errorf("entry removed in between: %v: the draining incarnation is picked", removed)
 		}
@@ -151,17 +151,17 @@
 func TestEntriesWithoutStartTime(t *testing.T) {
 	set := newSet(entry("x", "a1"))
 	first := set.Get("x")
-	set.Put(0, leaving(entry("x", "a1")))
+	set.Put(0, draining(entry("x", "a1")))
 	set.Put(0, entry("x", "a1"))
 	if set.Get("x") != first || picked(set, 0) != "" {
 		t.Error("a draining back end without a start time is picked, or was replaced")
 	}
-	set.Put(0, startedAt("x", 1000))
+	set.Put(0, entryStartedAt("x", 1000))
 	if set.Get("x") == first || picked(set, 0) != "x" {
 		t.Error("the first entry with a start time is taken for the known incarnation")
 	}
 	second := set.Get("x")
-	set.Put(0, leaving(entry("x", "a1")))
+	set.Put(0, draining(entry("x", "a1")))
 	if set.Get("x") != second || picked(set, 0) != "" {
 		t.Error("an entry without a start time is taken for another incarnation, or its draining flag is ignored")
 	}
@@ -176,7 +176,7 @@
 		return e
 	}
 	set := newSet(at("10.0.0.1:80"))
-	run(set, 0, "x", 0, replica.Misdirected)
+	runAttempt(set, 0, "x", 0, replica.Misdirected)
 	set.Put(0, at("10.0.0.1:80"))
 	if picked(set, 0) != "" {
 		t.Error("picked at the address that another back end answers")
@@ -190,7 +190,7 @@
 // TestIncarnation checks that each start of a back end is an incarnation of its own, and that a back end without a
 // start time is identified by its id.
 func TestIncarnation(t *testing.T) {
-	if startedAt("x", 1000).Incarnation() == startedAt("x", 2000).Incarnation() {
+	if entryStartedAt("x", 1000).Incarnation() == entryStartedAt("x", 2000).Incarnation() {
 		t.Error("entries with different start times have the same incarnation")
 	}
 	if entry("x", "a1").Incarnation() != "x" {
@@ -205,7 +205,7 @@
 		set := newSet()
 		set.SetConnectionShares(map[string]replica.ConnectionShare{"s": {SameRegion: 1, OtherRegions: 1}})
 		for i, start := range starts {
-			set.Put(0, startedAt(string(rune('a'+i)), start))
+			set.Put(0, entryStartedAt(string(rune('a'+i)), start))
 		}
 		return picked(set, 0)
 	}
--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -17,14 +17,14 @@
 // the hashes as they are. A change that is not meant to do so replaces them and states why.
 func TestPicksAreUnchanged(t *testing.T) {
 	for seed, want := range []uint64{0x52a811eeaf462f18, 0xcbdd04bbc72506a0, 0x21700929de7a07b8, 0x5a51d291be112cce} {
-		if got := trace(uint64(seed)); got != want {
+		if got := hashHistory(uint64(seed)); got != want {
 			t.Errorf("seed %d: hash %#x, want %#x", seed, got, want)
 		}
 	}
 }
 
-// trace runs a random history on a set and returns the hash of all its results.
-func trace(seed uint64) uint64 {
+// hashHistory runs a random history on a set and returns the hash of all its results.
+func hashHistory(seed uint64) uint64 {
 	random := rand.New(rand.NewPCG(seed, 9))
 	set := replica.NewSet(traceSettings(random), traceTopology, rand.New(rand.NewPCG(seed, 10)))
 	set.SetWarmups(map[string]replica.Warmup{"s": {Duration: 3 * clock.Second, Rate: 12.5}})
@@ -38,7 +38,7 @@
 		switch what := random.IntN(100); {
 		case what < 40:
 			chosen, busy := set.Pick(now, "s", traceChoice(random, set, id))
-			note("pick", name(chosen), busy)
+			note("pick", idOf(chosen), busy)
 			if chosen != nil {
 				chosen.StartAttempt(now)
 				running = append(running, started{chosen, now})
@@ -183,7 +183,7 @@
 	set.SetConnectionShares(map[string]replica.ConnectionShare{"s": share})
 }
 
-func name(r *replica.Replica) string {
+func idOf(r *replica.Replica) string {
 	if r == nil {
 		return ""
 	}
--- a/internal/replica/warmup_test.go
+++ b/internal/replica/warmup_test.go
@@ -31,9 +31,9 @@
 	return names, sets
 }
 
-// drive makes each node pick a replica at regular intervals, starting at two seconds, and returns the times of the
+// runNodes makes each node pick a replica at regular intervals, starting at two seconds, and returns the times of the
 // attempts at the cold back end.
-func drive(sets []*replica.Set, every, until time.Duration) (arrivals []time.Duration) {
+func runNodes(sets []*replica.Set, every, until time.Duration) (arrivals []time.Duration) {
 	for now := 2 * time.Second; now < until; now += every {
 		for _, set := range sets {
 			chosen, _ := set.Pick(now, "s", replica.PickOptions{})
@@ -50,8 +50,8 @@
 	return arrivals
 }
 
-// mostWithin returns the largest number of arrivals within one second; the arrivals are in order.
-func mostWithin(arrivals []time.Duration) (most int) {
+// maximumPerSecond returns the largest number of arrivals within one second; the arrivals are in order.
+func maximumPerSecond(arrivals []time.Duration) (most int) {
 	for i := range arrivals {
 		count := 0
 		for _, at := range arrivals[i:] {
@@ -74,12 +74,12 @@
 		every := time.Duration(rapid.IntRange(5, 200).Draw(rt, "milliseconds between requests")) * millisecond
 		const cold = 5 * time.Second
 		_, sets := coldFleet(nodes, rate, cold)
-		arrivals := drive(sets, every, cold-millisecond)
-		if most := mostWithin(arrivals); float64(most) > rate {
+		arrivals := runNodes(sets, every, cold-millisecond)
+		if most := maximumPerSecond(arrivals); float64(most) > rate {
 			rt.Fatalf("a cold back end got %d requests in one second, limit %v", most, rate)
 		}
 		demand := float64(nodes) / every.Seconds()
-		if most := mostWithin(arrivals); demand > 2*rate && nodes > 1 && float64(most) < rate/2-1 {
+		if most := maximumPerSecond(arrivals); demand > 2*rate && nodes > 1 && float64(most) < rate/2-1 {
 			rt.Fatalf("a cold back end got %d requests in its busiest second; limit %v, demand %v per second",
 				most, rate, demand)
 		}
@@ -101,7 +101,7 @@
 		}
 		set.SetNodes(names[i], known)
 	}
-	if most := mostWithin(drive(sets, 40*millisecond, cold-millisecond)); float64(most) > 1.5*rate+5 {
+	if most := maximumPerSecond(runNodes(sets, 40*millisecond, cold-millisecond)); float64(most) > 1.5*rate+5 {
 		t.Errorf("a cold back end got %d requests in one second; limit %v, tolerated half more and 5", most, rate)
 	}
 }
@@ -130,7 +130,7 @@
 // slower.
 func TestUnlimitedColdBackEnd(t *testing.T) {
 	_, sets := coldFleet(1, 0, 10*time.Second)
-	if arrivals := drive(sets, 10*millisecond, 4*time.Second); len(arrivals) != 200 {
+	if arrivals := runNodes(sets, 10*millisecond, 4*time.Second); len(arrivals) != 200 {
 		t.Errorf("%d of 200 requests went to the cold back end in the own zone, want all", len(arrivals))
 	}
 }
