--- a/internal/replica/trace_test.go
+++ b/internal/replica/trace_test.go
@@ -17,14 +17,14 @@
 // the hashes as they are. A change that is not meant to do so replaces them and states why.
 func TestPicksAreUnchanged(t *testing.T) {
 	for seed, want := range []uint64{0x52a811eeaf462f18, 0xcbdd04bbc72506a0, 0x21700929de7a07b8, 0x5a51d291be112cce} {
-		if got := trace(uint64(seed)); got != want {
+		if got := hashHistory(uint64(seed)); got != want {
 			t.Errorf("seed %d: hash %#x, want %#x", seed, got, want)
 		}
 	}
 }
 
-// trace runs a random history on a set and returns the hash of all its results.
-func trace(seed uint64) uint64 {
+// hashHistory runs a random history on a set and returns the hash of all its results.
+func hashHistory(seed uint64) uint64 {
 	random := rand.New(rand.NewPCG(seed, 9))
 	set := replica.NewSet(traceSettings(random), traceTopology, rand.New(rand.NewPCG(seed, 10)))
 	set.SetWarmups(map[string]replica.Warmup{"s": {Duration: 3 * clock.Second, Rate: 12.5}})
@@ -38,7 +38,7 @@
 		switch what := random.IntN(100); {
 		case what < 40:
 			chosen, busy := set.Pick(now, "s", traceChoice(random, set, id))
-			note("pick", name(chosen), busy)
+			note("pick", idOf(chosen), busy)
 			if chosen != nil {
 				chosen.StartAttempt(now)
 				running = append(running, started{chosen, now})
@@ -48,7 +48,8 @@
 			ending := running[i]
 			running = append(running[:i], running[i+1:]...)
 			if random.IntN(2) == 0 {
-				ending.at.RecordLoad(now, replica.Load{Reported: true, Running: random.IntN(5), Waiting: random.IntN(2), Slots: 4, Slowdown: 0.5 + 3*random.Float64()})
+				ending.at.RecordLoad(now, replica.Load{Reported: true, Running: random.IntN(5),
+					Waiting: random.IntN(2), Slots: 4, Slowdown: 0.5 + 3*random.Float64()})
 			}
 			result := replica.Answered
 			if random.IntN(4) == 0 {
@@ -74,7 +75,8 @@
 		case what < 84:
 			note("expire", set.ExpireDoubtful(now))
 		case what < 88 && set.Get(id) != nil:
-			set.RecordReport(now, set.Get(id).Key(), 1+4*random.Float64(), random.Float64(), now-time.Duration(random.IntN(int(time.Second))))
+			set.RecordReport(now, set.Get(id).Key(), 1+4*random.Float64(), random.Float64(),
+				now-time.Duration(random.IntN(int(time.Second))))
 		case what < 90:
 			traceZones(random, now, set, note)
 		case what < 91 && step%5 == 0:
@@ -87,10 +89,12 @@
 		case set.Get(id) != nil:
 			r := set.Get(id)
 			slowdown, faults := r.Health(now)
-			note(r.AverageLatency(), r.MinimumLatency(), r.ExpectedMinimum(now), r.ExpectedLatency(now), r.InFlight(), r.Ejected(now), r.Doubtful(), r.Cold(now), r.Evacuated(), slowdown, faults)
+			note(r.AverageLatency(), r.MinimumLatency(), r.ExpectedMinimum(now), r.ExpectedLatency(now),
+				r.InFlight(), r.Ejected(now), r.Doubtful(), r.Cold(now), r.Evacuated(), slowdown, faults)
 			note(set.MustVerify(now, r), set.IdleLimit(r))
 			at, known := set.EarliestRecovery("s", replica.PickOptions{})
-			note(at, known, set.HasCandidate("s", region.NewSet("b")), set.Versions("s", region.Set{}), set.Len(), set.RandomFloat64())
+			note(at, known, set.HasCandidate("s", region.NewSet("b")), set.Versions("s", region.Set{}), set.Len(),
+				set.RandomFloat64())
 		}
 	}
 	return sum.Sum64()
@@ -109,8 +113,10 @@
 func traceSettings(random *rand.Rand) replica.Settings {
 	often := func() bool { return random.IntN(4) > 0 }
 	return replica.Settings{
-		Connections: 1 + random.IntN(4), OtherRegionPenalty: random.Float64(), FaultPenalty: 3 * random.Float64(), UseSlowdown: often(),
-		SubsetSize: random.IntN(3), LimitIdle: often(), Ejection: often(), CancelledFactor: 1 + random.Float64(), VerifyConnections: often(),
+		Connections: 1 + random.IntN(4), OtherRegionPenalty: random.Float64(), FaultPenalty: 3 * random.Float64(),
+		UseSlowdown: often(),
+		SubsetSize:  random.IntN(3), LimitIdle: often(), Ejection: often(), CancelledFactor: 1 + random.Float64(),
+		VerifyConnections: often(),
 	}
 }
 
@@ -177,7 +183,7 @@
 	set.SetConnectionShares(map[string]replica.ConnectionShare{"s": share})
 }
 
-func name(r *replica.Replica) string {
+func idOf(r *replica.Replica) string {
 	if r == nil {
 		return ""
 	}
--- a/internal/serving/serving_test.go
+++ b/internal/serving/serving_test.go
@@ -15,9 +15,9 @@
 
 // fakeNode is a node with a given number of requests in flight.
 type fakeNode struct {
-	leaving  atomic.Bool
-	inFlightFinished   atomic.Bool
-	inFlight atomic.Int64
+	leaving          atomic.Bool
+	inFlightFinished atomic.Bool
+	inFlight         atomic.Int64
 }
 
 func (n *fakeNode) Ready() bool                    { return !n.leaving.Load() }
