--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -11,12 +11,12 @@
 )
 
 // send carries an attempt out beside the request; the lock is held.
-func (r *run) send(now time.Duration, attempt *forward.Attempt) {
+func (r *requestRun) send(now time.Duration, attempt *forward.Attempt) {
 	attempt.Replica.StartAttempt(now)
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancels[attempt] = cancel
 	send := BackEndRequest{
-		Call: r.call, Attempt: attempt, Entry: attempt.Replica.Entry, Deadline: r.deadlineTime, Remaining: r.left, CallerGone: r.callerLeft,
+		Call: r.call, Attempt: attempt, Entry: attempt.Replica.Entry, Deadline: r.deadlineTime, Remaining: r.remaining, CallerGone: r.checkCallerGone,
 		NotRepeatable: !r.route.Repeatable, IdleLimit: r.gateway.replicas.IdleLimit(attempt.Replica),
 		VerifyConnection: r.gateway.replicas.MustVerify(now, attempt.Replica),
 	}
@@ -26,7 +26,7 @@
 		cancel()
 		r.gateway.attemptEnded(r.call, attempt, outcome, cancelled)
 		select {
-		case r.outcomes <- ended{attempt, outcome}:
+		case r.outcomes <- attemptOutcome{attempt, outcome}:
 		case <-r.finished:
 		}
 	}()
@@ -48,7 +48,7 @@
 	g.mu.Lock()
 	now := g.now()
 	attempt.Replica.RecordLoad(now, outcome.Load)
-	ejected := attempt.Replica.FinishAttempt(now, attempt.StartedAt, backEndVerdict(outcome, cancelled))
+	ejected := attempt.Replica.FinishAttempt(now, attempt.StartedAt, attemptResult(outcome, cancelled))
 	if !cancelled || outcome.Kind == forward.Answered {
 		g.reportHealth(now, attempt.Replica)
 	}
@@ -61,9 +61,9 @@
 	}
 }
 
-// backEndVerdict is what a back end is taken for by the outcome of an attempt. What was cancelled without an answer says
+// attemptResult is what a back end is taken for by the outcome of an attempt. What was cancelled without an answer says
 // only how old it was.
-func backEndVerdict(outcome forward.Outcome, cancelled bool) replica.AttemptResult {
+func attemptResult(outcome forward.Outcome, cancelled bool) replica.AttemptResult {
 	switch {
 	case cancelled && outcome.Kind != forward.Answered:
 		return replica.Cancelled
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -33,8 +33,8 @@
 	Message any
 }
 
-// left reports whether the caller has left.
-func (c *Call) left(ctx context.Context) bool {
+// callerHasLeft reports whether the caller has callerHasLeft.
+func (c *Call) callerHasLeft(ctx context.Context) bool {
 	return ctx.Err() != nil || c.CallerGone != nil && c.CallerGone()
 }
 
--- a/internal/gateway/first_listing.go
+++ b/internal/gateway/first_listing.go
@@ -15,9 +15,9 @@
 	complete chan struct{}
 }
 
-// noteRead takes in that the node knows the whole content of the store. Requests that wait for it go on once there is a
+// markRead takes in that the node knows the whole content of the store. Requests that wait for it go on once there is a
 // configuration.
-func (l *firstListing) noteRead(now time.Duration, configured bool) {
+func (l *firstListing) markRead(now time.Duration, configured bool) {
 	if l.read.CompareAndSwap(false, true) {
 		l.readAt.Store(int64(now))
 	}
@@ -30,5 +30,5 @@
 	}
 }
 
-// noteListed takes in that the node knows the whole content of the store.
-func (g *Gateway) noteListed() { g.firstListing.noteRead(g.now(), g.table.Load() != nil) }
+// markListed takes in that the node knows the whole content of the store.
+func (g *Gateway) markListed() { g.firstListing.markRead(g.now(), g.table.Load() != nil) }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -16,12 +16,12 @@
 }
 
 const (
-	// farPickEvery single peers one is picked anywhere.
-	farPickEvery = 4
-	// startingFor is how long after a start back ends may count connections that died with an earlier life.
-	startingFor = 8 * clock.Second
-	// manyStartingPart: many nodes are starting where at least one in so many has started with this one.
-	manyStartingPart = 3
+	// otherRegionPickEvery single peers one is picked anywhere.
+	otherRegionPickEvery = 4
+	// startupPeriod is how long after a start back ends may count connections that died with an earlier life.
+	startupPeriod = 8 * clock.Second
+	// manyStartingDivisor: many nodes are starting where at least one in so many has started with this one.
+	manyStartingDivisor = 3
 )
 
 // fleet is the nodes that this one knows, and its part in what they do together. Guarded by Gateway.mu.
@@ -31,19 +31,19 @@
 	transport PeerTransport
 	// picks counts how often peers were picked.
 	picks int
-	// nodes is the number of nodes to share what there is with: those known, dead ones included, since they may be back; 0 while
+	// nodeCount is the number of nodeCount to share what there is with: those known, dead ones included, since they may be back; 0 while
 	// this node has not joined them.
-	nodes int
+	nodeCount int
 	// watch is this node's part in watching the store.
 	watch watchAssignment
-	// version of the members, whether this node has joined them, and whether many are starting, as of the last look.
-	version      uint64
-	joined       bool
-	wereStarting bool
+	// membersVersion of the members, whether this node has joined them, and whether many are starting, as of the last look.
+	membersVersion   uint64
+	joined           bool
+	manyWereStarting bool
 }
 
-// usable gives the addresses of the nodes that may be given work: those of this node's region, itself included, and the others.
-func (f *fleet) usable() (near, far []string) {
+// usableAddresses gives the addresses of the nodes that may be given work: those of this node's region, itself included, and the others.
+func (f *fleet) usableAddresses() (near, far []string) {
 	region := f.members.Self().Region
 	for _, m := range f.members.Members() {
 		switch {
@@ -69,8 +69,8 @@
 	return slices.Sorted(maps.Keys(regions))
 }
 
-// pickIn gives a random member of a region, none where nobody there is usable.
-func (f *fleet) pickIn(region string) []string {
+// pickInRegion gives a random member of a region, none where nobody there is usable.
+func (f *fleet) pickInRegion(region string) []string {
 	return f.members.Pick(1, func(m membership.Member) bool { return m.Usable() && m.Region == region })
 }
 
@@ -80,7 +80,7 @@
 	f.picks++
 	near := func(m membership.Member) bool { return m.Usable() && m.Region == f.members.Self().Region }
 	farther := 1
-	if count == 1 && f.picks%farPickEvery != 0 {
+	if count == 1 && f.picks%otherRegionPickEvery != 0 {
 		farther = 0
 	}
 	picked := f.members.Pick(count-farther, near)
@@ -98,19 +98,19 @@
 	return next
 }
 
-// manyStarting reports whether back ends may still count many connections of earlier lives: this node has just started, and so
+// manyNodesStarting reports whether back ends may still count many connections of earlier lives: this node has just started, and so
 // have many others, as after a loss of power. What a node that was started alone has left behind is little.
-func (f *fleet) manyStarting(now time.Duration) bool {
-	if clock.FromDuration(now) >= startingFor {
+func (f *fleet) manyNodesStarting(now time.Duration) bool {
+	if clock.FromDuration(now) >= startupPeriod {
 		return false
 	}
 	members := f.members.Members()
 	starting := 0
 	for _, m := range members {
 		// An incarnation begins as the time of day of the start, in milliseconds.
-		if m.Incarnation+uint64(startingFor) >= f.members.Self().Incarnation {
+		if m.Incarnation+uint64(startupPeriod) >= f.members.Self().Incarnation {
 			starting++
 		}
 	}
-	return starting*manyStartingPart >= len(members)
+	return starting*manyStartingDivisor >= len(members)
 }
--- a/internal/gateway/fleet_share.go
+++ b/internal/gateway/fleet_share.go
@@ -7,25 +7,25 @@
 	"stiletrail/internal/routing"
 )
 
-// slackPart of the retry slack is used; the rest is left for nodes that others do not know yet.
-const slackPart = 0.9
+// usableSlackFraction of the retry slack is used; the rest is left for nodes that others do not know yet.
+const usableSlackFraction = 0.9
 
-// shareAmongNodes divides what the nodes have in common among those known: the calls to the store, what cold back ends bear,
+// divideAmongNodes divides what the nodes have in common among those known: the calls to the store, what cold back ends bear,
 // and the connections of each back end.
-func (g *Gateway) shareAmongNodes() {
+func (g *Gateway) divideAmongNodes() {
 	table := g.table.Load()
 	if g.fleet.members == nil || table == nil {
 		return
 	}
-	g.shareWatch()
-	g.shareColdBackEnds()
-	g.shareConnections(table)
+	g.assignWatching()
+	g.divideColdBackEnds()
+	g.divideConnections(table)
 }
 
-// shareWatch decides anew who watches the store, and has the watchers do so one after the other: a change that the watches of
+// assignWatching decides anew who watches the store, and has the watchers do so one after the other: a change that the watches of
 // all have missed is found soon, and told.
-func (g *Gateway) shareWatch() {
-	if g.fleet.nodes == 0 {
+func (g *Gateway) assignWatching() {
+	if g.fleet.nodeCount == 0 {
 		g.fleet.watch = watchAssignment{}
 		return
 	}
@@ -35,14 +35,14 @@
 		g.storeCopy.reader.SetPollSchedule(0, 0)
 		return
 	}
-	g.storeCopy.reader.SetPollSchedule(g.fleet.watch.phase(g.storeCopy.waits.AnnounceInterval))
+	g.storeCopy.reader.SetPollSchedule(g.fleet.watch.phase(g.storeCopy.propagation.AnnounceInterval))
 }
 
-// shareColdBackEnds has the nodes known divide what cold back ends bear. While this node has not joined the others it has no
+// divideColdBackEnds has the nodes known divide what cold back ends bear. While this node has not joined the others it has no
 // part.
-func (g *Gateway) shareColdBackEnds() {
+func (g *Gateway) divideColdBackEnds() {
 	var nodes []string
-	if g.fleet.nodes > 0 {
+	if g.fleet.nodeCount > 0 {
 		for _, member := range g.fleet.members.Members() {
 			nodes = append(nodes, member.Address)
 		}
@@ -51,12 +51,12 @@
 	g.replicas.SetNodes(g.fleet.members.Self().Address, nodes)
 }
 
-// shareConnections divides the connections of each back end. A node that has not joined the others yet goes by those it has
+// divideConnections divides the connections of each back end. A node that has not joined the others yet goes by those it has
 // heard of so far, and by the settings. Where many nodes have just started a part of the connections is shared.
-func (g *Gateway) shareConnections(table *routing.Table) {
+func (g *Gateway) divideConnections(table *routing.Table) {
 	settings := g.settings.Load()
 	members := g.fleet.members.Members()
-	nodes, most := g.fleet.nodes, settings.Fleet.MaximumConnections
+	nodes, most := g.fleet.nodeCount, settings.Fleet.MaximumConnections
 	if nodes == 0 {
 		nodes, most = len(members), settings.Replica.Connections
 	}
@@ -66,7 +66,7 @@
 			near++
 		}
 	}
-	manyStarting := g.fleet.manyStarting(g.now())
+	manyStarting := g.fleet.manyNodesStarting(g.now())
 	g.replicas.SetManyNodesStarting(manyStarting)
 	part := 1
 	if manyStarting {
@@ -88,8 +88,8 @@
 // earlier life may have spent its part within the same window.
 func (g *Gateway) retrySlack() float64 {
 	settings := g.settings.Load().Retries
-	if g.fleet.nodes == 0 || g.now() < settings.Window {
+	if g.fleet.nodeCount == 0 || g.now() < settings.Window {
 		return 0
 	}
-	return slackPart * settings.FleetSlack / float64(g.fleet.nodes)
+	return usableSlackFraction * settings.FleetSlack / float64(g.fleet.nodeCount)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -45,17 +45,17 @@
 	log      DecisionLog
 	clock    clock.Clock
 	table    atomic.Pointer[routing.Table]
-	underWay atomic.Int64
+	inFlight atomic.Int64
 	leaving  atomic.Bool
 	// firstListing is how far the node has come to know the store's whole content.
 	firstListing firstListing
-	// givenUp is closed when all requests under way are to be answered at once.
-	givenUp    chan struct{}
-	giveUpOnce sync.Once
+	// finishNow is closed when all requests under way are to be answered at once.
+	finishNow  chan struct{}
+	finishOnce sync.Once
 	// suspensions of the machine, for those that wait on timers.
 	suspensions suspensions
-	// storeWanted is signalled when a request lacks known back ends: the next reading of the store is due soon.
-	storeWanted chan struct{}
+	// storeReadWanted is signalled when a request lacks known back ends: the next reading of the store is due soon.
+	storeReadWanted chan struct{}
 
 	// mu guards all below.
 	mu       sync.Mutex
@@ -84,8 +84,8 @@
 		log:              log,
 		clock:            clock.Start(),
 		firstListing:     firstListing{complete: make(chan struct{})},
-		givenUp:          make(chan struct{}),
-		storeWanted:      make(chan struct{}, 1),
+		finishNow:        make(chan struct{}),
+		storeReadWanted:  make(chan struct{}, 1),
 		replicas:         replica.NewSet(settings.Replica, settings.Topology, random),
 		budgets:          map[string]*limit.SlidingBudget{},
 		splitter:         routing.NewSplitter(),
@@ -96,7 +96,7 @@
 		reports:          newHealthReports(),
 	}
 	g.settings.Store(&settings)
-	g.storeCopy = newStoreCopy(&settings, log, g.peersForSpread, random.Float64)
+	g.storeCopy = newStoreCopy(&settings, log, g.pickSpreadPeers, random.Float64)
 	return g
 }
 
@@ -111,7 +111,7 @@
 	for _, budget := range g.budgets {
 		budget.SetShare(settings.Retries.Share)
 	}
-	g.shareAmongNodes()
+	g.divideAmongNodes()
 }
 
 // Run follows the store and drives what is due, until the context ends.
@@ -128,7 +128,7 @@
 // now is the time since the start, suspensions of the machine included.
 func (g *Gateway) now() time.Duration { return g.clock.Elapsed() }
 
-func (g *Gateway) at(moment time.Duration) time.Time { return g.clock.ToTime(moment) }
+func (g *Gateway) wallTime(moment time.Duration) time.Time { return g.clock.ToTime(moment) }
 
 // Ready reports whether the node should get requests: it has a configuration and back ends, and is not leaving.
 func (g *Gateway) Ready() bool {
@@ -136,7 +136,7 @@
 }
 
 // FinishInFlight answers all requests under way at once, with what is there.
-func (g *Gateway) FinishInFlight() { g.giveUpOnce.Do(func() { close(g.givenUp) }) }
+func (g *Gateway) FinishInFlight() { g.finishOnce.Do(func() { close(g.finishNow) }) }
 
 // Leave makes the node say that it is not ready any more. It serves on.
 func (g *Gateway) Leave() { g.leaving.Store(true) }
@@ -145,7 +145,7 @@
 func (g *Gateway) Leaving() bool { return g.leaving.Load() }
 
 // InFlight is the number of requests under way.
-func (g *Gateway) InFlight() int64 { return g.underWay.Load() }
+func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
 // Limits of what callers may send, by the configuration in force; false before there is one.
 func (g *Gateway) Limits() (routing.Limits, bool) {
@@ -156,7 +156,7 @@
 	return table.Limits(), true
 }
 
-func (g *Gateway) budget(service string) *limit.SlidingBudget {
+func (g *Gateway) retryBudget(service string) *limit.SlidingBudget {
 	budget := g.budgets[service]
 	if budget == nil {
 		settings := g.settings.Load().Retries
--- a/internal/gateway/health_reports.go
+++ b/internal/gateway/health_reports.go
@@ -14,15 +14,15 @@
 	"stiletrail/internal/replica"
 )
 
-// reportPause is the least time between two messages of a node: what comes first goes at once, and what comes meanwhile piles up
+// reportInterval is the least time between two messages of a node: what comes first goes at once, and what comes meanwhile piles up
 // to be one message. In a large fleet it is what bounds the reports.
-const reportPause = 150 * clock.Ms(1)
+const reportInterval = 150 * clock.Ms(1)
 
-// Nodes that get reports: reportNext in the order of the region, reportSteady others of it, and reportFar of other regions.
+// Nodes that get reports: successorReceivers in the order of the region, fixedReceivers others of it, and otherRegionReceivers of other regions.
 const (
-	reportNext   = 1
-	reportSteady = 2
-	reportFar    = 1
+	successorReceivers   = 1
+	fixedReceivers       = 2
+	otherRegionReceivers = 1
 )
 
 // healthReports is what this node reports of back ends to others. Guarded by Gateway.mu, but for the channel.
@@ -46,9 +46,9 @@
 	}
 }
 
-// receiversAmong gives the nodes that get reports. They stay the same while the members do: each connection to another node takes
+// receiversIn gives the nodes that get reports. They stay the same while the members do: each connection to another node takes
 // memory at both ends.
-func (h *healthReports) receiversAmong(f *fleet) []string {
+func (h *healthReports) receiversIn(f *fleet) []string {
 	if version := f.members.Version(); h.receivers == nil || h.receiversVersion != version {
 		h.receivers, h.receiversVersion = chooseReceivers(f), version
 	}
@@ -59,19 +59,19 @@
 // node to node, so that it takes few steps, and one of another region.
 func chooseReceivers(f *fleet) []string {
 	self := f.members.Self().Address
-	near, far := f.usable()
+	near, far := f.usableAddresses()
 	near = slices.DeleteFunc(near, func(address string) bool { return address == self })
-	chosen := successors(slices.Concat(near, []string{self}), self, reportNext)
+	chosen := successors(slices.Concat(near, []string{self}), self, successorReceivers)
 	rank := func(address string) uint64 { return xxhash.Sum64String(self + "/" + address) }
 	for _, candidates := range [][]string{near, far} {
 		slices.SortFunc(candidates, func(a, b string) int { return cmp.Compare(rank(a), rank(b)) })
 	}
-	for _, address := range near[:min(len(near), reportSteady)] {
+	for _, address := range near[:min(len(near), fixedReceivers)] {
 		if !slices.Contains(chosen, address) {
 			chosen = append(chosen, address)
 		}
 	}
-	return append(chosen, far[:min(len(far), reportFar)]...)
+	return append(chosen, far[:min(len(far), otherRegionReceivers)]...)
 }
 
 // reportHealth has others told of a back end that turned slow or faulty, or well again. An attempt that was withdrawn tells
@@ -96,7 +96,7 @@
 		case <-g.reports.pending:
 		}
 		g.sendNextReports()
-		pause(ctx, reportPause.Duration())
+		pause(ctx, reportInterval.Duration())
 	}
 }
 
@@ -104,7 +104,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if m := g.reports.core.NextMessage(clock.FromDuration(g.now())); m != nil {
-		for _, peer := range g.reports.receiversAmong(&g.fleet) {
+		for _, peer := range g.reports.receiversIn(&g.fleet) {
 			g.fleet.transport.Send(peer, m)
 		}
 	}
--- a/internal/gateway/maintain.go
+++ b/internal/gateway/maintain.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// expireInterval is how often what is over is looked through, and pruneEvery so many times idle connections.
-	expireInterval = 200 * time.Millisecond
-	pruneEvery     = 5
+	// maintenanceInterval is how often what is over is looked through, and pruneEvery so many times idle connections.
+	maintenanceInterval = 200 * time.Millisecond
+	pruneEveryRounds    = 5
 )
 
 // maintain ends doubts and idle connections that are over, and notices suspensions of the machine, until the context ends.
 func (g *Gateway) maintain(ctx context.Context) {
 	for round := 1; ctx.Err() == nil; round++ {
-		pause(ctx, expireInterval)
+		pause(ctx, maintenanceInterval)
 		if length := g.suspensions.notice(g.clock.Suspended()); length > 0 {
 			g.log.MachineSuspended(length)
 		}
-		g.expire()
-		if round%pruneEvery == 0 {
+		g.expireDoubtful()
+		if round%pruneEveryRounds == 0 {
 			g.prune()
 		}
 	}
 }
 
-// expire ends doubts whose time is over: vanished back ends go, those that a restored store named again and zones of which it
+// expireDoubtful ends doubts whose time is over: vanished back ends go, those that a restored store named again and zones of which it
 // says nothing come back.
-func (g *Gateway) expire() {
+func (g *Gateway) expireDoubtful() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.storeCopy.logStaleness(g.now())
@@ -39,7 +39,7 @@
 	for _, entry := range g.replicas.ReadmitDeparted(g.now()) {
 		g.log.BackEndUpdated(entry, g.storeCopy.records.Revision())
 	}
-	g.returnZonesDue(g.now())
+	g.endEvacuationsDue(g.now())
 }
 
 // prune closes idle connections that have rested long enough or that nobody will use.
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -11,8 +11,8 @@
 	"stiletrail/internal/spread"
 )
 
-// peerTick is the pause between looks at what is due among peers.
-const peerTick = 200 * time.Millisecond
+// peerTickInterval is the pause between looks at what is due among peers.
+const peerTickInterval = 200 * time.Millisecond
 
 // Join makes the gateway a member among the nodes that the seeds know. It is called before Run.
 func (g *Gateway) Join(self membership.Member, seeds []string, peers PeerTransport) {
@@ -21,16 +21,16 @@
 	random := rand.New(rand.NewPCG(g.settings.Load().Seed, self.Generation))
 	g.fleet = fleet{
 		members:   membership.New(g.now(), self, seeds, membership.DefaultSettings(), random),
-		transport: peers, wereStarting: true,
+		transport: peers, manyWereStarting: true,
 	}
 }
 
-// peersForSpread picks random members for the spreading of the store's state.
-func (g *Gateway) peersForSpread(count int) []string {
+// pickSpreadPeers picks random members for the spreading of the store's state.
+func (g *Gateway) pickSpreadPeers(count int) []string {
 	if g.fleet.members == nil || !g.settings.Load().Fleet.PeerCopies {
 		return nil
 	}
-	if count > 1 && g.toldByWatchers(g.now()) {
+	if count > 1 && g.servedByWatchers(g.now()) {
 		// Those that watch have told the region.
 		return nil
 	}
@@ -52,7 +52,7 @@
 // tickPeers drives what is due among peers until the context ends.
 func (g *Gateway) tickPeers(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause(ctx, peerTick)
+		pause(ctx, peerTickInterval)
 		g.tickPeersOnce()
 	}
 }
@@ -62,34 +62,34 @@
 	defer g.mu.Unlock()
 	now := g.now()
 	g.sendMembership(g.fleet.members.Tick(now))
-	g.sendSpread(g.storeCopy.records.Tick(now, g.served(now), g.toldByWatchers(now)))
+	g.sendSpread(g.storeCopy.records.Tick(now, g.receivesChanges(now), g.servedByWatchers(now)))
 	g.storeCopy.logStaleness(now)
-	g.compareEvidence(now)
+	g.syncEvidence(now)
 	g.reports.core.Forget(clock.FromDuration(now))
-	g.noteStarted(now)
-	g.noteMembers(now)
+	g.updateStarting(now)
+	g.updateMembers(now)
 }
 
-// noteStarted shares out anew once not many nodes are starting any more.
-func (g *Gateway) noteStarted(now time.Duration) {
-	if starting := g.fleet.manyStarting(now); starting != g.fleet.wereStarting {
-		g.fleet.wereStarting = starting
-		g.shareAmongNodes()
+// updateStarting shares out anew once not many nodes are starting any more.
+func (g *Gateway) updateStarting(now time.Duration) {
+	if starting := g.fleet.manyNodesStarting(now); starting != g.fleet.manyWereStarting {
+		g.fleet.manyWereStarting = starting
+		g.divideAmongNodes()
 	}
 }
 
-// noteMembers shares out anew where the members have changed, or this node has joined them.
-func (g *Gateway) noteMembers(now time.Duration) {
+// updateMembers shares out anew where the members have changed, or this node has joined them.
+func (g *Gateway) updateMembers(now time.Duration) {
 	f := &g.fleet
-	if f.members.Version() == f.version && f.members.Joined(now) == f.joined {
+	if f.members.Version() == f.membersVersion && f.members.Joined(now) == f.joined {
 		return
 	}
-	f.version, f.joined = f.members.Version(), f.members.Joined(now)
-	f.nodes = 0
+	f.membersVersion, f.joined = f.members.Version(), f.members.Joined(now)
+	f.nodeCount = 0
 	if f.joined {
-		f.nodes = len(f.members.Members())
+		f.nodeCount = len(f.members.Members())
 	}
-	g.shareAmongNodes()
+	g.divideAmongNodes()
 	g.log.MembersChanged(f.members.AliveCount())
 }
 
--- a/internal/gateway/quarantine_writes.go
+++ b/internal/gateway/quarantine_writes.go
@@ -12,25 +12,25 @@
 
 // How quarantines get into the store, which nodes that start read.
 const (
-	// writeLook is the pause between looks at what is to be written.
-	writeLook = 200 * time.Millisecond
+	// writeInterval is the pause between looks at what is to be written.
+	writeInterval = 200 * time.Millisecond
 	// writeTimeout is how long a call may take, writeRetry the pause after one that failed; it is drawn from half to one and a half
 	// of it.
-	writeTimeout = 700 * time.Millisecond
-	writeRetry   = 1500 * clock.Ms(1)
-	// peerWriteWait is how long a node waits at least that has heard of a quarantine from another, for that one to write it;
+	writeTimeout    = 700 * time.Millisecond
+	writeRetryDelay = 1500 * clock.Ms(1)
+	// peerWriteDelay is how long a node waits at least that has heard of a quarantine from another, for that one to write it;
 	// peerWriteSpread more, drawn, for each node known, so that few write where that one is gone. peerWriteLongest bounds the drawn
 	// part.
-	peerWriteWait    = 2 * clock.Second
-	peerWriteSpread  = 50 * clock.Ms(1)
-	peerWriteLongest = 60 * clock.Second
-	// shortestWritten is the shortest time for which something is written.
-	shortestWritten = 2 * clock.Second
-	// otherCallerEvery is the pause between the callers, of all that ask a question under quarantine for others, of whom one is let
+	peerWriteDelay         = 2 * clock.Second
+	peerWriteJitterPerNode = 50 * clock.Ms(1)
+	maximumPeerWriteJitter = 60 * clock.Second
+	// minimumLease is the shortest time for which something is written.
+	minimumLease = 2 * clock.Second
+	// otherCallerInterval is the pause between the callers, of all that ask a question under quarantine for others, of whom one is let
 	// ask it: it may end one back end a minute, and a sound caller is not kept waiting for the end of the quarantine.
-	otherCallerEvery = 60 * clock.Second
-	// maximumClaimsAsked are remembered; older ones are asked for again, which the store answers.
-	maximumClaimsAsked = 1024
+	otherCallerInterval = 60 * clock.Second
+	// maximumClaimRequests are remembered; older ones are asked for again, which the store answers.
+	maximumClaimRequests = 1024
 )
 
 // quarantineWrites is what is to be written to the store of quarantines, and the claims by which this node was let do what is for
@@ -42,8 +42,8 @@
 	// rewrites are requests whose quarantine is written again, removals those whose quarantine was lifted.
 	rewrites map[quarantine.Fingerprint]bool
 	removals map[quarantine.Fingerprint]bool
-	// claimsAsked are the keys of claims that this node has asked the store for, with when it may ask again.
-	claimsAsked map[string]clock.Ms
+	// claimRequests are the keys of claims that this node has asked the store for, with when it may ask again.
+	claimRequests map[string]clock.Ms
 	// claims are the keys of those that it holds, with when they end; claimRewrites those of them that are written again.
 	claims        map[string]clock.Ms
 	claimRewrites map[string]bool
@@ -53,15 +53,15 @@
 	return quarantineWrites{
 		random: random, dueAt: map[quarantine.Fingerprint]clock.Ms{},
 		rewrites: map[quarantine.Fingerprint]bool{}, removals: map[quarantine.Fingerprint]bool{},
-		claimsAsked: map[string]clock.Ms{}, claims: map[string]clock.Ms{}, claimRewrites: map[string]bool{},
+		claimRequests: map[string]clock.Ms{}, claims: map[string]clock.Ms{}, claimRewrites: map[string]bool{},
 	}
 }
 
 // schedule has a request's quarantine written at a moment.
 func (q *quarantineWrites) schedule(mark quarantine.Fingerprint, at clock.Ms) { q.dueAt[mark] = at }
 
-// settle has the store say what a request's quarantine is now: it is written anew where it is held, else removed.
-func (q *quarantineWrites) settle(mark quarantine.Fingerprint, held bool) {
+// scheduleUpdate has the store say what a request's quarantine is now: it is written anew where it is held, else removed.
+func (q *quarantineWrites) scheduleUpdate(mark quarantine.Fingerprint, held bool) {
 	if held {
 		q.rewrites[mark] = true
 		return
@@ -80,12 +80,12 @@
 	for mark, left := range unstored {
 		at, known := q.dueAt[mark]
 		switch {
-		case left < shortestWritten:
+		case left < minimumLease:
 		case !known:
-			spread := min(peerWriteSpread*clock.Ms(max(nodes, 1)), peerWriteLongest)
-			q.dueAt[mark] = now + peerWriteWait + clock.Ms(q.random.Int64N(int64(spread)))
+			spread := min(peerWriteJitterPerNode*clock.Ms(max(nodes, 1)), maximumPeerWriteJitter)
+			q.dueAt[mark] = now + peerWriteDelay + clock.Ms(q.random.Int64N(int64(spread)))
 		case now >= at:
-			q.dueAt[mark] = now + writeRetry/2 + clock.Ms(q.random.Int64N(int64(writeRetry)))
+			q.dueAt[mark] = now + writeRetryDelay/2 + clock.Ms(q.random.Int64N(int64(writeRetryDelay)))
 			marks = append(marks, mark)
 		}
 	}
@@ -94,15 +94,15 @@
 
 // takeRewrites gives the quarantines that are written again now.
 func (q *quarantineWrites) takeRewrites() (marks []quarantine.Fingerprint) {
-	return takeAll(q.rewrites)
+	return drain(q.rewrites)
 }
 
 // takeRemovals gives the quarantines that are removed now.
 func (q *quarantineWrites) takeRemovals() (marks []quarantine.Fingerprint) {
-	return takeAll(q.removals)
+	return drain(q.removals)
 }
 
-func takeAll(set map[quarantine.Fingerprint]bool) (marks []quarantine.Fingerprint) {
+func drain(set map[quarantine.Fingerprint]bool) (marks []quarantine.Fingerprint) {
 	for mark := range set {
 		marks = append(marks, mark)
 	}
@@ -110,20 +110,20 @@
 	return marks
 }
 
-// mayAskClaim reports whether the store has not been asked for a claim for so long, and notes that it is now.
-func (q *quarantineWrites) mayAskClaim(key string, now, length clock.Ms) bool {
-	if now < q.claimsAsked[key] {
+// mayRequestClaim reports whether the store has not been asked for a claim for so long, and notes that it is now.
+func (q *quarantineWrites) mayRequestClaim(key string, now, length clock.Ms) bool {
+	if now < q.claimRequests[key] {
 		return false
 	}
-	if len(q.claimsAsked) >= maximumClaimsAsked {
-		clear(q.claimsAsked)
+	if len(q.claimRequests) >= maximumClaimRequests {
+		clear(q.claimRequests)
 	}
-	q.claimsAsked[key] = now + length
+	q.claimRequests[key] = now + length
 	return true
 }
 
-// claimed takes in that this node holds a claim for some time.
-func (q *quarantineWrites) claimed(key string, now, length clock.Ms) {
+// addClaim takes in that this node holds a claim for some time.
+func (q *quarantineWrites) addClaim(key string, now, length clock.Ms) {
 	for known, over := range q.claims {
 		if now >= over {
 			delete(q.claims, known)
@@ -132,8 +132,8 @@
 	q.claims[key] = now + length
 }
 
-// rewriteClaims has all claims written again, since the store may have lost them: another node would be let do the same.
-func (q *quarantineWrites) rewriteClaims() {
+// scheduleClaimRewrites has all claims written again, since the store may have lost them: another node would be let do the same.
+func (q *quarantineWrites) scheduleClaimRewrites() {
 	for key := range q.claims {
 		q.claimRewrites[key] = true
 	}
@@ -142,7 +142,7 @@
 // takeClaimRewrites gives the writes of the claims that are written again now.
 func (q *quarantineWrites) takeClaimRewrites(now clock.Ms) (writes []StoreWrite) {
 	for key := range q.claimRewrites {
-		if left := q.claims[key] - now; left >= shortestWritten {
+		if left := q.claims[key] - now; left >= minimumLease {
 			writes = append(writes, claimWrite(key, left))
 		}
 	}
@@ -158,7 +158,7 @@
 // writeQuarantines writes quarantines to the store until the context ends, so that nodes that start know them.
 func (g *Gateway) writeQuarantines(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause(ctx, writeLook)
+		pause(ctx, writeInterval)
 		for _, w := range g.quarantineWritesDue() {
 			g.writeQuarantine(ctx, w)
 		}
@@ -171,13 +171,13 @@
 	}
 }
 
-// markedWrite is a write about a request.
-type markedWrite struct {
+// quarantineWrite is a write about a request.
+type quarantineWrite struct {
 	mark quarantine.Fingerprint
 	StoreWrite
 }
 
-func (g *Gateway) quarantineWritesDue() (writes []markedWrite) {
+func (g *Gateway) quarantineWritesDue() (writes []quarantineWrite) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := clock.FromDuration(g.now())
@@ -188,9 +188,9 @@
 			return
 		}
 		w := StoreWrite{Key: quarantine.KeyOf(mark), Value: g.quarantine.Encode(mark), Lease: length, IfAbsent: ifAbsent}
-		writes = append(writes, markedWrite{mark, w})
+		writes = append(writes, quarantineWrite{mark, w})
 	}
-	for _, mark := range g.quarantineWrites.takeDue(now, unstored, g.fleet.nodes) {
+	for _, mark := range g.quarantineWrites.takeDue(now, unstored, g.fleet.nodeCount) {
 		add(mark, true)
 	}
 	for _, mark := range g.quarantineWrites.takeRewrites() {
@@ -211,7 +211,7 @@
 	return g.quarantineWrites.takeRemovals()
 }
 
-func (g *Gateway) writeQuarantine(ctx context.Context, w markedWrite) {
+func (g *Gateway) writeQuarantine(ctx context.Context, w quarantineWrite) {
 	bounded, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	_, err := g.store.Write(bounded, w.StoreWrite)
@@ -222,7 +222,7 @@
 	defer g.mu.Unlock()
 	g.log.QuarantineNotWritten(w.mark, failure.From(err))
 	if !w.IfAbsent {
-		g.quarantineWrites.settle(w.mark, true)
+		g.quarantineWrites.scheduleUpdate(w.mark, true)
 	}
 }
 
@@ -236,7 +236,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.log.QuarantineNotWritten(mark, failure.From(err))
-	g.quarantineWrites.settle(mark, false)
+	g.quarantineWrites.scheduleUpdate(mark, false)
 }
 
 // rewriteClaim writes a claim again, until the store has taken it.
@@ -256,7 +256,7 @@
 // each.
 func (g *Gateway) claimRetrial(ctx context.Context, mark quarantine.Fingerprint, version string) bool {
 	key := quarantine.RetrialKey(mark, version)
-	length, mayAsk := g.mayAskRetrial(key, version)
+	length, mayAsk := g.mayClaimRetrial(key, version)
 	if !mayAsk {
 		return false
 	}
@@ -271,23 +271,23 @@
 		return false
 	}
 	if claimed {
-		g.quarantineWrites.claimed(key, clock.FromDuration(g.now()), length)
+		g.quarantineWrites.addClaim(key, clock.FromDuration(g.now()), length)
 		g.log.RetrialClaimed(mark, version)
 	}
 	return claimed
 }
 
-// mayAskRetrial reports whether the store may be asked for the claim of a retrial now, and for how long it would be.
-func (g *Gateway) mayAskRetrial(key, version string) (length clock.Ms, may bool) {
+// mayClaimRetrial reports whether the store may be asked for the claim of a retrial now, and for how long it would be.
+func (g *Gateway) mayClaimRetrial(key, version string) (length clock.Ms, may bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	length = g.settings.Load().Quarantine.Duration
 	if version == "" {
-		length = min(length, otherCallerEvery)
+		length = min(length, otherCallerInterval)
 	}
 	if g.storeCopy.records.RewriteRemaining(g.now()) > 0 {
 		// A restored store may have lost that another node was let do it.
 		return length, false
 	}
-	return length, g.quarantineWrites.mayAskClaim(key, clock.FromDuration(g.now()), length)
+	return length, g.quarantineWrites.mayRequestClaim(key, clock.FromDuration(g.now()), length)
 }
--- a/internal/gateway/refusals.go
+++ b/internal/gateway/refusals.go
@@ -23,7 +23,7 @@
 const (
 	// retryAfterStarting: the node is reading the configuration for the first time, in the first startingTime of its life.
 	retryAfterStarting = 150 * time.Millisecond
-	startingTime       = time.Second
+	normalStartTime    = time.Second
 	// retryAfterNotReady: that has taken long.
 	retryAfterNotReady = 500 * time.Millisecond
 	retryAfterTooMany  = 500 * time.Millisecond
@@ -33,7 +33,7 @@
 
 func refuseNotReady(arrived time.Duration) forward.Answer {
 	retryAfter := retryAfterNotReady
-	if arrived < startingTime {
+	if arrived < normalStartTime {
 		retryAfter = retryAfterStarting
 	}
 	return forward.Answer{Failure: failure.Refused(failure.NotReady, "the node has no configuration yet", retryAfter)}
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -10,8 +10,8 @@
 	"stiletrail/internal/routing"
 )
 
-// run drives one forward.Request: it carries out the actions, and brings it outcomes and the passing of time.
-type run struct {
+// requestRun drives one forward.Request: it carries out the actions, and brings it outcomes and the passing of time.
+type requestRun struct {
 	gateway *Gateway
 	call    *Call
 	route   *routing.Route
@@ -20,41 +20,41 @@
 	// deadline on the node's clock, and as the standard library's timers understand it.
 	deadline     time.Duration
 	deadlineTime time.Time
-	outcomes     chan ended
+	outcomes     chan attemptOutcome
 	// finished is closed when nobody takes outcomes any more.
 	finished chan struct{}
 	cancels  map[*forward.Attempt]context.CancelFunc
 	answer   *forward.Answer
 	// callerGone: the caller left, and there is nobody to answer.
 	callerGone bool
-	// callerLookedAt is when attempts last looked whether the caller has left, callerFoundGone whether they found so.
-	callerLookedAt  atomic.Int64
+	// callerCheckedAt is when attempts last looked whether the caller has left, callerFoundGone whether they found so.
+	callerCheckedAt atomic.Int64
 	callerFoundGone atomic.Bool
-	// allowed is what the request may be sent to; trial: it is sent to one back end at a time.
-	allowed allowance
-	trial   bool
+	// restriction is what the request may be sent to; trial: it is sent to one back end at a time.
+	restriction restriction
+	trial       bool
 	// evidencePending: back ends have ended under it, which other nodes are told of only if nobody answers it.
 	evidencePending bool
 }
 
-// ended is an attempt with its outcome.
-type ended struct {
+// attemptOutcome is an attempt with its outcome.
+type attemptOutcome struct {
 	attempt *forward.Attempt
 	outcome forward.Outcome
 }
 
-func newRun(g *Gateway, call *Call, route *routing.Route, arrived time.Duration, allowed allowance) *run {
-	r := &run{
-		gateway: g, call: call, route: route, arrived: arrived, allowed: allowed, finished: make(chan struct{}),
-		outcomes: make(chan ended, max(len(route.Shards), 1)),
+func newRequestRun(g *Gateway, call *Call, route *routing.Route, arrived time.Duration, allowed restriction) *requestRun {
+	r := &requestRun{
+		gateway: g, call: call, route: route, arrived: arrived, restriction: allowed, finished: make(chan struct{}),
+		outcomes: make(chan attemptOutcome, max(len(route.Shards), 1)),
 		cancels:  make(map[*forward.Attempt]context.CancelFunc, len(route.Shards)+1),
 	}
-	r.callerLookedAt.Store(int64(g.now()))
+	r.callerCheckedAt.Store(int64(g.now()))
 	return r
 }
 
 // drive takes the request to its answer, which is empty where the caller has left.
-func (r *run) drive(ctx context.Context) forward.Answer {
+func (r *requestRun) drive(ctx context.Context) forward.Answer {
 	defer close(r.finished)
 	r.start()
 	// The timer is set anew before each wait.
@@ -62,7 +62,7 @@
 	defer timer.Stop()
 	suspended := r.gateway.suspensions.next()
 	for r.answer == nil && !r.callerGone {
-		timer.Reset(max(0, r.nextWake()))
+		timer.Reset(max(0, r.untilNextWake()))
 		select {
 		case <-suspended:
 			suspended = r.gateway.suspensions.next()
@@ -70,7 +70,7 @@
 		case end := <-r.outcomes:
 			if ctx.Err() != nil {
 				// An attempt that ends because the caller has left may be heard of first.
-				r.leave()
+				r.abandon()
 				continue
 			}
 			r.step(func(now time.Duration) []forward.Action {
@@ -78,10 +78,10 @@
 			})
 		case <-timer.C:
 			r.step(r.request.Tick)
-		case <-r.gateway.givenUp:
+		case <-r.gateway.finishNow:
 			r.step(r.request.GiveUp)
 		case <-ctx.Done():
-			r.leave()
+			r.abandon()
 		}
 	}
 	if r.callerGone {
@@ -90,20 +90,20 @@
 	return *r.answer
 }
 
-// leave withdraws everything: the caller has left.
-func (r *run) leave() {
+// abandon withdraws everything: the caller has left.
+func (r *requestRun) abandon() {
 	r.callerGone = true
 	r.step(func(time.Duration) []forward.Action { return r.request.CallerGone() })
 }
 
-// nextWake is how long the request may be left alone.
-func (r *run) nextWake() time.Duration {
+// untilNextWake is how long the request may be left alone.
+func (r *requestRun) untilNextWake() time.Duration {
 	now := r.gateway.now()
 	return r.request.NextWake(now) - now
 }
 
 // start begins the request and its first attempts.
-func (r *run) start() {
+func (r *requestRun) start() {
 	g := r.gateway
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -111,17 +111,17 @@
 	r.beginTrial(now)
 	parameters := r.parameters()
 	for _, service := range parameters.Services() {
-		g.budget(service).CountRequests(now, 1)
+		g.retryBudget(service).CountRequests(now, 1)
 	}
-	request, actions := forward.Start(now, parameters, g.settings.Load().Forward, runNode{g, now, r})
+	request, actions := forward.Start(now, parameters, g.settings.Load().Forward, nodeView{g, now, r})
 	r.request = request
-	r.deadline, r.deadlineTime = request.Deadline(), g.at(request.Deadline())
+	r.deadline, r.deadlineTime = request.Deadline(), g.wallTime(request.Deadline())
 	r.carryOut(now, actions)
 }
 
 // parameters of the request; the lock is held.
-func (r *run) parameters() forward.Parameters {
-	parameters := forward.Parameters{Route: r.route, ArrivedAt: r.arrived, Versions: r.allowed.versions, Retrial: r.allowed.retrial}
+func (r *requestRun) parameters() forward.Parameters {
+	parameters := forward.Parameters{Route: r.route, ArrivedAt: r.arrived, Versions: r.restriction.versions, Retrial: r.restriction.retrial}
 	if r.route.FansOut() {
 		parameters.FirstTrialShard = r.call.Identity.HashModulo(len(r.route.Shards))
 	} else {
@@ -134,17 +134,17 @@
 }
 
 // step has the request decide on something at this moment, and carries out what it decides.
-func (r *run) step(decide func(now time.Duration) []forward.Action) {
+func (r *requestRun) step(decide func(now time.Duration) []forward.Action) {
 	g := r.gateway
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	r.request.SetNode(runNode{g, now, r})
+	r.request.SetNode(nodeView{g, now, r})
 	r.carryOut(now, decide(now))
 }
 
 // carryOut does what the request has decided; the lock is held.
-func (r *run) carryOut(now time.Duration, actions []forward.Action) {
+func (r *requestRun) carryOut(now time.Duration, actions []forward.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case forward.StartAttempt:
@@ -159,18 +159,18 @@
 	}
 }
 
-// left is how much time the request has.
-func (r *run) left() time.Duration { return r.deadline - r.gateway.now() }
+// remaining is how much time the request has.
+func (r *requestRun) remaining() time.Duration { return r.deadline - r.gateway.now() }
 
-// callerLookEvery is the least time between two looks whether the caller of a request has left: one costs a system call.
-const callerLookEvery = 20 * time.Millisecond
+// callerCheckInterval is the least time between two looks whether the caller of a request has left: one costs a system call.
+const callerCheckInterval = 20 * time.Millisecond
 
-// callerLeft reports whether the caller has left, for an attempt that is about to be written. On a node that hardly comes to run,
+// checkCallerGone reports whether the caller has left, for an attempt that is about to be written. On a node that hardly comes to run,
 // that may be long after the attempt was decided.
-func (r *run) callerLeft() bool {
-	now, last := r.gateway.now(), r.callerLookedAt.Load()
-	due := r.call.CallerGone != nil && now-time.Duration(last) >= callerLookEvery
-	if due && r.callerLookedAt.CompareAndSwap(last, int64(now)) && r.call.CallerGone() {
+func (r *requestRun) checkCallerGone() bool {
+	now, last := r.gateway.now(), r.callerCheckedAt.Load()
+	due := r.call.CallerGone != nil && now-time.Duration(last) >= callerCheckInterval
+	if due && r.callerCheckedAt.CompareAndSwap(last, int64(now)) && r.call.CallerGone() {
 		r.callerFoundGone.Store(true)
 	}
 	return r.callerFoundGone.Load()
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -10,45 +10,45 @@
 	"stiletrail/internal/replica"
 )
 
-// runNode is the node as one run sees it at one moment; the lock is held.
-type runNode struct {
+// nodeView is the node as one run sees it at one moment; the lock is held.
+type nodeView struct {
 	gateway *Gateway
 	now     time.Duration
-	run     *run
+	run     *requestRun
 }
 
 // Pick implements forward.Node.
-func (n runNode) Pick(service string, choice replica.PickOptions) (*replica.Replica, bool) {
+func (n nodeView) Pick(service string, choice replica.PickOptions) (*replica.Replica, bool) {
 	return n.gateway.replicas.Pick(n.now, service, choice)
 }
 
 // EarliestRecovery implements forward.Node.
-func (n runNode) EarliestRecovery(service string, choice replica.PickOptions) (time.Duration, bool) {
+func (n nodeView) EarliestRecovery(service string, choice replica.PickOptions) (time.Duration, bool) {
 	return n.gateway.replicas.EarliestRecovery(service, choice)
 }
 
 // SpendHedge implements forward.Node.
-func (n runNode) SpendHedge(service string) bool {
-	return n.gateway.budget(service).Spend(n.now, n.gateway.settings.Load().Retries.HedgeReserve, n.gateway.retrySlack())
+func (n nodeView) SpendHedge(service string) bool {
+	return n.gateway.retryBudget(service).Spend(n.now, n.gateway.settings.Load().Retries.HedgeReserve, n.gateway.retrySlack())
 }
 
 // ExtraAttemptsLeft implements forward.Node.
-func (n runNode) ExtraAttemptsLeft(service string) float64 {
-	return n.gateway.budget(service).Remaining(n.now, n.gateway.retrySlack())
+func (n nodeView) ExtraAttemptsLeft(service string) float64 {
+	return n.gateway.retryBudget(service).Remaining(n.now, n.gateway.retrySlack())
 }
 
 // SpendRetry implements forward.Node.
-func (n runNode) SpendRetry(service string) bool {
-	return n.gateway.budget(service).Spend(n.now, 0, n.gateway.retrySlack())
+func (n nodeView) SpendRetry(service string) bool {
+	return n.gateway.retryBudget(service).Spend(n.now, 0, n.gateway.retrySlack())
 }
 
 // RecordSample implements forward.Node.
-func (n runNode) RecordSample(sample admit.Sample) {
+func (n nodeView) RecordSample(sample admit.Sample) {
 	n.gateway.gate.Record(clock.FromDuration(n.now), sample)
 }
 
 // RecordCrash implements forward.Node.
-func (n runNode) RecordCrash(attempt *forward.Attempt) quarantine.Verdict {
+func (n nodeView) RecordCrash(attempt *forward.Attempt) quarantine.Verdict {
 	g, now := n.gateway, clock.FromDuration(n.now)
 	if n.run.call.Identity == (quarantine.Identity{}) {
 		return quarantine.Clear
@@ -62,35 +62,35 @@
 		n.run.evidencePending = n.run.evidencePending || len(change.Share) > 0
 		change.Share = nil
 	}
-	g.verdictsChanged(now, change, byOwn)
+	g.verdictsChanged(now, change, sourceOwn)
 	return verdict
 }
 
 // Verdict implements forward.Node.
-func (n runNode) Verdict() quarantine.Verdict {
+func (n nodeView) Verdict() quarantine.Verdict {
 	return n.gateway.quarantine.Verdict(clock.FromDuration(n.now), n.run.call.Identity)
 }
 
 // ShardExcluded implements forward.Node.
-func (n runNode) ShardExcluded(service string) bool {
+func (n nodeView) ShardExcluded(service string) bool {
 	return n.gateway.quarantine.ShardExcluded(clock.FromDuration(n.now), n.run.call.Identity, service)
 }
 
 // RecordAnswer implements forward.Node.
-func (n runNode) RecordAnswer(attempt *forward.Attempt) {
+func (n nodeView) RecordAnswer(attempt *forward.Attempt) {
 	g, now := n.gateway, clock.FromDuration(n.now)
 	n.run.evidencePending = false
-	n.blameBackEnds(attempt.Shard)
+	n.recordContradictions(attempt.Shard)
 	change := g.quarantine.RecordAnswer(now, n.run.call.Identity, attempt.Service, attempt.Replica.Version)
 	for _, mark := range change.VerdictChanged {
 		_, held := g.quarantine.RemainingOf(now, mark)
-		g.quarantineWrites.settle(mark, held)
+		g.quarantineWrites.scheduleUpdate(mark, held)
 	}
-	g.verdictsChanged(now, change, byOwn)
+	g.verdictsChanged(now, change, sourceOwn)
 }
 
-// blameBackEnds takes in that a request was answered at a shard: replicas there that said that it is at fault have failed it.
-func (n runNode) blameBackEnds(shard int) {
+// recordContradictions takes in that a request was answered at a shard: replicas there that said that it is at fault have failed it.
+func (n nodeView) recordContradictions(shard int) {
 	for _, attempt := range n.run.request.Attempts() {
 		if attempt.Shard != shard || !attempt.Outcome.BlamesRequest {
 			continue
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -25,7 +25,7 @@
 	g.mu.Lock()
 	age := g.storeCopy.age(read)
 	g.mu.Unlock()
-	arrived := g.arrival(call, read)
+	arrived := g.arrivalTime(call, read)
 	result := g.answer(ctx, call, arrived)
 	result.Arrived, result.CopyAge, result.UnreadFor = arrived, age, read-arrived
 	result.Elapsed = g.now() - arrived
@@ -33,9 +33,9 @@
 	return result
 }
 
-// arrival is when a call that was read at a moment had reached the machine. All its times count from then: a caller does not wait
+// arrivalTime is when a call that was read at a moment had reached the machine. All its times count from then: a caller does not wait
 // longer because this node read late.
-func (g *Gateway) arrival(call *Call, read time.Duration) time.Duration {
+func (g *Gateway) arrivalTime(call *Call, read time.Duration) time.Duration {
 	if call.Arrived.IsZero() {
 		return read
 	}
@@ -64,31 +64,31 @@
 	if route == nil {
 		return Result{Answer: failWithoutRoute(), Version: table.Version()}
 	}
-	result := g.serveOn(ctx, call, route, arrived, holdUntil)
+	result := g.serveRoute(ctx, call, route, arrived, holdUntil)
 	result.Version, result.Route = table.Version(), route
 	return result
 }
 
-// serveOn serves a call on its route, unless it is refused by one of the rules in refusals.go.
-func (g *Gateway) serveOn(ctx context.Context, call *Call, route *routing.Route, arrived, holdUntil time.Duration) Result {
-	underWay := g.underWay.Add(1)
-	defer g.underWay.Add(-1)
+// serveRoute serves a call on its route, unless it is refused by one of the rules in refusals.go.
+func (g *Gateway) serveRoute(ctx context.Context, call *Call, route *routing.Route, arrived, holdUntil time.Duration) Result {
+	underWay := g.inFlight.Add(1)
+	defer g.inFlight.Add(-1)
 	if int(underWay) > g.settings.Load().MaximumRequests {
 		return Result{Answer: refuseTooMany()}
 	}
 	if decision := g.admission(call, route); !decision.Admitted {
 		return Result{Answer: refuseTurnedAway(decision), Overload: decision.Overload}
 	}
-	allowed, refusal := g.allow(ctx, call, route, holdUntil)
+	allowed, refusal := g.checkQuarantine(ctx, call, route, holdUntil)
 	if refusal != nil {
 		return Result{Answer: *refusal}
 	}
 	g.awaitBackEnds(ctx, route, holdUntil)
-	if call.left(ctx) {
+	if call.callerHasLeft(ctx) {
 		// Nobody waits for the answer: no back end shall begin to work on it.
 		return Result{CallerGone: true}
 	}
-	return g.runToAnswer(ctx, newRun(g, call, route, arrived, allowed))
+	return g.runToAnswer(ctx, newRequestRun(g, call, route, arrived, allowed))
 }
 
 // admission decides whether a request is turned away under overload. Those to a single back end are not, nor those whose
@@ -100,15 +100,15 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	return g.gate.Admit(clock.FromDuration(now), route.Name, clock.FromDuration(call.Deadline.Sub(g.at(now))), g.replicas.RandomFloat64)
+	return g.gate.Admit(clock.FromDuration(now), route.Name, clock.FromDuration(call.Deadline.Sub(g.wallTime(now))), g.replicas.RandomFloat64)
 }
 
 // runToAnswer drives a request to its answer. Where no back end could be asked the store is read soon.
-func (g *Gateway) runToAnswer(ctx context.Context, r *run) Result {
+func (g *Gateway) runToAnswer(ctx context.Context, r *requestRun) Result {
 	defer r.endTrial()
 	answer := r.drive(ctx)
 	if answer.Reason == forward.NoBackEnd {
-		g.readStoreSoon()
+		g.requestStoreRead()
 	}
 	return Result{
 		Answer: answer, Attempts: r.request.Attempts(), Denied: r.request.Denied, Unasked: r.request.Unasked,
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -87,25 +87,25 @@
 
 // Values that no operator needs to set: of the store. Its back ends renew their entries each interval.
 const (
-	// lapseIntervals without the store may end an entry: it goes after three without a renewal, of which one may have been over
+	// entryLifetimeIntervals without the store may end an entry: it goes after three without a renewal, of which one may have been over
 	// before.
-	lapseIntervals = 2
-	// rewriteWithin: what the store lacks after it was away or was restored is back about two seconds after its return.
-	rewriteWithin = 2500 * clock.Ms(1)
-	// oldIntervals after its return a restored store has no entry any more that is not renewed.
-	oldIntervals = 3
+	entryLifetimeIntervals = 2
+	// rewriteWindow: what the store lacks after it was away or was restored is back about two seconds after its return.
+	rewriteWindow = 2500 * clock.Ms(1)
+	// departedIntervals after its return a restored store has no entry any more that is not renewed.
+	departedIntervals = 3
 	// doubtIntervals are waited for an entry to come back that vanished while the store was unsettled.
 	doubtIntervals = 1.6
-	// watchPart of the time after which a copy is stale is the longest wait of a watch whose end nobody else makes up for.
-	watchPart = 0.9
-	// coalesceFor is the pause after changes, the time between two watchers' turns.
-	coalesceFor = 900 * time.Millisecond
-	// firstBackoff and longestBackoff bound the pause after trouble, which doubles.
-	firstBackoff   = 100 * time.Millisecond
-	longestBackoff = time.Second
-	// firstTimeout and longestTimeout bound the wait for an answer, which doubles.
-	firstTimeout   = 700 * time.Millisecond
-	longestTimeout = 4 * time.Second
+	// watchFraction of the time after which a copy is stale is the longest wait of a watch whose end nobody else makes up for.
+	watchFraction = 0.9
+	// coalesceDelay is the pause after changes, the time between two watchers' turns.
+	coalesceDelay = 900 * time.Millisecond
+	// initialBackoff and longestBackoff bound the pause after trouble, which doubles.
+	initialBackoff = 100 * time.Millisecond
+	maximumBackoff = time.Second
+	// initialTimeout and longestTimeout bound the wait for an answer, which doubles.
+	initialTimeout = 700 * time.Millisecond
+	maximumTimeout = 4 * time.Second
 )
 
 // Values that no operator needs to set: of what nodes tell each other of the store.
@@ -113,8 +113,8 @@
 	// digestInterval is the pause between two digests to a random node, digestFanout the number of nodes told at once of news.
 	digestInterval = time.Second
 	digestFanout   = 3
-	// keepGone is how long it is remembered that a key is gone.
-	keepGone = time.Minute
+	// tombstoneRetention is how long it is remembered that a key is gone.
+	tombstoneRetention = time.Minute
 )
 
 // FromSettings gives the gateway's settings for those of the operator.
@@ -128,7 +128,7 @@
 		Spread:     spreadSettings(s, waits),
 		Quarantine: quarantine.Settings{Rounds: s.QuarantineRounds, Duration: clock.FromDuration(s.QuarantineFor)},
 		StoreCopy: StoreCopySettings{
-			Propagation: waits, KeepDoubtfulFor: doubtFor(s), DistrustDepartedFor: rewriteWithin.Duration() + oldIntervals*s.EntryInterval,
+			Propagation: waits, KeepDoubtfulFor: keepDoubtfulFor(s), DistrustDepartedFor: rewriteWindow.Duration() + departedIntervals*s.EntryInterval,
 		},
 		Fleet: FleetSettings{
 			Watchers: s.Watchers, WatchersTakeTurns: s.StoreTurns, PeerCopies: s.PeerCopies, HealthReports: s.Reports,
@@ -161,22 +161,22 @@
 
 func followSettings(waits PropagationTimes) follow.Settings {
 	return follow.Settings{
-		WatchDuration: clock.Ms(watchPart * float64(waits.StaleAfter)).Duration(),
-		CoalesceDelay: coalesceFor, InitialBackoff: firstBackoff, MaximumBackoff: longestBackoff,
-		InitialTimeout: firstTimeout, MaximumTimeout: longestTimeout, PollTimeout: waits.PollTimeout.Duration(),
+		WatchDuration: clock.Ms(watchFraction * float64(waits.StaleAfter)).Duration(),
+		CoalesceDelay: coalesceDelay, InitialBackoff: initialBackoff, MaximumBackoff: maximumBackoff,
+		InitialTimeout: initialTimeout, MaximumTimeout: maximumTimeout, PollTimeout: waits.PollTimeout.Duration(),
 	}
 }
 
 func spreadSettings(s settings.Gateway, waits PropagationTimes) spread.Settings {
 	return spread.Settings{
-		Interval: digestInterval, Fanout: digestFanout, TombstoneRetention: keepGone,
+		Interval: digestInterval, Fanout: digestFanout, TombstoneRetention: tombstoneRetention,
 		PeerRequestDelay: waits.PeerRequestDelay.Duration(), AnswerTimeout: waits.AnswerTimeout.Duration(),
-		EntryLifetime: clock.FromDuration(lapseIntervals * s.EntryInterval), RewriteWindow: rewriteWithin,
+		EntryLifetime: clock.FromDuration(entryLifetimeIntervals * s.EntryInterval), RewriteWindow: rewriteWindow,
 	}
 }
 
-// doubtFor is how long an entry that vanished while the store was in trouble is used on.
-func doubtFor(s settings.Gateway) time.Duration {
+// keepDoubtfulFor is how long an entry that vanished while the store was in trouble is used on.
+func keepDoubtfulFor(s settings.Gateway) time.Duration {
 	if !s.Doubt {
 		return 0
 	}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -44,14 +44,14 @@
 	now := g.now()
 	status := Status{
 		StoreRevision: g.storeCopy.records.Revision(), StoreContactAge: g.storeCopy.reader.ContactAge(now),
-		CopyAge: g.storeCopy.age(now), Nodes: g.fleet.nodes, BackEnds: map[string]int{},
+		CopyAge: g.storeCopy.age(now), Nodes: g.fleet.nodeCount, BackEnds: map[string]int{},
 		Quarantined: g.quarantine.QuarantinedCount(clock.FromDuration(now)), EvacuatedZones: g.replicas.EvacuatedZones(),
 	}
-	g.replicas.ForEach(func(known *replica.Replica) { status.BackEnds[stateOf(now, known)]++ })
+	g.replicas.ForEach(func(known *replica.Replica) { status.BackEnds[backEndState(now, known)]++ })
 	return status
 }
 
-func stateOf(now time.Duration, known *replica.Replica) string {
+func backEndState(now time.Duration, known *replica.Replica) string {
 	switch {
 	case known.Draining:
 		return BackEndDraining
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -20,22 +20,22 @@
 		return
 	}
 	g.replicas.DistrustDeparted(now + g.settings.Load().StoreCopy.DistrustDepartedFor)
-	g.quarantineWrites.rewriteClaims()
+	g.quarantineWrites.scheduleClaimRewrites()
 	g.log.StoreRestored(era)
 }
 
-// takeChanges takes in what a watch has told. Back ends whose entries are gone are used on until a moment.
-func (g *Gateway) takeChanges(now time.Duration, records []message.StoreRecord, doubt time.Duration) {
+// applyChanges takes in what a watch has told. Back ends whose entries are gone are used on until a moment.
+func (g *Gateway) applyChanges(now time.Duration, records []message.StoreRecord, doubt time.Duration) {
 	for _, record := range records {
 		if !record.Deleted {
-			g.take(now, record)
+			g.applyIfNewer(now, record)
 		} else if g.storeCopy.records.Apply(now, record) {
-			g.vanished(now, record.Key, doubt)
+			g.applyDeletion(now, record.Key, doubt)
 		}
 	}
 }
 
-func countGone(records []message.StoreRecord) int {
+func countDeleted(records []message.StoreRecord) int {
 	count := 0
 	for _, record := range records {
 		if record.Deleted {
@@ -45,8 +45,8 @@
 	return count
 }
 
-// take brings a record in force unless a newer one of its key was taken.
-func (g *Gateway) take(now time.Duration, record message.StoreRecord) {
+// applyIfNewer brings a record in force unless a newer one of its key was taken.
+func (g *Gateway) applyIfNewer(now time.Duration, record message.StoreRecord) {
 	if g.storeCopy.records.Apply(now, record) {
 		g.enterRestoredEra(now)
 		g.apply(now, record)
@@ -56,7 +56,7 @@
 // apply brings what a record means in force.
 func (g *Gateway) apply(now time.Duration, record message.StoreRecord) {
 	if mark, found := quarantine.ParseKey(record.Key); found {
-		g.takeQuarantine(now, mark, record)
+		g.applyStoredQuarantine(now, mark, record)
 		return
 	}
 	item := g.store.Decode(record)
@@ -73,29 +73,29 @@
 			}
 			return
 		}
-		g.putBackEnd(now, *content.Entry, item.Revision)
+		g.updateBackEnd(now, *content.Entry, item.Revision)
 	case Evacuation:
 		if content.Zone != "" && g.replicas.EvacuateZone(content.Zone) {
 			g.log.ZoneEvacuated(content.Zone, item.Revision)
 		}
 	case Configuration:
-		g.adopt(&item, content, record)
+		g.applyConfiguration(&item, content, record)
 	default:
 		panic(fmt.Sprintf("an item of type %T", content))
 	}
 }
 
-// putBackEnd takes in the entry of a back end. Of those of the first listing, one line of the log tells how many they are.
-func (g *Gateway) putBackEnd(now time.Duration, entry replica.Entry, revision history.Revision) {
+// updateBackEnd takes in the entry of a back end. Of those of the first listing, one line of the log tells how many they are.
+func (g *Gateway) updateBackEnd(now time.Duration, entry replica.Entry, revision history.Revision) {
 	if g.replicas.Put(now, entry) && (g.firstListing.read.Load() || entry.Draining) {
 		g.log.BackEndUpdated(entry, revision)
 	}
 }
 
-// vanished takes in that a key is gone. A back end of that is used on until a moment.
-func (g *Gateway) vanished(now time.Duration, key string, doubt time.Duration) {
+// applyDeletion takes in that a key is gone. A back end of that is used on until a moment.
+func (g *Gateway) applyDeletion(now time.Duration, key string, doubt time.Duration) {
 	if mark, found := quarantine.ParseKey(key); found {
-		g.dropQuarantine(now, mark)
+		g.applyQuarantineDeletion(now, mark)
 		return
 	}
 	if key == g.storeCopy.configuration.Key {
@@ -109,17 +109,17 @@
 		}
 	case Evacuation:
 		if content.Zone != "" {
-			g.returnZone(now, key, content.Zone)
+			g.endEvacuation(now, key, content.Zone)
 		}
 	default:
 		panic(fmt.Sprintf("an item of type %T", content))
 	}
 }
 
-// returnZone has a zone get requests again that the store says nothing of any more. Where the store was just restored that may
+// endEvacuation has a zone get requests again that the store says nothing of any more. Where the store was just restored that may
 // be a loss: the zone is left alone until that would have been written again.
-func (g *Gateway) returnZone(now time.Duration, key, zone string) {
-	if g.storeCopy.holdZoneReturn(now, key) {
+func (g *Gateway) endEvacuation(now time.Duration, key, zone string) {
+	if g.storeCopy.delayEvacuationEnd(now, key) {
 		return
 	}
 	if g.replicas.RestoreZone(now, zone) {
@@ -127,22 +127,22 @@
 	}
 }
 
-// returnZonesDue has those zones get requests again that a restored store still says nothing of.
-func (g *Gateway) returnZonesDue(now time.Duration) {
-	for _, key := range g.storeCopy.zoneReturnsDue(now) {
-		g.vanished(now, key, now)
+// endEvacuationsDue has those zones get requests again that a restored store still says nothing of.
+func (g *Gateway) endEvacuationsDue(now time.Duration) {
+	for _, key := range g.storeCopy.evacuationEndsDue(now) {
+		g.applyDeletion(now, key, now)
 	}
 }
 
-// adopt puts a configuration in force if it is newer than the one that is, by its own version: a restored store may tell one
+// applyConfiguration puts a configuration in force if it is newer than the one that is, by its own version: a restored store may tell one
 // that was replaced, and what was in force must not go back. One that cannot be read changes nothing.
-func (g *Gateway) adopt(item *Item, configuration Configuration, record message.StoreRecord) {
+func (g *Gateway) applyConfiguration(item *Item, configuration Configuration, record message.StoreRecord) {
 	current := g.table.Load()
 	if current != nil && configuration.Version <= current.Version() {
 		g.storeCopy.keepConfiguration(record.Key, configuration.Version < current.Version())
 		return
 	}
-	table, err := g.compile(configuration)
+	table, err := g.compileTable(configuration)
 	if err != nil {
 		item.Err = err
 		g.log.ItemRejected(item)
@@ -154,15 +154,15 @@
 	g.storeCopy.setConfiguration(record, table.Version())
 	g.storeCopy.keepConfiguration(record.Key, false)
 	g.replicas.SetWarmups(warmups(table))
-	g.shareAmongNodes()
+	g.divideAmongNodes()
 	if g.firstListing.read.Load() {
-		g.noteListed()
+		g.markListed()
 	}
 	g.log.ConfigurationApplied(table, item.Revision)
 }
 
-// compile makes the table of a configuration, whose regions this node must know.
-func (g *Gateway) compile(configuration Configuration) (*routing.Table, error) {
+// compileTable makes the table of a configuration, whose regions this node must know.
+func (g *Gateway) compileTable(configuration Configuration) (*routing.Table, error) {
 	table, err := routing.Compile(*configuration.Configuration)
 	if err == nil {
 		err = table.CheckRegions(g.settings.Load().Topology.KnowsRegion)
@@ -185,44 +185,44 @@
 func (g *Gateway) receiveSpread(now time.Duration, from string, m message.Message) {
 	if request, asked := m.(*message.StoreRequest); asked && request.Revision.Unknown() {
 		// A node that has just started: it must not serve before it knows what to send to nobody.
-		g.tellEvidenceTo(now, from)
+		g.sendAllEvidence(now, from)
 	}
 	c := g.storeCopy
 	age := c.age(now)
-	received := c.records.Receive(now, from, m, g.served(now))
+	received := c.records.Receive(now, from, m, g.receivesChanges(now))
 	g.enterRestoredEra(now)
-	doubt := c.doubtUntil(now, age, countGone(received.Records)+len(received.Deleted), g.replicas.Len())
+	doubt := c.doubtUntil(now, age, countDeleted(received.Records)+len(received.Deleted), g.replicas.Len())
 	for _, record := range received.Records {
 		if record.Deleted {
-			g.vanished(now, record.Key, doubt)
+			g.applyDeletion(now, record.Key, doubt)
 		} else {
 			g.apply(now, record)
 		}
 	}
 	for _, key := range received.Deleted {
-		g.vanished(now, key, doubt)
+		g.applyDeletion(now, key, doubt)
 	}
-	g.takeKept(received.Retained)
+	g.applyKept(received.Retained)
 	if received.Advanced {
 		c.reader.Advance(c.records.Revision())
-		g.noteListed()
+		g.markListed()
 		g.log.LearnedFromPeer(from, len(received.Records)+len(received.Deleted), c.records.Revision())
 		if told, ok := m.(*message.StoreRecords); ok {
-			g.passOn(from, told)
+			g.forwardToChildren(from, told)
 		}
 	}
 	g.sendSpread(received.Sends)
 }
 
-// takeKept takes in what a peer goes by though the restored store says otherwise.
-func (g *Gateway) takeKept(records []message.StoreRecord) {
+// applyKept takes in what a peer goes by though the restored store says otherwise.
+func (g *Gateway) applyKept(records []message.StoreRecord) {
 	for _, record := range records {
 		item := g.store.Decode(record)
 		configuration, found := item.Content.(Configuration)
 		if current := g.table.Load(); !found || current != nil && configuration.Version <= current.Version() {
 			continue
 		}
-		g.adopt(&item, configuration, record)
+		g.applyConfiguration(&item, configuration, record)
 		g.storeCopy.keepConfiguration(record.Key, true)
 	}
 }
--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -13,10 +13,10 @@
 // storeCopy is what a node knows of the store: its records, how long ago they were confirmed to be all, and what the node goes
 // by though a store that was restored from a backup says otherwise. Guarded by Gateway.mu.
 type storeCopy struct {
-	log   DecisionLog
-	waits PropagationTimes
-	// doubtFor is how long an entry that vanished without proof that its back end leaves is used on at most.
-	doubtFor time.Duration
+	log         DecisionLog
+	propagation PropagationTimes
+	// keepDoubtfulFor is how long an entry that vanished without proof that its back end leaves is used on at most.
+	keepDoubtfulFor time.Duration
 	// records are the node's copy, and what other nodes say of theirs.
 	records *spread.Core
 	// reader decides the next call to the store.
@@ -29,23 +29,23 @@
 	loggedStale bool
 	// configuration is the record of the one in force.
 	configuration message.StoreRecord
-	// zoneReturns are the keys of evacuated zones of which a restored store says nothing, with the moment from which that is
+	// pendingEvacuationEnds are the keys of evacuated zones of which a restored store says nothing, with the moment from which that is
 	// believed.
-	zoneReturns map[string]time.Duration
+	pendingEvacuationEnds map[string]time.Duration
 }
 
 // newStoreCopy returns a copy that knows nothing. Peers picks nodes to be told of changes, random gives numbers from 0 to 1.
 func newStoreCopy(settings *Settings, log DecisionLog, peers spread.PeerPicker, random func() float64) *storeCopy {
 	c := &storeCopy{
 		log: log, records: spread.New(settings.Spread, peers), reader: follow.New(settings.Follow, random),
-		listedKeys: map[string]bool{}, zoneReturns: map[string]time.Duration{},
+		listedKeys: map[string]bool{}, pendingEvacuationEnds: map[string]time.Duration{},
 	}
 	c.configure(settings)
 	return c
 }
 
 func (c *storeCopy) configure(settings *Settings) {
-	c.waits, c.doubtFor = settings.StoreCopy.Propagation, settings.StoreCopy.KeepDoubtfulFor
+	c.propagation, c.keepDoubtfulFor = settings.StoreCopy.Propagation, settings.StoreCopy.KeepDoubtfulFor
 }
 
 // neverConfirmed stands for the age of a copy of the store that was never known to be complete.
@@ -61,15 +61,17 @@
 
 // stale reports whether nobody has confirmed the copy of late, or ever.
 func (c *storeCopy) stale(now time.Duration) bool {
-	return !c.records.ConfirmedWithin(now, c.waits.StaleAfter)
+	return !c.records.ConfirmedWithin(now, c.propagation.StaleAfter)
 }
 
-// staleIn is how long from now the copy turns stale if nobody confirms it.
-func (c *storeCopy) staleIn(now time.Duration) clock.Ms { return c.waits.StaleAfter - c.age(now) + 1 }
+// untilStale is how long from now the copy turns stale if nobody confirms it.
+func (c *storeCopy) untilStale(now time.Duration) clock.Ms {
+	return c.propagation.StaleAfter - c.age(now) + 1
+}
 
 // state is how the copy stands, for the next call to the store.
 func (c *storeCopy) state(now time.Duration) follow.CopyState {
-	return follow.CopyState{Stale: c.stale(now), PeersSilent: !c.records.PeersConfirmedWithin(now, c.waits.StaleAfter)}
+	return follow.CopyState{Stale: c.stale(now), PeersSilent: !c.records.PeersConfirmedWithin(now, c.propagation.StaleAfter)}
 }
 
 // logStaleness logs that the copy has turned stale, or is complete again.
@@ -89,29 +91,31 @@
 const (
 	// doubtMargin of the bound is left for requests that are under way when a doubt ends, and for the poll that ends it.
 	doubtMargin = 300 * clock.Ms(1)
-	// One back end in massPart, and massMinimum at least, that vanish within one call are taken for trouble of the store, not for
+	// One back end in massDeletionDivisor, and massMinimum at least, that vanish within one call are taken for trouble of the store, not for
 	// back ends leaving.
-	massPart    = 3
-	massMinimum = 4
+	massDeletionDivisor = 3
+	massDeletionMinimum = 4
 )
 
-// massVanishing reports whether so many back ends of those known do not all leave.
-func massVanishing(gone, known int) bool { return gone >= massMinimum && gone*massPart > known }
+// isMassDeletion reports whether so many back ends of those known do not all leave.
+func isMassDeletion(gone, known int) bool {
+	return gone >= massDeletionMinimum && gone*massDeletionDivisor > known
+}
 
 // doubtUntil is the moment until which back ends are used on whose entries have just been found gone, so many at once of those
 // known; it is now where that is proof that they leave. Age is that of the copy before it was confirmed by what tells of it: an
 // entry may have gone right after that. Where the store was not away, so that a back end is given the usual time from then on,
 // the doubt is over by then.
 func (c *storeCopy) doubtUntil(now time.Duration, age clock.Ms, gone, known int) time.Duration {
-	longest := now + c.doubtFor
-	if c.doubtFor > 0 {
+	longest := now + c.keepDoubtfulFor
+	if c.keepDoubtfulFor > 0 {
 		longest = max(longest, now+c.records.RewriteRemaining(now).Duration())
 	}
 	switch {
 	case !c.records.DeletionsReliable(now):
 		return longest
-	case massVanishing(gone, known):
-		return min(longest, now+(c.waits.Bound-age-doubtMargin).Duration())
+	case isMassDeletion(gone, known):
+		return min(longest, now+(c.propagation.Bound-age-doubtMargin).Duration())
 	}
 	return now
 }
@@ -126,15 +130,15 @@
 	return era, true
 }
 
-// logRevision logs that the store tells a revision of another era than was known, or in the same era an earlier one.
-func (c *storeCopy) logRevision(known, told history.Revision) {
+// logRegression logs that the store tells a revision of another era than was known, or in the same era an earlier one.
+func (c *storeCopy) logRegression(known, told history.Revision) {
 	if !known.Unknown() && (told.Era != known.Era || told.Before(known)) {
 		c.log.StoreRegressed(known, told)
 	}
 }
 
-// logOlder logs what the store tells that is older than what is known of the same keys.
-func (c *storeCopy) logOlder(records []message.StoreRecord) {
+// logOutdated logs what the store tells that is older than what is known of the same keys.
+func (c *storeCopy) logOutdated(records []message.StoreRecord) {
 	count, last := 0, message.StoreRecord{}
 	for _, record := range records {
 		if known, found := c.records.Record(record.Key); found && record.Revision.Before(known.Revision) {
@@ -163,24 +167,24 @@
 	c.records.StopRetaining(key)
 }
 
-// holdZoneReturn reports whether it is not believed yet that the store says nothing of an evacuated zone any more: a restored
+// delayEvacuationEnd reports whether it is not believed yet that the store says nothing of an evacuated zone any more: a restored
 // store may have lost that, and it would be written again.
-func (c *storeCopy) holdZoneReturn(now time.Duration, key string) bool {
+func (c *storeCopy) delayEvacuationEnd(now time.Duration, key string) bool {
 	if left := c.records.RewriteRemaining(now); left > 0 {
-		c.zoneReturns[key] = now + left.Duration()
+		c.pendingEvacuationEnds[key] = now + left.Duration()
 		return true
 	}
-	delete(c.zoneReturns, key)
+	delete(c.pendingEvacuationEnds, key)
 	return false
 }
 
-// zoneReturnsDue gives the keys of evacuated zones of which the restored store still says nothing, once that is believed.
-func (c *storeCopy) zoneReturnsDue(now time.Duration) (keys []string) {
-	for key, at := range c.zoneReturns {
+// evacuationEndsDue gives the keys of evacuated zones of which the restored store still says nothing, once that is believed.
+func (c *storeCopy) evacuationEndsDue(now time.Duration) (keys []string) {
+	for key, at := range c.pendingEvacuationEnds {
 		if now < at {
 			continue
 		}
-		delete(c.zoneReturns, key)
+		delete(c.pendingEvacuationEnds, key)
 		if record, known := c.records.Record(key); !known || record.Deleted {
 			keys = append(keys, key)
 		}
--- a/internal/gateway/store_reading.go
+++ b/internal/gateway/store_reading.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// standbyLook is the pause between the looks of a node that leaves the watching to others at whether they still tell it.
-	standbyLook = 100 * clock.Ms(1)
-	// minimumCoalesce is the shortest time in which changes pile up.
-	minimumCoalesce = 150 * time.Millisecond
+	// standbyPollInterval is the pause between the looks of a node that leaves the watching to others at whether they still tell it.
+	standbyPollInterval = 100 * clock.Ms(1)
+	// minimumCoalesceTime is the shortest time in which changes pile up.
+	minimumCoalesceTime = 150 * time.Millisecond
 )
 
 // readStore carries out the calls to the store that the reader decides, until the context ends.
 func (g *Gateway) readStore(ctx context.Context) {
 	for ctx.Err() == nil {
-		if g.leavesWatching() {
-			pause(ctx, standbyLook.Duration())
+		if g.reliesOnWatchers() {
+			pause(ctx, standbyPollInterval.Duration())
 			continue
 		}
 		switch call := g.nextCall(); call.Kind {
@@ -44,13 +44,13 @@
 
 // coalesce lets changes pile up, so that they cost one call; it ends early when requests lack back ends.
 func (g *Gateway) coalesce(ctx context.Context, length time.Duration) {
-	pause(ctx, min(length, minimumCoalesce))
-	timer := time.NewTimer(length - minimumCoalesce)
+	pause(ctx, min(length, minimumCoalesceTime))
+	timer := time.NewTimer(length - minimumCoalesceTime)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-g.storeWanted:
+	case <-g.storeReadWanted:
 	}
 }
 
@@ -77,21 +77,21 @@
 	now, c := g.now(), g.storeCopy
 	g.log.StoreAnswered(c.reader.ContactAge(now))
 	if call.AfterKey == "" {
-		c.logRevision(call.Revision, page.Revision)
+		c.logRegression(call.Revision, page.Revision)
 		clear(c.listedKeys)
 	}
-	c.logOlder(page.Records)
+	c.logOutdated(page.Records)
 	for _, record := range page.Records {
 		c.listedKeys[record.Key] = true
-		g.take(now, record)
+		g.applyIfNewer(now, record)
 	}
 	if c.reader.ApplyPage(now, page.LastKey, page.Revision, page.More) {
-		g.listedAll(now)
+		g.listingComplete(now)
 	}
 }
 
-// listedAll takes every known key that a whole listing did not name as vanished.
-func (g *Gateway) listedAll(now time.Duration) {
+// listingComplete takes every known key that a whole listing did not name as vanished.
+func (g *Gateway) listingComplete(now time.Duration) {
 	c := g.storeCopy
 	revision := c.reader.Revision()
 	g.log.StoreListed(len(c.listedKeys), revision)
@@ -102,10 +102,10 @@
 	g.enterRestoredEra(now)
 	doubt := c.doubtUntil(now, age, len(gone), g.replicas.Len())
 	for _, key := range gone {
-		g.vanished(now, key, doubt)
+		g.applyDeletion(now, key, doubt)
 	}
 	clear(c.listedKeys)
-	g.noteListed()
+	g.markListed()
 	g.sendSpread(sends)
 	g.storeConfirmed(now, revision, nil)
 }
@@ -114,10 +114,10 @@
 func (g *Gateway) watch(ctx context.Context, call follow.Call) {
 	bounded, cancel := context.WithTimeout(ctx, call.Duration+call.Timeout)
 	defer cancel()
-	stop := g.endWhenStale(cancel)
+	stop := g.cancelWhenStale(cancel)
 	records, at, err := g.store.Watch(bounded, call.Revision, call.Duration)
 	if ended := stop(); ended && err != nil && ctx.Err() == nil {
-		g.watchWasSilent(err)
+		g.logSilentWatch(err)
 		return
 	}
 	if err != nil {
@@ -130,26 +130,26 @@
 	g.log.StoreAnswered(c.reader.ContactAge(now))
 	if !c.reader.ApplyChanges(now, call.Revision, at, len(records)) {
 		// The number that the watch went on from is one of another era: what the store had before it there is not known.
-		c.logRevision(call.Revision, at)
+		c.logRegression(call.Revision, at)
 		return
 	}
-	c.logOlder(records)
-	g.takeChanges(now, records, c.doubtUntil(now, c.age(now), countGone(records), g.replicas.Len()))
+	c.logOutdated(records)
+	g.applyChanges(now, records, c.doubtUntil(now, c.age(now), countDeleted(records), g.replicas.Len()))
 	g.sendSpread(c.records.Advance(now, c.reader.Revision()))
 	g.storeConfirmed(now, call.Revision, records)
 }
 
-// endWhenStale ends a watch at the moment at which the copy turns stale: its connection may carry nothing any more, and the
+// cancelWhenStale ends a watch at the moment at which the copy turns stale: its connection may carry nothing any more, and the
 // store is asked over another one. A poll, at whose beginning the copy is stale already, is left to its own time. The function
 // returned stops that, and reports whether it has come to it.
-func (g *Gateway) endWhenStale(end context.CancelFunc) (stop func() (ended bool)) {
-	if g.staleIn() <= 0 {
+func (g *Gateway) cancelWhenStale(end context.CancelFunc) (stop func() (ended bool)) {
+	if g.copyStaleIn() <= 0 {
 		return func() bool { return false }
 	}
 	over, result := make(chan struct{}), make(chan bool, 1)
 	suspended := g.suspensions.next()
 	go func() {
-		for left := g.staleIn(); left > 0; left = g.staleIn() {
+		for left := g.copyStaleIn(); left > 0; left = g.copyStaleIn() {
 			select {
 			case <-over:
 				result <- false
@@ -168,14 +168,14 @@
 	}
 }
 
-func (g *Gateway) staleIn() clock.Ms {
+func (g *Gateway) copyStaleIn() clock.Ms {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.storeCopy.staleIn(g.now())
+	return g.storeCopy.untilStale(g.now())
 }
 
-// watchWasSilent logs that a watch was ended. That is no trouble of the store, which may be well: the next call is a poll.
-func (g *Gateway) watchWasSilent(err error) {
+// logSilentWatch logs that a watch was ended. That is no trouble of the store, which may be well: the next call is a poll.
+func (g *Gateway) logSilentWatch(err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.log.StoreCallFailed(follow.WatchTimedOut, failure.From(err), g.storeCopy.reader.ContactAge(g.now()))
--- a/internal/gateway/store_waits.go
+++ b/internal/gateway/store_waits.go
@@ -27,20 +27,20 @@
 
 // Parts of the bound that single waits have. They add up to less than all of it on either way, with one answer lost on it.
 const (
-	stalePart    = 0.45
-	tellPart     = 0.3
-	patiencePart = 0.2
-	answerPart   = 0.3
-	pollPart     = 0.2
+	staleFraction       = 0.45
+	announceFraction    = 0.3
+	peerRequestFraction = 0.2
+	answerFraction      = 0.3
+	pollFraction        = 0.2
 )
 
 // Waits are no longer than these where the bound is ample: what is learned sooner costs hardly more.
 const (
-	longestStale    = 2 * clock.Second
-	longestTell     = 900 * clock.Ms(1)
-	longestPatience = clock.Second
-	longestAnswer   = 1500 * clock.Ms(1)
-	longestPoll     = 700 * clock.Ms(1)
+	maximumStaleAfter       = 2 * clock.Second
+	maximumAnnounceInterval = 900 * clock.Ms(1)
+	maximumPeerRequestDelay = clock.Second
+	maximumAnswerTimeout    = 1500 * clock.Ms(1)
+	maximumPollTimeout      = 700 * clock.Ms(1)
 )
 
 // PropagationTimesWithin derives the waits from their bound.
@@ -48,10 +48,10 @@
 	part := func(of float64, longest clock.Ms) clock.Ms { return min(clock.Ms(of*float64(bound)), longest) }
 	return PropagationTimes{
 		Bound:            bound,
-		StaleAfter:       part(stalePart, longestStale),
-		AnnounceInterval: part(tellPart, longestTell),
-		PeerRequestDelay: part(patiencePart, longestPatience),
-		AnswerTimeout:    part(answerPart, longestAnswer),
-		PollTimeout:      part(pollPart, longestPoll),
+		StaleAfter:       part(staleFraction, maximumStaleAfter),
+		AnnounceInterval: part(announceFraction, maximumAnnounceInterval),
+		PeerRequestDelay: part(peerRequestFraction, maximumPeerRequestDelay),
+		AnswerTimeout:    part(answerFraction, maximumAnswerTimeout),
+		PollTimeout:      part(pollFraction, maximumPollTimeout),
 	}
 }
--- a/internal/gateway/tell_tree.go
+++ b/internal/gateway/tell_tree.go
@@ -15,13 +15,13 @@
 // a change and asks for it after Waits.Patience, as after any tell that is lost.
 const (
 	treeFanout = 4
-	// largeTell is how many bytes a watcher sends at most to tell a change directly: less than a tenth of a second of the
+	// maximumDirectBytes is how many bytes a watcher sends at most to tell a change directly: less than a tenth of a second of the
 	// slowest links, which carry 14 Mbit/s.
-	largeTell = 128 << 10
+	maximumDirectBytes = 128 << 10
 )
 
-// treePlace is a node's place in the tree of one watcher. The zero value is of a node that is in none.
-type treePlace struct {
+// treePosition is a node's place in the tree of one watcher. The zero value is of a node that is in none.
+type treePosition struct {
 	// parent sends this node large changes; children are sent them by it.
 	parent   string
 	children []string
@@ -29,19 +29,19 @@
 	receivers int
 }
 
-// treePlaceOf gives the place of a node that does not watch in the tree of the watcher that tells it.
-func treePlaceOf(self string, group, watchers []string) treePlace {
+// treePositionOf gives the place of a node that does not watch in the tree of the watcher that tells it.
+func treePositionOf(self string, group, watchers []string) treePosition {
 	at, found := slices.BinarySearch(group, self)
 	if !found || len(watchers) == 0 {
-		return treePlace{}
+		return treePosition{}
 	}
 	turn := at % len(watchers)
 	receivers := receiversOf(turn, group, watchers)
 	place, found := slices.BinarySearch(receivers, self)
 	if !found {
-		return treePlace{}
+		return treePosition{}
 	}
-	p := treePlace{parent: watchers[turn], receivers: len(receivers)}
+	p := treePosition{parent: watchers[turn], receivers: len(receivers)}
 	if place >= treeFanout {
 		p.parent = receivers[place/treeFanout-1]
 	}
@@ -50,8 +50,8 @@
 	return p
 }
 
-// treeRoot divides a watcher's receivers into those that it sends a change to, and those that get it from others.
-func treeRoot(receivers []string, records []message.StoreRecord) (direct, passedOn []string) {
+// splitReceivers divides a watcher's receivers into those that it sends a change to, and those that get it from others.
+func splitReceivers(receivers []string, records []message.StoreRecord) (direct, passedOn []string) {
 	if !isLarge(records, len(receivers)) {
 		return receivers, nil
 	}
@@ -64,12 +64,12 @@
 	for i := range records {
 		size += len(records[i].Key) + len(records[i].Value)
 	}
-	return receivers > treeFanout && size*receivers > largeTell
+	return receivers > treeFanout && size*receivers > maximumDirectBytes
 }
 
-// passOn passes a change on to the nodes below this one, if it came from the node above it.
-func (g *Gateway) passOn(from string, m *message.StoreRecords) {
-	place := &g.fleet.watch.place
+// forwardToChildren passes a change on to the nodes below this one, if it came from the node above it.
+func (g *Gateway) forwardToChildren(from string, m *message.StoreRecords) {
+	place := &g.fleet.watch.position
 	if from != place.parent || m.Complete || !isLarge(m.Records, place.receivers) {
 		return
 	}
--- a/internal/gateway/tell_tree_test.go
+++ b/internal/gateway/tell_tree_test.go
@@ -36,11 +36,11 @@
 		}
 		for _, node := range group {
 			if !slices.Contains(watchers, node) {
-				give(node, treePlaceOf(node, group, watchers).children)
+				give(node, treePositionOf(node, group, watchers).children)
 			}
 		}
 		for _, node := range group {
-			if got := treePlaceOf(node, group, watchers).parent; !slices.Contains(watchers, node) && (got == "" || got != above[node]) {
+			if got := treePositionOf(node, group, watchers).parent; !slices.Contains(watchers, node) && (got == "" || got != above[node]) {
 				t.Fatalf("%d nodes: %s expects it of %q, %q sends it", nodes, node, got, above[node])
 			}
 		}
--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -56,7 +56,7 @@
 	},
 	{
 		"a zone whose evacuation nobody writes again is never taken back", "internal/gateway/maintain.go",
-		"	g.returnZonesDue(g.now())\n", "",
+		"	g.endEvacuationsDue(g.now())\n", "",
 		"./platform", "TestChangesLostWithBackup",
 	},
 	{
@@ -86,7 +86,7 @@
 	},
 	{
 		"what one node was let do is lost with a copy", "internal/gateway/store_changes.go",
-		"	g.quarantineWrites.rewriteClaims()\n", "",
+		"	g.quarantineWrites.scheduleClaimRewrites()\n", "",
 		"./internal/gateway", "TestRetrialLostWithACopy",
 	},
 	{
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -76,7 +76,7 @@
 	},
 	{
 		"a back end that blames requests is believed", "internal/gateway/run_node.go",
-		"	n.blameBackEnds(attempt.Shard)\n", "",
+		"	n.recordContradictions(attempt.Shard)\n", "",
 		"./platform", "TestBackEndThatFailsEveryRequestIsAvoided",
 	},
 	{
@@ -101,7 +101,7 @@
 	},
 	{
 		"a caller that left before its request was read is served", "internal/gateway/serve.go",
-		"	if call.left(ctx) {", "	if ctx.Err() != nil {",
+		"	if call.callerHasLeft(ctx) {", "	if ctx.Err() != nil {",
 		"./internal/gateway", "TestCallerThatLeftBeforeItWasRead",
 	},
 	{
@@ -216,7 +216,7 @@
 	},
 	{
 		"a watch that has fallen silent is waited for", "internal/gateway/store_reading.go",
-		"	if g.staleIn() <= 0 {\n		return func() bool { return false }", "	if true {\n		return func() bool { return false }",
+		"	if g.copyStaleIn() <= 0 {\n		return func() bool { return false }", "	if true {\n		return func() bool { return false }",
 		"./platform", "TestStoreCopyAgeIsBounded",
 	},
 	{
@@ -241,7 +241,7 @@
 	},
 	{
 		"many entries that go at once are in doubt for longer than a leaving back end is given", "internal/gateway/store_copy.go",
-		"return min(longest, now+(c.waits.Bound-age-doubtMargin).Duration())", "return longest",
+		"return min(longest, now+(c.propagation.Bound-age-doubtMargin).Duration())", "return longest",
 		"./platform", "TestEntryDeletedWithoutDrain",
 	},
 	{
@@ -282,7 +282,7 @@
 	},
 	{
 		"each life of a node has its whole slack at once", "internal/gateway/fleet_share.go",
-		"if g.fleet.nodes == 0 || g.now() < settings.Window {", "if g.fleet.nodes == 0 {",
+		"if g.fleet.nodeCount == 0 || g.now() < settings.Window {", "if g.fleet.nodeCount == 0 {",
 		"./internal/gateway", "TestYoungSlack",
 	},
 	{
