--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -10,18 +10,19 @@
 	"stiletrail/internal/replica"
 )
 
-// send starts an attempt in a goroutine of its own. The caller holds the lock.
-func (r *requestRun) send(now time.Duration, attempt *forward.Attempt) {
+// startAttempt starts an attempt in a goroutine of its own. The caller holds the lock.
+func (r *requestRun) startAttempt(now time.Duration, attempt *forward.Attempt) {
 	attempt.Replica.StartAttempt(now)
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancels[attempt] = cancel
-	send := BackEndRequest{
-		Call: r.call, Attempt: attempt, Entry: attempt.Replica.Entry, Deadline: r.deadlineTime, Remaining: r.remaining, CallerGone: r.checkCallerGone,
+	request := BackEndRequest{
+		Call: r.call, Attempt: attempt, Entry: attempt.Replica.Entry, Deadline: r.deadlineTime,
+		Remaining: r.remaining, CallerGone: r.checkCallerGone,
 		NotRepeatable: !r.route.Repeatable, IdleLimit: r.gateway.replicas.IdleLimit(attempt.Replica),
 		VerifyConnection: r.gateway.replicas.MustVerify(now, attempt.Replica),
 	}
 	go func() {
-		outcome := r.gateway.exchange(ctx, send)
+		outcome := r.gateway.exchange(ctx, request)
 		cancelled := ctx.Err() != nil
 		cancel()
 		r.gateway.attemptEnded(r.call, attempt, outcome, cancelled)
@@ -34,14 +35,14 @@
 
 // exchange carries out an attempt. A panic in this process ends only the attempt, which then counts as one that may have
 // run, and not the process.
-func (g *Gateway) exchange(ctx context.Context, send BackEndRequest) (outcome forward.Outcome) {
+func (g *Gateway) exchange(ctx context.Context, request BackEndRequest) (outcome forward.Outcome) {
 	defer func() {
-		if fault := recover(); fault != nil {
-			g.log.InternalError(fmt.Sprint(fault))
-			outcome = forward.Outcome{Kind: forward.Lost, Detail: "a fault of this node"}
+		if panicked := recover(); panicked != nil {
+			g.log.InternalError(fmt.Sprint(panicked))
+			outcome = forward.Outcome{Kind: forward.Lost, Detail: "internal error of this node"}
 		}
 	}()
-	return g.backEnds.Exchange(ctx, send)
+	return g.backEnds.Exchange(ctx, request)
 }
 
 // attemptEnded records what the end of an attempt says about its back end.
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -62,7 +62,7 @@
 
 // BackEndClient carries out attempts. Each attempt reaches a back end at most once.
 type BackEndClient interface {
-	Exchange(ctx context.Context, send BackEndRequest) forward.Outcome
+	Exchange(ctx context.Context, request BackEndRequest) forward.Outcome
 	// Prune closes connections that have been idle for long enough, and all idle ones to endpoints that are not in use.
 	Prune(inUse func(replica.Endpoint) bool)
 }
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -17,16 +17,16 @@
 type DecisionLog interface {
 	Request(call *Call, result *Result)
 	BackEndEjected(attempt *forward.Attempt, outcome forward.Outcome)
-	// BackEndCrashed records that a back end crashed while it ran an attempt, which had been sent the given time before.
-	BackEndCrashed(call *Call, attempt *forward.Attempt, ran clock.Ms)
-	// VerdictChanged records that the verdict on the requests of a fingerprint has changed. The source of the change, by,
-	// is "own", "peer" or "store". For a quarantine, left is how much longer it lasts.
-	VerdictChanged(mark quarantine.Fingerprint, verdict quarantine.Verdict, by string, left clock.Ms)
+	// BackEndCrashed records that a back end crashed while it ran an attempt, and how long after the attempt was sent.
+	BackEndCrashed(call *Call, attempt *forward.Attempt, after clock.Ms)
+	// VerdictChanged records that the verdict on the requests of a fingerprint has changed. The source is "own", "peer"
+	// or "store". For a quarantine, left is how much longer it lasts.
+	VerdictChanged(fingerprint quarantine.Fingerprint, verdict quarantine.Verdict, source string, left clock.Ms)
 	// RetrialClaimed records that this node may send a quarantined request to one back end: one with a new version of the
 	// software, or, with an empty version, one on behalf of another caller.
-	RetrialClaimed(mark quarantine.Fingerprint, version string)
+	RetrialClaimed(fingerprint quarantine.Fingerprint, version string)
 	// QuarantineNotWritten records that a quarantine could not be written to the store. The write is retried.
-	QuarantineNotWritten(mark quarantine.Fingerprint, cause *failure.Failure)
+	QuarantineNotWritten(fingerprint quarantine.Fingerprint, cause *failure.Failure)
 	ConfigurationApplied(table *routing.Table, revision history.Revision)
 	ItemRejected(item *Item)
 	BackEndUpdated(entry replica.Entry, revision history.Revision)
@@ -36,14 +36,14 @@
 	ZoneEvacuationEnded(zone string)
 	StoreListed(items int, revision history.Revision)
 	// StoreRegressed records that the store reported another era than was known, or an earlier revision of the same era.
-	StoreRegressed(known, told history.Revision)
+	StoreRegressed(known, reported history.Revision)
 	// StoreRestored records that the store was restored from a backup. For a while, entries that it lacks and entries that
 	// it lists again are in doubt.
 	StoreRestored(era uint64)
 	// OutdatedRecordsRead records that the store returned records older than the ones known. count is their number; key,
 	// revision and known describe one of them.
 	OutdatedRecordsRead(key string, revision, known history.Revision, count int)
-	StoreCallFailed(trouble follow.FailureKind, cause *failure.Failure, contactAge time.Duration)
+	StoreCallFailed(kind follow.FailureKind, cause *failure.Failure, contactAge time.Duration)
 	StoreAnswered(contactAge time.Duration)
 	// CopyStale records that nothing has confirmed the copy of the store for the given time, CopyFresh that the copy is
 	// known to be complete again.
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -47,18 +47,18 @@
 
 // usableAddresses returns the addresses of the nodes that can be given work: those of this node's region, including
 // itself, and those of other regions.
-func (f *fleet) usableAddresses() (near, far []string) {
+func (f *fleet) usableAddresses() (sameRegion, otherRegions []string) {
 	region := f.members.Self().Region
 	for _, m := range f.members.Members() {
 		switch {
 		case !m.Usable():
 		case m.Region == region:
-			near = append(near, m.Address)
+			sameRegion = append(sameRegion, m.Address)
 		default:
-			far = append(far, m.Address)
+			otherRegions = append(otherRegions, m.Address)
 		}
 	}
-	return near, far
+	return sameRegion, otherRegions
 }
 
 // otherRegions returns the regions, except this node's own, in which there are usable nodes.
@@ -83,12 +83,12 @@
 // also reach other regions.
 func (f *fleet) pick(count int) []string {
 	f.picks++
-	near := func(m membership.Member) bool { return m.Usable() && m.Region == f.members.Self().Region }
-	farther := 1
+	sameRegion := func(m membership.Member) bool { return m.Usable() && m.Region == f.members.Self().Region }
+	anywhere := 1
 	if count == 1 && f.picks%otherRegionPickEvery != 0 {
-		farther = 0
+		anywhere = 0
 	}
-	picked := f.members.Pick(count-farther, near)
+	picked := f.members.Pick(count-anywhere, sameRegion)
 	return append(picked, f.members.Pick(count-len(picked), membership.Member.Usable)...)
 }
 
--- a/internal/gateway/fleet_share.go
+++ b/internal/gateway/fleet_share.go
@@ -58,21 +58,21 @@
 func (g *Gateway) divideConnections(table *routing.Table) {
 	settings := g.settings.Load()
 	members := g.fleet.members.Members()
-	nodes, most := g.fleet.nodeCount, settings.Fleet.MaximumConnections
+	nodes, maximum := g.fleet.nodeCount, settings.Fleet.MaximumConnections
 	if nodes == 0 {
-		nodes, most = len(members), settings.Replica.Connections
+		nodes, maximum = len(members), settings.Replica.Connections
 	}
-	near := 0
+	sameRegion := 0
 	for _, member := range members {
 		if member.Region == g.fleet.members.Self().Region {
-			near++
+			sameRegion++
 		}
 	}
 	manyStarting := g.fleet.manyNodesStarting(g.now())
 	g.replicas.SetManyNodesStarting(manyStarting)
-	part := 1
+	divisor := 1
 	if manyStarting {
-		part = settings.Fleet.StartupConnectionDivisor
+		divisor = settings.Fleet.StartupConnectionDivisor
 	}
 	if !settings.Fleet.ShareConnections {
 		return
@@ -80,7 +80,7 @@
 	shares := map[string]replica.ConnectionShare{}
 	for _, service := range table.Services() {
 		if service.MaximumConnections > 0 {
-			shares[service.Name] = replica.NewConnectionShare(service.MaximumConnections/part, nodes, near, most)
+			shares[service.Name] = replica.NewConnectionShare(service.MaximumConnections/divisor, nodes, sameRegion, maximum)
 		}
 	}
 	g.replicas.SetConnectionShares(shares)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -67,8 +67,8 @@
 	replicas *replica.Set
 	budgets  map[string]*limit.SlidingBudget
 	splitter *routing.Splitter
-	// gate rejects a part of the requests while there are more than the back ends can answer in time.
-	gate admit.Controller
+	// admissionController rejects a part of the requests while there are more than the back ends can answer in time.
+	admissionController admit.Controller
 	// quarantine knows the requests that have crashed back ends. trials counts, for each such request, the calls that are
 	// being sent to one back end at a time now.
 	quarantine       *quarantine.Core
--- a/internal/gateway/health_reports.go
+++ b/internal/gateway/health_reports.go
@@ -61,19 +61,19 @@
 // another region.
 func chooseReceivers(f *fleet) []string {
 	self := f.members.Self().Address
-	near, far := f.usableAddresses()
-	near = slices.DeleteFunc(near, func(address string) bool { return address == self })
-	chosen := successors(slices.Concat(near, []string{self}), self, successorReceivers)
+	sameRegion, otherRegions := f.usableAddresses()
+	sameRegion = slices.DeleteFunc(sameRegion, func(address string) bool { return address == self })
+	chosen := successors(slices.Concat(sameRegion, []string{self}), self, successorReceivers)
 	rank := func(address string) uint64 { return xxhash.Sum64String(self + "/" + address) }
-	for _, candidates := range [][]string{near, far} {
+	for _, candidates := range [][]string{sameRegion, otherRegions} {
 		slices.SortFunc(candidates, func(a, b string) int { return cmp.Compare(rank(a), rank(b)) })
 	}
-	for _, address := range near[:min(len(near), fixedReceivers)] {
+	for _, address := range sameRegion[:min(len(sameRegion), fixedReceivers)] {
 		if !slices.Contains(chosen, address) {
 			chosen = append(chosen, address)
 		}
 	}
-	return append(chosen, far[:min(len(far), otherRegionReceivers)]...)
+	return append(chosen, otherRegions[:min(len(otherRegions), otherRegionReceivers)]...)
 }
 
 // reportHealth reports a back end that has become slow or faulty, or has recovered, to other nodes. A cancelled attempt is
@@ -117,11 +117,11 @@
 
 // receiveReports applies the reports of another node on back ends, and forwards those that are new to this node.
 func (g *Gateway) receiveReports(now time.Duration, m *message.BackEndReports) {
-	news := g.reports.core.Receive(clock.FromDuration(now), m)
-	for _, r := range news {
+	newReports := g.reports.core.Receive(clock.FromDuration(now), m)
+	for _, r := range newReports {
 		g.replicas.RecordReport(now, r.BackEnd, r.Slowdown, r.FaultRate, r.ObservedAt.Duration())
 	}
-	if len(news) > 0 {
+	if len(newReports) > 0 {
 		g.reports.signal()
 	}
 }
--- a/internal/gateway/quarantine_evidence.go
+++ b/internal/gateway/quarantine_evidence.go
@@ -12,7 +12,8 @@
 
 // How evidence on requests that crash back ends spreads to other nodes. In a large fleet each crash costs a message to
 // four nodes, and each of them forwards it once. It so reaches all nodes after a number of hops that grows with the
-// logarithm of the number of nodes, and reaches each node through its neighbours. In a small fleet all nodes are told at once.
+// logarithm of the number of nodes, and reaches each node through its neighbours. In a small fleet all nodes are told at
+// once.
 const (
 	// evidenceSuccessors is the number of following nodes in the region that get the evidence. It is two, because one
 	// of them may be down without this node knowing.
@@ -88,16 +89,16 @@
 
 // verdictsChanged logs changed verdicts, schedules the write to the store if this node has imposed a quarantine, and
 // shares the evidence with other nodes.
-func (g *Gateway) verdictsChanged(now clock.Ms, change quarantine.Change, by string) {
-	for _, mark := range change.VerdictChanged {
-		left, held := g.quarantine.RemainingOf(now, mark)
+func (g *Gateway) verdictsChanged(now clock.Ms, change quarantine.Change, source string) {
+	for _, fingerprint := range change.VerdictChanged {
+		left, quarantined := g.quarantine.RemainingOf(now, fingerprint)
 		verdict := quarantine.Clear
-		if held {
+		if quarantined {
 			verdict = quarantine.Quarantined
 		}
-		g.log.VerdictChanged(mark, verdict, by, left)
-		if held && by == sourceOwn {
-			g.quarantineWrites.schedule(mark, now)
+		g.log.VerdictChanged(fingerprint, verdict, source, left)
+		if quarantined && source == sourceOwn {
+			g.quarantineWrites.schedule(fingerprint, now)
 		}
 	}
 	if len(change.Share) > 0 {
@@ -107,11 +108,11 @@
 }
 
 // shareEvidence sends what is known of the given requests to other nodes.
-func (g *Gateway) shareEvidence(now clock.Ms, marks ...quarantine.Fingerprint) {
-	if g.fleet.members == nil || len(marks) == 0 || !g.evidence.allowMessage(now) {
+func (g *Gateway) shareEvidence(now clock.Ms, fingerprints ...quarantine.Fingerprint) {
+	if g.fleet.members == nil || len(fingerprints) == 0 || !g.evidence.allowMessage(now) {
 		return
 	}
-	m := g.quarantine.EvidenceOf(now, marks...)
+	m := g.quarantine.EvidenceOf(now, fingerprints...)
 	for _, peer := range g.evidence.receivers(&g.fleet) {
 		g.fleet.transport.Send(peer, m)
 	}
@@ -142,29 +143,29 @@
 }
 
 // applyStoredQuarantine applies a quarantine that is recorded in the store.
-func (g *Gateway) applyStoredQuarantine(at time.Duration, mark quarantine.Fingerprint, record message.StoreRecord) {
+func (g *Gateway) applyStoredQuarantine(at time.Duration, fingerprint quarantine.Fingerprint, record message.StoreRecord) {
 	now := clock.FromDuration(at)
-	if g.storeCopy.records.RewriteRemaining(at) > 0 && g.quarantine.Lifted(mark) {
-		g.quarantineWrites.scheduleUpdate(mark, false)
+	if g.storeCopy.records.RewriteRemaining(at) > 0 && g.quarantine.Lifted(fingerprint) {
+		g.quarantineWrites.scheduleUpdate(fingerprint, false)
 		return
 	}
-	convicted, err := g.quarantine.ApplyStored(now, mark, record.Value)
+	convicted, err := g.quarantine.ApplyStored(now, fingerprint, record.Value)
 	if err != nil {
 		g.log.ItemRejected(&Item{Key: record.Key, Revision: record.Revision, Err: err})
 		return
 	}
 	if convicted {
-		g.verdictsChanged(now, quarantine.Change{VerdictChanged: []quarantine.Fingerprint{mark}}, sourceStore)
+		g.verdictsChanged(now, quarantine.Change{VerdictChanged: []quarantine.Fingerprint{fingerprint}}, sourceStore)
 	}
 }
 
 // applyQuarantineDeletion handles that the store does not list a quarantine any more.
-func (g *Gateway) applyQuarantineDeletion(at time.Duration, mark quarantine.Fingerprint) {
+func (g *Gateway) applyQuarantineDeletion(at time.Duration, fingerprint quarantine.Fingerprint) {
 	if g.storeCopy.records.RewriteRemaining(at) > 0 {
-		g.quarantine.RecordStoreLoss(mark)
+		g.quarantine.RecordStoreLoss(fingerprint)
 		return
 	}
-	if now := clock.FromDuration(at); g.quarantine.RemoveStored(now, mark) {
-		g.verdictsChanged(now, quarantine.Change{VerdictChanged: []quarantine.Fingerprint{mark}}, sourceStore)
+	if now := clock.FromDuration(at); g.quarantine.RemoveStored(now, fingerprint) {
+		g.verdictsChanged(now, quarantine.Change{VerdictChanged: []quarantine.Fingerprint{fingerprint}}, sourceStore)
 	}
 }
--- a/internal/gateway/quarantine_writes.go
+++ b/internal/gateway/quarantine_writes.go
@@ -60,56 +60,60 @@
 }
 
 // schedule makes the quarantine of a request be written at the given moment.
-func (q *quarantineWrites) schedule(mark quarantine.Fingerprint, at clock.Ms) { q.dueAt[mark] = at }
+func (q *quarantineWrites) schedule(fingerprint quarantine.Fingerprint, at clock.Ms) {
+	q.dueAt[fingerprint] = at
+}
 
 // scheduleUpdate updates the quarantine of a request in the store: it is written again if it is in force, else removed.
-func (q *quarantineWrites) scheduleUpdate(mark quarantine.Fingerprint, held bool) {
-	if held {
-		q.rewrites[mark] = true
+func (q *quarantineWrites) scheduleUpdate(fingerprint quarantine.Fingerprint, quarantined bool) {
+	if quarantined {
+		q.rewrites[fingerprint] = true
 		return
 	}
-	q.removals[mark] = true
+	q.removals[fingerprint] = true
 }
 
 // takeDue returns the quarantines to be written to the store now, out of those that are missing there. The map unstored
 // gives how much longer each of them lasts. Scheduled writes that are not needed any more are dropped.
-func (q *quarantineWrites) takeDue(now clock.Ms, unstored map[quarantine.Fingerprint]clock.Ms, nodes int) (marks []quarantine.Fingerprint) {
-	for mark := range q.dueAt {
-		if _, needed := unstored[mark]; !needed {
-			delete(q.dueAt, mark)
+func (q *quarantineWrites) takeDue(
+	now clock.Ms, unstored map[quarantine.Fingerprint]clock.Ms, nodes int,
+) (fingerprints []quarantine.Fingerprint) {
+	for fingerprint := range q.dueAt {
+		if _, needed := unstored[fingerprint]; !needed {
+			delete(q.dueAt, fingerprint)
 		}
 	}
-	for mark, left := range unstored {
-		at, known := q.dueAt[mark]
+	for fingerprint, left := range unstored {
+		at, known := q.dueAt[fingerprint]
 		switch {
 		case left < minimumLease:
 		case !known:
 			spread := min(peerWriteJitterPerNode*clock.Ms(max(nodes, 1)), maximumPeerWriteJitter)
-			q.dueAt[mark] = now + peerWriteDelay + clock.Ms(q.random.Int64N(int64(spread)))
+			q.dueAt[fingerprint] = now + peerWriteDelay + clock.Ms(q.random.Int64N(int64(spread)))
 		case now >= at:
-			q.dueAt[mark] = now + writeRetryDelay/2 + clock.Ms(q.random.Int64N(int64(writeRetryDelay)))
-			marks = append(marks, mark)
+			q.dueAt[fingerprint] = now + writeRetryDelay/2 + clock.Ms(q.random.Int64N(int64(writeRetryDelay)))
+			fingerprints = append(fingerprints, fingerprint)
 		}
 	}
-	return marks
+	return fingerprints
 }
 
 // takeRewrites removes and returns the quarantines that must be written again.
-func (q *quarantineWrites) takeRewrites() (marks []quarantine.Fingerprint) {
+func (q *quarantineWrites) takeRewrites() (fingerprints []quarantine.Fingerprint) {
 	return drain(q.rewrites)
 }
 
 // takeRemovals removes and returns the quarantines that must be removed from the store.
-func (q *quarantineWrites) takeRemovals() (marks []quarantine.Fingerprint) {
+func (q *quarantineWrites) takeRemovals() (fingerprints []quarantine.Fingerprint) {
 	return drain(q.removals)
 }
 
-func drain(set map[quarantine.Fingerprint]bool) (marks []quarantine.Fingerprint) {
-	for mark := range set {
-		marks = append(marks, mark)
+func drain(set map[quarantine.Fingerprint]bool) (fingerprints []quarantine.Fingerprint) {
+	for fingerprint := range set {
+		fingerprints = append(fingerprints, fingerprint)
 	}
 	clear(set)
-	return marks
+	return fingerprints
 }
 
 // mayRequestClaim reports whether the store may be asked for a claim. It returns false for the given length of time after
@@ -169,15 +173,15 @@
 		for _, w := range g.claimRewritesDue() {
 			g.rewriteClaim(ctx, w)
 		}
-		for _, mark := range g.quarantineRemovalsDue() {
-			g.removeQuarantine(ctx, mark)
+		for _, fingerprint := range g.quarantineRemovalsDue() {
+			g.removeQuarantine(ctx, fingerprint)
 		}
 	}
 }
 
 // quarantineWrite is a write of the quarantine of one request.
 type quarantineWrite struct {
-	mark quarantine.Fingerprint
+	fingerprint quarantine.Fingerprint
 	StoreWrite
 }
 
@@ -186,19 +190,21 @@
 	defer g.mu.Unlock()
 	now := clock.FromDuration(g.now())
 	unstored := g.quarantine.MissingFromStore(now)
-	add := func(mark quarantine.Fingerprint, ifAbsent bool) {
-		length, held := g.quarantine.RemainingOf(now, mark)
-		if !held {
+	add := func(fingerprint quarantine.Fingerprint, ifAbsent bool) {
+		length, quarantined := g.quarantine.RemainingOf(now, fingerprint)
+		if !quarantined {
 			return
 		}
-		w := StoreWrite{Key: quarantine.KeyOf(mark), Value: g.quarantine.Encode(mark), Lease: length, IfAbsent: ifAbsent}
-		writes = append(writes, quarantineWrite{mark, w})
+		w := StoreWrite{
+			Key: quarantine.KeyOf(fingerprint), Value: g.quarantine.Encode(fingerprint), Lease: length, IfAbsent: ifAbsent,
+		}
+		writes = append(writes, quarantineWrite{fingerprint, w})
 	}
-	for _, mark := range g.quarantineWrites.takeDue(now, unstored, g.fleet.nodeCount) {
-		add(mark, true)
+	for _, fingerprint := range g.quarantineWrites.takeDue(now, unstored, g.fleet.nodeCount) {
+		add(fingerprint, true)
 	}
-	for _, mark := range g.quarantineWrites.takeRewrites() {
-		add(mark, false)
+	for _, fingerprint := range g.quarantineWrites.takeRewrites() {
+		add(fingerprint, false)
 	}
 	return writes
 }
@@ -224,23 +230,23 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.log.QuarantineNotWritten(w.mark, failure.From(err))
+	g.log.QuarantineNotWritten(w.fingerprint, failure.From(err))
 	if !w.IfAbsent {
-		g.quarantineWrites.scheduleUpdate(w.mark, true)
+		g.quarantineWrites.scheduleUpdate(w.fingerprint, true)
 	}
 }
 
-func (g *Gateway) removeQuarantine(ctx context.Context, mark quarantine.Fingerprint) {
+func (g *Gateway) removeQuarantine(ctx context.Context, fingerprint quarantine.Fingerprint) {
 	bounded, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	err := g.store.Remove(bounded, quarantine.KeyOf(mark))
+	err := g.store.Remove(bounded, quarantine.KeyOf(fingerprint))
 	if err == nil || ctx.Err() != nil {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.log.QuarantineNotWritten(mark, failure.From(err))
-	g.quarantineWrites.scheduleUpdate(mark, false)
+	g.log.QuarantineNotWritten(fingerprint, failure.From(err))
+	g.quarantineWrites.scheduleUpdate(fingerprint, false)
 }
 
 // rewriteClaim writes a claim again. If that fails the write stays pending.
@@ -258,8 +264,8 @@
 // claimRetrial asks the store for the claim to send a quarantined request to one back end with a new version of the
 // software, or, with an empty version, on behalf of another caller. If the store does not answer, no node may do so:
 // several nodes that tried would crash a back end each.
-func (g *Gateway) claimRetrial(ctx context.Context, mark quarantine.Fingerprint, version string) bool {
-	key := quarantine.RetrialKey(mark, version)
+func (g *Gateway) claimRetrial(ctx context.Context, fingerprint quarantine.Fingerprint, version string) bool {
+	key := quarantine.RetrialKey(fingerprint, version)
 	length, mayAsk := g.mayClaimRetrial(key, version)
 	if !mayAsk {
 		return false
@@ -270,14 +276,14 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err != nil {
-		g.log.QuarantineNotWritten(mark, failure.From(err))
+		g.log.QuarantineNotWritten(fingerprint, failure.From(err))
 		// The store may have granted the claim although the call failed. Only an answer that says that it did not lets this
 		// node ask again.
 		return false
 	}
 	if claimed {
 		g.quarantineWrites.addClaim(key, clock.FromDuration(g.now()), length)
-		g.log.RetrialClaimed(mark, version)
+		g.log.RetrialClaimed(fingerprint, version)
 	}
 	return claimed
 }
--- a/internal/gateway/refusals.go
+++ b/internal/gateway/refusals.go
@@ -44,7 +44,7 @@
 }
 
 func refuseTooMany() forward.Answer {
-	return forward.Answer{Failure: failure.Refused(failure.Overloaded, "too many requests under way", retryAfterTooMany)}
+	return forward.Answer{Failure: failure.Refused(failure.Overloaded, "too many requests in flight", retryAfterTooMany)}
 }
 
 func refuseTurnedAway(decision admit.Decision) forward.Answer {
@@ -55,11 +55,11 @@
 }
 
 func refuseQuarantined(left clock.Ms) *forward.Answer {
-	const message = "back ends end when they run the request"
+	const message = "the request is quarantined, because it crashes the back ends that run it"
 	return &forward.Answer{Failure: failure.Refused(failure.Quarantined, message, left.Duration()), Reason: forward.Quarantined}
 }
 
 func refuseUnderTrial() *forward.Answer {
-	const message = "back ends ended when they ran the request, and it is being tried"
+	const message = "the request has crashed back ends, and another call is trying it on one back end"
 	return &forward.Answer{Failure: failure.Refused(failure.Quarantined, message, retryAfterTrial), Reason: forward.Quarantined}
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -125,7 +125,9 @@
 
 // parameters returns the parameters of the request. The caller holds the lock.
 func (r *requestRun) parameters() forward.Parameters {
-	parameters := forward.Parameters{Route: r.route, ArrivedAt: r.arrived, Versions: r.restriction.versions, Retrial: r.restriction.retrial}
+	parameters := forward.Parameters{
+		Route: r.route, ArrivedAt: r.arrived, Versions: r.restriction.versions, Retrial: r.restriction.retrial,
+	}
 	if r.route.FansOut() {
 		parameters.FirstTrialShard = r.call.Identity.HashModulo(len(r.route.Shards))
 	} else {
@@ -152,13 +154,13 @@
 	for _, action := range actions {
 		switch action := action.(type) {
 		case forward.StartAttempt:
-			r.send(now, action.Attempt)
+			r.startAttempt(now, action.Attempt)
 		case forward.CancelAttempt:
 			r.cancels[action.Attempt]()
 		case forward.Finish:
 			r.answer = &action.Answer
 		default:
-			panic(fmt.Sprintf("an action of type %T", action))
+			panic(fmt.Sprintf("unexpected action of type %T", action))
 		}
 	}
 }
--- a/internal/gateway/run_node.go
+++ b/internal/gateway/run_node.go
@@ -18,13 +18,13 @@
 }
 
 // Pick implements forward.Node.
-func (n nodeView) Pick(service string, choice replica.PickOptions) (*replica.Replica, bool) {
-	return n.gateway.replicas.Pick(n.now, service, choice)
+func (n nodeView) Pick(service string, options replica.PickOptions) (*replica.Replica, bool) {
+	return n.gateway.replicas.Pick(n.now, service, options)
 }
 
 // EarliestRecovery implements forward.Node.
-func (n nodeView) EarliestRecovery(service string, choice replica.PickOptions) (time.Duration, bool) {
-	return n.gateway.replicas.EarliestRecovery(service, choice)
+func (n nodeView) EarliestRecovery(service string, options replica.PickOptions) (time.Duration, bool) {
+	return n.gateway.replicas.EarliestRecovery(service, options)
 }
 
 // SpendHedge implements forward.Node.
@@ -44,7 +44,7 @@
 
 // RecordSample implements forward.Node.
 func (n nodeView) RecordSample(sample admit.Sample) {
-	n.gateway.gate.Record(clock.FromDuration(n.now), sample)
+	n.gateway.admissionController.Record(clock.FromDuration(n.now), sample)
 }
 
 // RecordCrash implements forward.Node.
@@ -82,9 +82,9 @@
 	n.run.evidencePending = false
 	n.recordContradictions(attempt.Shard)
 	change := g.quarantine.RecordAnswer(now, n.run.call.Identity, attempt.Service, attempt.Replica.Version)
-	for _, mark := range change.VerdictChanged {
-		_, held := g.quarantine.RemainingOf(now, mark)
-		g.quarantineWrites.scheduleUpdate(mark, held)
+	for _, fingerprint := range change.VerdictChanged {
+		_, quarantined := g.quarantine.RemainingOf(now, fingerprint)
+		g.quarantineWrites.scheduleUpdate(fingerprint, quarantined)
 	}
 	g.verdictsChanged(now, change, sourceOwn)
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -21,13 +21,13 @@
 
 // Serve answers a call. The context ends when the caller disconnects.
 func (g *Gateway) Serve(ctx context.Context, call *Call) Result {
-	read := g.now()
+	readAt := g.now()
 	g.mu.Lock()
-	age := g.storeCopy.age(read)
+	age := g.storeCopy.age(readAt)
 	g.mu.Unlock()
-	arrived := g.arrivalTime(call, read)
+	arrived := g.arrivalTime(call, readAt)
 	result := g.answer(ctx, call, arrived)
-	result.Arrived, result.CopyAge, result.UnreadFor = arrived, age, read-arrived
+	result.Arrived, result.CopyAge, result.UnreadFor = arrived, age, readAt-arrived
 	result.Elapsed = g.now() - arrived
 	g.log.Request(call, &result)
 	return result
@@ -35,11 +35,11 @@
 
 // arrivalTime returns when a call that was read at the given moment had reached the machine. All time limits of the call
 // count from then, so that a caller does not wait longer because this node read the call late.
-func (g *Gateway) arrivalTime(call *Call, read time.Duration) time.Duration {
+func (g *Gateway) arrivalTime(call *Call, readAt time.Duration) time.Duration {
 	if call.Arrived.IsZero() {
-		return read
+		return readAt
 	}
-	return min(read, g.clock.FromTime(call.Arrived))
+	return min(readAt, g.clock.FromTime(call.Arrived))
 }
 
 // LogRefusal logs a call that is invalid in itself and was answered with a failure.
@@ -71,9 +71,9 @@
 
 // serveRoute serves a call on its route, unless one of the rules in refusals.go refuses it.
 func (g *Gateway) serveRoute(ctx context.Context, call *Call, route *routing.Route, arrived, holdUntil time.Duration) Result {
-	underWay := g.inFlight.Add(1)
+	inFlight := g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
-	if int(underWay) > g.settings.Load().MaximumRequests {
+	if int(inFlight) > g.settings.Load().MaximumRequests {
 		return Result{Answer: refuseTooMany()}
 	}
 	if decision := g.admission(call, route); !decision.Admitted {
@@ -100,7 +100,9 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	return g.gate.Admit(clock.FromDuration(now), route.Name, clock.FromDuration(call.Deadline.Sub(g.wallTime(now))), g.replicas.RandomFloat64)
+	return g.admissionController.Admit(
+		clock.FromDuration(now), route.Name, clock.FromDuration(call.Deadline.Sub(g.wallTime(now))), g.replicas.RandomFloat64,
+	)
 }
 
 // runToAnswer drives a request to its answer. If there was no back end to send it to, the store is read again soon.
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -110,7 +110,8 @@
 	watchFraction = 0.9
 	// coalesceDelay is the pause after changes, and the time between the turns of two watchers.
 	coalesceDelay = 900 * time.Millisecond
-	// initialBackoff and maximumBackoff bound the pause after a failed call to the store. The pause doubles with each failure.
+	// initialBackoff and maximumBackoff bound the pause after a failed call to the store. The pause doubles with each
+	// failure.
 	initialBackoff = 100 * time.Millisecond
 	maximumBackoff = time.Second
 	// initialTimeout and maximumTimeout bound the wait for an answer of the store. The wait doubles with each timeout.
@@ -130,16 +131,17 @@
 
 // FromSettings converts the operator's settings to those of the gateway.
 func FromSettings(s settings.Gateway) Settings {
-	waits := PropagationTimesWithin(clock.FromDuration(min(s.LeavingTime, s.ApplyWithin, s.EvacuateWithin)))
+	propagation := PropagationTimesWithin(clock.FromDuration(min(s.LeavingTime, s.ApplyWithin, s.EvacuateWithin)))
 	return Settings{
 		Forward:    forwardSettings(s),
 		Replica:    replicaSettings(s),
 		Topology:   replica.Topology{Node: s.Node, Zone: s.Zone, Regions: s.Regions},
-		Follow:     followSettings(waits),
-		Spread:     spreadSettings(s, waits),
+		Follow:     followSettings(propagation),
+		Spread:     spreadSettings(s, propagation),
 		Quarantine: quarantine.Settings{Rounds: s.QuarantineRounds, Duration: clock.FromDuration(s.QuarantineFor)},
 		StoreCopy: StoreCopySettings{
-			Propagation: waits, KeepDoubtfulFor: keepDoubtfulFor(s), DistrustDepartedFor: rewriteWindow.Duration() + departedIntervals*s.EntryInterval,
+			Propagation: propagation, KeepDoubtfulFor: keepDoubtfulFor(s),
+			DistrustDepartedFor: rewriteWindow.Duration() + departedIntervals*s.EntryInterval,
 		},
 		Fleet: FleetSettings{
 			Watchers: s.Watchers, WatchersTakeTurns: s.StoreTurns, PeerCopies: s.PeerCopies, HealthReports: s.Reports,
@@ -170,18 +172,18 @@
 	}
 }
 
-func followSettings(waits PropagationTimes) follow.Settings {
+func followSettings(propagation PropagationTimes) follow.Settings {
 	return follow.Settings{
-		WatchDuration: clock.Ms(watchFraction * float64(waits.StaleAfter)).Duration(),
+		WatchDuration: clock.Ms(watchFraction * float64(propagation.StaleAfter)).Duration(),
 		CoalesceDelay: coalesceDelay, InitialBackoff: initialBackoff, MaximumBackoff: maximumBackoff,
-		InitialTimeout: initialTimeout, MaximumTimeout: maximumTimeout, PollTimeout: waits.PollTimeout.Duration(),
+		InitialTimeout: initialTimeout, MaximumTimeout: maximumTimeout, PollTimeout: propagation.PollTimeout.Duration(),
 	}
 }
 
-func spreadSettings(s settings.Gateway, waits PropagationTimes) spread.Settings {
+func spreadSettings(s settings.Gateway, propagation PropagationTimes) spread.Settings {
 	return spread.Settings{
 		Interval: digestInterval, Fanout: digestFanout, TombstoneRetention: tombstoneRetention,
-		PeerRequestDelay: waits.PeerRequestDelay.Duration(), AnswerTimeout: waits.AnswerTimeout.Duration(),
+		PeerRequestDelay: propagation.PeerRequestDelay.Duration(), AnswerTimeout: propagation.AnswerTimeout.Duration(),
 		EntryLifetime: clock.FromDuration(entryLifetimeIntervals * s.EntryInterval), RewriteWindow: rewriteWindow,
 	}
 }
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -24,14 +24,14 @@
 	g.log.StoreRestored(era)
 }
 
-// applyChanges applies the changes that a watch has returned. Back ends whose entries were deleted are used until the
-// moment doubt.
-func (g *Gateway) applyChanges(now time.Duration, records []message.StoreRecord, doubt time.Duration) {
+// applyChanges applies the changes that a watch has returned. Back ends whose entries were deleted are still used until
+// the moment usedUntil.
+func (g *Gateway) applyChanges(now time.Duration, records []message.StoreRecord, usedUntil time.Duration) {
 	for _, record := range records {
 		if !record.Deleted {
 			g.applyIfNewer(now, record)
 		} else if g.storeCopy.records.Apply(now, record) {
-			g.applyDeletion(now, record.Key, doubt)
+			g.applyDeletion(now, record.Key, usedUntil)
 		}
 	}
 }
@@ -56,8 +56,8 @@
 
 // apply puts the content of a record into force.
 func (g *Gateway) apply(now time.Duration, record message.StoreRecord) {
-	if mark, found := quarantine.ParseKey(record.Key); found {
-		g.applyStoredQuarantine(now, mark, record)
+	if fingerprint, found := quarantine.ParseKey(record.Key); found {
+		g.applyStoredQuarantine(now, fingerprint, record)
 		return
 	}
 	item := g.store.Decode(record)
@@ -82,7 +82,7 @@
 	case Configuration:
 		g.applyConfiguration(&item, content, record)
 	default:
-		panic(fmt.Sprintf("an item of type %T", content))
+		panic(fmt.Sprintf("unexpected item content of type %T", content))
 	}
 }
 
@@ -94,27 +94,28 @@
 	}
 }
 
-// applyDeletion handles that a key was deleted. If it is the key of a back end, that is used until the moment doubt.
-func (g *Gateway) applyDeletion(now time.Duration, key string, doubt time.Duration) {
-	if mark, found := quarantine.ParseKey(key); found {
-		g.applyQuarantineDeletion(now, mark)
+// applyDeletion handles that a key was deleted. If it is the key of a back end, the back end is still used until the
+// moment usedUntil.
+func (g *Gateway) applyDeletion(now time.Duration, key string, usedUntil time.Duration) {
+	if fingerprint, found := quarantine.ParseKey(key); found {
+		g.applyQuarantineDeletion(now, fingerprint)
 		return
 	}
 	if key == g.storeCopy.configuration.Key {
-		g.storeCopy.keepConfiguration(key, true)
+		g.storeCopy.retainConfiguration(key, true)
 	}
 	switch content := g.store.Decode(message.StoreRecord{Key: key, Deleted: true}).Content.(type) {
 	case nil, Configuration:
 	case BackEnd:
-		if content.ID != "" && g.replicas.Remove(now, content.ID, doubt) {
-			g.log.BackEndVanished(content.ID, doubt <= now)
+		if content.ID != "" && g.replicas.Remove(now, content.ID, usedUntil) {
+			g.log.BackEndVanished(content.ID, usedUntil <= now)
 		}
 	case Evacuation:
 		if content.Zone != "" {
 			g.endEvacuation(now, key, content.Zone)
 		}
 	default:
-		panic(fmt.Sprintf("an item of type %T", content))
+		panic(fmt.Sprintf("unexpected item content of type %T", content))
 	}
 }
 
@@ -142,7 +143,7 @@
 func (g *Gateway) applyConfiguration(item *Item, configuration Configuration, record message.StoreRecord) {
 	current := g.table.Load()
 	if current != nil && configuration.Version <= current.Version() {
-		g.storeCopy.keepConfiguration(record.Key, configuration.Version < current.Version())
+		g.storeCopy.retainConfiguration(record.Key, configuration.Version < current.Version())
 		return
 	}
 	table, err := g.compileTable(configuration)
@@ -152,10 +153,10 @@
 		return
 	}
 	g.splitter.Retain(table)
-	g.gate.Retain(table.HasRoute)
+	g.admissionController.Retain(table.HasRoute)
 	g.table.Store(table)
 	g.storeCopy.setConfiguration(record, table.Version())
-	g.storeCopy.keepConfiguration(record.Key, false)
+	g.storeCopy.retainConfiguration(record.Key, false)
 	g.replicas.SetWarmups(warmups(table))
 	g.divideAmongNodes()
 	if g.firstListing.read.Load() {
@@ -195,31 +196,31 @@
 	age := c.age(now)
 	received := c.records.Receive(now, from, m, g.receivesChanges(now))
 	g.enterRestoredEra(now)
-	doubt := c.doubtUntil(now, age, countDeleted(received.Records)+len(received.Deleted), g.replicas.Len())
+	usedUntil := c.doubtUntil(now, age, countDeleted(received.Records)+len(received.Deleted), g.replicas.Len())
 	for _, record := range received.Records {
 		if record.Deleted {
-			g.applyDeletion(now, record.Key, doubt)
+			g.applyDeletion(now, record.Key, usedUntil)
 		} else {
 			g.apply(now, record)
 		}
 	}
 	for _, key := range received.Deleted {
-		g.applyDeletion(now, key, doubt)
+		g.applyDeletion(now, key, usedUntil)
 	}
-	g.applyKept(received.Retained)
+	g.applyRetained(received.Retained)
 	if received.Advanced {
 		c.reader.Advance(c.records.Revision())
 		g.markListed()
 		g.log.LearnedFromPeer(from, len(received.Records)+len(received.Deleted), c.records.Revision())
-		if told, ok := m.(*message.StoreRecords); ok {
-			g.forwardToChildren(from, told)
+		if storeRecords, ok := m.(*message.StoreRecords); ok {
+			g.forwardToChildren(from, storeRecords)
 		}
 	}
 	g.sendSpread(received.Sends)
 }
 
-// applyKept applies the configuration that a peer retains although the restored store has another one.
-func (g *Gateway) applyKept(records []message.StoreRecord) {
+// applyRetained applies the configuration that a peer retains although the restored store has another one.
+func (g *Gateway) applyRetained(records []message.StoreRecord) {
 	for _, record := range records {
 		item := g.store.Decode(record)
 		configuration, found := item.Content.(Configuration)
@@ -227,6 +228,6 @@
 			continue
 		}
 		g.applyConfiguration(&item, configuration, record)
-		g.storeCopy.keepConfiguration(record.Key, true)
+		g.storeCopy.retainConfiguration(record.Key, true)
 	}
 }
--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -101,16 +101,16 @@
 )
 
 // isMassDeletion reports whether too many of the known back ends have disappeared at once for all of them to have left.
-func isMassDeletion(gone, known int) bool {
-	return gone >= massDeletionMinimum && gone*massDeletionDivisor > known
+func isMassDeletion(deleted, known int) bool {
+	return deleted >= massDeletionMinimum && deleted*massDeletionDivisor > known
 }
 
-// doubtUntil returns the moment until which back ends are still used whose entries have just disappeared: gone of them at
-// once, of known ones in all. It returns now if the deletion proves that they leave. age is the age of the copy before
-// the call that returned the deletion, because an entry may have been deleted right after that confirmation. If the store
-// was available all the time, back ends that leave still run for the usual time after the deletion; their doubtful state
-// therefore ends within that time.
-func (c *storeCopy) doubtUntil(now time.Duration, age clock.Ms, gone, known int) time.Duration {
+// doubtUntil returns the moment until which back ends are still used whose entries have just been found deleted. deleted is
+// the number of these back ends, and known that of all known ones. The moment is now if the deletion proves that the back
+// ends leave. age is the age of the copy before the call that returned the deletion, because an entry may have been deleted
+// right after that confirmation. If the store was available all the time, a back end that leaves still runs for the usual
+// time after the deletion of its entry. Its doubtful state ends within that time.
+func (c *storeCopy) doubtUntil(now time.Duration, age clock.Ms, deleted, known int) time.Duration {
 	longest := now + c.keepDoubtfulFor
 	if c.keepDoubtfulFor > 0 {
 		longest = max(longest, now+c.records.RewriteRemaining(now).Duration())
@@ -118,7 +118,7 @@
 	switch {
 	case !c.records.DeletionsReliable(now):
 		return longest
-	case isMassDeletion(gone, known):
+	case isMassDeletion(deleted, known):
 		return min(longest, now+(c.propagation.Bound-age-doubtMargin).Duration())
 	}
 	return now
@@ -135,9 +135,9 @@
 }
 
 // logRegression logs that the store reported another era than was known, or an earlier revision of the same era.
-func (c *storeCopy) logRegression(known, told history.Revision) {
-	if !known.Unknown() && (told.Era != known.Era || told.Before(known)) {
-		c.log.StoreRegressed(known, told)
+func (c *storeCopy) logRegression(known, reported history.Revision) {
+	if !known.Unknown() && (reported.Era != known.Era || reported.Before(known)) {
+		c.log.StoreRegressed(known, reported)
 	}
 }
 
@@ -161,9 +161,9 @@
 	c.records.SetConfiguration(version)
 }
 
-// keepConfiguration makes this node send the configuration in force to other nodes for as long as lost holds, that is
+// retainConfiguration makes this node send the configuration in force to other nodes for as long as lost holds, that is
 // while a restored store has an older configuration or none.
-func (c *storeCopy) keepConfiguration(key string, lost bool) {
+func (c *storeCopy) retainConfiguration(key string, lost bool) {
 	if lost {
 		c.records.Retain(c.configuration)
 		return
--- a/internal/gateway/store_reading.go
+++ b/internal/gateway/store_reading.go
@@ -97,14 +97,14 @@
 	c := g.storeCopy
 	revision := c.reader.Revision()
 	g.log.StoreListed(len(c.listedKeys), revision)
-	gone := c.records.ApplyListing(now, c.listedKeys, revision)
+	deleted := c.records.ApplyListing(now, c.listedKeys, revision)
 	age := c.age(now)
 	// After Advance it is known whether the store was restored, and that decides what a deletion means.
 	sends := c.records.Advance(now, revision)
 	g.enterRestoredEra(now)
-	doubt := c.doubtUntil(now, age, len(gone), g.replicas.Len())
-	for _, key := range gone {
-		g.applyDeletion(now, key, doubt)
+	usedUntil := c.doubtUntil(now, age, len(deleted), g.replicas.Len())
+	for _, key := range deleted {
+		g.applyDeletion(now, key, usedUntil)
 	}
 	clear(c.listedKeys)
 	g.markListed()
@@ -144,16 +144,16 @@
 // cancelWhenStale cancels a watch when the copy becomes stale. The watch's connection may be dead by then, and the store is
 // asked over another one. A call that starts with a stale copy is a poll and has its own timeout, so it is not cancelled.
 // The returned function stops the wait, and reports whether the watch was cancelled.
-func (g *Gateway) cancelWhenStale(end context.CancelFunc) (stop func() (ended bool)) {
+func (g *Gateway) cancelWhenStale(cancel context.CancelFunc) (stop func() (ended bool)) {
 	if g.copyStaleIn() <= 0 {
 		return func() bool { return false }
 	}
-	over, result := make(chan struct{}), make(chan bool, 1)
+	done, result := make(chan struct{}), make(chan bool, 1)
 	suspended := g.suspensions.next()
 	go func() {
 		for left := g.copyStaleIn(); left > 0; left = g.copyStaleIn() {
 			select {
-			case <-over:
+			case <-done:
 				result <- false
 				return
 			case <-suspended:
@@ -161,11 +161,11 @@
 			case <-time.After(left.Duration()):
 			}
 		}
-		end()
+		cancel()
 		result <- true
 	}()
 	return func() bool {
-		close(over)
+		close(done)
 		return <-result
 	}
 }
@@ -192,7 +192,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	trouble := g.store.FailureKind(err)
-	g.log.StoreCallFailed(trouble, failure.From(err), g.storeCopy.reader.ContactAge(now))
-	g.storeCopy.reader.RecordFailure(now, trouble)
+	kind := g.store.FailureKind(err)
+	g.log.StoreCallFailed(kind, failure.From(err), g.storeCopy.reader.ContactAge(now))
+	g.storeCopy.reader.RecordFailure(now, kind)
 }
--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -22,7 +22,9 @@
 //   - A quarantined request goes to back ends with versions of the software that are known to answer it. If there are
 //     none, one node may try it on one back end: with a version that has not yet run it, or for a caller that has not yet
 //     sent it. The store gives the claim for that to one node. Otherwise the request is refused at once.
-func (g *Gateway) checkQuarantine(ctx context.Context, call *Call, route *routing.Route, until time.Duration) (restriction, *forward.Answer) {
+func (g *Gateway) checkQuarantine(
+	ctx context.Context, call *Call, route *routing.Route, until time.Duration,
+) (restriction, *forward.Answer) {
 	for {
 		known := g.quarantineStateOf(call, route)
 		switch {
@@ -30,9 +32,9 @@
 			return restriction{}, nil
 		case known.verdict == quarantine.Quarantined && len(known.safeVersions) > 0:
 			return restriction{versions: known.safeVersions}, nil
-		case known.untriedVersion != "" && g.claimRetrial(ctx, known.mark, known.untriedVersion):
+		case known.untriedVersion != "" && g.claimRetrial(ctx, known.fingerprint, known.untriedVersion):
 			return restriction{versions: []string{known.untriedVersion}, retrial: true}, nil
-		case known.otherCaller && g.claimRetrial(ctx, known.mark, ""):
+		case known.otherCaller && g.claimRetrial(ctx, known.fingerprint, ""):
 			return restriction{retrial: true}, nil
 		case known.verdict == quarantine.Quarantined:
 			return restriction{}, refuseQuarantined(known.left)
@@ -67,8 +69,8 @@
 	// otherCaller is set if the request is quarantined for all callers and this caller may still try it, because the
 	// request may crash back ends only when others send it.
 	otherCaller bool
-	// mark is the fingerprint that the quarantine is recorded under.
-	mark quarantine.Fingerprint
+	// fingerprint is the key that the quarantine is recorded under.
+	fingerprint quarantine.Fingerprint
 }
 
 func (g *Gateway) quarantineStateOf(call *Call, route *routing.Route) (s quarantineState) {
@@ -88,12 +90,12 @@
 
 // findRetrial looks for a retrial that a quarantined request may get. The caller holds the lock.
 func (g *Gateway) findRetrial(now clock.Ms, call *Call, route *routing.Route, s *quarantineState) {
-	s.mark, s.untriedVersion, _ = g.quarantine.UntriedVersion(now, call.Identity, g.versionsFor(route))
+	s.fingerprint, s.untriedVersion, _ = g.quarantine.UntriedVersion(now, call.Identity, g.versionsFor(route))
 	if s.untriedVersion != "" {
 		return
 	}
-	mark, wait, other := g.quarantine.OtherCaller(now, call.Identity)
-	s.mark = mark
+	fingerprint, wait, other := g.quarantine.OtherCaller(now, call.Identity)
+	s.fingerprint = fingerprint
 	switch {
 	case !other:
 	case wait > 0:
--- a/internal/gateway/watch_assignment.go
+++ b/internal/gateway/watch_assignment.go
@@ -34,14 +34,15 @@
 // assignWatch decides which of the known members watch. wanted is the number of watchers in a region, or 0 for all nodes.
 func assignWatch(f *fleet, wanted int) watchAssignment {
 	self := f.members.Self()
-	near, far := f.usableAddresses()
-	group, watchers := near, spread.Watchers(near, wanted)
-	if len(near)+len(far) <= smallFleetSize && len(watchers) == len(near) {
-		group = slices.Concat(near, far)
+	sameRegion, otherRegions := f.usableAddresses()
+	group, watchers := sameRegion, spread.Watchers(sameRegion, wanted)
+	if len(sameRegion)+len(otherRegions) <= smallFleetSize && len(watchers) == len(sameRegion) {
+		group = slices.Concat(sameRegion, otherRegions)
 		watchers = spread.Watchers(group, 0)
 	}
 	a := watchAssignment{
-		shared: f.nodeCount > 0 && len(watchers) < len(group), turn: slices.Index(watchers, self.Address), watcherCount: len(watchers),
+		shared: f.nodeCount > 0 && len(watchers) < len(group), turn: slices.Index(watchers, self.Address),
+		watcherCount: len(watchers),
 	}
 	a.watches = a.turn >= 0
 	slices.Sort(group)
@@ -70,11 +71,11 @@
 
 // phase returns the period in which each watcher polls the store once, and the offset of this node's poll in it. Both are 0
 // if this node watches alone or not at all.
-func (a *watchAssignment) phase(tellEvery clock.Ms) (period, phase time.Duration) {
+func (a *watchAssignment) phase(announceInterval clock.Ms) (period, phase time.Duration) {
 	if !a.watches || a.watcherCount < 2 {
 		return 0, 0
 	}
-	return (clock.Ms(a.watcherCount) * tellEvery).Duration(), (clock.Ms(a.turn) * tellEvery).Duration()
+	return (clock.Ms(a.watcherCount) * announceInterval).Duration(), (clock.Ms(a.turn) * announceInterval).Duration()
 }
 
 // reliesOnWatchers reports whether this node leaves the watching to others, which have kept it up to date so far. A node
--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -76,12 +76,12 @@
 	},
 	{
 		"a quarantine that a copy lacks is over", "internal/gateway/quarantine_evidence.go",
-		"		g.quarantine.RecordStoreLoss(mark)\n		return\n", "",
+		"		g.quarantine.RecordStoreLoss(fingerprint)\n		return\n", "",
 		"./internal/gateway", "TestQuarantineLostWithACopy",
 	},
 	{
 		"a quarantine that was lifted comes back with a copy", "internal/gateway/quarantine_evidence.go",
-		"g.storeCopy.records.RewriteRemaining(at) > 0 && g.quarantine.Lifted(mark)", "false",
+		"g.storeCopy.records.RewriteRemaining(at) > 0 && g.quarantine.Lifted(fingerprint)", "false",
 		"./internal/gateway", "TestLiftedQuarantineComesBackWithACopy",
 	},
 	{
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -96,7 +96,7 @@
 	},
 	{
 		"a request's time counts from when it was read", "internal/gateway/serve.go",
-		"	return min(read, g.clock.FromTime(call.Arrived))", "	return read",
+		"	return min(readAt, g.clock.FromTime(call.Arrived))", "	return readAt",
 		"./internal/gateway", "TestTimeOfARequestThatLayUnread",
 	},
 	{
@@ -293,7 +293,7 @@
 	{
 		"no copy of the store crosses a region's border", "internal/gateway/fleet.go",
 		"return append(picked, f.members.Pick(count-len(picked), membership.Member.Usable)...)",
-		"return append(picked, f.members.Pick(count-len(picked), near)...)",
+		"return append(picked, f.members.Pick(count-len(picked), sameRegion)...)",
 		"./internal/gateway", "TestRegionThatTheStoreRefuses",
 	},
 	{
@@ -338,7 +338,7 @@
 	},
 	{
 		"a young node uses its whole share of connections", "internal/gateway/fleet_share.go",
-		"		part = settings.Fleet.StartupConnectionDivisor\n", "		part = 1\n",
+		"		divisor = settings.Fleet.StartupConnectionDivisor\n", "		divisor = 1\n",
 		"./internal/gateway", "TestYoungShare",
 	},
 	{
@@ -418,7 +418,7 @@
 	},
 	{
 		"reports are not told on", "internal/gateway/health_reports.go",
-		"	if len(news) > 0 {\n		g.reports.signal()\n	}\n", "",
+		"	if len(newReports) > 0 {\n		g.reports.signal()\n	}\n", "",
 		"./internal/gateway", "TestStragglerIsLeftByAll",
 	},
 }
--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -71,7 +71,7 @@
 	},
 	{
 		"nodes do not tell each other of requests that end back ends", "internal/gateway/quarantine_evidence.go",
-		"if g.fleet.members == nil || len(marks) == 0 || !g.evidence.allowMessage(now) {", "if true {",
+		"if g.fleet.members == nil || len(fingerprints) == 0 || !g.evidence.allowMessage(now) {", "if true {",
 		"./internal/gateway", "TestManyNodesKnowARequest",
 	},
 	{
