--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -42,7 +42,7 @@
 	"stiletrail/internal/routing"
 )
 
-// Gateway is the request handling of one node. Its methods are safe for concurrent use.
+// Gateway serves the requests that arrive at one node. Its methods are safe for concurrent use.
 type Gateway struct {
 	settings atomic.Pointer[Settings]
 	backEnds BackEndClient
--- a/internal/gateway/quarantine_evidence.go
+++ b/internal/gateway/quarantine_evidence.go
@@ -10,10 +10,10 @@
 	"stiletrail/internal/quarantine"
 )
 
-// How evidence on requests that crash back ends spreads to other nodes. In a large fleet each crash costs a message to
-// four nodes, and each of them forwards it once. It so reaches all nodes after a number of hops that grows with the
-// logarithm of the number of nodes, and reaches each node through its neighbours. In a small fleet all nodes are told at
-// once.
+// How evidence on requests that crash back ends spreads to other nodes. In a large fleet the evidence on a crash is sent
+// to four nodes, and each node that gets it forwards it once. The number of hops to reach all nodes grows with the
+// logarithm of their number. No node is left out, because the nodes before it in the sorted order of its region send to
+// it. In a small fleet the evidence is sent to all nodes at once.
 const (
 	// evidenceSuccessors is the number of following nodes in the region that get the evidence. It is two, because one
 	// of them may be down without this node knowing.
@@ -77,8 +77,8 @@
 		return f.members.Pick(smallFleetSize, membership.Member.Usable)
 	}
 	self := f.members.Self()
-	near, _ := f.usableAddresses()
-	picked := successors(near, self.Address, evidenceSuccessors)
+	sameRegion, _ := f.usableAddresses()
+	picked := successors(sameRegion, self.Address, evidenceSuccessors)
 	picked = append(picked, f.pickInRegion(self.Region)...)
 	regions := f.otherRegions()
 	if len(regions) == 0 {
@@ -149,12 +149,12 @@
 		g.quarantineWrites.scheduleUpdate(fingerprint, false)
 		return
 	}
-	convicted, err := g.quarantine.ApplyStored(now, fingerprint, record.Value)
+	quarantined, err := g.quarantine.ApplyStored(now, fingerprint, record.Value)
 	if err != nil {
 		g.log.ItemRejected(&Item{Key: record.Key, Revision: record.Revision, Err: err})
 		return
 	}
-	if convicted {
+	if quarantined {
 		g.verdictsChanged(now, quarantine.Change{VerdictChanged: []quarantine.Fingerprint{fingerprint}}, sourceStore)
 	}
 }
--- a/internal/gateway/quarantine_writes.go
+++ b/internal/gateway/quarantine_writes.go
@@ -88,8 +88,8 @@
 		switch {
 		case left < minimumLease:
 		case !known:
-			spread := min(peerWriteJitterPerNode*clock.Ms(max(nodes, 1)), maximumPeerWriteJitter)
-			q.dueAt[fingerprint] = now + peerWriteDelay + clock.Ms(q.random.Int64N(int64(spread)))
+			jitter := min(peerWriteJitterPerNode*clock.Ms(max(nodes, 1)), maximumPeerWriteJitter)
+			q.dueAt[fingerprint] = now + peerWriteDelay + clock.Ms(q.random.Int64N(int64(jitter)))
 		case now >= at:
 			q.dueAt[fingerprint] = now + writeRetryDelay/2 + clock.Ms(q.random.Int64N(int64(writeRetryDelay)))
 			fingerprints = append(fingerprints, fingerprint)
@@ -131,8 +131,8 @@
 
 // addClaim records that this node has a claim for the given length of time.
 func (q *quarantineWrites) addClaim(key string, now, length clock.Ms) {
-	for known, over := range q.claims {
-		if now >= over {
+	for known, expiresAt := range q.claims {
+		if now >= expiresAt {
 			delete(q.claims, known)
 		}
 	}
--- a/internal/gateway/store_changes.go
+++ b/internal/gateway/store_changes.go
@@ -11,8 +11,8 @@
 	"stiletrail/internal/routing"
 )
 
-// enterRestoredEra handles a restore of the store from a backup. It must run before any other change of the new era is
-// applied. What a restored store lacks or lists again is not a recent change: back ends that had departed stay departed,
+// enterRestoredEra handles a restore of the store from a backup. It must run before the changes of the new era take
+// effect. What a restored store lacks or lists again is not a recent change: back ends that had departed stay departed,
 // and what this node keeps in the store is written again.
 func (g *Gateway) enterRestoredEra(now time.Duration) {
 	era, entered := g.storeCopy.enterRestoredEra()
--- a/internal/gateway/tell_tree.go
+++ b/internal/gateway/tell_tree.go
@@ -39,15 +39,15 @@
 	}
 	turn := at % len(watchers)
 	receivers := receiversOf(turn, group, watchers)
-	place, found := slices.BinarySearch(receivers, self)
+	index, found := slices.BinarySearch(receivers, self)
 	if !found {
 		return treePosition{}
 	}
 	p := treePosition{parent: watchers[turn], receivers: len(receivers)}
-	if place >= treeFanout {
-		p.parent = receivers[place/treeFanout-1]
+	if index >= treeFanout {
+		p.parent = receivers[index/treeFanout-1]
 	}
-	first := min((place+1)*treeFanout, len(receivers))
+	first := min((index+1)*treeFanout, len(receivers))
 	p.children = receivers[first:min(first+treeFanout, len(receivers))]
 	return p
 }
@@ -71,11 +71,11 @@
 
 // forwardToChildren forwards a change to this node's children in the tree, if it came from its parent.
 func (g *Gateway) forwardToChildren(from string, m *message.StoreRecords) {
-	place := &g.fleet.watch.position
-	if from != place.parent || m.Complete || !isLarge(m.Records, place.receivers) {
+	position := &g.fleet.watch.position
+	if from != position.parent || m.Complete || !isLarge(m.Records, position.receivers) {
 		return
 	}
-	for _, child := range place.children {
+	for _, child := range position.children {
 		g.fleet.transport.Send(child, m)
 	}
 }
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -91,7 +91,7 @@
 	},
 	{
 		"a large change is passed on by nobody", "internal/gateway/tell_tree.go",
-		"	for _, child := range place.children {", "	for _, child := range place.children[:0] {",
+		"	for _, child := range position.children {", "	for _, child := range position.children[:0] {",
 		"./internal/gateway", "TestLargeChangeIsPassedOnSoon",
 	},
 	{
