--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -47,9 +47,9 @@
 	outcome forward.Outcome
 }
 
-func newRequestRun(g *Gateway, call *Call, route *routing.Route, arrived time.Duration, restriction restriction) *requestRun {
+func newRequestRun(g *Gateway, call *Call, route *routing.Route, arrived time.Duration, restrictedTo restriction) *requestRun {
 	r := &requestRun{
-		gateway: g, call: call, route: route, arrived: arrived, restriction: restriction, finished: make(chan struct{}),
+		gateway: g, call: call, route: route, arrived: arrived, restriction: restrictedTo, finished: make(chan struct{}),
 		outcomes: make(chan attemptOutcome, max(len(route.Shards), 1)),
 		cancels:  make(map[*forward.Attempt]context.CancelFunc, len(route.Shards)+1),
 	}
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -79,7 +79,7 @@
 	if decision := g.admission(call, route); !decision.Admitted {
 		return Result{Answer: refuseTurnedAway(decision), Overload: decision.Overload}
 	}
-	restriction, refusal := g.checkQuarantine(ctx, call, route, holdUntil)
+	restrictedTo, refusal := g.checkQuarantine(ctx, call, route, holdUntil)
 	if refusal != nil {
 		return Result{Answer: *refusal}
 	}
@@ -88,7 +88,7 @@
 		// Nobody waits for the answer: no back end shall begin to work on it.
 		return Result{CallerGone: true}
 	}
-	return g.runToAnswer(ctx, newRequestRun(g, call, route, arrived, restriction))
+	return g.runToAnswer(ctx, newRequestRun(g, call, route, arrived, restrictedTo))
 }
 
 // admission decides whether a request is rejected because of overload. Requests that go to a single back end and requests
