--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -226,10 +226,10 @@
 	return slices.Clone(b.sends)
 }
 
-// Prune implements gateway.BackEnds.
+// Prune implements gateway.BackEndClient.
 func (b *fakeBackEnds) Prune(func(replica.Endpoint) bool) {}
 
-// Exchange implements gateway.BackEnds.
+// Exchange implements gateway.BackEndClient.
 func (b *fakeBackEnds) Exchange(ctx context.Context, send gateway.BackEndRequest) forward.Outcome {
 	b.mutex.Lock()
 	b.sends = append(b.sends, send)
