--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,12 +1,13 @@
-// Package membership decides which nodes are alive, by randomised probes with indirect probes, suspicion and
-// refutation (Das, Gupta, Motivala: "SWIM", 2002) and a local health score that slows down a member which is
-// itself slow (Dadgar, Phillips, Currey: "Lifeguard", 2018).
+// Package membership decides which nodes are alive. It uses randomised probes with indirect probes, suspicion and
+// refutation (Das, Gupta, Motivala: "SWIM", 2002). A local health score slows down a member that is itself slow
+// (Dadgar, Phillips, Currey: "Lifeguard", 2018).
 //
-// The core owns what a node believes of each member. It does no I/O, reads no clock and has no lock: callers give the time, send
-// what it returns and serialise calls. Invariants:
-//   - an update replaces another only if Supersedes says so, so views converge whatever the order of messages;
-//   - only a member itself raises its incarnation;
-//   - a member that stops says Leaving and never refutes that.
+// The package owns this node's view of each member. It does no I/O, reads no clock and has no lock. The caller
+// passes in the time, sends the returned messages and serialises access. Invariants:
+//   - An update replaces another only if Supersedes reports true, so that views converge whatever the order of
+//     messages.
+//   - Only a member itself raises its incarnation.
+//   - A member that stops announces the state Leaving and never refutes it.
 package membership
 
 import (
@@ -17,10 +18,10 @@
 	"stiletrail/internal/message"
 )
 
-// State is what a node believes of a member.
+// State is the state of a member in a node's view.
 type State uint8
 
-// The states in order of precedence at equal incarnation.
+// The states, in order of precedence at equal incarnation.
 const (
 	Alive State = iota + 1
 	Suspect
@@ -28,41 +29,42 @@
 	Dead
 )
 
-// Member is one node as seen by another.
+// Member is a node in another node's view.
 type Member struct {
-	// Address is the IP and port peers connect to; it names the member.
+	// Address is the IP address and port to which peers connect. It identifies the member.
 	Address string
 	Zone    string
 	Region  string
-	// Generation is drawn at random at each start of the node.
+	// Generation is a random number drawn at each start of the node.
 	Generation  uint64
 	Incarnation uint64
 	State       State
 }
 
-// Settings of the core. Zero values take the defaults.
+// Settings holds the intervals and limits of the protocol. DefaultSettings returns the default values.
 type Settings struct {
-	// ProbeInterval is the time between two probes of one node.
+	// ProbeInterval is the time between two probes by a node.
 	ProbeInterval time.Duration
-	// ProbeTimeout is the wait before indirect probes are asked for.
+	// ProbeTimeout is how long a node waits for the answer to a probe before it requests indirect probes.
 	ProbeTimeout time.Duration
-	// IndirectProbes is how many members are asked to probe in one's stead.
+	// IndirectProbes is the number of members that are asked to probe a target on this node's behalf.
 	IndirectProbes int
-	// SuspicionMultiplier times log10 of the zone's members times the interval is the time to refute in.
+	// SuspicionMultiplier determines how long a suspected member has to refute the suspicion. That time is
+	// SuspicionMultiplier, times log10 of the number of members in the zone, times ProbeInterval.
 	SuspicionMultiplier float64
-	// RemoteEvery sends each n-th probe to another zone.
+	// RemoteEvery is n where every n-th probe goes to another zone.
 	RemoteEvery int
-	// UpdatesPerMessage bounds what is piggybacked.
+	// UpdatesPerMessage is the largest number of updates piggybacked on a message.
 	UpdatesPerMessage int
-	// SyncPerMember times the number of members is the time between two exchanges of whole views.
+	// SyncPerMember times the number of members is the time between two exchanges of views.
 	SyncPerMember time.Duration
-	// MinimumSyncInterval bounds the time between two exchanges from below.
+	// MinimumSyncInterval is the shortest time between two exchanges of views once the view has stopped growing.
 	MinimumSyncInterval time.Duration
-	// ForgetAfter is how long a dead member is kept and retried.
+	// ForgetAfter is how long a dead member is remembered and still probed.
 	ForgetAfter time.Duration
 }
 
-// DefaultSettings gives the settings used where nothing else is said.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
 	return Settings{
 		ProbeInterval:       time.Second,
@@ -77,7 +79,7 @@
 	}
 }
 
-// Send is a message to be sent to a peer.
+// Send is a message for a peer.
 type Send struct {
 	To      string
 	Message message.Message
@@ -85,39 +87,44 @@
 
 const (
 	maximumHealthScore = 8
-	// freezeIntervals of probes between two ticks mean that the process was frozen.
+	// freezeIntervals is the number of probe intervals between two ticks beyond which the process must have been
+	// frozen.
 	freezeIntervals = 4
-	// leavingIntervals of probes after a member said that it leaves, and relayIntervals after a probe was relayed, it is over.
+	// leavingIntervals is the number of probe intervals after which a leaving member counts as dead. relayIntervals
+	// is the number of probe intervals after which a relayed probe is forgotten.
 	leavingIntervals = 60
 	relayIntervals   = 10
-	// deadEvery: one probe in so many goes to a dead member, so that zones cut apart meet again.
+	// deadProbeEvery is n where every n-th probe goes to a dead member, so that zones find each other again after a
+	// partition.
 	deadProbeEvery = 8
-	// joinPace: while joining, views are exchanged so many times per probe interval.
+	// joinSyncsPerProbe is the number of exchanges of views per probe interval while the node joins.
 	joinSyncsPerProbe = 4
-	// joinTimeout after its start a node goes on with the members that it has found.
+	// joinTimeout is how long after its start a node waits for a complete view. After that it continues with the
+	// members that it has found.
 	joinTimeout = 10 * time.Second
-	// growingPart: a view grows while one in so many of its members is new since the last exchange.
+	// growthDivisor is n where a view counts as growing if more than one in n of its members are new since the last
+	// exchange.
 	growthDivisor = 20
-	// syncChunk is the most members that one message of an exchange holds.
+	// syncChunk is the largest number of members in one message of an exchange.
 	syncChunk = 512
-	// transmissionFactor times the logarithm of the members an update is passed on.
+	// transmissionFactor times the logarithm of the number of members is how often an update is passed on.
 	transmissionFactor = 3
 )
 
-// record is a member as this node knows it.
+// record is a member in this node's view.
 type record struct {
 	member Member
-	// since is when the state was taken on.
+	// stateSince is when the member entered its state.
 	stateSince time.Duration
 }
 
-// queued is an update about a member that is to be passed on so many times more.
+// queuedUpdate is an update about a member, with the number of times that it is still to be sent.
 type queuedUpdate struct {
 	address           string
 	transmissionsLeft int
 }
 
-// probe is one that waits for its answer.
+// probe is a probe whose answer is pending.
 type probe struct {
 	target   string
 	sequence uint64
@@ -131,16 +138,16 @@
 	self     Member
 	random   *rand.Rand
 	records  map[string]*record
-	// order holds the keys of records, sorted, so that a seed gives one trace.
+	// order holds the keys of records in sorted order, so that a run with the same random seed has the same trace.
 	order []string
-	// zoneOrder is the shuffled round of probes in the own zone.
+	// zoneOrder holds the remaining targets of the current shuffled round of probes in this node's zone.
 	zoneOrder []string
 	updates   []queuedUpdate
 	pending   *probe
 	relayed   map[uint64]relay
 	sequence  uint64
-	// probes counts those begun; health is 0 while this node's probes are answered in time, and slows it down where it is itself
-	// slow.
+	// probes counts the probes started. healthScore is 0 while this node's probes are answered in time. It rises
+	// with each unanswered probe, which makes this node wait longer in case it is itself slow.
 	probes      int
 	healthScore int
 	lastTick    time.Duration
@@ -150,12 +157,13 @@
 	alive       int
 	zoneAlive   int
 	seeds       []string
-	// syncedSize is the number of records at the last sync.
+	// sizeAtLastSync is the number of records at the last exchange of views.
 	sizeAtLastSync int
 	syncDelay      time.Duration
-	// syncs counts exchanges begun.
+	// syncs counts the exchanges of views started.
 	syncs int
-	// viewed: a peer has sent its view; joined: after that the view stopped growing.
+	// viewReceived is set once a peer has sent its view. joined is set once the view has stopped growing after
+	// that.
 	viewReceived bool
 	joined       bool
 	startedAt    time.Duration
@@ -168,8 +176,9 @@
 	at       time.Duration
 }
 
-// New returns a core that knows itself and the addresses of seeds. The incarnation of self must be larger
-// than that of an earlier process at the address, or peers will make it refute.
+// New returns a core that knows this node and the addresses of seeds. The incarnation of self must be larger than
+// that of an earlier process at the address. Otherwise this node has to refute what peers know of the earlier
+// process.
 func New(now time.Duration, self Member, seeds []string, settings Settings, random *rand.Rand) *Core {
 	self.State = Alive
 	core := &Core{
@@ -183,7 +192,7 @@
 	return core
 }
 
-// AddSeed adds an address, as from settings or the machine list, to be asked for its view.
+// AddSeed adds an address, for example from the settings or the machine list, that is asked for its view.
 func (c *Core) AddSeed(address string) {
 	if address == c.self.Address || c.records[address] != nil {
 		return
@@ -196,16 +205,17 @@
 	c.seeds = append(c.seeds, address)
 }
 
-// Self is this node as others are told of it.
+// Self returns this node as it is announced to others.
 func (c *Core) Self() Member { return c.self }
 
-// Version changes whenever the set of usable members does.
+// Version returns a number that changes whenever the set of usable members changes.
 func (c *Core) Version() uint64 { return c.version }
 
-// AliveCount counts the members usable for work, this node included.
+// AliveCount returns the number of members usable for work, including this node.
 func (c *Core) AliveCount() int { return c.alive }
 
-// Usable reports whether new work may be given to a member. A suspect stays usable: most suspicions are refuted.
+// Usable reports whether new work may be given to a member. A suspected member stays usable, since most suspicions
+// are refuted.
 func (m Member) Usable() bool { return m.State == Alive || m.State == Suspect }
 
 // Lookup returns a member by address.
@@ -220,7 +230,7 @@
 	return found.member, true
 }
 
-// Members returns all members, this node included, ordered by address.
+// Members returns all members including this node, ordered by address.
 func (c *Core) Members() []Member {
 	members := make([]Member, 0, len(c.records)+1)
 	for _, address := range c.order {
@@ -230,7 +240,7 @@
 	return slices.Insert(members, place, c.self)
 }
 
-// Leave marks this node as leaving and returns the messages that tell others at once.
+// Leave marks this node as leaving and returns messages that announce this at once.
 func (c *Core) Leave() []Send {
 	c.self.State = Leaving
 	c.self.Incarnation++
@@ -248,8 +258,8 @@
 	return sends
 }
 
-// Receive handles a message of this package's kinds from a peer. met is true when the peer was not known as
-// alive before, as when zones that were cut apart meet again.
+// Receive handles a message of this package's kinds from a peer. met is true if the peer was not known as alive
+// before, for example because it was in a zone on the other side of a network partition.
 func (c *Core) Receive(now time.Duration, from string, m message.Message) (sends []Send, met bool) {
 	known, found := c.Lookup(from)
 	met = !found || known.State == Dead
@@ -278,7 +288,8 @@
 	return sends, met
 }
 
-// addresses returns those of the members that match, in order, so that a seed gives one trace.
+// matchingAddresses returns the addresses of the members that match, in sorted order, so that a run with the same
+// random seed has the same trace.
 func (c *Core) matchingAddresses(match func(Member) bool) []string {
 	var result []string
 	for _, address := range c.order {
@@ -289,7 +300,7 @@
 	return result
 }
 
-// pick returns up to count random members that match, by sampling in one pass.
+// pick returns up to count random members that match. It samples them in one pass.
 func (c *Core) pick(count int, match func(Member) bool) []string {
 	var picked []string
 	seen := 0
@@ -307,7 +318,7 @@
 	return picked
 }
 
-// Pick returns up to count random members that match, for other packages that spread state.
+// Pick returns up to count random members that match, for packages that replicate state to peers.
 func (c *Core) Pick(count int, match func(Member) bool) []string { return c.pick(count, match) }
 
 func (c *Core) nextSequence() uint64 {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -8,8 +8,8 @@
 	"stiletrail/internal/message"
 )
 
-// Tick advances the core; call it several times per probe interval. Where the time since the last tick shows that the process
-// was frozen, nobody is suspected for it.
+// Tick performs the actions that are due. The caller calls it several times per probe interval. If the time since
+// the last tick shows that the process was frozen, no member is suspected because of that time.
 func (c *Core) Tick(now time.Duration) (sends []Send) {
 	woke := c.lastTick > 0 && now-c.lastTick > freezeIntervals*c.settings.ProbeInterval
 	c.lastTick = now
@@ -32,7 +32,8 @@
 	return sends
 }
 
-// extendSuspicions restarts all suspicions: refutations may wait in the sockets of a process that was frozen.
+// restartSuspicions gives all suspected members the full time to refute again. After a freeze, refutations may
+// still be unread in this process's sockets.
 func (c *Core) restartSuspicions(now time.Duration) {
 	for _, found := range c.records {
 		if found.member.State == Suspect {
@@ -41,8 +42,9 @@
 	}
 }
 
-// syncInterval is the wait until the next exchange of whole views. While the view grows by more than a part, as after a
-// start or when zones meet, views are exchanged at the pace of probes; then ever more rarely, down to the settled pace.
+// syncInterval returns the time until the next exchange of views. While the view grows by more than one member in
+// growthDivisor, as after a start or after a partition, it is the probe interval, or a fraction of it while the
+// node joins. Then it doubles with each exchange up to the interval for a settled view.
 func (c *Core) syncInterval() time.Duration {
 	settled := max(time.Duration(len(c.records))*c.settings.SyncPerMember, c.settings.MinimumSyncInterval)
 	grown := len(c.records) - c.sizeAtLastSync
@@ -60,14 +62,16 @@
 	return c.syncDelay
 }
 
-// Joined reports whether the view is whole enough to work by: it was compared with another's and stopped growing. A node
-// that finds nobody within joinTimeout goes on with what it has: its peers may all be cut off.
+// Joined reports whether the view is complete enough to work with: it has been compared with a peer's view and has
+// stopped growing. A node without a complete view continues after joinTimeout with the members that it has found,
+// since all of its peers may be unreachable.
 func (c *Core) Joined(now time.Duration) bool {
 	alone := len(c.seeds) == 0 && len(c.records) == 0
 	return c.joined || alone || now-c.startedAt > joinTimeout
 }
 
-// checkPending asks for indirect probes once the direct one is late, and suspects the target once those are.
+// checkPending requests indirect probes if the direct probe is not answered in time. It suspects the target if
+// those are not answered in time either.
 func (c *Core) checkPending(now time.Duration) []Send {
 	if c.pending == nil {
 		return nil
@@ -115,14 +119,14 @@
 	c.pending = &probe{target: target, sequence: c.nextSequence(), sentAt: now}
 	updates := c.piggyback()
 	if found := c.records[target]; found != nil && found.member.State != Alive {
-		// The target is told what is said of it, so that it can refute.
+		// The target is told its state in this node's view, so that it can refute it.
 		updates = append(updates, toUpdate(found.member))
 	}
 	return []Send{{To: target, Message: &message.Probe{Sequence: c.pending.sequence, Updates: updates}}}
 }
 
-// nextTarget picks the member to probe: mostly the next of a shuffled round through the own zone, now and then
-// one of another zone or one believed dead.
+// nextTarget returns the member to probe. Usually that is the next one of a shuffled round through this node's
+// zone. Occasionally it is a member of another zone or a dead member.
 func (c *Core) nextTarget() string {
 	if c.probes%deadProbeEvery == 0 {
 		if dead := c.pick(1, func(m Member) bool { return m.State == Dead }); len(dead) > 0 {
@@ -153,7 +157,8 @@
 	return ""
 }
 
-// expire declares suspects dead whose time to refute has passed, and forgets members long dead.
+// expireMembers declares members dead that have not refuted a suspicion in time. It forgets members that have been
+// dead for ForgetAfter.
 func (c *Core) expireMembers(now time.Duration) {
 	limit := c.suspicionTimeout()
 	for _, address := range c.matchingAddresses(func(m Member) bool { return m.State == Suspect || m.State == Leaving }) {
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -8,11 +8,13 @@
 	"stiletrail/internal/message"
 )
 
-// remoteSyncEvery exchanges with the own zone one goes to any member, so that zones learn of each other.
+// remoteSyncEvery is n where every n-th exchange of views goes to a random member of any zone, so that zones learn
+// of each other's members.
 const remoteSyncEvery = 4
 
-// startSync compares views with a seed not met yet or a random member, mostly of the own zone. Only the hash of the view is sent:
-// most of the time views agree, and at many members they are large.
+// startSync compares views with a seed that is not yet known as a member, or with a random member, usually of this
+// node's zone. It sends only the hash of the view, since views usually agree and are large if there are many
+// members.
 func (c *Core) startSync() []Send {
 	if len(c.seeds) > 0 {
 		seed := c.seeds[c.random.IntN(len(c.seeds))]
@@ -39,13 +41,14 @@
 	return []Send{{To: peer, Message: &message.MemberSync{Reply: true, Hash: c.hash(), Updates: updates}}}
 }
 
-// RequestView returns messages that ask the given peer for its whole view.
+// RequestView returns messages that ask a peer for its complete view.
 func (c *Core) RequestView(peer string) []Send {
 	return []Send{{To: peer, Message: &message.MemberSync{Reply: true, Updates: []message.MemberUpdate{toUpdate(c.self)}}}}
 }
 
-// answerSync answers a comparison: to an equal view that it is equal, to a whole view what this node knows better, else with the
-// whole view of this node, for which the peer then sends what it knows better.
+// answerSync answers a comparison of views. If the message contains the peer's complete view, the answer contains
+// the newer or additional members of this node's view. If the hashes are equal, the answer says so. Otherwise it
+// contains this node's complete view, and the peer then answers with its newer or additional members.
 func (c *Core) answerSync(from string, m *message.MemberSync) []Send {
 	switch {
 	case m.Complete:
@@ -59,7 +62,7 @@
 	return c.sendView(from, true)
 }
 
-// betterFor sends what supersedes a peer's whole view, or is missing in it.
+// sendNewer sends the members that supersede those in a peer's complete view, or that are missing there.
 func (c *Core) sendNewer(peer string, view []message.MemberUpdate) []Send {
 	known := make(map[string]Member, len(view))
 	for _, update := range view {
@@ -85,7 +88,8 @@
 	return c.splitIntoMessages(peer, updates, reply)
 }
 
-// chunks sends updates in messages of bounded size. Of several only the first asks for a reply, and none is whole.
+// splitIntoMessages sends updates in messages of bounded size. If there are several, only the first asks for a
+// reply and none is marked as complete.
 func (c *Core) splitIntoMessages(peer string, updates []message.MemberUpdate, reply bool) []Send {
 	whole := reply && len(updates) <= syncChunk
 	var sends []Send
@@ -98,7 +102,7 @@
 	return sends
 }
 
-// hash of the whole view, this node included; never 0.
+// hash returns a hash of the complete view, including this node. It is never 0.
 func (c *Core) hash() uint64 {
 	digest := xxhash.New()
 	var numbers [17]byte
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -8,7 +8,7 @@
 	"stiletrail/internal/message"
 )
 
-// Supersedes reports whether an update replaces what is known of the same member.
+// Supersedes reports whether an update replaces the known state of the same member.
 func Supersedes(update, known Member) bool {
 	if update.Incarnation != known.Incarnation {
 		return update.Incarnation > known.Incarnation
@@ -16,7 +16,8 @@
 	return update.State > known.State
 }
 
-// reintroduce tells a peer that is not known as alive what is said of it, so that it can refute or introduce itself.
+// reintroduce tells a peer that is not known as alive its state in this node's view, so that the peer can refute it
+// or introduce itself.
 func (c *Core) reintroduce(peer string) []Send {
 	updates := []message.MemberUpdate{toUpdate(c.self)}
 	if found := c.records[peer]; found != nil {
@@ -34,7 +35,7 @@
 	}
 }
 
-// apply takes one update in, if it supersedes what is known, and queues it to be passed on.
+// apply stores an update if it supersedes the known state of the member, and queues it to be passed on.
 func (c *Core) apply(update Member, now time.Duration) {
 	if update.Address == "" || update.State < Alive || update.State > Dead {
 		return
@@ -63,7 +64,7 @@
 	}
 }
 
-// refute answers an update about this node that says anything else than it says itself.
+// refute raises this node's incarnation if an update about it differs from the state that this node announces.
 func (c *Core) refute(update Member) {
 	same := update.Generation == c.self.Generation && update.State == c.self.State
 	if update.Incarnation < c.self.Incarnation || (update.Incarnation == c.self.Incarnation && same) {
@@ -89,7 +90,7 @@
 	}
 }
 
-// enqueue queues an update about a member for passing on.
+// enqueue queues an update about a member to be passed on.
 func (c *Core) enqueue(address string) {
 	transmissions := transmissionFactor * int(math.Ceil(math.Log10(float64(len(c.records)+2))))
 	for i := range c.updates {
@@ -101,7 +102,7 @@
 	c.updates = append(c.updates, queuedUpdate{address: address, transmissionsLeft: transmissions})
 }
 
-// piggyback takes the next updates to pass on, in turn.
+// piggyback returns the next updates to pass on, in turn.
 func (c *Core) piggyback() []message.MemberUpdate {
 	count := min(len(c.updates), c.settings.UpdatesPerMessage)
 	var result []message.MemberUpdate
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -114,12 +114,12 @@
 	{
 		"zones that meet again do not refute", "internal/membership/update.go",
 		"	c.self.Incarnation = update.Incarnation + 1\n	c.enqueue(c.self.Address)\n}", "}",
-		"./internal/membership", "TestRefutes",
+		"./internal/membership", "TestMemberRefutesUpdatesAboutItself",
 	},
 	{
 		"a fresh node serves before it knows the members", "internal/membership/probe.go",
 		"	return c.joined || alone || now-c.startedAt > joinTimeout", "	return c.joined || alone || now >= 0",
-		"./internal/membership", "TestJoinedOnlyAfterComparingViews",
+		"./internal/membership", "TestJoinedAfterComparingViews",
 	},
 	{
 		"hedges go into full windows", "internal/dispatch/backend.go",
