--- a/internal/message/evidence.go
+++ b/internal/message/evidence.go
@@ -11,8 +11,8 @@
 type RequestEvidence struct {
 	// Fingerprint of the request; 16 bytes.
 	Fingerprint [16]byte
-	// Shared: the mark is one of many different requests, such as those of a caller.
-	Shared bool
+	// Aggregate: the mark is one of many different requests, such as those of a caller.
+	Aggregate bool
 	// Crashes whose back ends ended, none of which was answered since.
 	Crashes []Crash
 	// Answered: a back end has answered the request, AnsweredMs ago.
@@ -42,7 +42,7 @@
 func (m *Evidence) fields(c *codec) {
 	list(c, &m.Requests, func(c *codec, r *RequestEvidence) {
 		c.fixed(&r.Fingerprint)
-		c.bool(&r.Shared)
+		c.bool(&r.Aggregate)
 		list(c, &r.Crashes, func(c *codec, run *Crash) {
 			c.string(&run.Service)
 			c.string(&run.BackEnd)
--- a/internal/message/message_test.go
+++ b/internal/message/message_test.go
@@ -35,7 +35,7 @@
 		&Hello{Address: "a"}, &StoreDigest{Revision: history.At(1, 1), Configuration: 3}, &StoreRequest{Revision: history.At(1, 2)},
 		&StoreRecords{Since: history.At(1, 1), Revision: history.At(1, 3), Complete: true, Records: []StoreRecord{{Key: "k", Revision: history.At(1, 2), Deleted: true, Value: []byte("v")}}, Retained: []StoreRecord{{Key: "c", Revision: history.At(1, 9), Value: []byte("w")}}},
 		&Evidence{Requests: []RequestEvidence{{
-			Fingerprint: [16]byte{1, 15: 2}, Shared: true, Crashes: []Crash{{Service: "s", BackEnd: "b", Version: "v", StartedAgoMs: 3, CrashedAgoMs: 4}}, Answered: true, AnsweredAgoMs: 5,
+			Fingerprint: [16]byte{1, 15: 2}, Aggregate: true, Crashes: []Crash{{Service: "s", BackEnd: "b", Version: "v", StartedAgoMs: 3, CrashedAgoMs: 4}}, Answered: true, AnsweredAgoMs: 5,
 			QuarantineRemainingMs: 6, QuarantinedForMs: 7, CrashedVersions: []string{"v"}, SafeVersions: []string{"w"}, CallerFingerprints: [][16]byte{{3}},
 		}}},
 		&BackEndReports{Reports: []BackEndReport{{BackEnd: 1 << 60, SlowdownSixteenths: 136, FaultPercent: 45, AgeMs: 200}}},
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -65,7 +65,7 @@
 func (r *record) evidence(now clock.Ms) message.RequestEvidence {
 	sent := message.RequestEvidence{
 		Fingerprint: r.fingerprint, QuarantineRemainingMs: age(r.quarantinedUntil - now), CrashedVersions: r.crashedVersions,
-		SafeVersions: r.safeVersions, Answered: r.answered, Shared: r.aggregate,
+		SafeVersions: r.safeVersions, Answered: r.answered, Aggregate: r.aggregate,
 	}
 	for _, caller := range r.callers {
 		sent.CallerFingerprints = append(sent.CallerFingerprints, caller)
@@ -104,7 +104,7 @@
 		return
 	}
 	r := c.recordOf(now, fingerprint)
-	r.aggregate, r.shared = sent.Shared, true
+	r.aggregate, r.shared = sent.Aggregate, true
 	before := r.quarantined(now)
 	news := r.receiveAnswer(now, sent)
 	news = c.receiveCrashes(now, r, sent) || news
