--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -277,8 +277,8 @@
 		sends = []Send{{To: m.Target, Message: &message.Probe{Sequence: sequence, Updates: c.piggyback()}}}
 	case *message.MemberSync:
 		c.merge(m.Updates, now)
-		c.viewReceived = c.viewReceived || !m.Reply || m.Complete
-		if m.Reply {
+		c.viewReceived = c.viewReceived || !m.ReplyWanted || m.Complete
+		if m.ReplyWanted {
 			sends = c.answerSync(from, m)
 		}
 	}
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -38,12 +38,12 @@
 
 func (c *Core) compareWith(peer string) []Send {
 	updates := []message.MemberUpdate{toUpdate(c.self)}
-	return []Send{{To: peer, Message: &message.MemberSync{Reply: true, Hash: c.hash(), Updates: updates}}}
+	return []Send{{To: peer, Message: &message.MemberSync{ReplyWanted: true, Hash: c.hash(), Updates: updates}}}
 }
 
 // RequestView returns messages that ask a peer for its complete view.
 func (c *Core) RequestView(peer string) []Send {
-	return []Send{{To: peer, Message: &message.MemberSync{Reply: true, Updates: []message.MemberUpdate{toUpdate(c.self)}}}}
+	return []Send{{To: peer, Message: &message.MemberSync{ReplyWanted: true, Updates: []message.MemberUpdate{toUpdate(c.self)}}}}
 }
 
 // answerSync answers a comparison of views. If the message contains the peer's complete view, the answer contains
@@ -96,7 +96,7 @@
 	for len(updates) > 0 {
 		chunk := updates[:min(len(updates), syncChunk)]
 		updates = updates[len(chunk):]
-		sends = append(sends, Send{To: peer, Message: &message.MemberSync{Reply: reply, Complete: whole, Updates: chunk}})
+		sends = append(sends, Send{To: peer, Message: &message.MemberSync{ReplyWanted: reply, Complete: whole, Updates: chunk}})
 		reply = false
 	}
 	return sends
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -26,7 +26,7 @@
 		}
 		updates = append(updates, toUpdate(found.member))
 	}
-	return []Send{{To: peer, Message: &message.MemberSync{Reply: true, Updates: updates}}}
+	return []Send{{To: peer, Message: &message.MemberSync{ReplyWanted: true, Updates: updates}}}
 }
 
 func (c *Core) merge(updates []message.MemberUpdate, now time.Duration) {
--- a/internal/message/members.go
+++ b/internal/message/members.go
@@ -65,7 +65,7 @@
 
 // MemberSync compares views of the members. It carries updates, and asks for what the receiver knows better where Reply is set.
 type MemberSync struct {
-	Reply bool
+	ReplyWanted bool
 	// Complete: the updates are all that the sender knows.
 	Complete bool
 	// Hash of the sender's whole view, 0 where it is not told; a receiver with the same has nothing to say.
@@ -76,7 +76,7 @@
 // Kind implements Message.
 func (*MemberSync) Kind() Kind { return KindMemberSync }
 func (m *MemberSync) fields(c *codec) {
-	c.bool(&m.Reply)
+	c.bool(&m.ReplyWanted)
 	c.bool(&m.Complete)
 	c.uint64(&m.Hash)
 	list(c, &m.Updates, walkUpdate)
--- a/internal/message/message_test.go
+++ b/internal/message/message_test.go
@@ -20,7 +20,7 @@
 	documents := []query.ShardDocuments{{Shard: 1, Documents: []query.Document{{Key: "k", Body: []byte("b")}}}}
 	return []Message{
 		&Probe{Sequence: 1, Origin: "x", Updates: update}, &ProbeAck{Sequence: 2, Updates: update},
-		&ProbeRequest{Sequence: 3, Target: "y", Updates: update}, &MemberSync{Reply: true, Complete: true, Hash: 5, Updates: update},
+		&ProbeRequest{Sequence: 3, Target: "y", Updates: update}, &MemberSync{ReplyWanted: true, Complete: true, Hash: 5, Updates: update},
 		&CatalogSummary{Hash: 1, AgeMilliseconds: -1, Ready: true, Reply: true}, &CatalogBuckets{Hashes: []uint64{1, 2}},
 		&CatalogKeys{Buckets: []uint32{1}, Keys: []ServiceVersion{{Service: "s", Version: 2}}},
 		&CatalogDocuments{Operation: 1, Rumor: true, Documents: [][]byte{{1}}, Deltas: [][]byte{{2}}, Wanted: []ServiceVersion{{Service: "s"}}},
