--- a/internal/message/catalog.go
+++ b/internal/message/catalog.go
@@ -1,11 +1,13 @@
 package message
 
-// CatalogSummary opens an anti-entropy exchange, and closes it when the hashes agree.
+// CatalogSummary starts an anti-entropy exchange of service documents. It also ends the exchange if the hashes are
+// equal.
 type CatalogSummary struct {
 	Hash uint64
-	// AgeMilliseconds since the sender's catalog was last known equal to the store's; -1 for never.
+	// AgeMilliseconds is the time since the sender's catalog was last known to equal the store's, or -1 if it never
+	// was.
 	AgeMilliseconds int64
-	// Ready: the sender serves from this catalog.
+	// Ready is set if the sender serves requests from this catalog.
 	Ready bool
 	// Reply is set on the answer to a summary with an equal hash.
 	Reply bool
@@ -20,7 +22,7 @@
 	c.bool(&m.Reply)
 }
 
-// CatalogBuckets carries the hash of each bucket of services.
+// CatalogBuckets contains the hash of each bucket of services.
 type CatalogBuckets struct {
 	Hashes []uint64
 }
@@ -31,7 +33,7 @@
 	list(c, &m.Hashes, (*codec).uint64)
 }
 
-// ServiceVersion names a version of a service's document.
+// ServiceVersion identifies a version of a service's document.
 type ServiceVersion struct {
 	Service string
 	Version uint64
@@ -42,7 +44,7 @@
 	c.uint64(&key.Version)
 }
 
-// CatalogKeys lists what the sender holds in the buckets that differ.
+// CatalogKeys lists the documents that the sender has in the buckets that differ.
 type CatalogKeys struct {
 	Buckets []uint32
 	Keys    []ServiceVersion
@@ -55,16 +57,16 @@
 	list(c, &m.Keys, walkServiceVersion)
 }
 
-// CatalogDocuments carries documents, and the services the sender wants in return.
+// CatalogDocuments contains documents, and the services whose documents the sender requests in return.
 type CatalogDocuments struct {
-	// Operation, where not zero, asks for a CatalogAck.
+	// Operation, if not zero, asks the receiver for a CatalogAck.
 	Operation uint64
-	// Rumor marks a push of a new document, which the receiver passes on.
+	// Rumor marks a new document that the receiver passes on to other nodes.
 	Rumor     bool
 	Documents [][]byte
-	// Deltas are pushed in place of documents to peers that likely hold the version before.
+	// Deltas replace documents in messages to peers that probably have the previous version.
 	Deltas [][]byte
-	// Wanted are services of which the sender wants what is newer than the version it names.
+	// Wanted holds services of which the sender requests any version newer than the one given.
 	Wanted []ServiceVersion
 }
 
@@ -78,7 +80,7 @@
 	list(c, &m.Wanted, walkServiceVersion)
 }
 
-// CatalogAck says that the documents of an operation are held.
+// CatalogAck confirms that the sender has stored the documents of an operation.
 type CatalogAck struct {
 	Operation uint64
 }
@@ -87,7 +89,7 @@
 func (*CatalogAck) Kind() Kind        { return KindCatalogAck }
 func (m *CatalogAck) fields(c *codec) { c.uint64(&m.Operation) }
 
-// VersionRequest asks which versions a node has in force; an empty service means all.
+// VersionRequest asks a node which versions it has in force. An empty Service stands for all services.
 type VersionRequest struct {
 	Sequence uint64
 	Service  string
@@ -100,7 +102,7 @@
 	c.string(&m.Service)
 }
 
-// VersionReply answers a VersionRequest.
+// VersionReply is the answer to a VersionRequest.
 type VersionReply struct {
 	Sequence uint64
 	Versions []ServiceVersion
--- a/internal/message/codec.go
+++ b/internal/message/codec.go
@@ -2,7 +2,8 @@
 
 import "encoding/binary"
 
-// codec walks the fields of a message, writing them or reading them, so that both ways share one list of fields.
+// codec reads or writes the fields of a message. A message lists its fields once, in its method fields, for both
+// directions.
 type codec struct {
 	buffer  []byte
 	reading bool
@@ -19,7 +20,8 @@
 	return taken
 }
 
-// fixed walks a fixed-size value: an integer, a bool or a struct of these, as encoding/binary lays it out.
+// fixed reads or writes a value of fixed size in the layout of encoding/binary: an integer, a bool or a struct of
+// these.
 func (c *codec) fixed(value any) {
 	if !c.reading {
 		appended, err := binary.Append(c.buffer, binary.BigEndian, value)
@@ -66,8 +68,8 @@
 	}
 }
 
-// varint walks a number that is mostly small: seven bits a byte, as encoding/binary lays them out. A longer form than needed is
-// malformed.
+// varint reads or writes a number that is usually small, in the varint encoding of encoding/binary with seven bits
+// per byte. An encoding longer than necessary is malformed.
 func (c *codec) varint(value *uint64) {
 	if !c.reading {
 		c.buffer = binary.AppendUvarint(c.buffer, *value)
@@ -82,7 +84,7 @@
 	*value = number
 }
 
-// length walks the length of what follows.
+// length reads or writes the length of the string, byte slice or list that follows.
 func (c *codec) length(of int) int {
 	length := uint64(of)
 	c.varint(&length)
@@ -131,11 +133,11 @@
 	*value = string(c.take(length))
 }
 
-// list walks a slice: its length, then each item with walk.
+// list reads or writes a slice: first its length, then each item by calling walk.
 func list[Item any](c *codec, items *[]Item, walk func(*codec, *Item)) {
 	length := c.length(len(*items))
 	if c.reading {
-		// An item takes a byte at least, so a longer list than bytes left is malformed.
+		// Each item takes at least one byte, so a length above the number of remaining bytes is malformed.
 		if length > MaximumItems || length > len(c.buffer) {
 			c.failed = true
 			return
--- a/internal/message/evidence.go
+++ b/internal/message/evidence.go
@@ -2,33 +2,36 @@
 
 import "stiletrail/internal/clock"
 
-// Evidence says what a node knows of requests that have ended back ends. Ages and lengths are in milliseconds.
+// Evidence contains what a node knows of requests that crashed back ends. All ages and durations are in
+// milliseconds.
 type Evidence struct {
 	Requests []RequestEvidence
 }
 
-// RequestEvidence is what is known of one request.
+// RequestEvidence contains what a node knows of one request.
 type RequestEvidence struct {
-	// Fingerprint of the request; 16 bytes.
+	// Fingerprint identifies the request; 16 bytes.
 	Fingerprint [16]byte
-	// Aggregate: the mark is one of many different requests, such as those of a caller.
+	// Aggregate is set if the fingerprint covers many different requests, such as all requests of a caller.
 	Aggregate bool
-	// Crashes whose back ends ended, none of which was answered since.
+	// Crashes holds the executions of the request whose back ends crashed, since the request was last answered.
 	Crashes []Crash
-	// Answered: a back end has answered the request, AnsweredMs ago.
+	// Answered is set if a back end has answered the request. AnsweredAgoMs is how long ago it did.
 	Answered      bool
 	AnsweredAgoMs uint32
-	// QuarantineRemainingMs is how much longer the request is kept from back ends, 0 where it is not; HeldMs for how long it has been.
+	// QuarantineRemainingMs is for how much longer the request is quarantined, or 0 if it is not. QuarantinedForMs
+	// is for how long it has been quarantined.
 	QuarantineRemainingMs uint32
 	QuarantinedForMs      uint32
-	// CrashedVersions of the back ends' software that the request ended, sound ones that answer it.
+	// CrashedVersions holds the software versions of the back ends that the request crashed. SafeVersions holds
+	// those that answer it.
 	CrashedVersions []string
 	SafeVersions    []string
-	// CallerFingerprints are the marks of those who asked when it ended back ends.
+	// CallerFingerprints identifies the callers whose requests crashed back ends.
 	CallerFingerprints [][16]byte
 }
 
-// Crash is a run of a request at a back end that ended meanwhile.
+// Crash is an execution of a request at a back end that crashed during it.
 type Crash struct {
 	Service      string
 	BackEnd      string
--- a/internal/message/frames_test.go
+++ b/internal/message/frames_test.go
@@ -10,11 +10,12 @@
 	"stiletrail/internal/history"
 )
 
-// framesFile has a line for each sample: the number of its kind and its frame in hexadecimal, as nodes of the same protocol write it.
+// framesFile has one line per sample: the number of its kind, and its frame in hexadecimal as nodes of the same
+// protocol version write it.
 const framesFile = "testdata/frames.txt"
 
-// framed are the samples and those whose fields a sample leaves unset.
-func framed() []Message {
+// samplesOfAllFields returns the samples, and further messages that set the fields which the samples leave unset.
+func samplesOfAllFields() []Message {
 	confirmation := Confirmation{Confirmed: true, AgeMs: 1234}
 	return append(samples(),
 		&StoreDigest{Revision: history.At(3, 70000), Configuration: 300, Confirmation: confirmation},
@@ -24,24 +25,24 @@
 	)
 }
 
-// TestFramesKeepTheirBytes: a frame has the bytes that other nodes of the same protocol write and read. A field that moves passes a
-// round trip; it does not pass here.
-func TestFramesKeepTheirBytes(t *testing.T) {
+// TestFrameBytesDoNotChange: the bytes of a frame must not change within a protocol version, since other nodes read
+// and write them. A reordered field passes the round-trip test, but not this one.
+func TestFrameBytesDoNotChange(t *testing.T) {
 	text, err := os.ReadFile(framesFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept := strings.Split(strings.TrimSpace(string(text)), "\n")
+	recorded := strings.Split(strings.TrimSpace(string(text)), "\n")
 	var written []string
-	for _, m := range framed() {
+	for _, m := range samplesOfAllFields() {
 		written = append(written, fmt.Sprintf("%d %s", m.Kind(), hex.EncodeToString(Encode(m))))
 	}
-	if len(kept) != len(written) {
-		t.Errorf("%d frames are kept, %d written", len(kept), len(written))
+	if len(recorded) != len(written) {
+		t.Errorf("%d frames are recorded, %d written", len(recorded), len(written))
 	}
-	for i := range min(len(kept), len(written)) {
-		if kept[i] != written[i] {
-			t.Errorf("sample %d: written %s, kept %s", i, written[i], kept[i])
+	for i := range min(len(recorded), len(written)) {
+		if recorded[i] != written[i] {
+			t.Errorf("sample %d: wrote frame %s, want the recorded %s", i, written[i], recorded[i])
 		}
 	}
 }
--- a/internal/message/members.go
+++ b/internal/message/members.go
@@ -1,6 +1,6 @@
 package message
 
-// MemberUpdate is what is said of one member.
+// MemberUpdate is the state of one member in a node's view.
 type MemberUpdate struct {
 	Address     string
 	Zone        string
@@ -19,10 +19,10 @@
 	c.uint8(&u.State)
 }
 
-// Probe asks a member whether it lives.
+// Probe asks a member whether it is alive.
 type Probe struct {
 	Sequence uint64
-	// Origin, where set, is the member the ack is to be relayed to.
+	// Origin, if set, is the member to which the acknowledgement is relayed.
 	Origin  string
 	Updates []MemberUpdate
 }
@@ -35,7 +35,7 @@
 	list(c, &m.Updates, walkUpdate)
 }
 
-// ProbeAck answers a Probe.
+// ProbeAck is the answer to a Probe.
 type ProbeAck struct {
 	Sequence uint64
 	Updates  []MemberUpdate
@@ -48,7 +48,7 @@
 	list(c, &m.Updates, walkUpdate)
 }
 
-// ProbeRequest asks a member to probe another on the sender's behalf.
+// ProbeRequest asks a member to probe another member on the sender's behalf.
 type ProbeRequest struct {
 	Sequence uint64
 	Target   string
@@ -63,12 +63,14 @@
 	list(c, &m.Updates, walkUpdate)
 }
 
-// MemberSync compares views of the members. It carries updates, and asks for what the receiver knows better where Reply is set.
+// MemberSync compares two nodes' views of the members. It contains updates. If ReplyWanted is set, it asks for the
+// members of which the receiver has a newer state.
 type MemberSync struct {
 	ReplyWanted bool
-	// Complete: the updates are all that the sender knows.
+	// Complete is set if the updates are the sender's complete view.
 	Complete bool
-	// Hash of the sender's whole view, 0 where it is not told; a receiver with the same has nothing to say.
+	// Hash is the hash of the sender's complete view, or 0 if it is not included. A receiver with the same hash has
+	// no newer state.
 	Hash    uint64
 	Updates []MemberUpdate
 }
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -1,12 +1,14 @@
-// Package message holds the typed messages nodes send each other and their binary form.
+// Package message defines the messages that nodes send each other, and their binary encoding.
 //
-// A frame is a Header and a payload; both are bounded, checksummed and big endian. The order of the fields in
-// a payload is the order in the message's fields method, which serves writing and reading (codec.go).
+// A frame consists of a Header and a payload, both in big-endian order. The size of a payload is bounded, and the
+// header contains its checksum. The fields of a payload are in the order of the message's method fields, which both
+// writes and reads them (codec.go).
 //
-// It owns the kinds, the limits of a frame and the protocol's version. It keeps no state and does no I/O: transport carries the frames.
+// The package owns the message kinds, the limits of a frame and the version of the protocol. It keeps no state and
+// does no I/O; package transport sends and receives the frames.
 package message
 
-// Kind names the type of a message on the wire; values never change meaning.
+// Kind identifies the type of a message in a frame. A value never changes its meaning.
 type Kind uint8
 
 // The kinds of message.
@@ -37,9 +39,9 @@
 	KindBackEndReports
 )
 
-// Message is one of the types of this package.
+// Message is implemented by the message types of this package.
 type Message interface {
-	// Kind is the type on the wire.
+	// Kind returns the kind that identifies the type in a frame.
 	Kind() Kind
 	fields(c *codec)
 }
@@ -79,7 +81,8 @@
 	return construct()
 }
 
-// Control reports whether a message belongs to control (membership, catalog, state) and not to the query path.
+// Control reports whether a message belongs to the control plane (membership, catalog, state) and not to the query
+// path.
 func Control(m Message) bool {
 	switch m.Kind() {
 	case KindSubQuery, KindSubAnswer, KindSubCancel, KindForwardExecute, KindForwardReply:
@@ -88,7 +91,8 @@
 	return true
 }
 
-// Hello opens a connection: it names the sender, by the address it takes connections at.
+// Hello is the first message on a connection. It contains the address at which the sender accepts connections,
+// which identifies the sender.
 type Hello struct {
 	Address string
 }
--- a/internal/message/message_test.go
+++ b/internal/message/message_test.go
@@ -12,7 +12,7 @@
 	"stiletrail/internal/query"
 )
 
-// samples has one message of each kind with its fields set.
+// samples returns one message of each kind with its fields set.
 func samples() []Message {
 	update := []MemberUpdate{{Address: "10.0.0.1:1", Zone: "a", Region: "n", Generation: 1, Incarnation: 2, State: 3}}
 	id := query.ID{Generation: 7, Sequence: 8}
@@ -50,14 +50,14 @@
 	return DecodePayload(header, frame[HeaderSize:])
 }
 
-// TestRoundTrip: every kind decodes to what was encoded, and every kind has a sample.
+// TestRoundTrip: a message of every kind decodes to what was encoded, and every kind has a sample.
 func TestRoundTrip(t *testing.T) {
 	seen := map[Kind]bool{}
 	for _, m := range samples() {
 		seen[m.Kind()] = true
 		decoded, err := decode(Encode(m))
 		if err != nil || !reflect.DeepEqual(decoded, m) {
-			t.Errorf("kind %d: got %+v, error %v", m.Kind(), decoded, err)
+			t.Errorf("kind %d: decoded to %+v with error %v, want the sample", m.Kind(), decoded, err)
 		}
 	}
 	for kind := range constructors {
@@ -67,39 +67,41 @@
 	}
 }
 
-// TestLongStringsAreKeptWhole: a key is never cut to fit its length field.
-func TestLongStringsAreKeptWhole(t *testing.T) {
+// TestLongStringsAreNotTruncated: a long key is not truncated to fit a length field.
+func TestLongStringsAreNotTruncated(t *testing.T) {
 	sent := &ForwardExecute{Key: strings.Repeat("k", 100000)}
 	decoded, err := decode(Encode(sent))
 	if err != nil || decoded.(*ForwardExecute).Key != sent.Key {
-		t.Errorf("the key did not arrive whole, error %v", err)
+		t.Errorf("the key of 100000 bytes was truncated or not decoded, error %v", err)
 	}
 }
 
-// TestMalformedFrames are refused with their type.
+// TestMalformedFrames: frames that are truncated, altered or of an unknown kind are rejected with the code
+// MALFORMED.
 func TestMalformedFrames(t *testing.T) {
 	whole := Encode(samples()[0])
 	cases := map[string]func([]byte) []byte{
-		"short header":     func(f []byte) []byte { return f[:HeaderSize-1] },
-		"other magic":      func(f []byte) []byte { f[0]++; return f },
-		"other protocol":   func(f []byte) []byte { f[2]++; return f },
-		"unknown kind":     func(f []byte) []byte { f[3] = 200; return f },
-		"too long":         func(f []byte) []byte { f[4] = 0xff; return f },
-		"cut off":          func(f []byte) []byte { return f[:len(f)-1] },
-		"trailing byte":    func(f []byte) []byte { return append(f, 0) },
-		"changed payload":  func(f []byte) []byte { f[len(f)-1]++; return f },
-		"payload of other": func(f []byte) []byte { f[3] = byte(KindSubAnswer); return f },
+		"truncated header":        func(f []byte) []byte { return f[:HeaderSize-1] },
+		"wrong magic number":      func(f []byte) []byte { f[0]++; return f },
+		"other protocol version":  func(f []byte) []byte { f[2]++; return f },
+		"unknown kind":            func(f []byte) []byte { f[3] = 200; return f },
+		"length above the limit":  func(f []byte) []byte { f[4] = 0xff; return f },
+		"truncated payload":       func(f []byte) []byte { return f[:len(f)-1] },
+		"trailing byte":           func(f []byte) []byte { return append(f, 0) },
+		"altered payload":         func(f []byte) []byte { f[len(f)-1]++; return f },
+		"payload of another kind": func(f []byte) []byte { f[3] = byte(KindSubAnswer); return f },
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
 			if _, err := decode(change(append([]byte(nil), whole...))); failure.CodeOf(err) != failure.Malformed {
-				t.Errorf("error %v", err)
+				t.Errorf("decoding ended with error %v, want the code MALFORMED", err)
 			}
 		})
 	}
 }
 
-// FuzzPayload: whatever comes, decoding ends without a panic, and what decodes encodes to the same.
+// FuzzPayload: decoding any payload ends without a panic, and a message that was decoded encodes to one that
+// decodes to the same.
 func FuzzPayload(f *testing.F) {
 	for _, m := range samples() {
 		f.Add(uint8(m.Kind()), Encode(m)[HeaderSize:])
@@ -116,23 +118,24 @@
 		}
 		again, err := decode(Encode(m))
 		if err != nil || !reflect.DeepEqual(again, m) {
-			t.Errorf("got %+v, want %+v, error %v", again, m, err)
+			t.Errorf("the message decoded again to %+v, want %+v, error %v", again, m, err)
 		}
 	})
 }
 
-// TestLengthsAreChecked: a length in a longer form than needed, one that is cut short and one beyond the payload are malformed.
-func TestLengthsAreChecked(t *testing.T) {
+// TestMalformedLengths: a length is malformed if its encoding is longer than necessary or truncated, or if it
+// exceeds the payload.
+func TestMalformedLengths(t *testing.T) {
 	for name, payload := range map[string][]byte{
-		"longer than needed": {0x81, 0x00},
-		"cut short":          {0x80},
-		"beyond the payload": {0x05, 'a'},
+		"longer than necessary": {0x81, 0x00},
+		"truncated":             {0x80},
+		"beyond the payload":    {0x05, 'a'},
 	} {
 		header := Header{
-			Magic: magic, Protocol: protocol, Kind: KindHello, Length: uint32(len(payload)), Checksum: xxhash.Sum64(payload),
+			Magic: magic, Protocol: protocolVersion, Kind: KindHello, Length: uint32(len(payload)), Checksum: xxhash.Sum64(payload),
 		}
 		if m, err := DecodePayload(header, payload); failure.CodeOf(err) != failure.Malformed {
-			t.Errorf("%s: %+v, %v", name, m, err)
+			t.Errorf("length %s: decoded to %+v with error %v, want the code MALFORMED", name, m, err)
 		}
 	}
 }
--- a/internal/message/reports.go
+++ b/internal/message/reports.go
@@ -6,20 +6,20 @@
 	"stiletrail/internal/clock"
 )
 
-// BackEndReports say what nodes met at back ends of late.
+// BackEndReports contains what nodes have recently observed of back ends.
 type BackEndReports struct {
 	Reports []BackEndReport
 }
 
-// BackEndReport is what was met at one back end; 13 bytes.
+// BackEndReport is what a node has recently observed of one back end; 13 bytes.
 type BackEndReport struct {
-	// BackEnd is the hash of its id.
+	// BackEnd is the hash of the back end's id.
 	BackEnd uint64
-	// SlowdownSixteenths is how long work takes there, in sixteenths of the usual.
+	// SlowdownSixteenths is the latency of work at the back end, in sixteenths of the usual latency.
 	SlowdownSixteenths uint16
-	// FaultPercent is the share of attempts that failed, in hundredths.
+	// FaultPercent is the share of attempts that failed, in percent.
 	FaultPercent uint8
-	// AgeMs is how long ago that was met, in milliseconds.
+	// AgeMs is how long ago this was observed, in milliseconds.
 	AgeMs uint16
 }
 
--- a/internal/message/store.go
+++ b/internal/message/store.go
@@ -5,20 +5,21 @@
 	"stiletrail/internal/history"
 )
 
-// StoreDigest says how much of the store a node knows.
+// StoreDigest reports how much of the store the sender knows.
 type StoreDigest struct {
-	// Revision up to which the sender knows all changes; unknown while it knows nothing whole.
+	// Revision is the revision up to which the sender knows all changes. It is unknown if the sender's copy was
+	// never complete.
 	Revision history.Revision
-	// Configuration is the version of the configuration that the sender has in force, 0 without one.
+	// Configuration is the version of the configuration in force at the sender, or 0 without one.
 	Configuration uint64
 	Confirmation
 }
 
-// Confirmation says when the store was last known to hold no change beyond a revision.
+// Confirmation reports when the store was last known to hold no change beyond a revision.
 type Confirmation struct {
-	// Confirmed is false while that was never known.
+	// Confirmed is false if the sender has no such confirmation.
 	Confirmed bool
-	// AgeMs is how long ago it was, in milliseconds.
+	// AgeMs is the age of the confirmation in milliseconds.
 	AgeMs uint32
 }
 
@@ -27,13 +28,14 @@
 	c.uint32(&m.AgeMs)
 }
 
-// Aged is a message that tells how old something is: the time that it waits to be sent is added to that.
+// Aged is a message that reports the age of its contents. The transport adds the time for which the message waits
+// to be sent.
 type Aged interface {
 	Message
 	WithAge(waited clock.Ms) Message
 }
 
-// WithAge returns the confirmation as it is some time later.
+// WithAge returns the confirmation with its age increased by waited.
 func (m Confirmation) WithAge(waited clock.Ms) Confirmation {
 	m.AgeMs += uint32(waited)
 	return m
@@ -61,13 +63,13 @@
 	m.Confirmation.fields(c)
 }
 
-// revision walks a moment in the store's history.
+// revision reads or writes a revision of the store.
 func (c *codec) revision(value *history.Revision) {
 	c.varint(&value.Era)
 	c.varint(&value.Number)
 }
 
-// StoreRequest asks a node for what it knows beyond a revision; for everything where that is unknown.
+// StoreRequest asks a node for all changes after a revision, or for all records if the revision is unknown.
 type StoreRequest struct {
 	Revision history.Revision
 }
@@ -76,7 +78,7 @@
 func (*StoreRequest) Kind() Kind        { return KindStoreRequest }
 func (m *StoreRequest) fields(c *codec) { c.revision(&m.Revision) }
 
-// StoreRecord is an item of the store as it was last written, or that it is gone.
+// StoreRecord is an item of the store as it was last written, or the tombstone of a deleted key.
 type StoreRecord struct {
 	Key      string
 	Revision history.Revision
@@ -84,16 +86,18 @@
 	Value    []byte
 }
 
-// StoreRecords answers a StoreRequest.
+// StoreRecords is the answer to a StoreRequest.
 type StoreRecords struct {
-	// Since is the revision that was asked for: the records are all changes after it.
+	// Since is the requested revision. The records are all changes after it.
 	Since history.Revision
-	// Revision up to which all changes are known once these records are taken.
+	// Revision is the revision up to which the receiver knows all changes once it has stored these records.
 	Revision history.Revision
-	// Complete: the records are all there are, and not only what has changed since the revision that was asked for.
+	// Complete is set if the records are all that the sender has, and not only the changes since the requested
+	// revision.
 	Complete bool
 	Records  []StoreRecord
-	// Retained are items that the sender goes by though the store, back from a copy, says otherwise now.
+	// Retained holds records that are in force at the sender although the store, restored from a backup, says
+	// otherwise.
 	Retained []StoreRecord
 	Confirmation
 }
--- a/internal/message/work.go
+++ b/internal/message/work.go
@@ -2,7 +2,7 @@
 
 import "stiletrail/internal/query"
 
-// SubQuery is the part of a request that a root hands to the dispatcher of one group.
+// SubQuery is the part of a search that the root node sends to the dispatcher of one group of back ends.
 type SubQuery struct {
 	ID       query.ID
 	Service  string
@@ -11,7 +11,7 @@
 	Snapshot query.Snapshot
 	Execute  bool
 	Body     []byte
-	// RemainingMicroseconds until the root's deadline, when the frame was handed to the connection.
+	// RemainingMicroseconds is the time left until the root's deadline when the frame was handed to the connection.
 	RemainingMicroseconds uint64
 }
 
@@ -28,15 +28,15 @@
 	c.uint64(&m.RemainingMicroseconds)
 }
 
-// SubAnswer carries results of a sub-query as they come; the last one has Done set.
+// SubAnswer contains results of a sub-query as they arrive. Done is set in the last one.
 type SubAnswer struct {
 	ID       query.ID
 	Snapshot query.Snapshot
 	Results  []query.ShardDocuments
 	Done     bool
-	// Missing and the fields below are set with Done.
+	// Missing and the fields below are set only together with Done.
 	Missing []query.Missing
-	// NotRun: nothing of the sub-query ran on any back end.
+	// NotRun is set if no part of the sub-query was executed on any back end.
 	NotRun                 bool
 	ShardAttempts          uint32
 	RetryAfterMilliseconds uint32
@@ -66,7 +66,7 @@
 	})
 }
 
-// SubCancel withdraws a sub-query.
+// SubCancel cancels a sub-query.
 type SubCancel struct {
 	ID query.ID
 }
@@ -75,7 +75,7 @@
 func (*SubCancel) Kind() Kind        { return KindSubCancel }
 func (m *SubCancel) fields(c *codec) { c.fixed(&m.ID) }
 
-// GroupRequest asks a dispatcher what the back ends of a group hold.
+// GroupRequest asks a dispatcher which shards the back ends of a group hold.
 type GroupRequest struct {
 	Service string
 	Group   uint32
@@ -88,11 +88,11 @@
 	c.uint32(&m.Group)
 }
 
-// GroupState answers a GroupRequest with one holding per back end that can take work.
+// GroupState is the answer to a GroupRequest. It contains one holding per back end that can take work.
 type GroupState struct {
 	Service string
 	Group   uint32
-	// CatalogVersion is the service version the groups were cut by.
+	// CatalogVersion is the version of the service document from which the groups were computed.
 	CatalogVersion uint64
 	Holdings       []query.Holding
 }
@@ -113,7 +113,7 @@
 	})
 }
 
-// ForwardExecute passes a request that is not repeatable to the node that minted its ticket.
+// ForwardExecute forwards a request that is not repeatable to the node that issued its ticket.
 type ForwardExecute struct {
 	Sequence              uint64
 	Service               string
@@ -134,7 +134,7 @@
 	c.uint64(&m.RemainingMicroseconds)
 }
 
-// ForwardReply answers a ForwardExecute; an empty Code is success.
+// ForwardReply is the answer to a ForwardExecute. An empty Code means success.
 type ForwardReply struct {
 	Sequence               uint64
 	Code                   string
