--- a/internal/transport/incoming.go
+++ b/internal/transport/incoming.go
@@ -11,7 +11,7 @@
 	"stiletrail/internal/message"
 )
 
-// acknowledgement of a frame. Its value says nothing.
+// acknowledgement is sent for each frame that was read. Its value has no meaning.
 var acknowledgement = []byte{1}
 
 func (t *Transport) accept() {
@@ -36,7 +36,7 @@
 	}
 }
 
-// receive reads frames until the connection ends or breaks the protocol.
+// receive reads frames until the connection ends or violates the protocol.
 func (t *Transport) receive(connection net.Conn) {
 	unregister := context.AfterFunc(t.ctx, func() { _ = connection.Close() })
 	defer unregister()
@@ -64,7 +64,7 @@
 	}
 }
 
-// malformed reports a protocol error; a connection that just ended is none.
+// malformed reports a violation of the protocol. The end of a connection is none.
 func (t *Transport) malformed(connection net.Conn, err error) {
 	if failure.CodeOf(err) != failure.Malformed {
 		return
@@ -76,7 +76,7 @@
 func (t *Transport) readFrame(connection net.Conn, reader *bufio.Reader) (message.Message, error) {
 	var encoded [message.HeaderSize]byte
 	if _, err := io.ReadFull(reader, encoded[:]); err != nil {
-		return nil, failure.Wrap(err, failure.PeerUnreachable, "the connection ended")
+		return nil, failure.Wrap(err, failure.PeerUnreachable, "the connection to the peer ended")
 	}
 	header, err := message.DecodeHeader(encoded[:])
 	if err != nil {
@@ -85,7 +85,7 @@
 	_ = connection.SetReadDeadline(time.Now().Add(payloadTimeout))
 	payload := make([]byte, header.Length)
 	if _, err := io.ReadFull(reader, payload); err != nil {
-		return nil, failure.Wrap(err, failure.PeerUnreachable, "the connection ended within a frame")
+		return nil, failure.Wrap(err, failure.PeerUnreachable, "the connection to the peer ended within a frame")
 	}
 	t.Counters.ReceivedFrames.Add(1)
 	t.Counters.ReceivedBytes.Add(uint64(len(payload)) + message.HeaderSize)
--- a/internal/transport/outgoing_connection.go
+++ b/internal/transport/outgoing_connection.go
@@ -10,21 +10,23 @@
 	"stiletrail/internal/message"
 )
 
-// sending is what a line has written to one connection. No write tells of silence: frames go into the machine's own
-// buffer. So the peer acknowledges each one, and a connection on which that takes too long is given up for a new one.
+// outgoingConnection is the state of one connection of a peerLink. Writes do not fail on a connection that no
+// longer reaches the peer, since frames go into the kernel's send buffer. The peer therefore acknowledges each
+// frame. A connection whose acknowledgements are late is closed and replaced by a new one.
 type outgoingConnection struct {
 	link       *peerLink
 	connection net.Conn
 	writer     *bufio.Writer
-	// unacknowledged frames, and the bytes written since there were none.
+	// unacknowledged is the number of frames without an acknowledgement. unacknowledgedBytes is the number of bytes
+	// written since that number was last 0.
 	unacknowledged      int
 	unacknowledgedBytes int
-	// overdue fires when an acknowledgement is missing for too long, idle when nothing was sent for long.
+	// acknowledgementTimer fires when an acknowledgement is late, idleTimer when no frame has been sent for long.
 	acknowledgementTimer *time.Timer
 	idleTimer            *time.Timer
 }
 
-// write sends what is queued over one connection until it breaks, falls silent or is idle.
+// write sends queued messages over one connection until it breaks, its acknowledgements are late, or it is idle.
 func (l *peerLink) write(connection net.Conn, first queuedMessage) {
 	over := make(chan struct{})
 	defer close(over)
@@ -64,7 +66,7 @@
 	}
 }
 
-// send writes an item and all that is queued behind it; false ends the connection.
+// send writes a message and all messages queued after it. It returns false if the connection must be closed.
 func (s *outgoingConnection) send(item queuedMessage) bool {
 	frames, size, sound := s.link.writeBatch(s.connection, s.writer, item)
 	if !sound {
@@ -80,7 +82,7 @@
 	return true
 }
 
-// acknowledged takes in that the peer has read more frames.
+// recordAcknowledged records that the peer has read more frames.
 func (s *outgoingConnection) recordAcknowledged(frames int) {
 	if s.unacknowledged -= frames; s.unacknowledged == 0 {
 		s.unacknowledgedBytes = 0
@@ -88,7 +90,7 @@
 	s.acknowledgementTimer.Reset(s.link.key.acknowledgementTimeout(s.unacknowledgedBytes))
 }
 
-// acknowledgedWithin is how long frames of some bytes together may stay unacknowledged.
+// acknowledgementTimeout returns how long frames with a given total size may stay unacknowledged.
 func (k peerLinkKey) acknowledgementTimeout(size int) time.Duration {
 	transfer := time.Duration(size) * time.Second / minimumBandwidth
 	if k.control {
@@ -97,8 +99,8 @@
 	return queryAcknowledgementTimeout + transfer
 }
 
-// silent gives up a connection on which nothing is acknowledged. What the machine still holds for it is dropped: news
-// that arrives much later would pass for recent.
+// closeSilent closes a connection whose acknowledgements are late. The data in its send buffer is discarded: if it
+// arrived much later, the peer would take it for recent.
 func (l *peerLink) closeSilent(connection net.Conn) {
 	if socket, ok := connection.(*net.TCPConn); ok {
 		_ = socket.SetLinger(0)
@@ -108,7 +110,8 @@
 	l.connectionLost()
 }
 
-// watch returns how many more frames the peer has acknowledged; the channel closes when the peer closes the connection.
+// readAcknowledgements returns a channel of the number of frames acknowledged by each read. The channel is closed
+// when the peer closes the connection.
 func (l *peerLink) readAcknowledgements(connection net.Conn, over <-chan struct{}) <-chan int {
 	acknowledged := make(chan int)
 	l.transport.tasks.Go(func() {
@@ -131,8 +134,8 @@
 	return acknowledged
 }
 
-// writeBatch writes an item and all that is queued behind it, then flushes, and returns the frames and bytes that it
-// wrote. After an error the peer may have got any of the batch.
+// writeBatch writes a message and all messages queued after it, and flushes. It returns the number of frames and
+// bytes written. After an error the peer may have received any part of the batch.
 func (l *peerLink) writeBatch(connection net.Conn, writer *bufio.Writer, item queuedMessage) (frames, size int, sound bool) {
 	_ = connection.SetWriteDeadline(time.Now().Add(writeTimeout))
 	var batch []message.Message
@@ -157,8 +160,8 @@
 	return len(batch), size, true
 }
 
-// encode writes one frame into the buffer and returns its size, 0 for one that is not sent. A sub-query whose time ran
-// out while it was queued, as in a process that was frozen, is not written any more.
+// encode writes one frame into the buffer and returns its size, or 0 if the message is not sent. A sub-query whose
+// time ran out while it was queued is not sent. This happens if the process was frozen.
 func (l *peerLink) encode(writer *bufio.Writer, item queuedMessage) int {
 	elapsed := l.transport.clock.Elapsed() - item.queuedAt
 	if sub, ok := item.message.(*message.SubQuery); ok {
@@ -176,7 +179,8 @@
 	}
 	frame := message.Encode(item.message)
 	if len(frame) > message.MaximumPayload {
-		// The peer would close the connection for it, and others would lose what is under way there.
+		// The peer would close the connection because of this frame, and other requests in flight on it would be
+		// lost.
 		l.transport.undelivered(l.key.to, item.message, false)
 		return 0
 	}
--- a/internal/transport/peer_link.go
+++ b/internal/transport/peer_link.go
@@ -8,21 +8,21 @@
 	"stiletrail/internal/message"
 )
 
-// queued is a message that waits to be written.
+// queuedMessage is a message that waits to be written.
 type queuedMessage struct {
 	message message.Message
-	// at is when it was queued, on the transport's clock.
+	// queuedAt is when the message was queued, on the transport's clock.
 	queuedAt time.Duration
 }
 
-// line carries messages to a peer, over one connection at a time.
+// peerLink sends messages to a peer, over one connection at a time.
 type peerLink struct {
 	transport *Transport
 	key       peerLinkKey
 	queue     chan queuedMessage
 }
 
-// run writes what is queued until the line is idle or the transport closes.
+// run writes queued messages until the link has been idle for idleTimeout or the transport is closed.
 func (l *peerLink) run() {
 	for {
 		first, ok := l.next()
@@ -38,7 +38,8 @@
 	}
 }
 
-// next waits for a message; false ends the line, which no message can be left in.
+// next returns the next message to write. It returns false if the link ends. In that case the queue is empty, so no
+// message is lost.
 func (l *peerLink) next() (queuedMessage, bool) {
 	select {
 	case item := <-l.queue:
@@ -64,7 +65,8 @@
 	return l.transport.network.Dial(ctx, l.key.to)
 }
 
-// fail reports what waits for a peer that cannot be reached, for a short while, before it is dialled again.
+// reportUndelivered reports the queued messages for an unreachable peer as undelivered, until retryDelay has passed
+// and the peer is dialled again.
 func (l *peerLink) reportUndelivered(first queuedMessage) {
 	l.transport.undelivered(l.key.to, first.message, false)
 	wait := time.After(retryDelay)
@@ -80,7 +82,7 @@
 	}
 }
 
-// lost reports the loss of a connection on which queries were sent.
+// connectionLost reports the loss of a connection on which queries were sent.
 func (l *peerLink) connectionLost() {
 	if !l.key.control {
 		go l.transport.handler.Disconnected(l.key.to)
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,12 +1,13 @@
-// Package transport carries frames between nodes over TCP.
+// Package transport sends frames between nodes over TCP.
 //
-// Each node keeps up to two connections to a peer, one for control and one for queries, so that a large answer does not
-// delay a probe. A connection carries messages one way; the other way goes a byte for each frame that was read. Frames are never
-// sent a second time by the transport; what was not delivered is reported with whether the peer may have got it.
+// A node has up to two connections to each peer, one for control and one for queries, so that a large answer does
+// not delay a probe. Messages flow in one direction of a connection. In the other direction flows one byte of
+// acknowledgement for each frame that was read. The transport never sends a frame twice. It reports each
+// undelivered message, and whether the peer may have received it.
 //
-// It owns the listener, a queue and a goroutine for each line to a peer (line.go, sending.go), and a goroutine for each
-// connection that a peer opened (incoming.go). What bounds each wait stands in the constants below. Handlers are called
-// without its lock, from many goroutines.
+// The package owns the listener, a queue and a goroutine for each link to a peer (peer_link.go,
+// outgoing_connection.go), and a goroutine for each connection that a peer opened (incoming.go). The constants
+// below bound all waits. Handlers are called from many goroutines and without the transport's lock.
 package transport
 
 import (
@@ -21,32 +22,34 @@
 	"stiletrail/internal/message"
 )
 
-// Limits and times of connections.
+// Limits and timeouts of connections.
 const (
 	dialTimeout    = time.Second
 	helloTimeout   = 5 * time.Second
 	payloadTimeout = 10 * time.Second
 	writeTimeout   = 5 * time.Second
 	idleTimeout    = 30 * time.Second
-	// redialWait is the pause after a failure to dial a peer or to take a connection.
+	// retryDelay is the pause after a failure to dial a peer or to accept a connection.
 	retryDelay = 250 * time.Millisecond
-	// controlSilence and querySilence are how long a frame may stay unacknowledged before its connection counts as
-	// silent. Control goes on every second, and a way there and back takes some tens of milliseconds; a peer that
-	// stands still for a while must not lose its queries for it.
+	// controlAcknowledgementTimeout and queryAcknowledgementTimeout are how long a frame may stay unacknowledged
+	// before its connection counts as silent. Control messages are sent every second, and a round trip takes some
+	// tens of milliseconds. The timeout for queries is longer, so that a peer which pauses for a while does not
+	// lose its queries.
 	controlAcknowledgementTimeout = time.Second
 	queryAcknowledgementTimeout   = 5 * time.Second
-	// maximumIncoming connections of peers are open at a time.
+	// maximumIncoming is the largest number of connections that peers may have open at a time.
 	maximumIncoming = 16384
 )
 
-// slowestLink is what a connection carries at least, in bytes a second, a tenth of what the smallest machines have.
-// largeFrame is one of that many bytes, which has longer until it is acknowledged for that.
+// minimumBandwidth is the assumed bandwidth of a connection in bytes per second, a tenth of what the smallest machines
+// have. largeFrame is the size in bytes above which newly written frames restart the acknowledgement timer, with a
+// timeout that allows for their transfer.
 const (
 	minimumBandwidth = 256 << 10
 	largeFrame       = 64 << 10
 )
 
-// Sizes of what a transport holds per connection.
+// Sizes holds the sizes of a connection's queue and buffers.
 type Sizes struct {
 	// Queue is the number of messages that may wait for a peer.
 	Queue int
@@ -54,19 +57,20 @@
 	Buffer int
 }
 
-// querySizes are for nodes that send each other queries and answers, ControlSizes for those that send each other little.
+// querySizes is for nodes that exchange queries and answers. ControlSizes is for nodes that exchange only small
+// messages.
 var (
 	querySizes   = Sizes{Queue: 4096, Buffer: 16 << 10}
 	ControlSizes = Sizes{Queue: 64, Buffer: 1 << 10}
 )
 
-// Network opens what a transport talks over. TCP is a process's; tests have others.
+// Network opens listeners and connections. A process uses TCP; tests use other implementations.
 type Network interface {
 	Listen(address string) (net.Listener, error)
 	Dial(ctx context.Context, address string) (net.Conn, error)
 }
 
-// TCP is the network of the machine.
+// TCP is the machine's TCP network.
 type TCP struct{}
 
 // Listen implements Network.
@@ -78,21 +82,22 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// Handler takes what happens on connections. Calls come from many goroutines.
+// Handler handles the events of a transport. Its methods are called from many goroutines.
 type Handler interface {
-	// Message is a message from a peer.
+	// Message is called for each message from a peer.
 	Message(from string, m message.Message)
-	// Undelivered is a message that was not delivered; written is true where the peer may have got it.
+	// Undelivered is called for each message that was not delivered. written is true if the peer may have received
+	// it.
 	Undelivered(to string, m message.Message, written bool)
-	// Silent is a connection that was given up because the peer acknowledged nothing on it.
+	// Silent is called when a connection is closed because the peer did not acknowledge frames in time.
 	Silent(peer string)
-	// Disconnected is the loss of a connection on which queries were sent.
+	// Disconnected is called when a connection is lost on which queries were sent.
 	Disconnected(peer string)
-	// Malformed is a connection that was closed for breaking the protocol.
+	// Malformed is called when a connection is closed because the remote side violated the protocol.
 	Malformed(remote string, err error)
 }
 
-// Counters count traffic since the start.
+// Counters counts traffic since the start.
 type Counters struct {
 	SentFrames        atomic.Uint64
 	SentBytes         atomic.Uint64
@@ -101,7 +106,7 @@
 	ReceivedBytes     atomic.Uint64
 	UndeliveredFrames atomic.Uint64
 	MalformedInput    atomic.Uint64
-	// SilentConnections were given up because nothing was acknowledged on them.
+	// SilentConnections counts connections closed because their frames were not acknowledged in time.
 	SilentConnections atomic.Uint64
 }
 
@@ -130,22 +135,22 @@
 	Counters Counters
 }
 
-// Listen opens the listener and returns a transport that names itself by the advertised address, or by the listener's own
-// where that is empty. Serve starts it.
+// Listen opens the listener and returns a transport. Peers know the transport by the advertised address, or by the
+// listener's address if that is empty. Serve starts the transport.
 func Listen(listen, advertised string) (*Transport, error) {
 	return ListenWith(listen, advertised, querySizes)
 }
 
-// ListenWith is Listen with other sizes.
+// ListenWith is Listen with the given sizes.
 func ListenWith(listen, advertised string, sizes Sizes) (*Transport, error) {
 	return ListenOn(TCP{}, listen, advertised, sizes)
 }
 
-// ListenOn is ListenWith on a network of the caller's.
+// ListenOn is ListenWith on the given network.
 func ListenOn(network Network, listen, advertised string, sizes Sizes) (*Transport, error) {
 	listener, err := network.Listen(listen)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.SettingsInvalid, "the peer address cannot be listened on")
+		return nil, failure.Wrap(err, failure.SettingsInvalid, "cannot listen on the peer address")
 	}
 	if advertised == "" {
 		advertised = listener.Addr().String()
@@ -157,10 +162,10 @@
 	}, nil
 }
 
-// Address is what peers know this node by.
+// Address returns the address by which peers know this node.
 func (t *Transport) Address() string { return t.address }
 
-// Serve starts to take connections and returns.
+// Serve starts to accept connections and returns.
 func (t *Transport) Serve(handler Handler) {
 	t.handler = handler
 	t.tasks.Go(t.accept)
@@ -173,7 +178,8 @@
 	t.tasks.Wait()
 }
 
-// Send queues a message for a peer. It does not block; what cannot be queued is reported as undelivered.
+// Send queues a message for a peer without blocking. A message that does not fit into the queue is reported as
+// undelivered.
 func (t *Transport) Send(to string, m message.Message) {
 	key := peerLinkKey{to: to, control: message.Control(m)}
 	t.mutex.Lock()
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -10,9 +10,9 @@
 	"stiletrail/internal/testio"
 )
 
-const patience = time.Minute
+const testTimeout = time.Minute
 
-// events collects what happens on a transport.
+// events collects the events of a transport.
 type events struct {
 	messages    chan message.Message
 	undelivered chan bool
@@ -59,8 +59,8 @@
 	select {
 	case value := <-from:
 		return value
-	case <-time.After(patience):
-		t.Fatalf("never came: %s", what)
+	case <-time.After(testTimeout):
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
@@ -69,8 +69,9 @@
 	return &message.SubQuery{Service: "lookup", RemainingMicroseconds: remaining}
 }
 
-// TestDelivery in order, and the time left shortened by the wait.
-func TestDelivery(t *testing.T) {
+// TestMessagesAreDeliveredInOrder: messages arrive in the order in which they were sent. The remaining time of a
+// sub-query is reduced by the time for which it waited.
+func TestMessagesAreDeliveredInOrder(t *testing.T) {
 	sender, _ := start(t)
 	receiver, got := start(t)
 	for group := range uint32(50) {
@@ -81,13 +82,14 @@
 	for group := range uint32(50) {
 		sub := receive(t, "a sub-query", got.messages).(*message.SubQuery)
 		if sub.Group != group || sub.RemainingMicroseconds > 60_000_000 {
-			t.Fatalf("got group %d with %d left, want group %d", sub.Group, sub.RemainingMicroseconds, group)
+			t.Fatalf("got group %d with %d microseconds left, want group %d and at most 60 s", sub.Group, sub.RemainingMicroseconds, group)
 		}
 	}
 }
 
-// TestUndelivered tells of a peer that is not there, of work whose time ran out, and of what is too large, as not written.
-func TestUndelivered(t *testing.T) {
+// TestUndeliveredMessagesAreReported: a message is reported as not written if the peer cannot be reached, if the
+// time of the sub-query has run out, or if the message is too large.
+func TestUndeliveredMessagesAreReported(t *testing.T) {
 	nobody := testio.FreeAddress(t)
 	receiver, got := start(t)
 	large := subQuery(60_000_000)
@@ -97,43 +99,44 @@
 		to   string
 		sub  *message.SubQuery
 	}{
-		{"nobody there", nobody, subQuery(60_000_000)},
+		{"unreachable peer", nobody, subQuery(60_000_000)},
 		{"no time left", receiver.Address(), subQuery(0)},
-		{"too large", receiver.Address(), large},
+		{"message too large", receiver.Address(), large},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			sender, told := start(t)
+			sender, senderEvents := start(t)
 			sender.Send(c.to, c.sub)
-			if receive(t, "undelivered", told.undelivered) {
-				t.Error("reported as perhaps written")
+			if receive(t, "undelivered", senderEvents.undelivered) {
+				t.Error("the message is reported as possibly received by the peer")
 			}
 		})
 	}
 	if len(got.messages) > 0 {
-		t.Error("something was delivered")
+		t.Error("a message was delivered")
 	}
 }
 
-// TestLostConnection is reported to the side that sent queries on it.
-func TestLostConnection(t *testing.T) {
-	sender, told := start(t)
+// TestLostConnectionIsReported: the loss of a connection is reported to the side that sent queries on it.
+func TestLostConnectionIsReported(t *testing.T) {
+	sender, senderEvents := start(t)
 	receiver, got := start(t)
 	sender.Send(receiver.Address(), subQuery(60_000_000))
 	receive(t, "the sub-query", got.messages)
 	receiver.Close()
-	if peer := receive(t, "the loss", told.lost); peer != receiver.Address() {
-		t.Errorf("lost %s", peer)
+	if peer := receive(t, "the loss of the connection", senderEvents.lost); peer != receiver.Address() {
+		t.Errorf("the lost connection was to %s, want the receiver", peer)
 	}
 }
 
-// TestMalformedInput closes the connection it came on, and others go on.
-func TestMalformedInput(t *testing.T) {
+// TestMalformedInputClosesConnection: malformed input closes the connection on which it arrived. Other connections
+// continue.
+func TestMalformedInputClosesConnection(t *testing.T) {
 	receiver, got := start(t)
 	inputs := map[string][]byte{
-		"no frame":       []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
+		"not a frame":    []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
 		"no hello first": message.Encode(&message.SubCancel{}),
-		"broken payload": append(message.Encode(&message.Hello{Address: "a"}), append(message.Encode(&message.SubCancel{})[:message.HeaderSize], []byte("not the payload!")...)...),
+		"wrong checksum": append(message.Encode(&message.Hello{Address: "a"}), append(message.Encode(&message.SubCancel{})[:message.HeaderSize], []byte("not the payload!")...)...),
 	}
 	for name, input := range inputs {
 		t.Run(name, func(t *testing.T) {
@@ -145,7 +148,7 @@
 			if _, err := connection.Write(input); err != nil {
 				t.Fatal(err)
 			}
-			_ = connection.SetReadDeadline(time.Now().Add(patience))
+			_ = connection.SetReadDeadline(time.Now().Add(testTimeout))
 			if _, err := connection.Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
 				t.Errorf("the connection was not closed: %v", err)
 			}
