--- a/internal/exchange/connection.go
+++ b/internal/exchange/connection.go
@@ -108,9 +108,9 @@
 		err := c.writeAll(message)
 		return func() bool { return err == nil }
 	}
-	var whole atomic.Bool
-	go func() { whole.Store(c.writeAll(message) == nil) }()
-	return whole.Load
+	var complete atomic.Bool
+	go func() { complete.Store(c.writeAll(message) == nil) }()
+	return complete.Load
 }
 
 func (c *connection) writeAll(message *http.Request) error {
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -48,7 +48,7 @@
 // connect returns an idle connection that can be reused, or opens a new one.
 func (p *Pool) connect(ctx context.Context, request Request) (*connection, error) {
 	for {
-		kept := p.take(request.Endpoint)
+		kept := p.takeIdle(request.Endpoint)
 		if kept == nil {
 			return p.open(ctx, request)
 		}
@@ -60,7 +60,7 @@
 	}
 }
 
-func (p *Pool) take(to Endpoint) *connection {
+func (p *Pool) takeIdle(to Endpoint) *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	idle := p.idle[to]
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,6 +1,7 @@
 // Package follow decides how a node reads the metadata store, which holds the configuration written by operators
 // and the entries written by back ends. The node lists all keys, then issues one watch after another, and lists
-// again whenever it may have missed a change.
+// again whenever it may have missed a change. When the store is restored from a backup, its revisions belong to a
+// new era.
 //
 // The package owns the read state: the revision to continue from, the listing in progress, the back-off after
 // failures, and the time of the store's last answer. It does no I/O, reads no clock and has no lock. The caller
@@ -189,7 +190,7 @@
 //
 // Pages of two eras do not form a listing, and a page of an era earlier than the known one is discarded. In both
 // cases a new listing starts, after a pause that grows if this happens repeatedly.
-func (c *Core) ApplyPage(now time.Duration, last string, at history.Revision, more bool) bool {
+func (c *Core) ApplyPage(now time.Duration, lastKey string, at history.Revision, more bool) bool {
 	c.recordContact(now)
 	if c.afterKey == "" {
 		c.listingRevision = at
@@ -207,7 +208,7 @@
 	}
 	c.listingInProgress = more
 	if more {
-		c.afterKey = last
+		c.afterKey = lastKey
 		return false
 	}
 	c.resetBackoff()
@@ -270,7 +271,7 @@
 // pauseUntilPoll ends a pause at this node's scheduled poll, if less than minimumWatchDuration would be left for a
 // watch between the two. It reports whether it does. Peers depend on the announcement that follows each scheduled
 // poll.
-func (c *Core) pauseUntilPoll(clock, pause time.Duration) (until time.Duration, turn bool) {
+func (c *Core) pauseUntilPoll(clock, pause time.Duration) (until time.Duration, scheduled bool) {
 	if c.pollPeriod == 0 {
 		return pause, false
 	}
@@ -280,8 +281,8 @@
 	return pause, false
 }
 
-// watchDuration returns the time until this node's next scheduled poll. The clocks of the nodes agree well enough
-// for that.
+// watchDuration returns the time until this node's next scheduled poll; the clocks of the nodes agree well enough for
+// that. It returns Settings.WatchDuration if there is no schedule or no peer has confirmed its copy recently.
 func (c *Core) watchDuration(clock time.Duration, state CopyState) time.Duration {
 	if c.pollPeriod == 0 || state.PeersSilent {
 		return c.settings.WatchDuration
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -258,11 +258,11 @@
 	return sends
 }
 
-// Receive handles a message of this package's kinds from a peer. met is true if the peer was not known as alive
+// Receive handles a message of this package's kinds from a peer. reconnected is true if the peer was not known as alive
 // before, for example because it was in a zone on the other side of a network partition.
-func (c *Core) Receive(now time.Duration, from string, m message.Message) (sends []Send, met bool) {
+func (c *Core) Receive(now time.Duration, from string, m message.Message) (sends []Send, reconnected bool) {
 	known, found := c.Lookup(from)
-	met = !found || known.State == Dead
+	reconnected = !found || known.State == Dead
 	switch m := m.(type) {
 	case *message.Probe:
 		c.merge(m.Updates, now)
@@ -282,10 +282,10 @@
 			sends = c.answerSync(from, m)
 		}
 	}
-	if met {
+	if reconnected {
 		sends = append(sends, c.reintroduce(from)...)
 	}
-	return sends, met
+	return sends, reconnected
 }
 
 // matchingAddresses returns the addresses of the members that match, in sorted order, so that a run with the same
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -11,9 +11,9 @@
 // Tick performs the actions that are due. The caller calls it several times per probe interval. If the time since
 // the last tick shows that the process was frozen, no member is suspected because of that time.
 func (c *Core) Tick(now time.Duration) (sends []Send) {
-	woke := c.lastTick > 0 && now-c.lastTick > freezeIntervals*c.settings.ProbeInterval
+	wasFrozen := c.lastTick > 0 && now-c.lastTick > freezeIntervals*c.settings.ProbeInterval
 	c.lastTick = now
-	if woke {
+	if wasFrozen {
 		c.pending = nil
 		c.nextProbe = now
 		c.nextSync = now
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -91,12 +91,12 @@
 // splitIntoMessages sends updates in messages of bounded size. If there are several, only the first asks for a
 // reply and none is marked as complete.
 func (c *Core) splitIntoMessages(peer string, updates []message.MemberUpdate, reply bool) []Send {
-	whole := reply && len(updates) <= syncChunk
+	complete := reply && len(updates) <= syncChunk
 	var sends []Send
 	for len(updates) > 0 {
 		chunk := updates[:min(len(updates), syncChunk)]
 		updates = updates[len(chunk):]
-		sends = append(sends, Send{To: peer, Message: &message.MemberSync{ReplyWanted: reply, Complete: whole, Updates: chunk}})
+		sends = append(sends, Send{To: peer, Message: &message.MemberSync{ReplyWanted: reply, Complete: complete, Updates: chunk}})
 		reply = false
 	}
 	return sends
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -106,9 +106,9 @@
 func (c *Core) piggyback() []message.MemberUpdate {
 	count := min(len(c.updates), c.settings.UpdatesPerMessage)
 	var result []message.MemberUpdate
-	taken := c.updates[:count]
+	selected := c.updates[:count]
 	rest := append([]queuedUpdate(nil), c.updates[count:]...)
-	for _, item := range taken {
+	for _, item := range selected {
 		if member, ok := c.Lookup(item.address); ok {
 			result = append(result, toUpdate(member))
 			item.transmissionsLeft--
--- a/internal/message/codec.go
+++ b/internal/message/codec.go
@@ -10,14 +10,14 @@
 	failed  bool
 }
 
-func (c *codec) take(size int) []byte {
+func (c *codec) consume(size int) []byte {
 	if c.failed || size < 0 || size > len(c.buffer) {
 		c.failed = true
 		return nil
 	}
-	taken := c.buffer[:size]
+	consumed := c.buffer[:size]
 	c.buffer = c.buffer[size:]
-	return taken
+	return consumed
 }
 
 // fixed reads or writes a value of fixed size in the layout of encoding/binary: an integer, a bool or a struct of
@@ -31,8 +31,8 @@
 		c.buffer = appended
 		return
 	}
-	if taken := c.take(binary.Size(value)); taken != nil {
-		if _, err := binary.Decode(taken, binary.BigEndian, value); err != nil {
+	if consumed := c.consume(binary.Size(value)); consumed != nil {
+		if _, err := binary.Decode(consumed, binary.BigEndian, value); err != nil {
 			c.failed = true
 		}
 	}
@@ -43,8 +43,8 @@
 		c.buffer = append(c.buffer, *value)
 		return
 	}
-	if taken := c.take(1); taken != nil {
-		*value = taken[0]
+	if consumed := c.consume(1); consumed != nil {
+		*value = consumed[0]
 	}
 }
 
@@ -53,8 +53,8 @@
 		c.buffer = binary.BigEndian.AppendUint32(c.buffer, *value)
 		return
 	}
-	if taken := c.take(4); taken != nil {
-		*value = binary.BigEndian.Uint32(taken)
+	if consumed := c.consume(4); consumed != nil {
+		*value = binary.BigEndian.Uint32(consumed)
 	}
 }
 
@@ -63,8 +63,8 @@
 		c.buffer = binary.BigEndian.AppendUint64(c.buffer, *value)
 		return
 	}
-	if taken := c.take(8); taken != nil {
-		*value = binary.BigEndian.Uint64(taken)
+	if consumed := c.consume(8); consumed != nil {
+		*value = binary.BigEndian.Uint64(consumed)
 	}
 }
 
@@ -80,7 +80,7 @@
 		c.failed = true
 		return
 	}
-	c.take(size)
+	c.consume(size)
 	*value = number
 }
 
@@ -119,8 +119,8 @@
 		c.buffer = append(c.buffer, *value...)
 		return
 	}
-	if taken := c.take(length); len(taken) > 0 {
-		*value = append([]byte(nil), taken...)
+	if consumed := c.consume(length); len(consumed) > 0 {
+		*value = append([]byte(nil), consumed...)
 	}
 }
 
@@ -130,7 +130,7 @@
 		c.buffer = append(c.buffer, *value...)
 		return
 	}
-	*value = string(c.take(length))
+	*value = string(c.consume(length))
 }
 
 // list reads or writes a slice: first its length, then each item by calling walk.
--- a/internal/message/message_test.go
+++ b/internal/message/message_test.go
@@ -79,7 +79,7 @@
 // TestMalformedFrames: frames that are truncated, altered or of an unknown kind are rejected with the code
 // MALFORMED.
 func TestMalformedFrames(t *testing.T) {
-	whole := Encode(samples()[0])
+	complete := Encode(samples()[0])
 	cases := map[string]func([]byte) []byte{
 		"truncated header":        func(f []byte) []byte { return f[:HeaderSize-1] },
 		"wrong magic number":      func(f []byte) []byte { f[0]++; return f },
@@ -93,7 +93,7 @@
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
-			if _, err := decode(change(append([]byte(nil), whole...))); failure.CodeOf(err) != failure.Malformed {
+			if _, err := decode(change(append([]byte(nil), complete...))); failure.CodeOf(err) != failure.Malformed {
 				t.Errorf("decoding ended with error %v, want the code MALFORMED", err)
 			}
 		})
--- a/internal/serving/caller.go
+++ b/internal/serving/caller.go
@@ -57,13 +57,13 @@
 
 // Disconnected reports whether the caller has closed its end or the connection has broken, so that nobody would
 // receive an answer. A caller with further unread bytes counts as connected.
-func (c Caller) Disconnected() (gone bool) {
+func (c Caller) Disconnected() (disconnected bool) {
 	c.withDescriptor(func(fd int) {
 		var next [1]byte
 		n, _, err := unix.Recvfrom(fd, next[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		gone = n == 0 && err == nil || err != nil && err != unix.EAGAIN && err != unix.EINTR
+		disconnected = n == 0 && err == nil || err != nil && err != unix.EAGAIN && err != unix.EINTR
 	})
-	return gone
+	return disconnected
 }
 
 // withDescriptor calls at with the connection's file descriptor, unless the connection is closed.
--- a/internal/serving/caller_test.go
+++ b/internal/serving/caller_test.go
@@ -11,30 +11,30 @@
 	"stiletrail/internal/routing"
 )
 
-// lateListener leaves connections in the kernel's accept queue until take is closed.
-type lateListener struct {
+// delayedListener leaves connections in the kernel's accept queue until startAccepting is closed.
+type delayedListener struct {
 	net.Listener
-	take chan struct{}
+	startAccepting chan struct{}
 }
 
 // Accept implements net.Listener.
-func (l *lateListener) Accept() (net.Conn, error) {
-	<-l.take
+func (l *delayedListener) Accept() (net.Conn, error) {
+	<-l.startAccepting
 	return l.Listener.Accept()
 }
 
-// serveAfterDelay serves callers on the loopback address once take is called.
-func serveAfterDelay(t *testing.T, handler http.Handler) (address string, take func()) {
+// serveAfterDelay serves callers on the loopback address once startAccepting is called.
+func serveAfterDelay(t *testing.T, handler http.Handler) (address string, startAccepting func()) {
 	t.Helper()
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &lateListener{inner, make(chan struct{})}
+	l := &delayedListener{inner, make(chan struct{})}
 	c := newCallerListener(l, handler, nil, io.Discard)
 	go func() { _ = c.accept(func() (routing.Limits, bool) { return routing.Limits{}, false }) }()
 	t.Cleanup(func() { c.shutdown(context.Background()) })
-	return inner.Addr().String(), func() { close(l.take) }
+	return inner.Addr().String(), func() { close(l.startAccepting) }
 }
 
 // send opens a connection and writes a request.
@@ -58,13 +58,13 @@
 	const unread, tick = 200 * time.Millisecond, 10 * time.Millisecond
 	waited := make(chan time.Duration, 2)
 	hold := make(chan struct{}, 2)
-	address, take := serveAfterDelay(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	address, startAccepting := serveAfterDelay(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		waited <- CallerOf(r.Context()).UnreadFor()
 		<-hold
 	}))
 	socket := send(t, address)
 	time.Sleep(unread)
-	take()
+	startAccepting()
 	if got := <-waited; got < unread-tick {
 		t.Errorf("a request on a connection that was accepted %v late was unread for %v, want at least the delay", unread, got)
 	}
@@ -95,8 +95,8 @@
 		{"sends more", func(socket net.Conn) { _, _ = io.WriteString(socket, "GET /more HTTP/1.1\r\nHost: h\r\n\r\n") }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			gone := make(chan bool, 2)
-			address, take := serveAfterDelay(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { gone <- CallerOf(r.Context()).Disconnected() }))
+			disconnected := make(chan bool, 2)
+			address, startAccepting := serveAfterDelay(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { disconnected <- CallerOf(r.Context()).Disconnected() }))
 			c.leave(send(t, address))
 			// Once a later connection has been established, the caller's last action has reached the kernel.
 			later, err := net.Dial("tcp4", address)
@@ -104,8 +104,8 @@
 				t.Fatal(err)
 			}
 			defer func() { _ = later.Close() }()
-			take()
-			if got := <-gone; got != c.want {
+			startAccepting()
+			if got := <-disconnected; got != c.want {
 				t.Errorf("the caller is reported as disconnected: %v, want the opposite", got)
 			}
 		})
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -142,12 +142,12 @@
 	same := found && !known.Deleted && !record.Deleted && bytes.Equal(known.Value, record.Value) &&
 		record.Revision.Era != known.Revision.Era
 	c.observeEra(now, record.Revision.Era)
-	taken := Record{StoreRecord: record}
+	stored := Record{StoreRecord: record}
 	if record.Deleted {
-		taken.Value = nil
-		taken.deletedAt = now
+		stored.Value = nil
+		stored.deletedAt = now
 	}
-	c.records[record.Key] = taken
+	c.records[record.Key] = stored
 	if record.Deleted {
 		return found && !known.Deleted
 	}
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -258,7 +258,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
 		w := newWorld(rapid.IntRange(2, 5).Draw(rt, "nodes"), random)
-		taken := map[string]map[string]history.Revision{}
+		stored := map[string]map[string]history.Revision{}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			n := w.nodes[random.IntN(len(w.nodes))]
 			switch rapid.IntRange(0, 10).Draw(rt, "what") {
@@ -268,7 +268,7 @@
 				n.storeReachable = !n.storeReachable
 			case 4:
 				w.restart(n)
-				taken[n.name] = nil
+				stored[n.name] = nil
 			case 5:
 				n.inbox = nil
 			case 6:
@@ -280,7 +280,7 @@
 			}
 			w.step(time.Duration(rapid.IntRange(50, 8000).Draw(rt, "pass")) * time.Millisecond)
 			for _, n := range w.nodes {
-				checkNeverBack(rt, taken, n)
+				checkNeverBack(rt, stored, n)
 			}
 		}
 		w.nodes[0].storeReachable = true
@@ -297,15 +297,15 @@
 }
 
 // checkNeverBack checks that within one life of a node's process no key goes back to an older revision.
-func checkNeverBack(rt *rapid.T, taken map[string]map[string]history.Revision, n *node) {
-	if taken[n.name] == nil {
-		taken[n.name] = map[string]history.Revision{}
+func checkNeverBack(rt *rapid.T, stored map[string]map[string]history.Revision, n *node) {
+	if stored[n.name] == nil {
+		stored[n.name] = map[string]history.Revision{}
 	}
 	for _, record := range n.core.Records() {
-		if record.Revision.Before(taken[n.name][record.Key]) {
-			rt.Fatalf("node %s: key %s went back from %v to %v", n.name, record.Key, taken[n.name][record.Key], record.Revision)
+		if record.Revision.Before(stored[n.name][record.Key]) {
+			rt.Fatalf("node %s: key %s went back from %v to %v", n.name, record.Key, stored[n.name][record.Key], record.Revision)
 		}
-		taken[n.name][record.Key] = record.Revision
+		stored[n.name][record.Key] = record.Revision
 	}
 }
 
--- a/internal/transport/outgoing_connection.go
+++ b/internal/transport/outgoing_connection.go
@@ -28,10 +28,10 @@
 
 // write sends queued messages over one connection until it breaks, its acknowledgements are late, or it is idle.
 func (l *peerLink) write(connection net.Conn, first queuedMessage) {
-	over := make(chan struct{})
-	defer close(over)
+	done := make(chan struct{})
+	defer close(done)
 	defer func() { _ = connection.Close() }()
-	acknowledged := l.readAcknowledgements(connection, over)
+	acknowledged := l.readAcknowledgements(connection, done)
 	s := &outgoingConnection{link: l, connection: connection, writer: bufio.NewWriterSize(connection, l.transport.sizes.Buffer)}
 	hello := message.Encode(&message.Hello{Address: l.transport.address})
 	_, _ = s.writer.Write(hello)
@@ -68,8 +68,8 @@
 
 // send writes a message and all messages queued after it. It returns false if the connection must be closed.
 func (s *outgoingConnection) send(item queuedMessage) bool {
-	frames, size, sound := s.link.writeBatch(s.connection, s.writer, item)
-	if !sound {
+	frames, size, ok := s.link.writeBatch(s.connection, s.writer, item)
+	if !ok {
 		s.link.connectionLost()
 		return false
 	}
@@ -112,7 +112,7 @@
 
 // readAcknowledgements returns a channel of the number of frames acknowledged by each read. The channel is closed
 // when the peer closes the connection.
-func (l *peerLink) readAcknowledgements(connection net.Conn, over <-chan struct{}) <-chan int {
+func (l *peerLink) readAcknowledgements(connection net.Conn, done <-chan struct{}) <-chan int {
 	acknowledged := make(chan int)
 	l.transport.tasks.Go(func() {
 		defer close(acknowledged)
@@ -126,7 +126,7 @@
 			}
 			select {
 			case acknowledged <- read:
-			case <-over:
+			case <-done:
 				return
 			}
 		}
@@ -136,7 +136,7 @@
 
 // writeBatch writes a message and all messages queued after it, and flushes. It returns the number of frames and
 // bytes written. After an error the peer may have received any part of the batch.
-func (l *peerLink) writeBatch(connection net.Conn, writer *bufio.Writer, item queuedMessage) (frames, size int, sound bool) {
+func (l *peerLink) writeBatch(connection net.Conn, writer *bufio.Writer, item queuedMessage) (frames, size int, ok bool) {
 	_ = connection.SetWriteDeadline(time.Now().Add(writeTimeout))
 	var batch []message.Message
 	for {
@@ -153,7 +153,7 @@
 	}
 	if err := writer.Flush(); err != nil {
 		for _, m := range batch {
-			l.transport.undelivered(l.key.to, m, true)
+			l.transport.reportUndelivered(l.key.to, m, true)
 		}
 		return 0, 0, false
 	}
@@ -167,7 +167,7 @@
 	if sub, ok := item.message.(*message.SubQuery); ok {
 		waited := uint64(elapsed.Microseconds())
 		if waited >= sub.RemainingMicroseconds {
-			l.transport.undelivered(l.key.to, item.message, false)
+			l.transport.reportUndelivered(l.key.to, item.message, false)
 			return 0
 		}
 		shortened := *sub
@@ -181,7 +181,7 @@
 	if len(frame) > message.MaximumPayload {
 		// The peer would close the connection because of this frame, and other requests in flight on it would be
 		// lost.
-		l.transport.undelivered(l.key.to, item.message, false)
+		l.transport.reportUndelivered(l.key.to, item.message, false)
 		return 0
 	}
 	_, _ = writer.Write(frame)
--- a/internal/transport/peer_link.go
+++ b/internal/transport/peer_link.go
@@ -31,7 +31,7 @@
 		}
 		connection, err := l.dial()
 		if err != nil {
-			l.reportUndelivered(first)
+			l.reportQueuedUndelivered(first)
 			continue
 		}
 		l.write(connection, first)
@@ -65,15 +65,15 @@
 	return l.transport.network.Dial(ctx, l.key.to)
 }
 
-// reportUndelivered reports the queued messages for an unreachable peer as undelivered, until retryDelay has passed
+// reportQueuedUndelivered reports the queued messages for an unreachable peer as undelivered, until retryDelay has passed
 // and the peer is dialled again.
-func (l *peerLink) reportUndelivered(first queuedMessage) {
-	l.transport.undelivered(l.key.to, first.message, false)
+func (l *peerLink) reportQueuedUndelivered(first queuedMessage) {
+	l.transport.reportUndelivered(l.key.to, first.message, false)
 	wait := time.After(retryDelay)
 	for {
 		select {
 		case item := <-l.queue:
-			l.transport.undelivered(l.key.to, item.message, false)
+			l.transport.reportUndelivered(l.key.to, item.message, false)
 		case <-wait:
 			return
 		case <-l.transport.ctx.Done():
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -196,11 +196,11 @@
 	select {
 	case l.queue <- queuedMessage{message: m, queuedAt: t.clock.Elapsed()}:
 	default:
-		t.undelivered(to, m, false)
+		t.reportUndelivered(to, m, false)
 	}
 }
 
-func (t *Transport) undelivered(to string, m message.Message, written bool) {
+func (t *Transport) reportUndelivered(to string, m message.Message, written bool) {
 	t.Counters.UndeliveredFrames.Add(1)
 	go t.handler.Undelivered(to, m, written)
 }
