--- a/internal/serving/caller.go
+++ b/internal/serving/caller.go
@@ -43,8 +43,8 @@
 	return caller
 }
 
-// UnreadFor returns the time since the caller's last bytes arrived, or 0 if the kernel does not report it. The unit
-// of the count is one millisecond. The time for which the machine is suspended is not included.
+// UnreadFor returns the time since the caller's last bytes arrived, or 0 if the kernel does not report it. The kernel
+// counts in whole milliseconds, and not while the machine is suspended.
 func (c Caller) UnreadFor() time.Duration {
 	var waited time.Duration
 	c.withDescriptor(func(fd int) {
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -42,8 +42,8 @@
 	// minimumDrainTime is how long after the start of a stop callers may still send requests because they have not
 	// noticed it.
 	minimumDrainTime = 2500 * time.Millisecond
-	// finalPart is the divisor of the time for a stop that gives its last part. That part is reserved for the last
-	// answers and the end of the process: requests still in flight at its start are answered at once.
+	// finalPart is n where the last n-th of the time for a stop is reserved for the last answers and the end of the
+	// process. Requests still in flight at its start are answered at once.
 	finalPart = 6
 	// shutdownTimeout bounds the writing of the last answers.
 	shutdownTimeout = 300 * time.Millisecond
--- a/internal/serving/serving_test.go
+++ b/internal/serving/serving_test.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestStopAbortsRequestsInFlight: requests still in flight at the end of the stop time are answered at once, and
+// TestStopFinishesRequestsInFlight: requests still in flight at the end of the stop time are answered at once, and
 // Stop reports that not all requests were completed.
-func TestStopAbortsRequestsInFlight(t *testing.T) {
+func TestStopFinishesRequestsInFlight(t *testing.T) {
 	node := &fakeNode{}
 	node.inFlight.Store(1)
 	server, _ := start(t, node)
--- a/internal/transport/peer_link.go
+++ b/internal/transport/peer_link.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// next returns the next message to write. It returns false if the link ends. In that case the queue is empty, so no
-// message is lost.
+// next returns the next message to write. It returns false if the transport is closed or the link has been idle for
+// idleTimeout. An idle link is removed under the transport's lock and with an empty queue, so no message stays in it.
 func (l *peerLink) next() (queuedMessage, bool) {
 	select {
 	case item := <-l.queue:
@@ -65,8 +65,8 @@
 	return l.transport.network.Dial(ctx, l.key.to)
 }
 
-// reportQueuedUndelivered reports the queued messages for an unreachable peer as undelivered, until retryDelay has passed
-// and the peer is dialled again.
+// reportQueuedUndelivered reports the queued messages for an unreachable peer as undelivered, until retryDelay has
+// passed and the peer is dialled again.
 func (l *peerLink) reportQueuedUndelivered(first queuedMessage) {
 	l.transport.reportUndelivered(l.key.to, first.message, false)
 	wait := time.After(retryDelay)
