--- a/internal/message/codec.go
+++ b/internal/message/codec.go
@@ -2,24 +2,26 @@
 
 import "encoding/binary"
 
-// codec walks the fields of a message, writing them or reading them, so that both ways share one list of fields.
+// codec reads or writes the fields of a message. A message lists its fields once, in its method fields, for both
+// directions.
 type codec struct {
 	buffer  []byte
 	reading bool
 	failed  bool
 }
 
-func (c *codec) take(size int) []byte {
+func (c *codec) consume(size int) []byte {
 	if c.failed || size < 0 || size > len(c.buffer) {
 		c.failed = true
 		return nil
 	}
-	taken := c.buffer[:size]
+	consumed := c.buffer[:size]
 	c.buffer = c.buffer[size:]
-	return taken
+	return consumed
 }
 
-// fixed walks a fixed-size value: an integer, a bool or a struct of these, as encoding/binary lays it out.
+// fixed reads or writes a value of fixed size in the layout of encoding/binary: an integer, a bool or a struct of
+// these.
 func (c *codec) fixed(value any) {
 	if !c.reading {
 		appended, err := binary.Append(c.buffer, binary.BigEndian, value)
@@ -29,8 +31,8 @@
 		c.buffer = appended
 		return
 	}
-	if taken := c.take(binary.Size(value)); taken != nil {
-		if _, err := binary.Decode(taken, binary.BigEndian, value); err != nil {
+	if consumed := c.consume(binary.Size(value)); consumed != nil {
+		if _, err := binary.Decode(consumed, binary.BigEndian, value); err != nil {
 			c.failed = true
 		}
 	}
@@ -41,8 +43,8 @@
 		c.buffer = append(c.buffer, *value)
 		return
 	}
-	if taken := c.take(1); taken != nil {
-		*value = taken[0]
+	if consumed := c.consume(1); consumed != nil {
+		*value = consumed[0]
 	}
 }
 
@@ -51,8 +53,8 @@
 		c.buffer = binary.BigEndian.AppendUint32(c.buffer, *value)
 		return
 	}
-	if taken := c.take(4); taken != nil {
-		*value = binary.BigEndian.Uint32(taken)
+	if consumed := c.consume(4); consumed != nil {
+		*value = binary.BigEndian.Uint32(consumed)
 	}
 }
 
@@ -61,13 +63,13 @@
 		c.buffer = binary.BigEndian.AppendUint64(c.buffer, *value)
 		return
 	}
-	if taken := c.take(8); taken != nil {
-		*value = binary.BigEndian.Uint64(taken)
+	if consumed := c.consume(8); consumed != nil {
+		*value = binary.BigEndian.Uint64(consumed)
 	}
 }
 
-// varint walks a number that is mostly small: seven bits a byte, as encoding/binary lays them out. A longer form than needed is
-// malformed.
+// varint reads or writes a number that is usually small, in the varint encoding of encoding/binary with seven bits
+// per byte. An encoding longer than necessary is malformed.
 func (c *codec) varint(value *uint64) {
 	if !c.reading {
 		c.buffer = binary.AppendUvarint(c.buffer, *value)
@@ -78,11 +80,11 @@
 		c.failed = true
 		return
 	}
-	c.take(size)
+	c.consume(size)
 	*value = number
 }
 
-// length walks the length of what follows.
+// length reads or writes the length of the string, byte slice or list that follows.
 func (c *codec) length(of int) int {
 	length := uint64(of)
 	c.varint(&length)
@@ -117,8 +119,8 @@
 		c.buffer = append(c.buffer, *value...)
 		return
 	}
-	if taken := c.take(length); len(taken) > 0 {
-		*value = append([]byte(nil), taken...)
+	if consumed := c.consume(length); len(consumed) > 0 {
+		*value = append([]byte(nil), consumed...)
 	}
 }
 
@@ -128,14 +130,14 @@
 		c.buffer = append(c.buffer, *value...)
 		return
 	}
-	*value = string(c.take(length))
+	*value = string(c.consume(length))
 }
 
-// list walks a slice: its length, then each item with walk.
+// list reads or writes a slice: first its length, then each item by calling walk.
 func list[Item any](c *codec, items *[]Item, walk func(*codec, *Item)) {
 	length := c.length(len(*items))
 	if c.reading {
-		// An item takes a byte at least, so a longer list than bytes left is malformed.
+		// Each item takes at least one byte, so a length above the number of remaining bytes is malformed.
 		if length > MaximumItems || length > len(c.buffer) {
 			c.failed = true
 			return
--- a/internal/serving/caller.go
+++ b/internal/serving/caller.go
@@ -43,8 +43,8 @@
 	return caller
 }
 
-// UnreadFor returns the time since the caller's last bytes arrived, or 0 if the kernel does not report it. The unit
-// of the count is one millisecond. The time for which the machine is suspended is not included.
+// UnreadFor returns the time since the caller's last bytes arrived, or 0 if the kernel does not report it. The kernel
+// counts in whole milliseconds, and not while the machine is suspended.
 func (c Caller) UnreadFor() time.Duration {
 	var waited time.Duration
 	c.withDescriptor(func(fd int) {
@@ -57,13 +57,13 @@
 
 // Disconnected reports whether the caller has closed its end or the connection has broken, so that nobody would
 // receive an answer. A caller with further unread bytes counts as connected.
-func (c Caller) Disconnected() (gone bool) {
+func (c Caller) Disconnected() (disconnected bool) {
 	c.withDescriptor(func(fd int) {
 		var next [1]byte
 		n, _, err := unix.Recvfrom(fd, next[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		gone = n == 0 && err == nil || err != nil && err != unix.EAGAIN && err != unix.EINTR
+		disconnected = n == 0 && err == nil || err != nil && err != unix.EAGAIN && err != unix.EINTR
 	})
-	return gone
+	return disconnected
 }
 
 // withDescriptor calls at with the connection's file descriptor, unless the connection is closed.
--- a/internal/transport/peer_link.go
+++ b/internal/transport/peer_link.go
@@ -8,21 +8,21 @@
 	"stiletrail/internal/message"
 )
 
-// queued is a message that waits to be written.
+// queuedMessage is a message that waits to be written.
 type queuedMessage struct {
 	message message.Message
-	// at is when it was queued, on the transport's clock.
+	// queuedAt is when the message was queued, on the transport's clock.
 	queuedAt time.Duration
 }
 
-// line carries messages to a peer, over one connection at a time.
+// peerLink sends messages to a peer, over one connection at a time.
 type peerLink struct {
 	transport *Transport
 	key       peerLinkKey
 	queue     chan queuedMessage
 }
 
-// run writes what is queued until the line is idle or the transport closes.
+// run writes queued messages until the link has been idle for idleTimeout or the transport is closed.
 func (l *peerLink) run() {
 	for {
 		first, ok := l.next()
@@ -31,14 +31,15 @@
 		}
 		connection, err := l.dial()
 		if err != nil {
-			l.reportUndelivered(first)
+			l.reportQueuedUndelivered(first)
 			continue
 		}
 		l.write(connection, first)
 	}
 }
 
-// next waits for a message; false ends the line, which no message can be left in.
+// next returns the next message to write. It returns false if the transport is closed or the link has been idle for
+// idleTimeout. An idle link is removed under the transport's lock and with an empty queue, so no message stays in it.
 func (l *peerLink) next() (queuedMessage, bool) {
 	select {
 	case item := <-l.queue:
@@ -64,14 +65,15 @@
 	return l.transport.network.Dial(ctx, l.key.to)
 }
 
-// fail reports what waits for a peer that cannot be reached, for a short while, before it is dialled again.
-func (l *peerLink) reportUndelivered(first queuedMessage) {
-	l.transport.undelivered(l.key.to, first.message, false)
+// reportQueuedUndelivered reports the queued messages for an unreachable peer as undelivered, until retryDelay has
+// passed and the peer is dialled again.
+func (l *peerLink) reportQueuedUndelivered(first queuedMessage) {
+	l.transport.reportUndelivered(l.key.to, first.message, false)
 	wait := time.After(retryDelay)
 	for {
 		select {
 		case item := <-l.queue:
-			l.transport.undelivered(l.key.to, item.message, false)
+			l.transport.reportUndelivered(l.key.to, item.message, false)
 		case <-wait:
 			return
 		case <-l.transport.ctx.Done():
@@ -80,7 +82,7 @@
 	}
 }
 
-// lost reports the loss of a connection on which queries were sent.
+// connectionLost reports the loss of a connection on which queries were sent.
 func (l *peerLink) connectionLost() {
 	if !l.key.control {
 		go l.transport.handler.Disconnected(l.key.to)
