--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -135,7 +135,7 @@
 		return query.AttemptResult{Attempt: attempt.Number, Status: query.StatusNotSent}
 	}
 	ended := ctx.Err() == nil && refuses(ctx, attempt.BackEnd)
-	return query.AttemptResult{Attempt: attempt.Number, Status: query.StatusLost, BackEndEnded: ended}
+	return query.AttemptResult{Attempt: attempt.Number, Status: query.StatusLost, BackEndCrashed: ended}
 }
 
 // refuses reports whether nobody takes connections at an address any more, as after the end of a process.
--- a/internal/backend/ended_test.go
+++ b/internal/backend/ended_test.go
@@ -33,7 +33,7 @@
 			client := NewClient(1)
 			ctx := client.Begin(context.Background(), 1, time.Minute)
 			result := client.Run(ctx, query.Attempt{Number: 1, BackEnd: listener.Addr().String(), Shards: []uint32{0}})
-			if result.Status != query.StatusLost || result.BackEndEnded != ends {
+			if result.Status != query.StatusLost || result.BackEndCrashed != ends {
 				t.Errorf("%+v", result)
 			}
 		})
--- a/internal/dispatch/crashing_test.go
+++ b/internal/dispatch/crashing_test.go
@@ -32,7 +32,7 @@
 			continue
 		}
 		ended++
-		h.take(h.core.AttemptEnded(h.now, query.AttemptResult{Attempt: a.Number, Status: query.StatusLost, BackEndEnded: true}))
+		h.take(h.core.AttemptEnded(h.now, query.AttemptResult{Attempt: a.Number, Status: query.StatusLost, BackEndCrashed: true}))
 	}
 	return ended
 }
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -25,7 +25,7 @@
 	c.release(a.subQuery, a.shards)
 	c.noteOutcome(now, a, status, result)
 	switch {
-	case status == query.StatusLost && result.BackEndEnded:
+	case status == query.StatusLost && result.BackEndCrashed:
 		c.backEndEnded(now, a)
 	case !a.subQuery.finished:
 		c.advance(now, a, status, result)
--- a/internal/query/attempt.go
+++ b/internal/query/attempt.go
@@ -70,6 +70,6 @@
 	Holding    Holding
 	HasHolding bool
 	RetryAfter time.Duration
-	// BackEndEnded: the back end itself ended, and not just the connection: it takes no connections any more.
-	BackEndEnded bool
+	// BackEndCrashed: the back end itself ended, and not just the connection: it takes no connections any more.
+	BackEndCrashed bool
 }
