--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -148,6 +148,6 @@
 func (n *Node) observeSearch(answer engine.SearchAnswer, elapsed time.Duration) {
 	n.metrics.latency.Observe(elapsed.Seconds())
 	if answer.Coverage.TotalKnown {
-		n.metrics.coverage.Observe(answer.Coverage.Share())
+		n.metrics.coverage.Observe(answer.Coverage.Ratio())
 	}
 }
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -69,8 +69,8 @@
 	return c.TotalKnown && c.Answered == c.Total
 }
 
-// Share is the part of the shards that answered, from 0 to 1.
-func (c Coverage) Share() float64 {
+// Ratio is the part of the shards that answered, from 0 to 1.
+func (c Coverage) Ratio() float64 {
 	if !c.TotalKnown || c.Total == 0 {
 		return 0
 	}
--- a/internal/rehearsal/report.go
+++ b/internal/rehearsal/report.go
@@ -62,7 +62,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	_ = r.latency.RecordValue(max(elapsed.Microseconds(), 1))
-	r.coverage += coverage.Share()
+	r.coverage += coverage.Ratio()
 	if coverage.Complete() {
 		r.report.Complete++
 	} else {
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -122,7 +122,7 @@
 	if answer.Snapshot.Version > call.service.version {
 		c.violation("search %s is at version %d, which does not exist", call.body, answer.Snapshot.Version)
 	}
-	if share := answer.Coverage.Share(); share < call.service.MinimumCoverage {
+	if share := answer.Coverage.Ratio(); share < call.service.MinimumCoverage {
 		c.violation("search %s was answered with coverage %.3f", call.body, share)
 	}
 	if answer.Coverage.Complete() {
