--- a/internal/query/holding.go
+++ b/internal/query/holding.go
@@ -23,13 +23,13 @@
 	Newest      uint64
 }
 
-// At reports whether the back end can answer at a snapshot, for the shards it holds.
-func (h Holding) At(at Snapshot) bool {
+// HasSnapshot reports whether the back end can answer at a snapshot, for the shards it holds.
+func (h Holding) HasSnapshot(at Snapshot) bool {
 	return h.Epoch == at.Epoch && at.Version >= h.Oldest && at.Version <= h.Newest
 }
 
 // Holds reports whether the back end can answer for a shard at a snapshot.
-func (h Holding) Holds(shard uint32, at Snapshot) bool { return h.At(at) && h.HasShard(shard) }
+func (h Holding) Holds(shard uint32, at Snapshot) bool { return h.HasSnapshot(at) && h.HasShard(shard) }
 
 // HasShard reports whether the shard is among those held.
 func (h Holding) HasShard(shard uint32) bool {
--- a/internal/scatter/routing.go
+++ b/internal/scatter/routing.go
@@ -106,7 +106,7 @@
 	held := make([]bool, total)
 	var count uint32
 	r.each(func(h query.Holding) {
-		if !h.At(at) {
+		if !h.HasSnapshot(at) {
 			return
 		}
 		for _, shard := range h.Shards {
@@ -141,7 +141,7 @@
 				continue
 			}
 			for _, holding := range group.Holdings {
-				if !holding.At(at) {
+				if !holding.HasSnapshot(at) {
 					continue
 				}
 				for _, shard := range holding.Shards {
