--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -14,7 +14,7 @@
 		if !b.usable(now) || slices.Contains(state.tried, b) {
 			continue
 		}
-		holds := b.holding.Holds(shard, q.request.Snapshot)
+		holds := b.holding.HasShardAt(shard, q.request.Snapshot)
 		if q.request.Execute {
 			holds = b.holding.Epoch == q.request.Snapshot.Epoch && b.holding.HasShard(shard)
 		}
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -57,7 +57,7 @@
 // heldElsewhere reports whether some replica holds the shard at another snapshot.
 func (c *Core) heldElsewhere(q *subQuery, shard uint32) bool {
 	for _, b := range q.group.backEnds {
-		if b.described && b.draining == 0 && b.holding.HasShard(shard) && !b.holding.Holds(shard, q.request.Snapshot) {
+		if b.described && b.draining == 0 && b.holding.HasShard(shard) && !b.holding.HasShardAt(shard, q.request.Snapshot) {
 			return true
 		}
 	}
--- a/internal/query/holding.go
+++ b/internal/query/holding.go
@@ -28,8 +28,10 @@
 	return h.Epoch == at.Epoch && at.Version >= h.Oldest && at.Version <= h.Newest
 }
 
-// Holds reports whether the back end can answer for a shard at a snapshot.
-func (h Holding) Holds(shard uint32, at Snapshot) bool { return h.HasSnapshot(at) && h.HasShard(shard) }
+// HasShardAt reports whether the back end can answer for a shard at a snapshot.
+func (h Holding) HasShardAt(shard uint32, at Snapshot) bool {
+	return h.HasSnapshot(at) && h.HasShard(shard)
+}
 
 // HasShard reports whether the shard is among those held.
 func (h Holding) HasShard(shard uint32) bool {
