--- a/internal/message/work.go
+++ b/internal/message/work.go
@@ -108,7 +108,7 @@
 		c.uint64(&holding.Epoch)
 		c.uint32(&holding.ShardsTotal)
 		list(c, &holding.Shards, (*codec).uint32)
-		c.uint64(&holding.Oldest)
+		c.uint64(&holding.OldestVersion)
 		c.uint64(&holding.Newest)
 	})
 }
--- a/internal/query/holding.go
+++ b/internal/query/holding.go
@@ -15,17 +15,17 @@
 
 // Holding is what a back end says of itself for one service.
 type Holding struct {
-	State       State
-	Epoch       uint64
-	ShardsTotal uint32
-	Shards      []uint32
-	Oldest      uint64
-	Newest      uint64
+	State         State
+	Epoch         uint64
+	ShardsTotal   uint32
+	Shards        []uint32
+	OldestVersion uint64
+	Newest        uint64
 }
 
 // HasSnapshot reports whether the back end can answer at a snapshot, for the shards it holds.
 func (h Holding) HasSnapshot(at Snapshot) bool {
-	return h.Epoch == at.Epoch && at.Version >= h.Oldest && at.Version <= h.Newest
+	return h.Epoch == at.Epoch && at.Version >= h.OldestVersion && at.Version <= h.Newest
 }
 
 // HasShardAt reports whether the back end can answer for a shard at a snapshot.
