--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -69,7 +69,7 @@
 func holdingOf(holding *stiletrailv1.Holding) query.Holding {
 	return query.Holding{
 		State: stateOf(holding.GetState()), Epoch: holding.GetEpoch(), ShardsTotal: holding.GetShardsTotal(),
-		Shards: holding.GetShards(), OldestVersion: holding.GetOldestVersion(), Newest: holding.GetNewestVersion(),
+		Shards: holding.GetShards(), OldestVersion: holding.GetOldestVersion(), NewestVersion: holding.GetNewestVersion(),
 	}
 }
 
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -44,7 +44,7 @@
 func (h *harness) holding(number int, state query.State) query.Holding {
 	total := uint32(len(h.core.groups[groupKey{service: service}].backEnds))
 	return query.Holding{
-		State: state, Epoch: 1, ShardsTotal: total, Shards: []uint32{uint32(number), (uint32(number) + 1) % total}, OldestVersion: 1, Newest: 5,
+		State: state, Epoch: 1, ShardsTotal: total, Shards: []uint32{uint32(number), (uint32(number) + 1) % total}, OldestVersion: 1, NewestVersion: 5,
 	}
 }
 
--- a/internal/engine/route.go
+++ b/internal/engine/route.go
@@ -92,7 +92,7 @@
 	for _, holding := range m.Holdings {
 		if holding.Epoch >= r.lastTotal.Epoch {
 			r.lastTotal = query.Holding{
-				Epoch: holding.Epoch, ShardsTotal: holding.ShardsTotal, Newest: holding.Newest, OldestVersion: holding.OldestVersion,
+				Epoch: holding.Epoch, ShardsTotal: holding.ShardsTotal, NewestVersion: holding.NewestVersion, OldestVersion: holding.OldestVersion,
 			}
 		}
 	}
--- a/internal/message/message_test.go
+++ b/internal/message/message_test.go
@@ -28,7 +28,7 @@
 		&SubQuery{ID: id, Service: "s", Group: 1, Shards: []uint32{1, 2}, Snapshot: snapshot, Execute: true, Body: []byte("q"), RemainingMicroseconds: 9},
 		&SubAnswer{ID: id, Snapshot: snapshot, Results: documents, Done: true, Missing: []query.Missing{{Shard: 2, Reason: query.ReasonLost}}, NotRun: true, ShardAttempts: 3, RetryAfterMilliseconds: 4},
 		&SubCancel{ID: id}, &GroupRequest{Service: "s", Group: 2},
-		&GroupState{Service: "s", Group: 2, CatalogVersion: 3, Holdings: []query.Holding{{State: query.StateServing, Epoch: 1, ShardsTotal: 4, Shards: []uint32{0}, OldestVersion: 1, Newest: 2}}},
+		&GroupState{Service: "s", Group: 2, CatalogVersion: 3, Holdings: []query.Holding{{State: query.StateServing, Epoch: 1, ShardsTotal: 4, Shards: []uint32{0}, OldestVersion: 1, NewestVersion: 2}}},
 		&ForwardExecute{Sequence: 1, Service: "s", Key: "k", Body: []byte("b"), Ticket: []byte("t"), RemainingMicroseconds: 5},
 		&ForwardReply{Sequence: 1, Code: "C", NotRun: true, Text: "t", RetryAfterMilliseconds: 1, Shard: 2, Result: []byte("r")},
 		&VersionRequest{Sequence: 1, Service: "s"}, &VersionReply{Sequence: 1, Versions: []ServiceVersion{{Service: "s", Version: 2}}},
--- a/internal/message/work.go
+++ b/internal/message/work.go
@@ -109,7 +109,7 @@
 		c.uint32(&holding.ShardsTotal)
 		list(c, &holding.Shards, (*codec).uint32)
 		c.uint64(&holding.OldestVersion)
-		c.uint64(&holding.Newest)
+		c.uint64(&holding.NewestVersion)
 	})
 }
 
--- a/internal/query/holding.go
+++ b/internal/query/holding.go
@@ -20,12 +20,12 @@
 	ShardsTotal   uint32
 	Shards        []uint32
 	OldestVersion uint64
-	Newest        uint64
+	NewestVersion uint64
 }
 
 // HasSnapshot reports whether the back end can answer at a snapshot, for the shards it holds.
 func (h Holding) HasSnapshot(at Snapshot) bool {
-	return h.Epoch == at.Epoch && at.Version >= h.OldestVersion && at.Version <= h.Newest
+	return h.Epoch == at.Epoch && at.Version >= h.OldestVersion && at.Version <= h.NewestVersion
 }
 
 // HasShardAt reports whether the back end can answer for a shard at a snapshot.
--- a/internal/rehearsal/backend.go
+++ b/internal/rehearsal/backend.go
@@ -174,7 +174,7 @@
 func toHolding(holding query.Holding) *stiletrailv1.Holding {
 	return &stiletrailv1.Holding{
 		State: stiletrailv1.BackEndState(holding.State), Epoch: holding.Epoch, ShardsTotal: holding.ShardsTotal,
-		Shards: holding.Shards, OldestVersion: holding.OldestVersion, NewestVersion: holding.Newest,
+		Shards: holding.Shards, OldestVersion: holding.OldestVersion, NewestVersion: holding.NewestVersion,
 	}
 }
 
--- a/internal/scatter/benchmark_test.go
+++ b/internal/scatter/benchmark_test.go
@@ -35,7 +35,7 @@
 			w.routing.Groups = append(w.routing.Groups, GroupHoldings{Number: i / groupSize, Region: "north"})
 		}
 		group := &w.routing.Groups[i/groupSize]
-		group.Holdings = append(group.Holdings, query.Holding{State: query.StateServing, Epoch: 1, ShardsTotal: backEnds, Shards: []uint32{i}, OldestVersion: 1, Newest: 1})
+		group.Holdings = append(group.Holdings, query.Holding{State: query.StateServing, Epoch: 1, ShardsTotal: backEnds, Shards: []uint32{i}, OldestVersion: 1, NewestVersion: 1})
 	}
 	return w
 }
--- a/internal/scatter/routing.go
+++ b/internal/scatter/routing.go
@@ -94,8 +94,8 @@
 func (r Routing) versions(epoch uint64) []uint64 {
 	var versions []uint64
 	r.each(func(h query.Holding) {
-		if h.Epoch == epoch && !slices.Contains(versions, h.Newest) {
-			versions = append(versions, h.Newest)
+		if h.Epoch == epoch && !slices.Contains(versions, h.NewestVersion) {
+			versions = append(versions, h.NewestVersion)
 		}
 	})
 	sort.Slice(versions, func(i, j int) bool { return versions[i] > versions[j] })
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -107,7 +107,7 @@
 		state = b.LieState
 	}
 	return query.Holding{
-		State: state, Epoch: b.Epoch, ShardsTotal: b.Total, Shards: slices.Clone(b.Shards), OldestVersion: b.Oldest, Newest: b.Newest,
+		State: state, Epoch: b.Epoch, ShardsTotal: b.Total, Shards: slices.Clone(b.Shards), OldestVersion: b.Oldest, NewestVersion: b.Newest,
 	}
 }
 
