--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -31,15 +31,15 @@
 	if len(candidates) == 1 {
 		return candidates[0]
 	}
-	first, second := TwoOf(c.random, len(candidates))
+	first, second := TwoDistinct(c.random, len(candidates))
 	if c.cost(now, candidates[second], left) < c.cost(now, candidates[first], left) {
 		return candidates[second]
 	}
 	return candidates[first]
 }
 
-// TwoOf draws two different numbers from 0 to below count, which is at least 2.
-func TwoOf(random *rand.Rand, count int) (first, second int) {
+// TwoDistinct draws two different numbers from 0 to below count, which is at least 2.
+func TwoDistinct(random *rand.Rand, count int) (first, second int) {
 	first = random.IntN(count)
 	second = random.IntN(count - 1)
 	if second >= first {
--- a/internal/engine/dispatcher.go
+++ b/internal/engine/dispatcher.go
@@ -72,7 +72,7 @@
 	if len(candidates) == 1 {
 		return candidates[0]
 	}
-	first, second := dispatch.TwoOf(e.random, len(candidates))
+	first, second := dispatch.TwoDistinct(e.random, len(candidates))
 	if e.load(candidates[second]).inFlight < e.load(candidates[first]).inFlight {
 		return candidates[second]
 	}
