--- a/internal/dispatch/describe.go
+++ b/internal/dispatch/describe.go
@@ -6,9 +6,9 @@
 	"stiletrail/internal/query"
 )
 
-// Described takes in the answer to a Describe; ok is false where there was none. Health alone never takes out a
+// DescribeDone takes in the answer to a Describe; ok is false where there was none. Health alone never takes out a
 // back end that answers its attempts.
-func (c *Core) Described(now time.Duration, service, address string, holding query.Holding, ok bool) []Action {
+func (c *Core) DescribeDone(now time.Duration, service, address string, holding query.Holding, ok bool) []Action {
 	for _, g := range c.orderedGroups() {
 		if g.Service != service {
 			continue
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -49,7 +49,7 @@
 }
 
 func (h *harness) describe(number int, state query.State) {
-	h.take(h.core.Described(h.now, service, address(number), h.holding(number, state), true))
+	h.take(h.core.DescribeDone(h.now, service, address(number), h.holding(number, state), true))
 }
 
 func (h *harness) take(actions []Action) {
