--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -275,7 +275,7 @@
 func TestDrainSignals(t *testing.T) {
 	signals := map[string]func(h *harness){
 		"health":       func(h *harness) { h.describe(1, query.StateDraining) },
-		"machine list": func(h *harness) { h.take(h.core.SetLeaving(h.now, map[string]bool{address(1): true})) },
+		"machine list": func(h *harness) { h.take(h.core.SetDrainingMachines(h.now, map[string]bool{address(1): true})) },
 		"refusal, then health that lies": func(h *harness) {
 			for len(h.started) == 0 || h.started[len(h.started)-1].BackEnd != address(1) {
 				h.submit(false, 1)
--- a/internal/dispatch/group.go
+++ b/internal/dispatch/group.go
@@ -124,8 +124,8 @@
 	})
 }
 
-// SetLeaving takes in which back ends the machine list says are leaving.
-func (c *Core) SetLeaving(now time.Duration, leaving map[string]bool) []Action {
+// SetDrainingMachines takes in which back ends the machine list says are leaving.
+func (c *Core) SetDrainingMachines(now time.Duration, leaving map[string]bool) []Action {
 	c.leavingMachines = leaving
 	for _, g := range c.orderedGroups() {
 		for _, b := range g.backEnds {
--- a/internal/engine/groups.go
+++ b/internal/engine/groups.go
@@ -51,6 +51,6 @@
 			leaving[machine.Address] = true
 		}
 	}
-	e.performDispatch(e.dispatcher.SetLeaving(now, leaving))
+	e.performDispatch(e.dispatcher.SetDrainingMachines(now, leaving))
 	return e.end()
 }
