--- a/internal/dispatch/finish.go
+++ b/internal/dispatch/finish.go
@@ -45,7 +45,7 @@
 	c.end(now, q)
 	if versionLost {
 		// The root plans again, and needs to know what is held now.
-		if state, owned := c.State(now, q.request.Service, q.request.Group); owned {
+		if state, owned := c.GroupState(now, q.request.Service, q.request.Group); owned {
 			c.emit(Reply{To: q.root, Message: state})
 		}
 	}
--- a/internal/dispatch/group.go
+++ b/internal/dispatch/group.go
@@ -138,8 +138,8 @@
 	return c.take()
 }
 
-// State returns what the back ends of a group hold, for a root; false where this node does not own the group.
-func (c *Core) State(now time.Duration, service string, number uint32) (*message.GroupState, bool) {
+// GroupState returns what the back ends of a group hold, for a root; false where this node does not own the group.
+func (c *Core) GroupState(now time.Duration, service string, number uint32) (*message.GroupState, bool) {
 	g := c.groups[groupKey{service: service, number: number}]
 	if g == nil || g.undescribed(now) {
 		return nil, false
--- a/internal/engine/route.go
+++ b/internal/engine/route.go
@@ -77,7 +77,7 @@
 }
 
 func (e *Engine) receiveGroupRequest(from string, m *message.GroupRequest) {
-	if state, owned := e.dispatcher.State(e.now, m.Service, m.Group); owned {
+	if state, owned := e.dispatcher.GroupState(e.now, m.Service, m.Group); owned {
 		e.send(from, state)
 	}
 }
