--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -23,7 +23,7 @@
 func (c *Core) hedgeDelay(g *group) time.Duration {
 	quantile := g.latencies.Quantile(c.settings.HedgeQuantile, hedgeSamples, c.settings.DefaultHedgeDelay)
 	median := g.latencies.Quantile(0.5, hedgeSamples, c.settings.DefaultHedgeDelay)
-	byMedian := time.Duration(c.settings.HedgeMedians * float64(median))
+	byMedian := time.Duration(c.settings.HedgeMedianFactor * float64(median))
 	return max(min(quantile, byMedian), c.settings.MinimumHedgeDelay)
 }
 
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -13,9 +13,9 @@
 	Hedging bool
 	// HedgeQuantile of the group's latencies is the longest wait before a hedge.
 	HedgeQuantile float64
-	// HedgeMedians times the median is the longest wait too, so that stragglers that are more common than the
+	// HedgeMedianFactor times the median is the longest wait too, so that stragglers that are more common than the
 	// quantile allows for are hedged in time.
-	HedgeMedians float64
+	HedgeMedianFactor float64
 	// MinimumHedgeDelay bounds the wait from below; DefaultHedgeDelay holds while there are few samples.
 	MinimumHedgeDelay time.Duration
 	DefaultHedgeDelay time.Duration
@@ -45,7 +45,7 @@
 	return Settings{
 		Hedging:             true,
 		HedgeQuantile:       0.99,
-		HedgeMedians:        2.5,
+		HedgeMedianFactor:   2.5,
 		MinimumHedgeDelay:   2 * time.Millisecond,
 		DefaultHedgeDelay:   25 * time.Millisecond,
 		HedgeShare:          0.08,
