--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -30,7 +30,7 @@
 	ShardsPerAttempt int
 	// FailuresToEject in a row take a back end out for EjectFor, doubled each time up to MaximumEjection.
 	FailuresToEject int
-	EjectFor        time.Duration
+	EjectionTime    time.Duration
 	MaximumEjection time.Duration
 	// MaximumEjectedShare of a group's back ends may be out at once.
 	MaximumEjectedShare float64
@@ -54,7 +54,7 @@
 		MaximumQueueWait:    50 * time.Millisecond,
 		ShardsPerAttempt:    16,
 		FailuresToEject:     3,
-		EjectFor:            time.Second,
+		EjectionTime:        time.Second,
 		MaximumEjection:     10 * time.Second,
 		MaximumEjectedShare: 0.34,
 		DescribeInterval:    500 * time.Millisecond,
