--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -66,7 +66,7 @@
 	c.Counters.Ejections++
 	b.ejections++
 	b.failures, b.slow = 0, 0
-	ejection := min(c.settings.EjectionTime<<min(b.ejections-1, mostDoublings), c.settings.MaximumEjection)
+	ejection := min(c.settings.EjectionTime<<min(b.ejections-1, mostDoublings), c.settings.MaximumEjectionTime)
 	b.ejectedUntil = now + ejection
 	b.window.Restart()
 	c.requeue(now, g, b)
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -29,9 +29,9 @@
 	// ShardsPerAttempt bounds how many shards one attempt asks a back end for.
 	ShardsPerAttempt int
 	// FailuresToEject in a row take a back end out for EjectFor, doubled each time up to MaximumEjection.
-	FailuresToEject int
-	EjectionTime    time.Duration
-	MaximumEjection time.Duration
+	FailuresToEject     int
+	EjectionTime        time.Duration
+	MaximumEjectionTime time.Duration
 	// MaximumEjectedShare of a group's back ends may be out at once.
 	MaximumEjectedShare float64
 	// DescribeInterval is the time between two probes of an idle back end.
@@ -55,7 +55,7 @@
 		ShardsPerAttempt:    16,
 		FailuresToEject:     3,
 		EjectionTime:        time.Second,
-		MaximumEjection:     10 * time.Second,
+		MaximumEjectionTime: 10 * time.Second,
 		MaximumEjectedShare: 0.34,
 		DescribeInterval:    500 * time.Millisecond,
 		Quarantine:          quarantine.Settings{Rounds: 3, Duration: 600 * clock.Second},
