--- a/internal/engine/search.go
+++ b/internal/engine/search.go
@@ -56,7 +56,7 @@
 	s := &search{
 		number: e.next(), caller: caller, startedAt: now, dispatchers: map[query.ID]string{},
 		request: scatter.Request{
-			Service: request.Service, Body: request.Body, Deadline: now + within, Floor: request.MinimumVersion,
+			Service: request.Service, Body: request.Body, Deadline: now + within, MinimumVersion: request.MinimumVersion,
 			Document: document,
 		},
 		waitUntil: now + min(e.settings.RoutingWait, within/2),
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -42,11 +42,11 @@
 
 // Request is a search as its root takes it.
 type Request struct {
-	Service  string
-	Body     []byte
-	Deadline time.Duration
-	Floor    uint64
-	Document catalog.Document
+	Service        string
+	Body           []byte
+	Deadline       time.Duration
+	MinimumVersion uint64
+	Document       catalog.Document
 }
 
 // Query is one search under way.
@@ -132,7 +132,7 @@
 // plan plans the whole query at a snapshot and sends it out. Nothing of an earlier plan is kept.
 func (q *Query) plan(now time.Duration) {
 	routing := q.environment.Routing(q.request.Service)
-	plan, found := routing.Choose(q.request.Floor, q.excluded)
+	plan, found := routing.Choose(q.request.MinimumVersion, q.excluded)
 	if !found {
 		q.finishWithoutPlan(routing)
 		return
