--- a/internal/engine/dispatcher.go
+++ b/internal/engine/dispatcher.go
@@ -27,13 +27,13 @@
 	return found
 }
 
-// Dispatcher implements scatter.Environment. It picks the less loaded of two random nodes of the first of these that has any,
+// PickDispatcher implements scatter.Environment. It picks the less loaded of two random nodes of the first of these that has any,
 // none of them excluded:
 //   - the dispatchers of the group that are not suspected;
 //   - with deputiesToo, its deputies that are not suspected;
 //   - those that are;
 //   - with deputiesToo, nodes that dispatched to it before.
-func (e *Engine) Dispatcher(service string, group uint32, excluded []string, deputiesToo bool) (string, bool) {
+func (e *Engine) PickDispatcher(service string, group uint32, excluded []string, deputiesToo bool) (string, bool) {
 	dispatchers, deputies := e.table.Owners(service, group)
 	candidates, silent := e.split(dispatchers, excluded)
 	if len(candidates) == 0 && deputiesToo {
--- a/internal/engine/execute.go
+++ b/internal/engine/execute.go
@@ -156,7 +156,7 @@
 		e.finishExecute(x, refusedOutcome(failure.NoReplica, noReplicaRetryAfter))
 		return
 	}
-	dispatcher, found := e.Dispatcher(x.request.Service, group, x.tried, x.askDeputies)
+	dispatcher, found := e.PickDispatcher(x.request.Service, group, x.tried, x.askDeputies)
 	if !found || slices.Contains(x.tried, dispatcher) {
 		e.finishExecute(x, refusedOutcome(failure.Overloaded, triedRetryAfter))
 		return
--- a/internal/engine/route.go
+++ b/internal/engine/route.go
@@ -56,7 +56,7 @@
 			}
 			continue
 		}
-		if dispatcher, found := e.Dispatcher(service, group.Number, nil, true); found {
+		if dispatcher, found := e.PickDispatcher(service, group.Number, nil, true); found {
 			e.send(dispatcher, request)
 		}
 	}
--- a/internal/scatter/ask.go
+++ b/internal/scatter/ask.go
@@ -45,7 +45,7 @@
 		if dispatcher := perGroup[group]; dispatcher != "" && !slices.Contains(excluded, dispatcher) {
 			return triedOwner{group: group, dispatcher: dispatcher}, true
 		}
-		dispatcher, found := q.environment.Dispatcher(q.request.Service, group, excluded, deputiesToo)
+		dispatcher, found := q.environment.PickDispatcher(q.request.Service, group, excluded, deputiesToo)
 		if found && !slices.Contains(excluded, dispatcher) {
 			perGroup[group] = dispatcher
 			return triedOwner{group: group, dispatcher: dispatcher}, true
--- a/internal/scatter/benchmark_test.go
+++ b/internal/scatter/benchmark_test.go
@@ -15,7 +15,7 @@
 }
 
 func (w *wide) Routing(string) Routing { return w.routing }
-func (w *wide) Dispatcher(_ string, _ uint32, excluded []string, _ bool) (string, bool) {
+func (w *wide) PickDispatcher(_ string, _ uint32, excluded []string, _ bool) (string, bool) {
 	return "dispatcher", len(excluded) == 0
 }
 func (w *wide) NextID() query.ID {
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -25,9 +25,9 @@
 type Environment interface {
 	// Routing is what is known now of the service's shards.
 	Routing(service string) Routing
-	// Dispatcher picks a node that dispatches to a group, none of those excluded. With deputiesToo, deputies and earlier
+	// PickDispatcher picks a node that dispatches to a group, none of those excluded. With deputiesToo, deputies and earlier
 	// dispatchers are picked too where no other is left.
-	Dispatcher(service string, group uint32, excluded []string, deputiesToo bool) (string, bool)
+	PickDispatcher(service string, group uint32, excluded []string, deputiesToo bool) (string, bool)
 	// NextID returns an id never given before.
 	NextID() query.ID
 	// Region of the node.
