--- a/internal/engine/dispatcher.go
+++ b/internal/engine/dispatcher.go
@@ -111,7 +111,7 @@
 	return e.reissues.Spend(shards)
 }
 
-// Suspect implements scatter.Environment.
-func (e *Engine) Suspect(address string) {
+// MarkSuspect implements scatter.Environment.
+func (e *Engine) MarkSuspect(address string) {
 	e.load(address).suspectUntil = e.now + suspectFor
 }
--- a/internal/engine/execute.go
+++ b/internal/engine/execute.go
@@ -225,7 +225,7 @@
 // executePeerLost takes in that the dispatcher was lost: it may have run the request if the frame may have been written.
 func (e *Engine) executePeerLost(x *execute, written bool) {
 	delete(e.subQueryOwners, x.id)
-	e.Suspect(x.to)
+	e.MarkSuspect(x.to)
 	if written {
 		e.finishExecute(x, unknownOutcome("the dispatcher was lost while it may have run the request"))
 		return
--- a/internal/scatter/benchmark_test.go
+++ b/internal/scatter/benchmark_test.go
@@ -25,7 +25,7 @@
 func (w *wide) Region() string                 { return "north" }
 func (w *wide) SubQueryLatency() time.Duration { return time.Millisecond }
 func (w *wide) SpendReissue(int) bool          { return true }
-func (w *wide) Suspect(string)                 {}
+func (w *wide) MarkSuspect(string)             {}
 
 func newWide() *wide {
 	w := &wide{}
--- a/internal/scatter/receive.go
+++ b/internal/scatter/receive.go
@@ -119,7 +119,7 @@
 	}
 	q.remove(id, sub)
 	q.mayHaveRun = q.mayHaveRun || written
-	q.environment.Suspect(peer)
+	q.environment.MarkSuspect(peer)
 	var open []uint32
 	for _, number := range sub.shards {
 		if state := &q.shards[number]; !state.answered && state.live == 0 {
--- a/internal/scatter/retry.go
+++ b/internal/scatter/retry.go
@@ -78,7 +78,7 @@
 // reissue asks a second dispatcher for what a silent one was asked for; the first answer per shard wins.
 func (q *Query) reissue(now time.Duration, sub *subQuery) {
 	sub.reissued = true
-	q.environment.Suspect(sub.dispatcher)
+	q.environment.MarkSuspect(sub.dispatcher)
 	var open []uint32
 	for _, number := range sub.shards {
 		if !q.shards[number].answered && q.shards[number].live == 1 {
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -36,8 +36,8 @@
 	SubQueryLatency() time.Duration
 	// SpendReissue takes from the budget for asking a second dispatcher while the first is silent.
 	SpendReissue(shards int) bool
-	// Suspect notes that a dispatcher is silent.
-	Suspect(address string)
+	// MarkSuspect notes that a dispatcher is silent.
+	MarkSuspect(address string)
 }
 
 // Request is a search as its root takes it.
