--- a/internal/engine/lost.go
+++ b/internal/engine/lost.go
@@ -34,7 +34,7 @@
 		return
 	}
 	if s := e.searches[number]; s != nil && s.query != nil {
-		e.performSearch(s, s.query.PeerLost(e.now, peer, id, written))
+		e.performSearch(s, s.query.PeerUnreachable(e.now, peer, id, written))
 	}
 }
 
--- a/internal/scatter/receive.go
+++ b/internal/scatter/receive.go
@@ -110,9 +110,9 @@
 	q.close(now, id, sub, &last)
 }
 
-// PeerLost takes in that a node cannot be reached. A frame may have arrived before the connection broke, so its
+// PeerUnreachable takes in that a node cannot be reached. A frame may have arrived before the connection broke, so its
 // sub-queries may have run, unless it is proved that nothing was written.
-func (q *Query) PeerLost(now time.Duration, peer string, id query.ID, written bool) []Action {
+func (q *Query) PeerUnreachable(now time.Duration, peer string, id query.ID, written bool) []Action {
 	sub := q.subQueries[id]
 	if q.done || sub == nil || sub.dispatcher != peer {
 		return nil
