--- a/internal/engine/search.go
+++ b/internal/engine/search.go
@@ -107,7 +107,7 @@
 // untrackClosed stops tracking the sub-queries that the query has closed.
 func (e *Engine) untrackClosed(s *search) {
 	for id := range s.dispatchers {
-		if !s.query.Owns(id) {
+		if !s.query.HasSubQuery(id) {
 			e.untrack(s, id)
 		}
 	}
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -116,8 +116,8 @@
 // Done reports whether the answer was given.
 func (q *Query) Done() bool { return q.done }
 
-// Owns reports whether the id is of a sub-query of this query.
-func (q *Query) Owns(id query.ID) bool { return q.subQueries[id] != nil }
+// HasSubQuery reports whether the id is of a sub-query of this query.
+func (q *Query) HasSubQuery(id query.ID) bool { return q.subQueries[id] != nil }
 
 func (q *Query) take() []Action {
 	actions := q.actions
