--- a/internal/scatter/finish.go
+++ b/internal/scatter/finish.go
@@ -76,7 +76,7 @@
 		return
 	}
 	code, text := failure.NoReplica, "no back end of the service can be asked"
-	if _, any := routing.Choose(0, nil); any {
+	if _, any := routing.ChoosePlan(0, nil); any {
 		code, text = failure.SnapshotUnavailable, "the minimum version is not held yet"
 	}
 	q.conclude(Answer{Coverage: routing.nothingCovered(), Failure: failure.Refused(code, text, noPlanRetryAfter)})
--- a/internal/scatter/retry.go
+++ b/internal/scatter/retry.go
@@ -52,7 +52,7 @@
 		return false
 	}
 	excluded := append(slices.Clone(q.excluded), q.planned.Snapshot)
-	if _, found := q.environment.Routing(q.request.Service).Choose(q.request.MinimumVersion, excluded); !found {
+	if _, found := q.environment.Routing(q.request.Service).ChoosePlan(q.request.MinimumVersion, excluded); !found {
 		return false
 	}
 	q.excluded = excluded
--- a/internal/scatter/routing.go
+++ b/internal/scatter/routing.go
@@ -27,9 +27,9 @@
 	Covered uint32
 }
 
-// Choose returns the newest snapshot that covers the most shards, at or above the version floor and not among those
+// ChoosePlan returns the newest snapshot that covers the most shards, at or above the version floor and not among those
 // excluded; false where nothing is known to be held.
-func (r Routing) Choose(floor uint64, excluded []query.Snapshot) (Plan, bool) {
+func (r Routing) ChoosePlan(floor uint64, excluded []query.Snapshot) (Plan, bool) {
 	var best Plan
 	found := false
 	for _, epoch := range r.epochs() {
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -132,7 +132,7 @@
 // plan plans the whole query at a snapshot and sends it out. Nothing of an earlier plan is kept.
 func (q *Query) plan(now time.Duration) {
 	routing := q.environment.Routing(q.request.Service)
-	plan, found := routing.Choose(q.request.MinimumVersion, q.excluded)
+	plan, found := routing.ChoosePlan(q.request.MinimumVersion, q.excluded)
 	if !found {
 		q.finishWithoutPlan(routing)
 		return
