--- a/internal/engine/execute.go
+++ b/internal/engine/execute.go
@@ -176,7 +176,7 @@
 // locate finds the shard of a request in the newest epoch, and a group that holds it.
 func (e *Engine) locate(x *execute) (group uint32, found bool) {
 	routing := e.Routing(x.request.Service)
-	epoch, total, known := routing.Newest()
+	epoch, total, known := routing.NewestEpoch()
 	if !known {
 		return 0, false
 	}
--- a/internal/scatter/routing.go
+++ b/internal/scatter/routing.go
@@ -121,7 +121,7 @@
 
 // nothingCovered is the coverage of an answer without any shard.
 func (r Routing) nothingCovered() query.Coverage {
-	_, total, known := r.Newest()
+	_, total, known := r.NewestEpoch()
 	if !known {
 		return query.Coverage{}
 	}
@@ -155,8 +155,8 @@
 	return holders
 }
 
-// Newest returns the newest epoch held and the number of its shards, for requests keyed to a shard.
-func (r Routing) Newest() (epoch uint64, total uint32, known bool) {
+// NewestEpoch returns the newest epoch held and the number of its shards, for requests keyed to a shard.
+func (r Routing) NewestEpoch() (epoch uint64, total uint32, known bool) {
 	for _, candidate := range r.epochs() {
 		if !known || candidate > epoch {
 			epoch, known = candidate, true
