--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -120,7 +120,7 @@
 	e := alone(t)
 	meet(t, e, time.Second, "10.0.0.2:7200", "zone-a")
 	holding := query.Holding{State: query.StateServing, Epoch: 1, ShardsTotal: 1, Shards: []uint32{0}, OldestVersion: 1, NewestVersion: 1}
-	e.Described(time.Second, "lookup", "10.1.0.1:80", holding, true)
+	e.DescribeDone(time.Second, "lookup", "10.1.0.1:80", holding, true)
 	e.Leave(1100 * time.Millisecond)
 	ask := func(now time.Duration, sequence uint64) Output {
 		return e.Receive(now, "10.0.0.2:7200", &message.SubQuery{
--- a/internal/engine/receive.go
+++ b/internal/engine/receive.go
@@ -89,8 +89,8 @@
 	return e.end()
 }
 
-// Described takes in what a back end says it holds; ok is false where it did not answer.
-func (e *Engine) Described(now time.Duration, service, backEnd string, holding query.Holding, ok bool) Output {
+// DescribeDone takes in what a back end says it holds; ok is false where it did not answer.
+func (e *Engine) DescribeDone(now time.Duration, service, backEnd string, holding query.Holding, ok bool) Output {
 	e.begin(now)
 	e.performDispatch(e.dispatcher.DescribeDone(now, service, backEnd, holding, ok))
 	return e.end()
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -56,6 +56,6 @@
 func (n *Node) describe(describe dispatch.Describe) {
 	holding, ok := n.options.BackEnds.Describe(n.ctx, describe.Service, describe.BackEnd)
 	n.step(func(now time.Duration) engine.Output {
-		return n.engine.Described(now, describe.Service, describe.BackEnd, holding, ok)
+		return n.engine.DescribeDone(now, describe.Service, describe.BackEnd, holding, ok)
 	})
 }
--- a/internal/simulation/backends_test.go
+++ b/internal/simulation/backends_test.go
@@ -70,7 +70,7 @@
 				holding = b.model.Holding()
 				n.describedAt[address] = w.now
 			}
-			w.step(n, func() engine.Output { return n.engine.Described(w.now, service, address, holding, ok) })
+			w.step(n, func() engine.Output { return n.engine.DescribeDone(w.now, service, address, holding, ok) })
 		})
 	}
 	switch {
