--- a/internal/engine/lost.go
+++ b/internal/engine/lost.go
@@ -50,8 +50,8 @@
 	e.answerExecute(localCaller{f.caller}, ticket.Outcome{Failure: unknown})
 }
 
-// Disconnected takes in that the connection on which queries went to a peer broke: what was asked of it may have run.
-func (e *Engine) Disconnected(now time.Duration, peer string) Output {
+// PeerDisconnected takes in that the connection on which queries went to a peer broke: what was asked of it may have run.
+func (e *Engine) PeerDisconnected(now time.Duration, peer string) Output {
 	e.begin(now)
 	for _, number := range sortedKeys(e.searches) {
 		s := e.searches[number]
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -22,7 +22,7 @@
 
 // Disconnected implements transport.Handler.
 func (n *Node) Disconnected(peer string) {
-	n.step(func(now time.Duration) engine.Output { return n.engine.Disconnected(now, peer) })
+	n.step(func(now time.Duration) engine.Output { return n.engine.PeerDisconnected(now, peer) })
 }
 
 // Silent implements transport.Handler.
--- a/internal/simulation/nodes_test.go
+++ b/internal/simulation/nodes_test.go
@@ -154,7 +154,7 @@
 		peer := w.nodes[address]
 		if w.reachable(peer.zone.Name, n.zone.Name) {
 			w.after(w.jitter(w.distance(peer.zone.Name, n.zone.Name)), func() {
-				w.step(peer, func() engine.Output { return peer.engine.Disconnected(w.now, n.address) })
+				w.step(peer, func() engine.Output { return peer.engine.PeerDisconnected(w.now, n.address) })
 			})
 		}
 	}
