--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -33,7 +33,7 @@
 		t.Fatalf("%d readings of the store were asked for", output.StoreLists)
 	}
 	entry := platform.Entry{Key: platform.ServicePrefix + "lookup", Stamp: platform.Stamp{Version: 9}, Value: lookupDocument().Encode()}
-	output = e.StoreListed(time.Second, []platform.Entry{{Key: entry.Key, Stamp: entry.Stamp}}, true)
+	output = e.StoreListDone(time.Second, []platform.Entry{{Key: entry.Key, Stamp: entry.Stamp}}, true)
 	if len(output.StoreReads) != 1 || e.Ready() {
 		t.Fatalf("reads %v, ready %t", output.StoreReads, e.Ready())
 	}
@@ -142,7 +142,7 @@
 		e := alone(t)
 		meet(t, e, time.Second, "10.0.0.2:7200", "zone-b")
 		e.Tick(12 * time.Second) // past the wait for peers that are not there to join
-		e.StoreListed(12*time.Second, []platform.Entry{{Key: platform.ServicePrefix + "lookup", Stamp: platform.Stamp{Version: 9}}}, true)
+		e.StoreListDone(12*time.Second, []platform.Entry{{Key: platform.ServicePrefix + "lookup", Stamp: platform.Stamp{Version: 9}}}, true)
 		wanted := intent.Intent{Service: "lookup", Specification: lookupDocument().Specification}
 		output := e.Confirm(12100*time.Millisecond, 7, ConfirmRequest{Intent: wanted, BaseVersion: 1, Operation: "op"})
 		operation := output.StoreReads[0].Operation
@@ -174,7 +174,7 @@
 		output = e.Tick(now)
 	}
 	changed := platform.Entry{Key: platform.ServicePrefix + "lookup", Stamp: platform.Stamp{Version: 10}}
-	output = e.StoreListed(20*time.Second, []platform.Entry{changed}, true)
+	output = e.StoreListDone(20*time.Second, []platform.Entry{changed}, true)
 	if len(output.StoreReads) != 1 || output.StoreReads[0].Service != "lookup" {
 		t.Errorf("reads %+v", output.StoreReads)
 	}
@@ -186,7 +186,7 @@
 	e := alone(t)
 	list := func(at time.Duration, era uint64) []StoreRead {
 		entry := platform.Entry{Key: platform.ServicePrefix + "lookup", Stamp: platform.Stamp{Era: era, Version: 9}}
-		output := e.StoreListed(at, []platform.Entry{entry}, true)
+		output := e.StoreListDone(at, []platform.Entry{entry}, true)
 		for _, read := range output.StoreReads {
 			e.StoreReadDone(at, read.Operation, rollout.Done, platform.Entry{Stamp: entry.Stamp, Value: lookupDocument().Encode()})
 		}
--- a/internal/engine/store.go
+++ b/internal/engine/store.go
@@ -54,10 +54,10 @@
 	e.output.StoreLists++
 }
 
-// StoreListed takes in the keys and stamps of the whole store, without values; ok is false where it was not read. The entries
+// StoreListDone takes in the keys and stamps of the whole store, without values; ok is false where it was not read. The entries
 // that are not known are read one by one; once all are in force here, the catalog is known equal to the store as it was when it
 // was asked.
-func (e *Engine) StoreListed(now time.Duration, entries []platform.Entry, ok bool) Output {
+func (e *Engine) StoreListDone(now time.Duration, entries []platform.Entry, ok bool) Output {
 	e.begin(now)
 	if !ok {
 		e.listFailed()
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -63,7 +63,7 @@
 	if err != nil && n.ctx.Err() == nil {
 		n.log.WithField("failure", failure.CodeOf(err)).Warn("the store cannot be read")
 	}
-	n.step(func(now time.Duration) engine.Output { return n.engine.StoreListed(now, entries, err == nil) })
+	n.step(func(now time.Duration) engine.Output { return n.engine.StoreListDone(now, entries, err == nil) })
 }
 
 // watchStore watches while this node is a relay. A watch may lose events; the reading of the whole store makes up for it.
--- a/internal/simulation/storecalls_test.go
+++ b/internal/simulation/storecalls_test.go
@@ -97,7 +97,7 @@
 	delay, reached := w.storeDelay(n)
 	if !reached || delay > storeTimeout {
 		w.after(w.failDelay(), func() {
-			w.step(n, func() engine.Output { return n.engine.StoreListed(w.now, nil, false) })
+			w.step(n, func() engine.Output { return n.engine.StoreListDone(w.now, nil, false) })
 		})
 		return
 	}
@@ -107,7 +107,7 @@
 			entries[i].Value = nil
 		}
 		w.after(delay/2, func() {
-			w.step(n, func() engine.Output { return n.engine.StoreListed(w.now, entries, true) })
+			w.step(n, func() engine.Output { return n.engine.StoreListDone(w.now, entries, true) })
 		})
 	})
 }
