--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -141,8 +141,8 @@
 // Age is the time since the configuration in force was last known equal to the store's; false where it never was.
 func (e *Engine) Age(now time.Duration) (time.Duration, bool) { return e.gossip.Age(now) }
 
-// Relay reports whether the node reads the store for its zone, and should watch it.
-func (e *Engine) Relay() bool { return e.relay }
+// IsRelay reports whether the node reads the store for its zone, and should watch it.
+func (e *Engine) IsRelay() bool { return e.relay }
 
 // Members returns the node's view.
 func (e *Engine) Members() []membership.Member { return e.members.Members() }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -96,7 +96,7 @@
 	n.gauge(m, "stiletrail_ready", "1 while the node takes new work.",
 		func(e *engine.Engine) float64 { return asNumber(e.Ready()) })
 	n.gauge(m, "stiletrail_relay", "1 while the node reads the store for its zone.",
-		func(e *engine.Engine) float64 { return asNumber(e.Relay()) })
+		func(e *engine.Engine) float64 { return asNumber(e.IsRelay()) })
 	n.gauge(m, "stiletrail_alarms", "Alarms that status shows.",
 		func(e *engine.Engine) float64 { return float64(len(e.Alarms())) })
 }
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -27,7 +27,7 @@
 	for range output.StoreLists {
 		n.tasks.Go(n.listStore)
 	}
-	if n.engine.Relay() && n.ctx.Err() == nil && n.watching.CompareAndSwap(false, true) {
+	if n.engine.IsRelay() && n.ctx.Err() == nil && n.watching.CompareAndSwap(false, true) {
 		n.tasks.Go(n.watchStore)
 	}
 }
@@ -84,7 +84,7 @@
 
 func (n *Node) isRelay() bool {
 	relay := false
-	n.Inspect(func(e *engine.Engine) { relay = e.Relay() })
+	n.Inspect(func(e *engine.Engine) { relay = e.IsRelay() })
 	return relay
 }
 
--- a/internal/simulation/storecalls_test.go
+++ b/internal/simulation/storecalls_test.go
@@ -83,7 +83,7 @@
 	w.Check.written(write.Document)
 	for _, address := range w.live {
 		n := w.nodes[address]
-		if !n.engine.Relay() || w.chance(w.Chances.EventLost) || !w.reachable(n.zone.Name, "") {
+		if !n.engine.IsRelay() || w.chance(w.Chances.EventLost) || !w.reachable(n.zone.Name, "") {
 			continue
 		}
 		w.after(w.jitter(storeLatency), func() {
