--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -138,8 +138,8 @@
 // serving reports whether the node knows enough of the configuration and of the other nodes.
 func (e *Engine) serving() bool { return e.gossip.Ready() && e.members.Joined(e.now) }
 
-// Age is the time since the configuration in force was last known equal to the store's; false where it never was.
-func (e *Engine) Age(now time.Duration) (time.Duration, bool) { return e.gossip.Age(now) }
+// ConfigurationAge is the time since the configuration in force was last known equal to the store's; false where it never was.
+func (e *Engine) ConfigurationAge(now time.Duration) (time.Duration, bool) { return e.gossip.Age(now) }
 
 // IsRelay reports whether the node reads the store for its zone, and should watch it.
 func (e *Engine) IsRelay() bool { return e.relay }
--- a/internal/simulation/store_test.go
+++ b/internal/simulation/store_test.go
@@ -34,7 +34,7 @@
 	w.Run(time.Hour)
 	for _, address := range w.live {
 		n := w.nodes[address]
-		if age, known := n.engine.Age(w.now); !n.engine.Ready() || (known && age < 50*time.Minute) {
+		if age, known := n.engine.ConfigurationAge(w.now); !n.engine.Ready() || (known && age < 50*time.Minute) {
 			t.Errorf("node %s: ready %t, configuration age %s", address, n.engine.Ready(), age)
 		}
 	}
@@ -43,7 +43,7 @@
 	w.Check.InForce()
 	noViolations(t, w)
 	for _, address := range w.live {
-		if age, known := w.nodes[address].engine.Age(w.now); !known || age > 15*time.Second {
+		if age, known := w.nodes[address].engine.ConfigurationAge(w.now); !known || age > 15*time.Second {
 			t.Errorf("node %s: configuration age %s after the store came back", address, age)
 		}
 	}
