--- a/internal/engine/search.go
+++ b/internal/engine/search.go
@@ -14,8 +14,8 @@
 type SearchRequest struct {
 	Service string
 	Body    []byte
-	// Within is the time the caller gives; zero takes the service's deadline.
-	Within time.Duration
+	// TimeLimit is the time the caller gives; zero takes the service's deadline.
+	TimeLimit time.Duration
 	// MinimumVersion of the index.
 	MinimumVersion uint64
 }
@@ -49,7 +49,7 @@
 		return e.end()
 	}
 	document, _ := e.catalog.Get(request.Service)
-	within := request.Within
+	within := request.TimeLimit
 	if within <= 0 {
 		within = time.Duration(document.Specification.DeadlineMilliseconds) * time.Millisecond
 	}
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -35,7 +35,7 @@
 	answer, err := ask(ctx, s.node, s.node.searches, func(now time.Duration, caller engine.Caller) engine.Output {
 		return s.node.engine.Search(now, caller, engine.SearchRequest{
 			Service: request.Msg.GetService(), Body: request.Msg.GetQuery(),
-			Within: withinOf(ctx, request.Msg.GetDeadlineMilliseconds()), MinimumVersion: request.Msg.GetMinimumVersion(),
+			TimeLimit: withinOf(ctx, request.Msg.GetDeadlineMilliseconds()), MinimumVersion: request.Msg.GetMinimumVersion(),
 		})
 	})
 	if err != nil {
