--- a/internal/engine/execute.go
+++ b/internal/engine/execute.go
@@ -23,8 +23,8 @@
 	Key     string
 	Body    []byte
 	Ticket  []byte
-	// Within is the time the caller gives; zero takes the service's deadline.
-	Within time.Duration
+	// TimeLimit is the time the caller gives; zero takes the service's deadline.
+	TimeLimit time.Duration
 }
 
 // execute is a request that is not repeatable under way at the node that minted its ticket.
@@ -81,8 +81,8 @@
 
 // withinFor is the time that a request has: what the caller gives, or the service's deadline.
 func (e *Engine) withinFor(request ExecuteRequest) time.Duration {
-	if request.Within > 0 {
-		return request.Within
+	if request.TimeLimit > 0 {
+		return request.TimeLimit
 	}
 	document, _ := e.catalog.Get(request.Service)
 	return max(time.Duration(document.Specification.DeadlineMilliseconds)*time.Millisecond, 10*executeMargin)
--- a/internal/engine/forward.go
+++ b/internal/engine/forward.go
@@ -65,7 +65,7 @@
 func (e *Engine) receiveForward(from string, m *message.ForwardExecute) {
 	e.takeExecute(forwardingPeer{address: from, sequence: m.Sequence}, ExecuteRequest{
 		Service: m.Service, Key: m.Key, Body: m.Body, Ticket: m.Ticket,
-		Within: time.Duration(m.RemainingMicroseconds) * time.Microsecond,
+		TimeLimit: time.Duration(m.RemainingMicroseconds) * time.Microsecond,
 	})
 }
 
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -72,7 +72,7 @@
 	answer, err := ask(ctx, s.node, s.node.executes, func(now time.Duration, caller engine.Caller) engine.Output {
 		return s.node.engine.Execute(now, caller, engine.ExecuteRequest{
 			Service: request.Msg.GetService(), Key: request.Msg.GetKey(), Body: request.Msg.GetBody(),
-			Ticket: request.Msg.GetTicket(), Within: withinOf(ctx, request.Msg.GetDeadlineMilliseconds()),
+			Ticket: request.Msg.GetTicket(), TimeLimit: withinOf(ctx, request.Msg.GetDeadlineMilliseconds()),
 		})
 	})
 	if err != nil {
--- a/internal/simulation/callers_test.go
+++ b/internal/simulation/callers_test.go
@@ -140,7 +140,7 @@
 		}
 		w.step(n, func() engine.Output {
 			return n.engine.Execute(w.now, caller, engine.ExecuteRequest{
-				Service: service, Key: x.key, Body: []byte(x.body), Ticket: x.ticket, Within: time.Second,
+				Service: service, Key: x.key, Body: []byte(x.body), Ticket: x.ticket, TimeLimit: time.Second,
 			})
 		})
 	})
