--- a/internal/engine/store.go
+++ b/internal/engine/store.go
@@ -124,7 +124,7 @@
 // listFailed gives a reading of the store up until later.
 func (e *Engine) listFailed() {
 	e.store.underWay = false
-	e.Counters.StoreFailed++
+	e.Counters.StoreFailures++
 	e.store.next = e.now + storeRetry + time.Duration(e.random.Int64N(int64(storeRetry)))
 }
 
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -82,7 +82,7 @@
 // addNodeMetrics adds the state of the node and its traffic with others.
 func (n *Node) addNodeMetrics(m *metrics) {
 	n.counter(m, "stiletrail_store_failures_total", "Readings of the store that failed.",
-		func(e *engine.Engine) uint64 { return e.Counters.StoreFailed })
+		func(e *engine.Engine) uint64 { return e.Counters.StoreFailures })
 	n.counter(m, "stiletrail_freezes_total", "Times the process was found to have been frozen.",
 		func(e *engine.Engine) uint64 { return e.Counters.Freezes })
 	n.traffic(m, "stiletrail_peer_sent_bytes_total", "Bytes sent to other nodes.", &n.transport.Counters.SentBytes)
