--- a/internal/engine/execute.go
+++ b/internal/engine/execute.go
@@ -239,7 +239,7 @@
 	delete(e.subQueryOwners, x.id)
 	delete(e.executes, x.number)
 	if outcome.Failure != nil && outcome.Failure.Code == failure.OutcomeUnknown {
-		e.Counters.Unknown++
+		e.Counters.UnknownOutcomes++
 	}
 	e.tickets.Finish(x.sequence, outcome)
 	for _, w := range x.waiters {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -53,7 +53,7 @@
 	n.counter(m, "stiletrail_executes_total", "Requests that are not repeatable.",
 		func(e *engine.Engine) uint64 { return e.Counters.Executes })
 	n.counter(m, "stiletrail_executes_unknown_total", "Of these, with unknown outcome.",
-		func(e *engine.Engine) uint64 { return e.Counters.Unknown })
+		func(e *engine.Engine) uint64 { return e.Counters.UnknownOutcomes })
 }
 
 // addBackEndMetrics adds what the dispatcher did.
