--- a/internal/dispatch/action.go
+++ b/internal/dispatch/action.go
@@ -5,22 +5,23 @@
 	"stiletrail/internal/query"
 )
 
-// Action is something the driver must do: StartAttempt, CancelAttempt, Describe or Reply.
+// Action is an effect that the core asks its caller to carry out: StartAttempt, CancelAttempt, Describe or Reply.
 type Action interface{ isAction() }
 
-// StartAttempt sends an attempt to a back end; its outcome comes back through AttemptEnded.
+// StartAttempt sends an attempt to a back end. The caller reports its outcome through Core.AttemptEnded.
 type StartAttempt struct{ Attempt query.Attempt }
 
-// CancelAttempt gives up an attempt; its outcome still comes back through AttemptEnded.
+// CancelAttempt cancels an attempt. The caller still reports its outcome through Core.AttemptEnded.
 type CancelAttempt struct{ Number uint64 }
 
-// Describe asks a back end what it holds for a service; the outcome comes back through Described.
+// Describe asks a back end which shards and versions of a service it holds. The caller reports the answer through
+// Core.DescribeDone.
 type Describe struct {
 	Service string
 	BackEnd string
 }
 
-// Reply is a message for the root of a sub-query.
+// Reply sends a message to the root of a sub-query, that is the node that received the search from its caller.
 type Reply struct {
 	To      string
 	Message message.Message
--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -8,21 +8,24 @@
 	"stiletrail/internal/query"
 )
 
-// refusal is the answer to a sub-query that is not served: why, and when the root may come back, zero for not here.
+// refusal is the answer to a sub-query that is not served.
 type refusal struct {
-	reason     query.Reason
+	reason query.Reason
+	// retryAfter is the time after which the root may try again. Zero means that it should not try this node again.
 	retryAfter time.Duration
 }
 
-// minimumRetryAfter of a sub-query that is refused for a wait too short to say.
+// minimumRetryAfter is the lower bound of the retry-after time of a refused sub-query. The messages carry whole
+// milliseconds, and zero would mean that the root should not try again.
 const minimumRetryAfter = time.Millisecond
 
-// admit decides whether a sub-query is served. It is refused
-//   - where it is under quarantine, for what is left of that;
-//   - where the predicted wait for a slot is over Settings.MaximumQueueWait, or over half the time left, for that wait.
+// admit decides whether a sub-query is served. It refuses a sub-query in these cases:
+//   - The request is quarantined. The retry-after time is the remaining time of the quarantine.
+//   - The predicted wait for a slot exceeds Settings.MaximumQueueWait or half the time left until the deadline. The
+//     retry-after time is the predicted wait.
 //
-// Besides, Submit refuses what is of a group that this node does not own and drops what came before, and Refuse what comes to a
-// node that is stopping.
+// There are refusals elsewhere too: Submit refuses sub-queries for groups that this node does not own and drops
+// duplicates, and Refuse serves a node that is stopping.
 func (c *Core) admit(now time.Duration, q *subQuery, verdict quarantine.Verdict) (refusal, bool) {
 	if verdict == quarantine.Quarantined {
 		return refusal{reason: query.ReasonLost, retryAfter: c.quarantine.Remaining(clock.FromDuration(now), identityOf(q.request)).Duration()}, false
@@ -35,14 +38,14 @@
 	return refusal{}, true
 }
 
-// longestWait predicts the wait for a slot of the shard that has to wait longest, each at its best replica. A shard without a
-// replica waits for none.
+// longestWait predicts how long the sub-query waits for slots: for each shard the shortest wait among its replicas, and
+// of these the longest. A shard without a usable replica counts as no wait.
 func (c *Core) longestWait(now time.Duration, q *subQuery) time.Duration {
 	var longest time.Duration
 	for _, shard := range q.request.Shards {
 		best := time.Duration(-1)
 		for _, b := range c.candidates(now, q, shard) {
-			wait := b.wait(len(b.queue))
+			wait := b.expectedWait(len(b.queue))
 			if now < b.notBefore {
 				wait = max(wait, b.notBefore-now)
 			}
--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -9,90 +9,98 @@
 	"stiletrail/internal/query"
 )
 
-// latencyWeight is the weight of a new sample in a back end's moving average.
+// latencyWeight is the weight of a new sample in the exponential moving average of a back end's latency.
 const latencyWeight = 0.2
 
-// A back end that neither answered nor described itself for unheardAfter is taken for unheardFactor times as slow.
+// A back end that has neither answered an attempt nor described itself for silentAfter is ranked as if it were
+// silentFactor times as slow. It may be draining or down.
 const (
-	unheardAfter  = 2 * time.Second
-	unheardFactor = 10
+	silentAfter  = 2 * time.Second
+	silentFactor = 10
 )
 
-// backEnd is the dispatcher's view of one back end for one service.
+// backEnd is what the dispatcher knows of one back end of one service.
 type backEnd struct {
 	address string
+	// window limits the attempts in flight to this node's share of the back end's slots.
 	window  limit.ConcurrencyWindow
 	holding query.Holding
-	// described: the holding is known.
+	// described is true once the back end has said what it holds.
 	described bool
-	draining  drainSignal
-	// latency is a moving average, zero while nothing was answered.
+	// draining is the set of sources that report the back end as draining.
+	draining drainSignal
+	// latency is the moving average of the latency of its answers, zero before the first answer.
 	latency time.Duration
 	queue   []*queuedAttempt
-	// failures in a row of attempts; slow counts attempts in a row that lost to a hedge or the deadline.
+	// failures counts the attempts that failed since the last answer.
 	failures int
-	slow     int
-	// ejections since the last answer.
+	// slow counts the attempts since the last answer that were cancelled because a hedge was faster or the deadline passed.
+	slow int
+	// ejections counts the ejections since the last answer.
 	ejections    int
 	ejectedUntil time.Duration
-	// notBefore is when the back end may be asked again: when it last shed, plus the retry-after it gave.
+	// notBefore is the earliest time of the next attempt: when the back end last shed one, plus the retry-after it gave.
 	notBefore   time.Duration
 	lastSuccess time.Duration
-	// refusedAt is when it last refused work as leaving.
+	// refusedAt is when it last refused an attempt because it is draining.
 	refusedAt time.Duration
-	// lastHeard is when it last described itself or answered with what it holds.
-	lastHeard     time.Duration
-	nextDescribe  time.Duration
+	// lastHeard is when it last described itself or sent an answer that states what it holds.
+	lastHeard    time.Duration
+	nextDescribe time.Duration
+	// describing is true while a Describe is in flight.
 	describing    bool
 	succeededOnce bool
 }
 
 func (b *backEnd) ejected(now time.Duration) bool { return now < b.ejectedUntil }
 
+// usable reports whether new attempts may be sent to the back end.
 func (b *backEnd) usable(now time.Duration) bool {
 	return b.described && b.draining == 0 && !b.ejected(now) && b.window.Ceiling() > 0
 }
 
-// hasRoomNow reports whether an attempt would start at once.
-func (b *backEnd) hasRoomNow(now time.Duration) bool {
+// canStartNow reports whether an attempt given to the back end would start at once, without queueing.
+func (b *backEnd) canStartNow(now time.Duration) bool {
 	return b.window.HasCapacity() && len(b.queue) == 0 && now >= b.notBefore
 }
 
-// assumedLatency of a back end that has answered nothing yet. Zero would draw all work to it, and no queue would ever look long.
+// assumedLatency is the expected latency of a back end before its first answer. With zero the back end would be chosen for
+// all work, and no queue at it would ever seem long.
 const assumedLatency = 10 * time.Millisecond
 
-func (b *backEnd) expected() time.Duration {
+func (b *backEnd) expectedLatency() time.Duration {
 	if b.latency == 0 {
 		return assumedLatency
 	}
 	return b.latency
 }
 
-// score estimates the time until an attempt given to the back end now would be answered.
+// score estimates in nanoseconds how long an attempt given to the back end now takes until it is answered.
 func (b *backEnd) score(now time.Duration) float64 {
 	waiting := float64(b.window.InFlight() + len(b.queue) + 1)
 	turns := math.Max(1, waiting/math.Max(1, float64(b.window.Size())))
-	estimate := turns * float64(b.expected())
+	estimate := turns * float64(b.expectedLatency())
 	if now < b.notBefore {
 		estimate += float64(b.notBefore - now)
 	}
-	if now-b.lastHeard > unheardAfter {
-		// It may be leaving, or gone; one that was heard goes first.
-		estimate *= unheardFactor
+	if now-b.lastHeard > silentAfter {
+		// The back end may be draining or down. One that was heard from recently is preferred.
+		estimate *= silentFactor
 	}
-	// Among equals the one with less in flight.
+	// Between otherwise equal back ends, the one with fewer attempts in flight and queued is preferred.
 	return estimate * (1 + waiting/1000)
 }
 
-// wait predicts how long an attempt queued behind ahead others would wait for a slot.
-func (b *backEnd) wait(ahead int) time.Duration {
+// expectedWait predicts how long an attempt waits for a slot if ahead other attempts are queued before it.
+func (b *backEnd) expectedWait(ahead int) time.Duration {
 	position := b.window.InFlight() + ahead + 1 - b.window.Size()
 	if position <= 0 {
 		return 0
 	}
-	return time.Duration(float64(b.expected()) * float64(position) / math.Max(1, float64(b.window.Size())))
+	return time.Duration(float64(b.expectedLatency()) * float64(position) / math.Max(1, float64(b.window.Size())))
 }
 
+// observeLatency adds a sample to the moving average of the latency.
 func (b *backEnd) observeLatency(latency time.Duration) {
 	if b.latency == 0 {
 		b.latency = latency
@@ -101,13 +109,13 @@
 	b.latency += time.Duration(latencyWeight * float64(latency-b.latency))
 }
 
-// observe takes in what the back end says of itself.
+// observe records what the back end reports about itself.
 func (b *backEnd) observe(now time.Duration, holding query.Holding) {
 	b.holding = holding
 	b.described = true
 	b.lastHeard = now
 	b.setDraining(drainByHealth, holding.State == query.StateDraining)
-	if now-b.refusedAt > drainBelief {
+	if now-b.refusedAt > refusalValidity {
 		b.setDraining(drainByAttempt, false)
 	}
 	if holding.State == query.StateCold {
@@ -115,6 +123,7 @@
 	}
 }
 
+// succeeded records that the back end answered an attempt after the given latency.
 func (b *backEnd) succeeded(now, latency time.Duration) {
 	b.failures, b.slow, b.ejections = 0, 0, 0
 	b.lastSuccess = now
@@ -125,6 +134,7 @@
 	}
 }
 
+// removeQueued removes the matching attempts from the back end's queue.
 func (b *backEnd) removeQueued(match func(*queuedAttempt) bool) {
 	b.queue = slices.DeleteFunc(b.queue, match)
 }
--- a/internal/dispatch/benchmark_test.go
+++ b/internal/dispatch/benchmark_test.go
@@ -7,7 +7,8 @@
 	"stiletrail/internal/query"
 )
 
-// BenchmarkSubQuery is a dispatcher's decisions for a sub-query over 64 shards of a group of 64 back ends, answers included.
+// BenchmarkSubQuery measures a dispatcher's work on one sub-query over 64 shards in a group of 64 back ends, from the
+// request to the last answer.
 func BenchmarkSubQuery(b *testing.B) {
 	h := newHarness(64, 16, DefaultSettings())
 	var shards []uint32
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// candidates returns the replicas that may be asked for a shard of the work and were not yet.
+// candidates returns the usable replicas of a shard that the sub-query has not tried yet. For a search a replica must hold
+// the shard at the snapshot of the sub-query; for a request that is not repeatable, the epoch is enough.
 func (c *Core) candidates(now time.Duration, q *subQuery, shard uint32) []*backEnd {
 	var result []*backEnd
 	state := q.shards[shard]
@@ -25,8 +26,8 @@
 	return result
 }
 
-// choose picks the better of two random candidates (Mitzenmacher, "The power of two choices", 2001): the one with the less
-// expected time, per shard it could answer of those that are left.
+// choose picks the cheaper of two random candidates (Mitzenmacher, "The power of two choices", 2001). The cost is the
+// expected time divided by the number of the remaining shards that the candidate could answer.
 func (c *Core) choose(now time.Duration, candidates []*backEnd, left []uint32) *backEnd {
 	if len(candidates) == 1 {
 		return candidates[0]
@@ -38,7 +39,7 @@
 	return candidates[first]
 }
 
-// TwoDistinct draws two different numbers from 0 to below count, which is at least 2.
+// TwoDistinct draws two different random numbers from 0 to count-1. The count must be at least 2.
 func TwoDistinct(random *rand.Rand, count int) (first, second int) {
 	first = random.IntN(count)
 	second = random.IntN(count - 1)
@@ -48,8 +49,8 @@
 	return first, second
 }
 
-// cost is the expected time at a back end per shard it could answer, in nanoseconds: one that holds more of what is left takes
-// fewer requests.
+// cost returns the expected time at a back end in nanoseconds, per remaining shard that it could answer in one attempt. A
+// back end that holds more of the remaining shards is preferred, because the sub-query then needs fewer attempts.
 func (c *Core) cost(now time.Duration, b *backEnd, left []uint32) float64 {
 	held := 0
 	for _, shard := range left {
--- a/internal/dispatch/crashing_test.go
+++ b/internal/dispatch/crashing_test.go
@@ -8,10 +8,11 @@
 	"stiletrail/internal/query"
 )
 
-// A dispatcher that asks another replica at once for what a back end that ended was asked for, and keeps nothing of the query
-// once it is answered, lets one query end all back ends. The gateway's tests of requests that end back ends say more of it.
+// These tests guard against a query that crashes every back end that runs it. If a dispatcher retried the shards of a crashed
+// back end at another replica at once, and forgot the query after answering it, one query that is sent again and again would
+// crash all back ends. Package gateway has more tests of such requests.
 
-// ask submits a search with a body over some shards.
+// ask submits a search with the given body over some shards.
 func (h *harness) ask(body string, shards []uint32) {
 	h.sequence++
 	h.take(h.core.Submit(h.now, "root", &message.SubQuery{
@@ -20,9 +21,9 @@
 	}))
 }
 
-// settle ends all attempts that have started, and those that start by that, until there are none. Those for a certain body end
-// their back ends.
-func (h *harness) settle(crashing string) (ended int) {
+// settle ends all attempts in flight, and those that are started in consequence, until there are none. Attempts with the
+// body crashing crash their back ends; the others are answered. It returns the number of crashes.
+func (h *harness) settle(crashing string) (crashes int) {
 	for len(h.started) > 0 {
 		a := h.started[0]
 		h.started = h.started[1:]
@@ -31,27 +32,27 @@
 			h.answer(a, query.StatusOK)
 			continue
 		}
-		ended++
+		crashes++
 		h.take(h.core.AttemptEnded(h.now, query.AttemptResult{Attempt: a.Number, Status: query.StatusLost, BackEndCrashed: true}))
 	}
-	return ended
+	return crashes
 }
 
-// TestQueryThatEndsBackEnds: a query that ends each back end that runs it, and comes again and again, ends one of those asked at
-// first each and a few more; others are served all the while.
-func TestQueryThatEndsBackEnds(t *testing.T) {
+// TestCrashingQueryIsContained sends a query that crashes every back end that runs it several times. It may crash each back
+// end that it is first sent to and a few more. Other queries must be served all the while.
+func TestCrashingQueryIsContained(t *testing.T) {
 	const backEnds, tries = 12, 10
 	h := newHarness(backEnds, 4, DefaultSettings())
 	var shards []uint32
 	for i := range uint32(backEnds) {
 		shards = append(shards, i)
 	}
-	ended := 0
+	crashes := 0
 	for range tries {
 		h.ask("bad", shards)
-		ended += h.settle("bad")
+		crashes += h.settle("bad")
 		if got := h.last(); !got.Done || len(got.Missing) != backEnds {
-			t.Fatalf("answered %+v", got)
+			t.Fatalf("crashing query: got answer %+v, want a final one with all shards missing", got)
 		}
 		h.pass(4 * time.Second)
 		for i := range backEnds {
@@ -60,18 +61,19 @@
 		h.ask("good", shards)
 		h.settle("bad")
 		if got := h.last(); !got.Done || len(got.Missing) > 0 {
-			t.Errorf("a sound query is answered %+v", got)
+			t.Errorf("other query: got answer %+v, want a final one without missing shards", got)
 		}
 	}
-	if most := backEnds/2 + 3; ended > most {
-		t.Errorf("%d back ends ended in %d tries, at most %d were expected", ended, tries, most)
+	if most := backEnds/2 + 3; crashes > most {
+		t.Errorf("%d back ends crashed in %d tries, want at most %d", crashes, tries, most)
 	}
 	if got := h.last(); got.NotRun {
-		t.Errorf("%+v", got)
+		t.Errorf("other query: got answer %+v, want one that is not reported as not run", got)
 	}
 }
 
-// TestQuarantinedQueryIsRefused: what is refused for it has not run, and says when to come back.
+// TestQuarantinedQueryIsRefused checks that a quarantined query is refused as not run, with a retry-after time, and that no
+// attempt is started for it.
 func TestQuarantinedQueryIsRefused(t *testing.T) {
 	h := newHarness(12, 4, DefaultSettings())
 	for range 6 {
@@ -84,6 +86,6 @@
 	}
 	h.ask("bad", []uint32{0})
 	if got := h.last(); len(h.started) > 0 || !got.Done || !got.NotRun || got.RetryAfterMilliseconds == 0 {
-		t.Errorf("%d attempts, answered %+v", len(h.started), got)
+		t.Errorf("got %d attempts and answer %+v, want no attempt and a refusal as not run with a retry-after time", len(h.started), got)
 	}
 }
--- a/internal/dispatch/describe.go
+++ b/internal/dispatch/describe.go
@@ -6,8 +6,8 @@
 	"stiletrail/internal/query"
 )
 
-// DescribeDone takes in the answer to a Describe; ok is false where there was none. Health alone never takes out a
-// back end that answers its attempts.
+// DescribeDone handles the answer to a Describe; ok is false if the back end did not answer. Missing answers alone never
+// eject a back end that answers its attempts.
 func (c *Core) DescribeDone(now time.Duration, service, address string, holding query.Holding, ok bool) []Action {
 	for _, g := range c.orderedGroups() {
 		if g.Service != service {
@@ -15,14 +15,16 @@
 		}
 		for _, b := range g.backEnds {
 			if b.address == address {
-				c.described(now, g, b, holding, ok)
+				c.recordDescription(now, g, b, holding, ok)
 			}
 		}
 	}
-	return c.take()
+	return c.takeActions()
 }
 
-func (c *Core) described(now time.Duration, g *group, b *backEnd, holding query.Holding, ok bool) {
+// recordDescription applies the answer of one back end, and counts a missing answer as a failure only if the back end has
+// not answered any attempt lately either.
+func (c *Core) recordDescription(now time.Duration, g *group, b *backEnd, holding query.Holding, ok bool) {
 	b.describing = false
 	b.nextDescribe = now + c.describeInterval(now, g)
 	if !ok {
@@ -39,25 +41,28 @@
 		c.requeue(now, g, b)
 		return
 	}
-	c.pump(now, g, b)
+	c.startQueued(now, g, b)
 }
 
-// A group without a sub-query for quietAfter has its back ends described quietFactor times as rarely.
+// The back ends of a group that has received no sub-query for idleAfter are described at idleFactor times the usual
+// interval.
 const (
-	quietAfter  = 10 * time.Second
-	quietFactor = 4
+	idleAfter  = 10 * time.Second
+	idleFactor = 4
 )
 
+// describeInterval is the time between two descriptions of a back end in a group.
 func (c *Core) describeInterval(now time.Duration, g *group) time.Duration {
-	if now-g.lastUsed > quietAfter {
-		return quietFactor * c.settings.DescribeInterval
+	if now-g.lastUsed > idleAfter {
+		return idleFactor * c.settings.DescribeInterval
 	}
 	return c.settings.DescribeInterval
 }
 
-// TickBackEnds asks the back ends whose turn has come what they hold; call it a few times per describe interval.
+// TickBackEnds emits a Describe for each back end whose description is due. Call it several times per
+// Settings.DescribeInterval.
 func (c *Core) TickBackEnds(now time.Duration) []Action {
-	c.forgetRoots(now)
+	c.expireRoots(now)
 	for _, g := range c.orderedGroups() {
 		interval := c.describeInterval(now, g)
 		for _, b := range g.backEnds {
@@ -68,10 +73,11 @@
 			c.emit(Describe{Service: g.Service, BackEnd: b.address})
 		}
 	}
-	return c.take()
+	return c.takeActions()
 }
 
-// ForgetHoldings forgets what back ends said before the process was frozen, and asks them again at once.
+// ForgetHoldings discards the descriptions of all back ends and requests new ones at once. It is called after the process
+// was frozen, because the descriptions may then be outdated.
 func (c *Core) ForgetHoldings(now time.Duration) []Action {
 	for _, g := range c.groups {
 		g.changedAt = now
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -16,7 +16,8 @@
 
 const service = "lookup"
 
-// harness drives a dispatcher that owns one group of ring-shaped back ends.
+// harness drives a dispatcher that owns one group of back ends. Back end i holds shards i and i+1, modulo the number of back
+// ends, so that each shard has two replicas.
 type harness struct {
 	core     *Core
 	now      time.Duration
@@ -97,29 +98,30 @@
 	return h.answers[len(h.answers)-1]
 }
 
-// TestOutcomesOfOneAttempt: what each outcome of the only attempt makes of a sub-query with one replica left.
-func TestOutcomesOfOneAttempt(t *testing.T) {
+// TestAttemptOutcomes checks what becomes of a sub-query for one shard with two replicas if every attempt ends with the same
+// status: how many attempts are started, and whether the sub-query is reported as not run.
+func TestAttemptOutcomes(t *testing.T) {
 	cases := []struct {
 		name    string
 		execute bool
 		status  query.Status
-		// attempts started in all, where the second is answered in the same way.
+		// attempts is the number of attempts started in all; each ends with the same status.
 		attempts int
 		notRun   bool
 		reason   query.Reason
 	}{
-		{"search answered", false, query.StatusOK, 1, false, query.ReasonNone},
-		{"search shed", false, query.StatusShed, 2, true, query.ReasonOverloaded},
-		{"search lost", false, query.StatusLost, 2, false, query.ReasonLost},
-		{"search not sent", false, query.StatusNotSent, 2, true, query.ReasonLost},
-		{"search at a draining back end", false, query.StatusDraining, 2, true, query.ReasonDraining},
-		{"search at another version", false, query.StatusVersionUnavailable, 2, true, query.ReasonVersionUnavailable},
-		{"search with a broken answer", false, query.StatusInvalid, 2, false, query.ReasonInvalidAnswer},
-		{"execute answered", true, query.StatusOK, 1, false, query.ReasonNone},
-		{"execute shed", true, query.StatusShed, 2, true, query.ReasonOverloaded},
-		{"execute not sent", true, query.StatusNotSent, 2, true, query.ReasonLost},
-		{"execute lost is never sent again", true, query.StatusLost, 1, false, query.ReasonLost},
-		{"execute with a broken answer is never sent again", true, query.StatusInvalid, 1, false, query.ReasonInvalidAnswer},
+		{"search, answered", false, query.StatusOK, 1, false, query.ReasonNone},
+		{"search, shed", false, query.StatusShed, 2, true, query.ReasonOverloaded},
+		{"search, lost", false, query.StatusLost, 2, false, query.ReasonLost},
+		{"search, not sent", false, query.StatusNotSent, 2, true, query.ReasonLost},
+		{"search, back end draining", false, query.StatusDraining, 2, true, query.ReasonDraining},
+		{"search, version unavailable", false, query.StatusVersionUnavailable, 2, true, query.ReasonVersionUnavailable},
+		{"search, invalid answer", false, query.StatusInvalid, 2, false, query.ReasonInvalidAnswer},
+		{"execute, answered", true, query.StatusOK, 1, false, query.ReasonNone},
+		{"execute, shed", true, query.StatusShed, 2, true, query.ReasonOverloaded},
+		{"execute, not sent", true, query.StatusNotSent, 2, true, query.ReasonLost},
+		{"execute, lost, is not retried", true, query.StatusLost, 1, false, query.ReasonLost},
+		{"execute, invalid answer, is not retried", true, query.StatusInvalid, 1, false, query.ReasonInvalidAnswer},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -130,16 +132,18 @@
 			}
 			done := h.last()
 			if !done.Done || len(h.started) != c.attempts || done.NotRun != c.notRun {
-				t.Fatalf("done %t, attempts %d, not run %t", done.Done, len(h.started), done.NotRun)
+				t.Fatalf("got done %t, attempts %d, not run %t, want done and the case's attempts and not run",
+					done.Done, len(h.started), done.NotRun)
 			}
 			if c.reason != query.ReasonNone && (len(done.Missing) != 1 || done.Missing[0].Reason != c.reason) {
-				t.Errorf("missing %v", done.Missing)
+				t.Errorf("got missing shards %v, want one with the case's reason", done.Missing)
 			}
 		})
 	}
 }
 
-// TestSecondAnswerIsDropped: a hedge and its original both answer; the shard is passed on once.
+// TestSecondAnswerIsDropped checks that only one answer per shard reaches the root if both an attempt and its hedge are
+// answered.
 func TestSecondAnswerIsDropped(t *testing.T) {
 	h := newHarness(4, 5, DefaultSettings())
 	h.submit(false, 1, 3)
@@ -149,7 +153,7 @@
 	if h.core.Counters.Hedges == 0 {
 		t.Fatal("no hedge was sent")
 	}
-	// Both attempts for shard 1 answer while shard 3 is still open.
+	// Both attempts for shard 1 are answered while shard 3 is still open.
 	for _, a := range h.started {
 		if a.Shards[0] == 1 {
 			h.answer(a, query.StatusOK)
@@ -167,17 +171,18 @@
 		}
 	}
 	if seen[1] != 1 || seen[3] != 1 {
-		t.Errorf("answers per shard %v", seen)
+		t.Errorf("got answers per shard %v, want one each for shards 1 and 3", seen)
 	}
 }
 
-// TestAnswersThatDoNotFit the question are taken for none.
-func TestAnswersThatDoNotFit(t *testing.T) {
+// TestMismatchedAnswersAreRejected checks that an answer that does not match its request is not passed on, and that the shard
+// is asked of the other replica.
+func TestMismatchedAnswersAreRejected(t *testing.T) {
 	cases := map[string]func(*query.AttemptResult){
 		"another version": func(r *query.AttemptResult) { r.Snapshot.Version++ },
 		"another epoch":   func(r *query.AttemptResult) { r.Snapshot.Epoch++ },
-		"a shard short":   func(r *query.AttemptResult) { r.Results = nil },
-		"another's shard": func(r *query.AttemptResult) { r.Results[0].Shard = 2 },
+		"no shard":        func(r *query.AttemptResult) { r.Results = nil },
+		"another shard":   func(r *query.AttemptResult) { r.Results[0].Shard = 2 },
 		"a shard twice":   func(r *query.AttemptResult) { r.Results = append(r.Results, r.Results[0]) },
 	}
 	for name, change := range cases {
@@ -191,14 +196,15 @@
 			change(&result)
 			h.take(h.core.AttemptEnded(h.now, result))
 			if len(h.answers) > 0 || len(h.started) != 2 {
-				t.Errorf("answers %d, attempts %d", len(h.answers), len(h.started))
+				t.Errorf("got %d answers and %d attempts, want 0 and 2", len(h.answers), len(h.started))
 			}
 		})
 	}
 }
 
-// TestHedgesStopWhenWindowsAreFull: a hedge takes only a free slot.
-func TestHedgesStopWhenWindowsAreFull(t *testing.T) {
+// TestNoHedgesIntoFullWindows checks that no hedge is sent while every replica has as many attempts in flight as it has
+// slots. Hedges would otherwise add to an overload.
+func TestNoHedgesIntoFullWindows(t *testing.T) {
 	h := newHarness(2, 1, DefaultSettings())
 	h.submit(false, 0)
 	h.submit(false, 1)
@@ -208,7 +214,8 @@
 	}
 }
 
-// TestOverloadIsRefusedAtOnce as not run, with a time to come back.
+// TestOverloadIsRefusedAtOnce checks that a sub-query whose predicted wait is too long is refused at once, as not run and with
+// a retry-after time.
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
 	h := newHarness(2, 1, DefaultSettings())
 	h.submit(false, 0)
@@ -219,12 +226,12 @@
 	}
 	refused := h.last()
 	if !refused.Done || !refused.NotRun || refused.RetryAfterMilliseconds == 0 {
-		t.Errorf("last answer %+v", refused)
+		t.Errorf("got last answer %+v, want a refusal as not run with a retry-after time", refused)
 	}
 }
 
-// TestLoserIsCancelled once all its shards are answered.
-func TestLoserIsCancelled(t *testing.T) {
+// TestSlowerAttemptIsCancelled checks that an attempt is cancelled once its hedge has answered all its shards.
+func TestSlowerAttemptIsCancelled(t *testing.T) {
 	h := newHarness(4, 5, DefaultSettings())
 	h.submit(false, 1)
 	for len(h.started) < 2 && h.now < 2*time.Second {
@@ -232,11 +239,12 @@
 	}
 	h.answer(h.started[1], query.StatusOK)
 	if len(h.cancels) != 1 || h.cancels[0] != h.started[0].Number {
-		t.Errorf("cancelled %v, want %d", h.cancels, h.started[0].Number)
+		t.Errorf("got cancelled attempts %v, want only %d", h.cancels, h.started[0].Number)
 	}
 }
 
-// TestWindowsNeverExceedSlots whatever comes: drawn sequences of submissions, outcomes and time.
+// TestWindowsNeverExceedSlots checks with random sequences of sub-queries, outcomes and pauses that the attempts in flight at a
+// back end never exceed its slots.
 func TestWindowsNeverExceedSlots(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const slots = 3
@@ -264,19 +272,20 @@
 			for _, a := range open {
 				perBackEnd[a.BackEnd]++
 				if perBackEnd[a.BackEnd] > slots {
-					rt.Fatalf("%d attempts at %s", perBackEnd[a.BackEnd], a.BackEnd)
+					rt.Fatalf("%d attempts in flight at %s, want at most one per slot", perBackEnd[a.BackEnd], a.BackEnd)
 				}
 			}
 		}
 	})
 }
 
-// TestDrainSignals: each source alone takes a back end out; health cannot take back the refusal of work.
+// TestDrainSignals checks that each source alone stops new work for a draining back end, and that a description that does not
+// say draining does not undo the refusal of an attempt.
 func TestDrainSignals(t *testing.T) {
 	signals := map[string]func(h *harness){
-		"health":       func(h *harness) { h.describe(1, query.StateDraining) },
+		"description":  func(h *harness) { h.describe(1, query.StateDraining) },
 		"machine list": func(h *harness) { h.take(h.core.SetDrainingMachines(h.now, map[string]bool{address(1): true})) },
-		"refusal, then health that lies": func(h *harness) {
+		"refusal, then description as serving": func(h *harness) {
 			for len(h.started) == 0 || h.started[len(h.started)-1].BackEnd != address(1) {
 				h.submit(false, 1)
 			}
@@ -301,8 +310,9 @@
 	}
 }
 
-// TestRefusalIsRememberedBeyondTheGroup: a dispatcher that gives a group up and gets it back knows who refused.
-func TestRefusalIsRememberedBeyondTheGroup(t *testing.T) {
+// TestRefusalOutlivesGroupOwnership checks that a dispatcher that loses a group and gets it back still knows which back end has
+// refused an attempt as draining, even if the back end describes itself as serving.
+func TestRefusalOutlivesGroupOwnership(t *testing.T) {
 	h := newHarness(4, 50, DefaultSettings())
 	owned := []placement.Ownership{{Group: h.core.groups[groupKey{service: service}].Group, Version: 1, Dispatchers: 1}}
 	for len(h.started) == 0 || h.started[len(h.started)-1].BackEnd != address(1) {
@@ -320,16 +330,16 @@
 	}
 	for _, a := range h.started[before:] {
 		if a.BackEnd == address(1) {
-			t.Fatal("a back end that refused work as leaving got new work")
+			t.Fatal("a back end that refused work as draining got new work")
 		}
 	}
 	if len(h.started) == before {
-		t.Error("nothing was started")
+		t.Error("no attempt was started, want some at the other back ends")
 	}
 }
 
-// TestEjectionNeverEmptiesAShard: however many attempts are lost, a holder of each shard stays in use.
-func TestEjectionNeverEmptiesAShard(t *testing.T) {
+// TestEjectionKeepsAReplicaOfEachShard checks that each shard keeps a usable replica even if all attempts are lost.
+func TestEjectionKeepsAReplicaOfEachShard(t *testing.T) {
 	h := newHarness(6, 5, DefaultSettings())
 	for i := range 400 {
 		h.submit(false, uint32(i%6))
@@ -348,10 +358,13 @@
 		}
 	}
 	if len(usable) != 6 || h.core.Counters.Ejections == 0 {
-		t.Errorf("shards with a usable holder %v, ejections %d", usable, h.core.Counters.Ejections)
+		t.Errorf("got shards with a usable replica %v and %d ejections, want all 6 shards and at least one ejection",
+			usable, h.core.Counters.Ejections)
 	}
 }
 
+// TestReplayWindow checks with random sequence numbers that none is accepted twice, and that every new one within replayBits of
+// the newest is accepted.
 func TestReplayWindow(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var window replayWindow
@@ -359,12 +372,12 @@
 		newest := uint64(0)
 		for range rapid.IntRange(1, 200).Draw(rt, "count") {
 			sequence := rapid.Uint64Range(1, 3*replayBits).Draw(rt, "sequence")
-			first := window.first(sequence)
+			first := window.accept(sequence)
 			if first && served[sequence] {
-				rt.Fatalf("%d was served twice", sequence)
+				rt.Fatalf("sequence number %d was accepted twice", sequence)
 			}
 			if !first && !served[sequence] && newest < sequence+replayBits {
-				rt.Fatalf("%d was not served, newest is %d", sequence, newest)
+				rt.Fatalf("new sequence number %d was not accepted, newest is %d", sequence, newest)
 			}
 			served[sequence] = served[sequence] || first
 			newest = max(newest, sequence)
--- a/internal/dispatch/drain.go
+++ b/internal/dispatch/drain.go
@@ -2,21 +2,27 @@
 
 import "time"
 
-// drainSignal is a source that says a back end is leaving. One is enough; each takes back only what it said itself.
+// drainSignal is a set of sources that report a back end as draining. One source is enough to stop new work. A source can
+// only clear its own signal.
 type drainSignal uint8
 
-// The sources of a drain.
+// The sources that can report a back end as draining.
 const (
-	// drainByAttempt is a refusal of work; health may not take it back for drainBelief.
+	// drainByAttempt is set when the back end refuses an attempt as draining. A description that says otherwise does not
+	// clear it within refusalValidity.
 	drainByAttempt drainSignal = 1 << iota
+	// drainByHealth is set while the back end describes itself as draining.
 	drainByHealth
+	// drainByMachineList is set while the machine list reports the back end as leaving.
 	drainByMachineList
+	// drainByCatalog is set while the service's document marks the back end as draining or no longer contains it.
 	drainByCatalog
 )
 
-// drainBelief is how long the refusal of an attempt outweighs health that claims otherwise.
-const drainBelief = time.Minute
+// refusalValidity is how long a refused attempt outweighs a description of the back end that does not say draining.
+const refusalValidity = time.Minute
 
+// setDraining sets or clears the signal of one source.
 func (b *backEnd) setDraining(signal drainSignal, draining bool) {
 	if draining {
 		b.draining |= signal
--- a/internal/dispatch/finish.go
+++ b/internal/dispatch/finish.go
@@ -7,7 +7,7 @@
 	"stiletrail/internal/query"
 )
 
-// finishIfDone closes a sub-query of which every shard is answered or missing.
+// finishIfDone sends held shards that may now be tried, and finishes the sub-query if every shard is answered or missing.
 func (c *Core) finishIfDone(now time.Duration, q *subQuery) {
 	c.sendHeld(now, q)
 	if q.finished {
@@ -24,11 +24,11 @@
 	c.finish(now, q, query.ReasonNone)
 }
 
-// finish closes a sub-query; shards that are still open are missing for the given reason.
+// finish sends the final answer of a sub-query. Shards that are still open are reported missing for the given reason.
 func (c *Core) finish(now time.Duration, q *subQuery, reason query.Reason) {
 	answer := &message.SubAnswer{
 		ID: q.id, Snapshot: q.request.Snapshot, Done: true, ShardAttempts: q.shardAttempts,
-		NotRun: q.unproved == 0, RetryAfterMilliseconds: uint32(q.retryAfter.Milliseconds()),
+		NotRun: q.possiblyRun == 0, RetryAfterMilliseconds: uint32(q.retryAfter.Milliseconds()),
 	}
 	versionLost := false
 	for _, shard := range q.request.Shards {
@@ -44,7 +44,7 @@
 	}
 	c.end(now, q)
 	if versionLost {
-		// The root plans again, and needs to know what is held now.
+		// The root will plan the query again at another snapshot, and needs the current holdings for that.
 		if state, owned := c.GroupState(now, q.request.Service, q.request.Group); owned {
 			c.emit(Reply{To: q.root, Message: state})
 		}
@@ -52,7 +52,7 @@
 	c.emit(Reply{To: q.root, Message: answer})
 }
 
-// end closes a sub-query: what is queued is dropped, what is under way is cancelled.
+// end removes a sub-query: its queued attempts are dropped and its attempts in flight are cancelled.
 func (c *Core) end(now time.Duration, q *subQuery) {
 	q.finished = true
 	delete(c.subQueries, q.id)
@@ -60,11 +60,12 @@
 		c.abandon(now, a)
 	}
 	for _, b := range q.group.backEnds {
-		b.removeQueued(func(it *queuedAttempt) bool { return it.subQuery == q })
+		b.removeQueued(func(queued *queuedAttempt) bool { return queued.subQuery == q })
 	}
 }
 
-// abandon gives up an attempt that is under way; its slot stays counted until its outcome is known.
+// abandon gives up an attempt in flight and cancels it at the back end, unless the request is not repeatable. The slot of
+// the attempt stays occupied until its outcome is known.
 func (c *Core) abandon(now time.Duration, a *attempt) {
 	if a.abandoned || c.attempts[a.number] == nil {
 		return
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -8,8 +8,8 @@
 	"stiletrail/internal/query"
 )
 
-// noteOutcome updates what is known of the back end from the outcome.
-func (c *Core) noteOutcome(now time.Duration, a *attempt, status query.Status, result query.AttemptResult) {
+// recordOutcome updates the state of the back end from the outcome of an attempt.
+func (c *Core) recordOutcome(now time.Duration, a *attempt, status query.Status, result query.AttemptResult) {
 	b := a.backEnd
 	elapsed := now - a.startedAt
 	switch status {
@@ -23,57 +23,63 @@
 		b.notBefore = now + result.RetryAfter
 	case query.StatusDraining:
 		if !result.HasHolding || result.Holding.State != query.StateDraining {
-			// Its health contradicts it; else it is used again as soon as it says that it serves.
+			// The description does not say draining, so the refusal counts for refusalValidity. If it does say draining, the
+			// back end is used again as soon as it describes itself as serving.
 			b.draining |= drainByAttempt
 			b.refusedAt = now
 			c.refusals[b.address] = now
 		}
 	case query.StatusNotSent, query.StatusLost, query.StatusInvalid:
-		c.noteLoss(now, a)
+		c.recordLoss(now, a)
 	}
 }
 
-func (c *Core) noteLoss(now time.Duration, a *attempt) {
+// recordLoss counts an attempt without a valid answer, and ejects the back end if there were too many in a row.
+func (c *Core) recordLoss(now time.Duration, a *attempt) {
 	b := a.backEnd
 	if a.abandoned {
-		// It lost to a hedge or to the deadline; a few in a row mean that the back end hangs.
+		// The attempt was cancelled because a hedge was faster or the deadline passed. Several in a row without an answer
+		// mean that the back end hangs.
 		b.slow++
 	} else {
 		b.failures++
 	}
-	hangs := b.slow > 0 && now-b.lastSuccess > max(hangMedians*b.expected(), minimumHang)
+	hangs := b.slow > 0 && now-b.lastSuccess > max(hangLatencies*b.expectedLatency(), minimumHang)
 	if b.failures >= c.settings.FailuresToEject || hangs && b.failures+b.slow >= c.settings.FailuresToEject {
 		c.eject(now, a.group, b)
 	}
 }
 
-// A back end whose attempts lose to hedges hangs if it also answered nothing for hangMedians times its usual latency, and at
-// least minimumHang. One that straggles now and then goes on answering in between.
+// A back end whose attempts are overtaken by hedges counts as hanging only if it has also answered nothing for
+// hangLatencies times its average latency, and for at least minimumHang. A back end that is only slow at times answers
+// other attempts meanwhile.
 const (
-	hangMedians = 10
-	minimumHang = 100 * time.Millisecond
+	hangLatencies = 10
+	minimumHang   = 100 * time.Millisecond
 )
 
-// mostDoublings of an ejection, whatever MaximumEjection is.
-const mostDoublings = 8
+// maximumDoublings bounds how often the ejection time is doubled, whatever Settings.MaximumEjectionTime is.
+const maximumDoublings = 8
 
-// eject takes a back end out for EjectFor, twice as long each time without an answer in between, unless too many of the group are
-// out or a shard would be left without a holder.
+// eject takes a back end out of use for Settings.EjectionTime, and for twice as long each time it is ejected again without
+// an answer in between. It does nothing if too many back ends of the group are ejected already or if a shard would be left
+// without a usable replica.
 func (c *Core) eject(now time.Duration, g *group, b *backEnd) {
-	if b.ejected(now) || c.ejectedEnough(now, g) || lastHolder(now, g, b) {
+	if b.ejected(now) || c.ejectionLimitReached(now, g) || lastHolder(now, g, b) {
 		return
 	}
 	c.Counters.Ejections++
 	b.ejections++
 	b.failures, b.slow = 0, 0
-	ejection := min(c.settings.EjectionTime<<min(b.ejections-1, mostDoublings), c.settings.MaximumEjectionTime)
+	ejection := min(c.settings.EjectionTime<<min(b.ejections-1, maximumDoublings), c.settings.MaximumEjectionTime)
 	b.ejectedUntil = now + ejection
 	b.window.Restart()
 	c.requeue(now, g, b)
 }
 
-// ejectedEnough reports whether one more ejection would be over the share allowed, rounded to whole back ends.
-func (c *Core) ejectedEnough(now time.Duration, g *group) bool {
+// ejectionLimitReached reports whether one more ejection would exceed Settings.MaximumEjectedShare of the group, rounded to
+// whole back ends.
+func (c *Core) ejectionLimitReached(now time.Duration, g *group) bool {
 	out := 0
 	for _, other := range g.backEnds {
 		if other.ejected(now) {
@@ -83,7 +89,7 @@
 	return float64(out+1) > c.settings.MaximumEjectedShare*float64(len(g.backEnds))+0.5
 }
 
-// lastHolder reports whether a shard would be without a usable holder if the back end were out.
+// lastHolder reports whether the back end is the only usable replica of one of its shards.
 func lastHolder(now time.Duration, g *group, b *backEnd) bool {
 	for _, shard := range b.holding.Shards {
 		alone := !slices.ContainsFunc(g.backEnds, func(other *backEnd) bool {
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -7,19 +7,25 @@
 	"stiletrail/internal/query"
 )
 
-// The rule of hedges. An attempt is hedged once it takes hedgeDelay: HedgeMedians medians of the group's latencies or their
-// HedgeQuantile, whichever is less, and MinimumHedgeDelay at least. It is hedged only into a free slot and from the group's
-// budget of hedges, each shard on its own, and never where the request is not repeatable. Where that fails it is looked at again,
-// hedgeRetries times per delay; after overdueDelays delays it also gets the next slot that frees at a replica that can help.
+// A hedge is a second attempt for the shards of a slow attempt, at other replicas. The rules are:
+//   - An attempt is hedged once it has taken the hedge delay. This is HedgeMedianFactor times the median of the group's
+//     latencies or their HedgeQuantile, whichever is less, and at least MinimumHedgeDelay.
+//   - A hedge is sent only into a free slot and from the group's hedge budget, for each shard separately. Requests that are
+//     not repeatable are never hedged.
+//   - If no hedge can be sent, the attempt is checked again hedgeRetries times per hedge delay.
+//   - After overdueDelays hedge delays it also gets the next slot that becomes free at a replica of its shards.
 const (
+	// hedgeRetries is the number of checks per hedge delay, minimumHedgeRetry the minimum time between two checks.
 	hedgeRetries      = 16
 	minimumHedgeRetry = time.Millisecond
-	overdueDelays     = 1.5
-	// hedgeSamples are needed before the group's latencies say when to hedge; until then it is DefaultHedgeDelay.
+	// overdueDelays is the number of hedge delays after which an attempt counts as overdue.
+	overdueDelays = 1.5
+	// hedgeSamples is the number of latency samples needed to derive the hedge delay. With fewer samples the hedge delay is
+	// Settings.DefaultHedgeDelay.
 	hedgeSamples = 20
 )
 
-// hedgeDelay is how long an attempt in a group may take before it is hedged.
+// hedgeDelay returns how long an attempt in a group may take before it is hedged.
 func (c *Core) hedgeDelay(g *group) time.Duration {
 	quantile := g.latencies.Quantile(c.settings.HedgeQuantile, hedgeSamples, c.settings.DefaultHedgeDelay)
 	median := g.latencies.Quantile(0.5, hedgeSamples, c.settings.DefaultHedgeDelay)
@@ -27,10 +33,10 @@
 	return max(min(quantile, byMedian), c.settings.MinimumHedgeDelay)
 }
 
-// hedge asks other replicas for the shards an attempt has not answered, if they have room and the budget allows.
+// hedge asks other replicas for the shards that an attempt has not answered, if they have free slots and the budget allows.
 func (c *Core) hedge(now time.Duration, a *attempt) {
 	q := a.subQuery
-	if c.needsNoHedge(a) {
+	if c.hedgeNotNeeded(a) {
 		return
 	}
 	var shards []uint32
@@ -41,7 +47,7 @@
 			continue
 		}
 		open++
-		if c.roomFor(now, q, shard) {
+		if c.freeSlotFor(now, q, shard) {
 			shards = append(shards, shard)
 		}
 	}
@@ -53,12 +59,12 @@
 	}
 	if allowed {
 		c.Counters.Hedges++
-		c.place(now, q, shards, true, query.ReasonNone)
+		c.assign(now, q, shards, true, query.ReasonNone)
 	}
 }
 
-// hedgeLater looks at an attempt again soon: a slot may free, or the budget earn, at any moment. One that is very late gets the
-// next slot that frees.
+// hedgeLater schedules another check of an attempt, since a slot may become free or the budget may grow at any moment. An
+// attempt that is overdue is also put on the group's list of overdue attempts.
 func (c *Core) hedgeLater(now time.Duration, a *attempt) {
 	g := a.subQuery.group
 	delay := c.hedgeDelay(g)
@@ -72,20 +78,20 @@
 	}
 }
 
-// roomFor reports whether a replica of the shard that was not asked yet could start at once.
-func (c *Core) roomFor(now time.Duration, q *subQuery, shard uint32) bool {
+// freeSlotFor reports whether an untried replica of the shard could start an attempt at once.
+func (c *Core) freeSlotFor(now time.Duration, q *subQuery, shard uint32) bool {
 	return slices.ContainsFunc(c.candidates(now, q, shard), func(b *backEnd) bool {
-		return b.hasRoomNow(now)
+		return b.canStartNow(now)
 	})
 }
 
-// hedgeOverdue returns a hedge for an attempt that is very late and that this back end, whose slot has just become free, can
-// help.
+// hedgeOverdue returns a hedge for an overdue attempt whose shards the back end holds, or nil. It is called when a slot of
+// the back end has become free.
 func (c *Core) hedgeOverdue(now time.Duration, g *group, b *backEnd) *queuedAttempt {
 	if len(g.overdue) == 0 || !b.usable(now) || now < b.notBefore {
 		return nil
 	}
-	g.overdue = slices.DeleteFunc(g.overdue, func(a *attempt) bool { return c.needsNoHedge(a) })
+	g.overdue = slices.DeleteFunc(g.overdue, func(a *attempt) bool { return c.hedgeNotNeeded(a) })
 	for _, a := range g.overdue {
 		var shards []uint32
 		for _, shard := range a.shards {
@@ -98,7 +104,7 @@
 			continue
 		}
 		for _, shard := range shards {
-			a.subQuery.shards[shard].askAt(b)
+			a.subQuery.shards[shard].addAttempt(b)
 		}
 		c.Counters.Hedges++
 		return &queuedAttempt{subQuery: a.subQuery, shards: shards, hedge: true}
@@ -106,7 +112,7 @@
 	return nil
 }
 
-// needsNoHedge reports whether an attempt needs no hedge any more.
-func (c *Core) needsNoHedge(a *attempt) bool {
+// hedgeNotNeeded reports whether an attempt no longer needs a hedge: it or its sub-query has ended, or it was hedged.
+func (c *Core) hedgeNotNeeded(a *attempt) bool {
 	return a.subQuery.finished || a.abandoned || a.hedged || c.attempts[a.number] == nil
 }
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -7,11 +7,11 @@
 	"stiletrail/internal/query"
 )
 
-// AttemptEnded takes in the outcome of an attempt. One that is not known, as a second one, is dropped.
+// AttemptEnded handles the outcome of an attempt. The outcome of an unknown attempt, such as a second outcome, is dropped.
 func (c *Core) AttemptEnded(now time.Duration, result query.AttemptResult) []Action {
 	a := c.attempts[result.Attempt]
 	if a == nil {
-		return c.take()
+		return c.takeActions()
 	}
 	delete(c.attempts, a.number)
 	a.backEnd.window.Finish()
@@ -20,24 +20,25 @@
 	}
 	status := c.verify(a, result)
 	if status.NotRun() {
-		a.subQuery.unproved--
+		a.subQuery.possiblyRun--
 	}
 	c.release(a.subQuery, a.shards)
-	c.noteOutcome(now, a, status, result)
+	c.recordOutcome(now, a, status, result)
 	switch {
 	case status == query.StatusLost && result.BackEndCrashed:
-		c.backEndEnded(now, a)
+		c.backEndCrashed(now, a)
 	case !a.subQuery.finished:
 		c.advance(now, a, status, result)
 	}
 	if a.backEnd.draining != 0 {
 		c.requeue(now, a.group, a.backEnd)
 	}
-	c.pump(now, a.group, a.backEnd)
-	return c.take()
+	c.startQueued(now, a.group, a.backEnd)
+	return c.takeActions()
 }
 
-// verify checks that an answer is to the question: the pinned snapshot and exactly the shards asked for.
+// verify checks that an answer matches its request: it must be at the snapshot of the sub-query, unless the request is not
+// repeatable, and have exactly the requested shards in order. An answer that does not match gets StatusInvalid.
 func (c *Core) verify(a *attempt, result query.AttemptResult) query.Status {
 	if result.Status == query.StatusInvalid {
 		c.Counters.InvalidAnswers++
@@ -62,7 +63,7 @@
 	return query.StatusOK
 }
 
-// advance moves the sub-query on after the outcome of one of its attempts.
+// advance continues the sub-query after the outcome of one of its attempts: it accepts the answer or retries elsewhere.
 func (c *Core) advance(now time.Duration, a *attempt, status query.Status, result query.AttemptResult) {
 	q := a.subQuery
 	if status == query.StatusOK {
@@ -79,7 +80,7 @@
 	c.finishIfDone(now, q)
 }
 
-// accept passes on the first valid answer of each shard and cancels attempts that are not needed any more.
+// accept passes the first valid answer of each shard to the root and cancels attempts that are no longer needed.
 func (c *Core) accept(now time.Duration, a *attempt, result query.AttemptResult) {
 	q := a.subQuery
 	answer := &message.SubAnswer{ID: q.id, Snapshot: result.Snapshot}
@@ -106,6 +107,7 @@
 	}
 }
 
+// allAnswered reports whether all shards of an attempt are answered.
 func (c *Core) allAnswered(a *attempt) bool {
 	for _, shard := range a.shards {
 		if !a.subQuery.shards[shard].answered {
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -11,26 +11,32 @@
 	"stiletrail/internal/query"
 )
 
-// identityOf is what a query is known by to the dispatchers of its service: what it asks. Who asks is not told to them.
+// identityOf returns the identity under which crashes are recorded for a sub-query: its service and body. The caller is not
+// part of it, because dispatchers do not know the caller.
 func identityOf(m *message.SubQuery) quarantine.Identity {
-	question := append([]byte(m.Service+"\n"), m.Body...)
-	return quarantine.NewIdentity(string(question), question, nil)
+	request := append([]byte(m.Service+"\n"), m.Body...)
+	return quarantine.NewIdentity(string(request), request, nil)
 }
 
-// caution is how carefully a sub-query is sent on under which back ends have ended: one attempt at a time, until one is answered.
-type caution struct {
-	// suspect: no more than one attempt is begun at a time.
+// serialTrials is the state of a sub-query that has crashed back ends or is suspected to. While it is suspect, its shards
+// are sent to one back end at a time, until one of them is answered.
+type serialTrials struct {
+	// suspect is true while at most one attempt of the sub-query may be started at a time.
 	suspect bool
-	// ends of back ends under the sub-query.
-	ends int
-	// held are the shards that wait for an answer to another one.
+	// crashes counts the back ends that crashed while they had an attempt of the sub-query.
+	crashes int
+	// held are the shards that are not sent until another shard is answered, or until their turn as a trial.
 	held []uint32
 }
 
-// backEndEnded decides what becomes of the shards of an attempt whose back end has ended: they are retried once the sub-query has
-// an answer or where it is not repeatable (retry then asks for proof that it did not run), given up under quarantine, and else
-// wait until another shard is answered or asked as a trial. Ends are counted by this node; other dispatchers count their own.
-func (c *Core) backEndEnded(now time.Duration, a *attempt) {
+// backEndCrashed decides what happens to the shards of an attempt whose back end has crashed:
+//   - If another shard of the sub-query is answered, they are retried.
+//   - If the request is now quarantined, the sub-query ends.
+//   - If the request is not repeatable, they are retried only with proof that no attempt ran, which retry checks.
+//   - Otherwise they are held until another shard is answered or they are sent as a trial.
+//
+// Each dispatcher counts only the crashes that it has seen itself.
+func (c *Core) backEndCrashed(now time.Duration, a *attempt) {
 	q := a.subQuery
 	verdict, _ := c.quarantine.RecordCrash(clock.FromDuration(now), identityOf(q.request), quarantine.Crash{
 		Service: q.request.Service, BackEnd: a.backEnd.address + "#" + strconv.FormatUint(a.number, 10),
@@ -40,42 +46,42 @@
 	if q.finished {
 		return
 	}
-	q.caution.ends++
+	q.serialTrials.crashes++
 	switch {
-	case q.answered():
+	case q.anyAnswered():
 		c.retry(now, a, query.StatusLost)
 	case verdict == quarantine.Quarantined:
-		c.quarantined(now, q)
+		c.finishQuarantined(now, q)
 	case q.request.Execute:
 		c.retry(now, a, query.StatusLost)
 	default:
 		c.hold(q, a.shards)
-		if quarantine.CancelOthers(q.caution.suspect, q.caution.ends) {
-			q.caution.suspect = true
-			c.withdraw(now, q)
+		if quarantine.CancelOthers(q.serialTrials.suspect, q.serialTrials.crashes) {
+			q.serialTrials.suspect = true
+			c.cancelAttempts(now, q)
 		}
 	}
 	c.finishIfDone(now, q)
 }
 
-// hold has shards wait that no other attempt may still answer.
+// hold keeps shards back that are neither answered nor part of another attempt in flight.
 func (c *Core) hold(q *subQuery, shards []uint32) {
 	for _, shard := range shards {
-		if state := q.shards[shard]; !state.answered && state.live == 0 && !slices.Contains(q.caution.held, shard) {
-			q.caution.held = append(q.caution.held, shard)
+		if state := q.shards[shard]; !state.answered && state.live == 0 && !slices.Contains(q.serialTrials.held, shard) {
+			q.serialTrials.held = append(q.serialTrials.held, shard)
 		}
 	}
 }
 
-// withdraw takes back what is queued and under way of a sub-query, whose shards are tried again later.
-func (c *Core) withdraw(now time.Duration, q *subQuery) {
+// cancelAttempts cancels the queued attempts and those in flight of a sub-query. Its shards are tried again later.
+func (c *Core) cancelAttempts(now time.Duration, q *subQuery) {
 	for _, b := range q.group.backEnds {
-		b.removeQueued(func(it *queuedAttempt) bool {
-			if it.subQuery == q {
-				c.release(q, it.shards)
-				c.hold(q, it.shards)
+		b.removeQueued(func(queued *queuedAttempt) bool {
+			if queued.subQuery == q {
+				c.release(q, queued.shards)
+				c.hold(q, queued.shards)
 			}
-			return it.subQuery == q
+			return queued.subQuery == q
 		})
 	}
 	for _, a := range q.attempts {
@@ -83,30 +89,31 @@
 	}
 }
 
-// quarantined ends a sub-query that ends the back ends that run it.
-func (c *Core) quarantined(now time.Duration, q *subQuery) {
-	q.caution.held = nil
+// finishQuarantined ends a sub-query whose request is quarantined because it crashes back ends.
+func (c *Core) finishQuarantined(now time.Duration, q *subQuery) {
+	q.serialTrials.held = nil
 	c.finish(now, q, query.ReasonLost)
 }
 
-// sendHeld sends what is held of a sub-query: all once a shard was answered, one shard as a trial once nothing is under way.
+// sendHeld sends the held shards of a sub-query: all of them once a shard is answered, or one as a trial if nothing is in
+// flight. Shards become missing if the deadline has passed, or if they were tried before and the retry budget is spent.
 func (c *Core) sendHeld(now time.Duration, q *subQuery) {
-	held := q.caution.held
+	held := q.serialTrials.held
 	switch {
 	case len(held) == 0 || q.finished:
 		return
-	case q.answered():
-		q.caution = caution{}
-	case q.underWay():
+	case q.anyAnswered():
+		q.serialTrials = serialTrials{}
+	case q.anyInFlight():
 		return
 	default:
-		q.caution.held, held = held[1:], held[:1]
+		q.serialTrials.held, held = held[1:], held[:1]
 	}
-	if now >= q.deadline || q.tried(held) && !q.group.retries.Spend(len(held)) {
+	if now >= q.deadline || q.anyTried(held) && !q.group.retries.Spend(len(held)) {
 		for _, shard := range held {
 			q.shards[shard].missing = query.ReasonLost
 		}
 		return
 	}
-	c.place(now, q, held, false, query.ReasonLost)
+	c.assign(now, q, held, false, query.ReasonLost)
 }
--- a/internal/dispatch/replay.go
+++ b/internal/dispatch/replay.go
@@ -6,19 +6,21 @@
 	"stiletrail/internal/query"
 )
 
-// replayBits is how far behind the newest sub-query of a root another may arrive and still be served.
+// replayBits is the size of a replay window: how many sequence numbers behind the newest one a sub-query may arrive and
+// still be served.
 const replayBits = 4096
 
-// replayWindow remembers which sub-queries of one generation of a root came, as a bitmap behind the newest. One that
-// came before, or that is too old to tell, must not be served: its first copy may have been refused as not run, or may have run.
+// replayWindow records which sub-queries of one generation of a root were received, as a bitmap behind the newest sequence
+// number. A duplicate must not be served: its first copy may have run, or may have been refused as not run. A sub-query
+// older than the window is treated as a duplicate.
 type replayWindow struct {
 	newest uint64
 	bits   [replayBits / 64]uint64
 	lastAt time.Duration
 }
 
-// first reports whether a sequence number comes for the first time, and notes it.
-func (w *replayWindow) first(sequence uint64) bool {
+// accept reports whether a sequence number is received for the first time, and records it.
+func (w *replayWindow) accept(sequence uint64) bool {
 	if sequence > w.newest {
 		w.advance(sequence)
 		return true
@@ -30,6 +32,7 @@
 	return true
 }
 
+// advance moves the window to a newer sequence number and clears the bits of the numbers in between.
 func (w *replayWindow) advance(sequence uint64) {
 	if sequence-w.newest >= replayBits {
 		clear(w.bits[:])
@@ -42,29 +45,31 @@
 	w.set(sequence)
 }
 
-func (w *replayWindow) place(sequence uint64) (word, bit uint64) {
+// position returns the index of the word and the mask of the bit for a sequence number.
+func (w *replayWindow) position(sequence uint64) (word, bit uint64) {
 	return sequence % replayBits / 64, uint64(1) << (sequence % 64)
 }
 
 func (w *replayWindow) isSet(sequence uint64) bool {
-	word, bit := w.place(sequence)
+	word, bit := w.position(sequence)
 	return w.bits[word]&bit != 0
 }
 
 func (w *replayWindow) set(sequence uint64) {
-	word, bit := w.place(sequence)
+	word, bit := w.position(sequence)
 	w.bits[word] |= bit
 }
 
 func (w *replayWindow) unset(sequence uint64) {
-	word, bit := w.place(sequence)
+	word, bit := w.position(sequence)
 	w.bits[word] &^= bit
 }
 
-// rootIdle is how long the window of a root that sends nothing is kept; frames do not outlive their connection that long.
-const rootIdle = 10 * time.Minute
+// rootRetention is how long the window of a root that sends nothing is kept. No frame is delayed that long, since frames do
+// not outlive their connection.
+const rootRetention = 10 * time.Minute
 
-// replayed reports whether a copy of the sub-query came before.
+// replayed reports whether the sub-query was received before, and records it.
 func (c *Core) replayed(now time.Duration, id query.ID) bool {
 	window := c.roots[id.Generation]
 	if window == nil {
@@ -72,12 +77,13 @@
 		c.roots[id.Generation] = window
 	}
 	window.lastAt = now
-	return !window.first(id.Sequence)
+	return !window.accept(id.Sequence)
 }
 
-func (c *Core) forgetRoots(now time.Duration) {
+// expireRoots deletes the replay windows of roots that have sent nothing for rootRetention.
+func (c *Core) expireRoots(now time.Duration) {
 	for generation, window := range c.roots {
-		if now-window.lastAt > rootIdle {
+		if now-window.lastAt > rootRetention {
 			delete(c.roots, generation)
 		}
 	}
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -6,11 +6,11 @@
 	"stiletrail/internal/query"
 )
 
-// retry asks another replica for what a failed attempt left open, each replica once at most. It gives up, and the shards are
-// missing for the reason that the attempt failed for, where
-//   - the deadline has passed;
-//   - the request is not repeatable, and an attempt of it is not proved not to have run;
-//   - the group's budget of retries is spent, unless the retry costs none (costsBudget).
+// retry asks other replicas for the shards that a failed attempt left open. Each replica is asked at most once per shard.
+// In these cases there is no retry, and the shards become missing for the reason of the failed attempt:
+//   - The deadline has passed.
+//   - The request is not repeatable and an attempt of it may have run.
+//   - The group's retry budget is spent, unless the retry is free (see costsBudget).
 func (c *Core) retry(now time.Duration, a *attempt, status query.Status) {
 	q := a.subQuery
 	var open []uint32
@@ -31,18 +31,19 @@
 		return
 	}
 	c.Counters.Retries++
-	c.place(now, q, open, false, reason)
+	c.assign(now, q, open, false, reason)
 }
 
-// mayRetry decides whether some shards are asked for again, and takes that from the budget.
+// mayRetry decides whether a number of shards may be retried, and takes them from the retry budget.
 func (c *Core) mayRetry(now time.Duration, q *subQuery, status query.Status, shards int) bool {
-	if now >= q.deadline || q.request.Execute && q.unproved > 0 {
+	if now >= q.deadline || q.request.Execute && q.possiblyRun > 0 {
 		return false
 	}
 	return !costsBudget(status) || q.group.retries.Spend(shards)
 }
 
-// costsBudget: moving on from a back end that is leaving or holds another snapshot is not a reaction to trouble.
+// costsBudget reports whether a retry after the status is taken from the retry budget. Retries after a draining back end, or
+// one that does not hold the shard or the snapshot, are free: they are not caused by failures or overload.
 func costsBudget(status query.Status) bool {
 	switch status {
 	case query.StatusDraining, query.StatusVersionUnavailable, query.StatusNotHeld:
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -7,40 +7,42 @@
 	"stiletrail/internal/quarantine"
 )
 
-// Settings of the dispatcher.
+// Settings are the settings of a dispatcher.
 type Settings struct {
-	// Hedging switches hedges on.
+	// Hedging enables hedges.
 	Hedging bool
-	// HedgeQuantile of the group's latencies is the longest wait before a hedge.
+	// HedgeQuantile is the quantile, from 0 to 1, of the group's latencies after which an attempt is hedged at the latest.
 	HedgeQuantile float64
-	// HedgeMedianFactor times the median is the longest wait too, so that stragglers that are more common than the
-	// quantile allows for are hedged in time.
+	// HedgeMedianFactor times the median latency is the other upper bound of the hedge delay. It keeps the delay short if
+	// stragglers are so common that they raise the HedgeQuantile.
 	HedgeMedianFactor float64
-	// MinimumHedgeDelay bounds the wait from below; DefaultHedgeDelay holds while there are few samples.
+	// MinimumHedgeDelay is the lower bound of the hedge delay.
 	MinimumHedgeDelay time.Duration
+	// DefaultHedgeDelay is used in place of the measured latencies while there are too few samples.
 	DefaultHedgeDelay time.Duration
-	// HedgeShare and RetryShare are the extra shard attempts allowed per first one.
+	// HedgeShare and RetryShare are the numbers of hedged and of retried shards allowed per shard requested.
 	HedgeShare float64
 	RetryShare float64
-	// BudgetCapacity is how many extra shard attempts may be saved up.
+	// BudgetCapacity is the maximum number of shards that a hedge or retry budget can save up.
 	BudgetCapacity float64
-	// MaximumQueueWait bounds the predicted wait for a slot at which work is still admitted.
+	// MaximumQueueWait is the predicted wait for a slot above which a sub-query is refused.
 	MaximumQueueWait time.Duration
-	// ShardsPerAttempt bounds how many shards one attempt asks a back end for.
+	// ShardsPerAttempt is the maximum number of shards in one request to a back end.
 	ShardsPerAttempt int
-	// FailuresToEject in a row take a back end out for EjectFor, doubled each time up to MaximumEjection.
-	FailuresToEject     int
+	// FailuresToEject is the number of failures in a row after which a back end is ejected.
+	FailuresToEject int
+	// EjectionTime is the duration of the first ejection. It doubles with each further one, up to MaximumEjectionTime.
 	EjectionTime        time.Duration
 	MaximumEjectionTime time.Duration
-	// MaximumEjectedShare of a group's back ends may be out at once.
+	// MaximumEjectedShare is the share, from 0 to 1, of a group's back ends that may be ejected at the same time.
 	MaximumEjectedShare float64
-	// DescribeInterval is the time between two probes of an idle back end.
+	// DescribeInterval is the time between two descriptions of an idle back end.
 	DescribeInterval time.Duration
-	// Quarantine of queries that end back ends.
+	// Quarantine configures the quarantine of requests that crash back ends.
 	Quarantine quarantine.Settings
 }
 
-// DefaultSettings gives the settings used where nothing else is said.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
 	return Settings{
 		Hedging:             true,
--- a/internal/dispatch/subquery.go
+++ b/internal/dispatch/subquery.go
@@ -8,7 +8,7 @@
 	"stiletrail/internal/query"
 )
 
-// subQuery is what a root has asked this dispatcher for, while it is served.
+// subQuery is a sub-query in flight at this dispatcher.
 type subQuery struct {
 	id       query.ID
 	root     string
@@ -17,14 +17,14 @@
 	deadline time.Duration
 	shards   map[uint32]*shardState
 	attempts []*attempt
-	// unproved counts the attempts that were handed out and are not proved not to have run.
-	unproved int
-	// shardAttempts counts the shards asked of back ends, hedges and retries included.
+	// possiblyRun counts the attempts that were started and are not proved not to have run.
+	possiblyRun int
+	// shardAttempts counts the shards in all attempts started, hedges and retries included.
 	shardAttempts uint32
-	// retryAfter is the longest that a back end has asked for.
-	retryAfter time.Duration
-	finished   bool
-	caution    caution
+	// retryAfter is the longest retry-after time that a back end has sent.
+	retryAfter   time.Duration
+	finished     bool
+	serialTrials serialTrials
 }
 
 func newSubQuery(now time.Duration, root string, g *group, request *message.SubQuery) *subQuery {
@@ -39,25 +39,25 @@
 	return q
 }
 
-// shardState is what became of a shard of a sub-query so far: it is answered, or live, or held for a trial, or missing.
+// shardState is the state of one shard of a sub-query. The shard is answered, live, held for a trial, or missing.
 type shardState struct {
 	answered bool
-	// missing is why it is, ReasonNone while it is not.
+	// missing is the reason why the shard is missing, ReasonNone if it is not.
 	missing query.Reason
-	// live counts attempts queued or under way.
+	// live counts the attempts for the shard that are queued or in flight.
 	live int
-	// tried are the replicas that were asked, or that it was queued at.
+	// tried are the replicas to which an attempt for the shard was assigned.
 	tried []*backEnd
 }
 
-// askAt notes an attempt for the shard at a replica, queued or under way.
-func (s *shardState) askAt(b *backEnd) {
+// addAttempt records an attempt for the shard at a replica, queued or in flight.
+func (s *shardState) addAttempt(b *backEnd) {
 	s.tried = append(s.tried, b)
 	s.live++
 }
 
-// answered reports whether a shard of the sub-query was answered.
-func (q *subQuery) answered() bool {
+// anyAnswered reports whether a shard of the sub-query is answered.
+func (q *subQuery) anyAnswered() bool {
 	for _, state := range q.shards {
 		if state.answered {
 			return true
@@ -66,8 +66,8 @@
 	return false
 }
 
-// underWay reports whether an attempt of the sub-query may still be answered.
-func (q *subQuery) underWay() bool {
+// anyInFlight reports whether an attempt of the sub-query is queued or in flight.
+func (q *subQuery) anyInFlight() bool {
 	for _, state := range q.shards {
 		if state.live > 0 {
 			return true
@@ -76,12 +76,12 @@
 	return false
 }
 
-// tried reports whether a replica of one of some shards was asked before.
-func (q *subQuery) tried(shards []uint32) bool {
+// anyTried reports whether an attempt was assigned before for one of the given shards.
+func (q *subQuery) anyTried(shards []uint32) bool {
 	return slices.ContainsFunc(shards, func(shard uint32) bool { return len(q.shards[shard].tried) > 0 })
 }
 
-// attempt is one request to a back end, under way.
+// attempt is one request in flight to a back end.
 type attempt struct {
 	number    uint64
 	subQuery  *subQuery
@@ -89,14 +89,15 @@
 	group     *group
 	shards    []uint32
 	startedAt time.Duration
-	// hedge: it is one itself; hedged: all that it left open was hedged.
-	hedge  bool
+	// hedge is true if the attempt is a hedge itself.
+	hedge bool
+	// hedged is true if all its open shards were hedged, or none was left open.
 	hedged bool
-	// abandoned: its outcome no longer matters to the sub-query.
+	// abandoned is true if the attempt was given up because the sub-query no longer needs its outcome.
 	abandoned bool
 }
 
-// queuedAttempt is an attempt that waits for a slot.
+// queuedAttempt is an attempt that waits for a free slot of a back end.
 type queuedAttempt struct {
 	subQuery *subQuery
 	shards   []uint32
--- a/internal/dispatch/timer.go
+++ b/internal/dispatch/timer.go
@@ -8,20 +8,21 @@
 	"stiletrail/internal/query"
 )
 
-// timed is what a timer is set for: an *attempt, which may be hedged then, or a *subQuery, whose deadline passes then.
-type timed interface{ isTimed() }
+// timerSubject is what a timer is set for: an *attempt, which is hedged if needed when the timer fires, or a *subQuery,
+// whose deadline passes then.
+type timerSubject interface{ isTimed() }
 
 func (*attempt) isTimed()  {}
 func (*subQuery) isTimed() {}
 
 type timer struct {
 	at time.Duration
-	// order tells timers of one moment apart.
+	// order is the order in which timers of the same time fire.
 	order   uint64
-	subject timed
+	subject timerSubject
 }
 
-// timerHeap has the timer that fires next first.
+// timerHeap is a min-heap of timers: the first one fires next.
 type timerHeap []timer
 
 func (h timerHeap) Len() int { return len(h) }
@@ -47,12 +48,13 @@
 	return value
 }
 
-func (c *Core) schedule(at time.Duration, subject timed) {
+// schedule sets a timer for the subject.
+func (c *Core) schedule(at time.Duration, subject timerSubject) {
 	c.number++
 	heap.Push(&c.timers, timer{at: at, order: c.number, subject: subject})
 }
 
-// NextWake returns when Tick must be called at the latest; false while nothing is due.
+// NextWake returns the time at which Tick must be called at the latest, and false if no timer is set.
 func (c *Core) NextWake() (time.Duration, bool) {
 	if len(c.timers) == 0 {
 		return 0, false
@@ -60,7 +62,7 @@
 	return c.timers[0].at, true
 }
 
-// Tick fires the timers whose time has come: those of hedges and deadlines.
+// Tick fires the timers that are due, which are those of hedges and of deadlines.
 func (c *Core) Tick(now time.Duration) []Action {
 	for len(c.timers) > 0 && c.timers[0].at <= now {
 		switch subject := heap.Pop(&c.timers).(timer).subject.(type) {
@@ -74,5 +76,5 @@
 			panic(fmt.Sprintf("dispatch: no case for a timer of %T", subject))
 		}
 	}
-	return c.take()
+	return c.takeActions()
 }
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -29,7 +29,7 @@
 	{
 		"no check of the snapshot of an answer", "internal/dispatch/outcome.go",
 		"if !a.subQuery.request.Execute && result.Snapshot != a.subQuery.request.Snapshot {", "if false {",
-		"./internal/dispatch", "TestAnswersThatDoNotFit",
+		"./internal/dispatch", "TestMismatchedAnswersAreRejected",
 	},
 	{
 		"results of an earlier plan are kept when the query is planned again", "internal/scatter/scatter.go",
@@ -48,13 +48,13 @@
 	},
 	{
 		"no replay window", "internal/dispatch/replay.go",
-		"	return !window.first(id.Sequence)\n", "	window.first(id.Sequence)\n	return false\n",
+		"	return !window.accept(id.Sequence)\n", "	window.accept(id.Sequence)\n	return false\n",
 		"./internal/simulation", "TestAtMostOnce",
 	},
 	{
 		"a lost attempt counts as not run", "internal/query/attempt.go",
 		"return s >= StatusShed && s <= StatusNotSent", "return s >= StatusShed && s <= StatusLost",
-		"./internal/dispatch", "TestOutcomesOfOneAttempt",
+		"./internal/dispatch", "TestAttemptOutcomes",
 	},
 	{
 		"tickets may be used again", "internal/ticket/ticket.go",
@@ -124,7 +124,7 @@
 	{
 		"hedges go into full windows", "internal/dispatch/backend.go",
 		"	return b.window.HasCapacity() && len(b.queue) == 0 && now >= b.notBefore", "	return now >= b.notBefore",
-		"./internal/dispatch", "TestHedgesStopWhenWindowsAreFull",
+		"./internal/dispatch", "TestNoHedgesIntoFullWindows",
 	},
 	{
 		"a fresh node serves at once", "internal/gossip/compare.go",
