--- a/internal/scatter/ask.go
+++ b/internal/scatter/ask.go
@@ -10,12 +10,12 @@
 
 // ask sends shards out, each to the next group and dispatcher not tried for it. Shards without one become missing.
 func (q *Query) ask(now time.Duration, shards []uint32, reason query.Reason) {
-	chosen := map[triedOwner][]uint32{}
-	var order []triedOwner
+	chosen := map[target][]uint32{}
+	var order []target
 	perGroup := map[uint32]string{}
 	for _, number := range shards {
 		// Full back ends are no reason to ask a deputy, who would only add to their load.
-		owner, found := q.nextOwner(number, perGroup, reason != query.ReasonOverloaded)
+		owner, found := q.nextTarget(number, perGroup, reason != query.ReasonOverloaded)
 		if !found {
 			if state := &q.shards[number]; state.live == 0 && !state.answered {
 				state.reason = reason
@@ -32,8 +32,8 @@
 	}
 }
 
-// nextOwner picks where to ask for a shard; shards of one group go to one dispatcher.
-func (q *Query) nextOwner(number uint32, perGroup map[uint32]string, deputiesToo bool) (triedOwner, bool) {
+// nextTarget picks where to ask for a shard; shards of one group go to one dispatcher.
+func (q *Query) nextTarget(number uint32, perGroup map[uint32]string, deputiesToo bool) (target, bool) {
 	state := &q.shards[number]
 	for _, group := range q.holders[number] {
 		var excluded []string
@@ -43,22 +43,22 @@
 			}
 		}
 		if dispatcher := perGroup[group]; dispatcher != "" && !slices.Contains(excluded, dispatcher) {
-			return triedOwner{group: group, dispatcher: dispatcher}, true
+			return target{group: group, dispatcher: dispatcher}, true
 		}
 		dispatcher, found := q.environment.PickDispatcher(q.request.Service, group, excluded, deputiesToo)
 		if found && !slices.Contains(excluded, dispatcher) {
 			perGroup[group] = dispatcher
-			return triedOwner{group: group, dispatcher: dispatcher}, true
+			return target{group: group, dispatcher: dispatcher}, true
 		}
 	}
-	return triedOwner{}, false
+	return target{}, false
 }
 
-func (q *Query) sendSubQuery(now time.Duration, owner triedOwner, shards []uint32) {
+func (q *Query) sendSubQuery(now time.Duration, owner target, shards []uint32) {
 	id := q.environment.NextID()
 	remaining := q.request.Deadline - answerMargin - now
-	q.subQueries[id] = &subQuery{dispatcher: owner.dispatcher, shards: shards, waitUntil: now + q.patience(remaining)}
-	q.order = append(q.order, id)
+	q.subQueries[id] = &subQuery{dispatcher: owner.dispatcher, shards: shards, waitUntil: now + q.silenceTimeout(remaining)}
+	q.sendOrder = append(q.sendOrder, id)
 	for _, number := range shards {
 		q.shards[number].live++
 		q.shards[number].tried = append(q.shards[number].tried, owner)
@@ -71,11 +71,11 @@
 
 // cancelAll withdraws every sub-query under way.
 func (q *Query) cancelAll() {
-	for _, id := range q.order {
+	for _, id := range q.sendOrder {
 		sub := q.subQueries[id]
 		q.mayHaveRun = true
 		q.send(sub.dispatcher, &message.SubCancel{ID: id})
 		delete(q.subQueries, id)
 	}
-	q.order = nil
+	q.sendOrder = nil
 }
--- a/internal/scatter/benchmark_test.go
+++ b/internal/scatter/benchmark_test.go
@@ -8,27 +8,27 @@
 	"stiletrail/internal/query"
 )
 
-// wide is a root's environment with a service of 1,400 back ends in 22 groups.
-type wide struct {
+// wideEnvironment is a root's environment with a service of 1,400 back ends in 22 groups.
+type wideEnvironment struct {
 	routing  Routing
 	sequence uint64
 }
 
-func (w *wide) Routing(string) Routing { return w.routing }
-func (w *wide) PickDispatcher(_ string, _ uint32, excluded []string, _ bool) (string, bool) {
+func (w *wideEnvironment) Routing(string) Routing { return w.routing }
+func (w *wideEnvironment) PickDispatcher(_ string, _ uint32, excluded []string, _ bool) (string, bool) {
 	return "dispatcher", len(excluded) == 0
 }
-func (w *wide) NextID() query.ID {
+func (w *wideEnvironment) NextID() query.ID {
 	w.sequence++
 	return query.ID{Generation: 1, Sequence: w.sequence}
 }
-func (w *wide) Region() string                 { return "north" }
-func (w *wide) SubQueryLatency() time.Duration { return time.Millisecond }
-func (w *wide) SpendReissue(int) bool          { return true }
-func (w *wide) MarkSuspect(string)             {}
+func (w *wideEnvironment) Region() string                 { return "north" }
+func (w *wideEnvironment) SubQueryLatency() time.Duration { return time.Millisecond }
+func (w *wideEnvironment) SpendReissue(int) bool          { return true }
+func (w *wideEnvironment) MarkSuspect(string)             {}
 
-func newWide() *wide {
-	w := &wide{}
+func newWideEnvironment() *wideEnvironment {
+	w := &wideEnvironment{}
 	const backEnds, groupSize = 1400, 64
 	for i := range uint32(backEnds) {
 		if i%groupSize == 0 {
@@ -42,7 +42,7 @@
 
 // BenchmarkWideQuery is a root's whole work on a query over 1,400 shards: plan, 22 sub-queries, merge of their answers.
 func BenchmarkWideQuery(b *testing.B) {
-	environment := newWide()
+	environment := newWideEnvironment()
 	b.ReportAllocs()
 	for b.Loop() {
 		q, actions := Start(0, Request{Service: "wide", Deadline: time.Second}, environment)
--- a/internal/scatter/finish.go
+++ b/internal/scatter/finish.go
@@ -17,7 +17,7 @@
 		q.finish(query.ReasonNone)
 		return
 	}
-	if tail := q.tailBudgetEnd(); tail > 0 && now >= tail && q.enough() {
+	if tail := q.tailBudgetEnd(); tail > 0 && now >= tail && q.coverageReached() {
 		q.finish(query.ReasonEarlyFinish)
 		return
 	}
@@ -38,15 +38,15 @@
 	return q.startedAt + time.Duration(specification.TailBudgetMilliseconds)*time.Millisecond
 }
 
-// enough reports whether the minimum coverage is met.
-func (q *Query) enough() bool {
+// coverageReached reports whether the minimum coverage is met.
+func (q *Query) coverageReached() bool {
 	return q.planned.Total > 0 && float64(q.answered) >= q.request.Document.Specification.MinimumCoverage*float64(q.planned.Total)
 }
 
 // finish gives the answer; shards without one are missing for their own reason, or else for the given one.
 func (q *Query) finish(reason query.Reason) {
 	q.cancelAll()
-	answer := Answer{Snapshot: q.planned.Snapshot, ShardAttempts: q.attempts}
+	answer := Answer{Snapshot: q.planned.Snapshot, ShardAttempts: q.shardAttempts}
 	answer.Coverage = query.Coverage{Total: q.planned.Total, TotalKnown: q.planned.Total > 0, Answered: q.answered}
 	for number := range q.shards {
 		state := &q.shards[number]
@@ -65,7 +65,7 @@
 	if answer.Failure != nil {
 		answer.Documents = nil
 	}
-	q.conclude(answer)
+	q.emitAnswer(answer)
 }
 
 // finishWithoutPlan ends a query for which no snapshot is left: one that was planned before with what it lacks, a new one with a
@@ -79,7 +79,7 @@
 	if _, any := routing.ChoosePlan(0, nil); any {
 		code, text = failure.SnapshotUnavailable, "the minimum version is not held yet"
 	}
-	q.conclude(Answer{Coverage: routing.nothingCovered(), Failure: failure.Refused(code, text, noPlanRetryAfter)})
+	q.emitAnswer(Answer{Coverage: routing.noCoverage(), Failure: failure.Refused(code, text, noPlanRetryAfter)})
 }
 
 // The times to come back of searches that fail, where no dispatcher asked for longer.
@@ -88,14 +88,14 @@
 	noPlanRetryAfter = time.Second
 	// notRunRetryAfter: no back end took the search.
 	notRunRetryAfter = 10 * time.Millisecond
-	// tooFewRetryAfter: some shards may have run it.
-	tooFewRetryAfter = 100 * time.Millisecond
+	// lowCoverageRetryAfter: some shards may have run it.
+	lowCoverageRetryAfter = 100 * time.Millisecond
 )
 
 // failureFor returns the failure of an answer with too little coverage, or nil. It is a refusal, proved not to have run, where no
 // shard answered and no sub-query may have run.
 func (q *Query) failureFor(coverage query.Coverage) *failure.Failure {
-	if q.answered > 0 && q.enough() {
+	if q.answered > 0 && q.coverageReached() {
 		return nil
 	}
 	if q.answered == 0 && !q.mayHaveRun {
@@ -108,11 +108,11 @@
 		return failure.Refused(code, "no back end took the search", max(q.retryAfter, notRunRetryAfter))
 	}
 	result := failure.New(failure.CoverageTooLow, "fewer shards answered than the service's minimum coverage")
-	result.RetryAfter = max(q.retryAfter, tooFewRetryAfter)
+	result.RetryAfter = max(q.retryAfter, lowCoverageRetryAfter)
 	return result
 }
 
-func (q *Query) conclude(answer Answer) {
+func (q *Query) emitAnswer(answer Answer) {
 	q.done = true
 	q.actions = append(q.actions, answer)
 }
--- a/internal/scatter/receive.go
+++ b/internal/scatter/receive.go
@@ -14,21 +14,21 @@
 	if q.done || sub == nil || from != sub.dispatcher {
 		return nil
 	}
-	sub.heard = true
+	sub.responded = true
 	if m.Snapshot == q.planned.Snapshot {
 		q.accept(sub, m.Results)
 	}
 	if m.Done {
-		sub.last = m
-		sub.waitUntil = now + minimumPatience
+		sub.finalAnswer = m
+		sub.waitUntil = now + minimumSilenceTimeout
 	}
-	if sub.last != nil && q.accounted(sub) {
-		q.close(now, m.ID, sub, sub.last)
+	if sub.finalAnswer != nil && q.resultsComplete(sub) {
+		q.close(now, m.ID, sub, sub.finalAnswer)
 	}
 	if !q.done {
 		q.finishIfDone(now)
 	}
-	return q.take()
+	return q.takeActions()
 }
 
 func (q *Query) accept(sub *subQuery, results []query.ShardDocuments) {
@@ -43,16 +43,16 @@
 	}
 }
 
-// accounted reports whether each shard of a sub-query is answered or said to be missing. Results may come after the final
+// resultsComplete reports whether each shard of a sub-query is answered or said to be missing. Results may come after the final
 // answer where messages overtake each other.
-func (q *Query) accounted(sub *subQuery) bool {
+func (q *Query) resultsComplete(sub *subQuery) bool {
 	answered := 0
 	for _, number := range sub.shards {
 		if q.shards[number].answered {
 			answered++
 		}
 	}
-	for _, missing := range sub.last.Missing {
+	for _, missing := range sub.finalAnswer.Missing {
 		if missing.Shard < uint32(len(q.shards)) && !q.shards[missing.Shard].answered {
 			answered++
 		}
@@ -62,8 +62,8 @@
 
 // close ends a sub-query and decides what happens to its missing shards.
 func (q *Query) close(now time.Duration, id query.ID, sub *subQuery, m *message.SubAnswer) {
-	q.remove(id, sub)
-	q.attempts += m.ShardAttempts
+	q.removeSubQuery(id, sub)
+	q.shardAttempts += m.ShardAttempts
 	if !m.NotRun {
 		q.mayHaveRun = true
 	}
@@ -87,9 +87,9 @@
 	q.retry(now, open, reason)
 }
 
-func (q *Query) remove(id query.ID, sub *subQuery) {
+func (q *Query) removeSubQuery(id query.ID, sub *subQuery) {
 	delete(q.subQueries, id)
-	q.order = slices.DeleteFunc(q.order, func(other query.ID) bool { return other == id })
+	q.sendOrder = slices.DeleteFunc(q.sendOrder, func(other query.ID) bool { return other == id })
 	for _, number := range sub.shards {
 		q.shards[number].live--
 	}
@@ -97,7 +97,7 @@
 
 // resultsLost ends a sub-query whose dispatcher is done while some of its results never came.
 func (q *Query) resultsLost(now time.Duration, id query.ID, sub *subQuery) {
-	last := *sub.last
+	last := *sub.finalAnswer
 	said := map[uint32]bool{}
 	for _, missing := range last.Missing {
 		said[missing.Shard] = true
@@ -117,7 +117,7 @@
 	if q.done || sub == nil || sub.dispatcher != peer {
 		return nil
 	}
-	q.remove(id, sub)
+	q.removeSubQuery(id, sub)
 	q.mayHaveRun = q.mayHaveRun || written
 	q.environment.MarkSuspect(peer)
 	var open []uint32
@@ -129,5 +129,5 @@
 	}
 	q.retry(now, open, query.ReasonLost)
 	q.finishIfDone(now)
-	return q.take()
+	return q.takeActions()
 }
--- a/internal/scatter/retry.go
+++ b/internal/scatter/retry.go
@@ -15,7 +15,7 @@
 //	missing   a shard that came back missing is asked of a dispatcher, or a group, that was not asked for it; of deputies only
 //	          where the reason is not overload, to which they would only add
 //	lost      so is a shard whose dispatcher cannot be reached; that one is suspected
-//	silent    a dispatcher from which nothing came for patienceLatencies times the usual latency, or one of patienceParts of the
+//	silent    a dispatcher from which nothing came for silenceLatencies times the usual latency, or one of silenceParts of the
 //	          time left while that is not known, is suspected, and its shards are asked of a second one, once and within the
 //	          budget of the node
 //	replan    the whole query begins anew at another snapshot where a back end does not hold this one, at maximumPlans snapshots
@@ -24,11 +24,11 @@
 // Nothing is retried or planned again in the last two margins before the deadline.
 const (
 	maximumPlans      = 4
-	patienceLatencies = 4
-	patienceParts     = 3
-	// minimumPatience bounds the wait for a silent dispatcher from below, and is the wait for results that come after the final
+	silenceLatencies = 4
+	silenceParts     = 3
+	// minimumSilenceTimeout bounds the wait for a silent dispatcher from below, and is the wait for results that come after the final
 	// answer.
-	minimumPatience = 25 * time.Millisecond
+	minimumSilenceTimeout = 25 * time.Millisecond
 )
 
 // tooLate reports whether no answer can come in time any more.
@@ -61,18 +61,18 @@
 	return true
 }
 
-// patience is how long a dispatcher may be silent.
-func (q *Query) patience(remaining time.Duration) time.Duration {
+// silenceTimeout is how long a dispatcher may be silent.
+func (q *Query) silenceTimeout(remaining time.Duration) time.Duration {
 	latency := q.environment.SubQueryLatency()
 	if latency == 0 {
-		return max(remaining/patienceParts, minimumPatience)
+		return max(remaining/silenceParts, minimumSilenceTimeout)
 	}
-	return max(patienceLatencies*latency, minimumPatience)
+	return max(silenceLatencies*latency, minimumSilenceTimeout)
 }
 
-// waiting reports whether the wait for the dispatcher can run out: nothing has come yet, or less than it says it sent.
-func (s *subQuery) waiting() bool {
-	return s.last != nil || !s.heard && !s.reissued
+// canTimeOut reports whether the wait for the dispatcher can run out: nothing has come yet, or less than it says it sent.
+func (s *subQuery) canTimeOut() bool {
+	return s.finalAnswer != nil || !s.responded && !s.reissued
 }
 
 // reissue asks a second dispatcher for what a silent one was asked for; the first answer per shard wins.
--- a/internal/scatter/routing.go
+++ b/internal/scatter/routing.go
@@ -40,7 +40,7 @@
 				continue
 			}
 			plan := Plan{Snapshot: snapshot, Total: total, Covered: r.covered(snapshot, total)}
-			if !found || plan.better(best) {
+			if !found || plan.betterThan(best) {
 				best, found = plan, true
 			}
 		}
@@ -48,8 +48,8 @@
 	return best, found && best.Covered > 0
 }
 
-// better prefers the larger share of shards, then the newer version, then the newer epoch.
-func (p Plan) better(other Plan) bool {
+// betterThan prefers the larger share of shards, then the newer version, then the newer epoch.
+func (p Plan) betterThan(other Plan) bool {
 	mine := uint64(p.Covered) * uint64(other.Total)
 	theirs := uint64(other.Covered) * uint64(p.Total)
 	if mine != theirs {
@@ -61,7 +61,7 @@
 	return p.Snapshot.Epoch > other.Snapshot.Epoch
 }
 
-func (r Routing) each(visit func(query.Holding)) {
+func (r Routing) forEachHolding(visit func(query.Holding)) {
 	for _, group := range r.Groups {
 		for _, holding := range group.Holdings {
 			visit(holding)
@@ -71,7 +71,7 @@
 
 func (r Routing) epochs() []uint64 {
 	var epochs []uint64
-	r.each(func(h query.Holding) {
+	r.forEachHolding(func(h query.Holding) {
 		if !slices.Contains(epochs, h.Epoch) {
 			epochs = append(epochs, h.Epoch)
 		}
@@ -82,7 +82,7 @@
 // total is the number of shards in an epoch, which every back end in it states.
 func (r Routing) total(epoch uint64) uint32 {
 	var total uint32
-	r.each(func(h query.Holding) {
+	r.forEachHolding(func(h query.Holding) {
 		if h.Epoch == epoch {
 			total = max(total, h.ShardsTotal)
 		}
@@ -93,7 +93,7 @@
 // versions are the newest versions of all holdings in an epoch: the newest version all shards hold is one of them.
 func (r Routing) versions(epoch uint64) []uint64 {
 	var versions []uint64
-	r.each(func(h query.Holding) {
+	r.forEachHolding(func(h query.Holding) {
 		if h.Epoch == epoch && !slices.Contains(versions, h.NewestVersion) {
 			versions = append(versions, h.NewestVersion)
 		}
@@ -105,7 +105,7 @@
 func (r Routing) covered(at query.Snapshot, total uint32) uint32 {
 	held := make([]bool, total)
 	var count uint32
-	r.each(func(h query.Holding) {
+	r.forEachHolding(func(h query.Holding) {
 		if !h.HasSnapshot(at) {
 			return
 		}
@@ -119,8 +119,8 @@
 	return count
 }
 
-// nothingCovered is the coverage of an answer without any shard.
-func (r Routing) nothingCovered() query.Coverage {
+// noCoverage is the coverage of an answer without any shard.
+func (r Routing) noCoverage() query.Coverage {
 	_, total, known := r.NewestEpoch()
 	if !known {
 		return query.Coverage{}
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -64,10 +64,10 @@
 	results    map[uint32]query.ShardDocuments
 	answered   uint32
 	subQueries map[query.ID]*subQuery
-	// order of the sub-queries, so that a seed gives one trace.
-	order []query.ID
-	// attempts counts the shards asked of back ends so far.
-	attempts uint32
+	// sendOrder of the sub-queries, so that a seed gives one trace.
+	sendOrder []query.ID
+	// shardAttempts counts the shards asked of back ends so far.
+	shardAttempts uint32
 	// mayHaveRun: a sub-query is not proved not to have run.
 	mayHaveRun bool
 	retryAfter time.Duration
@@ -81,11 +81,11 @@
 	reason   query.Reason
 	// live counts sub-queries under way that were asked for the shard.
 	live  int
-	tried []triedOwner
+	tried []target
 }
 
-// triedOwner is a dispatcher of a group that was asked for a shard.
-type triedOwner struct {
+// target is a dispatcher of a group that was asked for a shard.
+type target struct {
 	group      uint32
 	dispatcher string
 }
@@ -94,13 +94,13 @@
 type subQuery struct {
 	dispatcher string
 	shards     []uint32
-	// heard: something came back.
-	heard    bool
+	// responded: something came back.
+	responded    bool
 	reissued bool
 	// waitUntil is when another dispatcher is asked for what did not come.
 	waitUntil time.Duration
-	// last is the final answer, kept while results that were sent before it are still on their way.
-	last *message.SubAnswer
+	// finalAnswer is the final answer, kept while results that were sent before it are still on their way.
+	finalAnswer *message.SubAnswer
 }
 
 // Start plans a search and returns it with its first actions.
@@ -110,7 +110,7 @@
 		results: map[uint32]query.ShardDocuments{}, subQueries: map[query.ID]*subQuery{},
 	}
 	q.plan(now)
-	return q, q.take()
+	return q, q.takeActions()
 }
 
 // Done reports whether the answer was given.
@@ -119,7 +119,7 @@
 // HasSubQuery reports whether the id is of a sub-query of this query.
 func (q *Query) HasSubQuery(id query.ID) bool { return q.subQueries[id] != nil }
 
-func (q *Query) take() []Action {
+func (q *Query) takeActions() []Action {
 	actions := q.actions
 	q.actions = nil
 	return actions
