--- a/internal/engine/admit.go
+++ b/internal/engine/admit.go
@@ -14,14 +14,14 @@
 //	NOT_READY        it does not know the configuration and the members yet, or joins them anew after a freeze:
 //	                 notReadyRetryAfter. Tickets also within mintWait of being ready for the first time
 //	OVERLOADED       Settings.MaximumQueries searches and executes are under way: tooManyRetryAfter. An execute whose
-//	                 dispatchers are all asked and have not run it: triedRetryAfter
+//	                 dispatchers are all asked and have not run it: allTriedRetryAfter
 //	UNKNOWN_SERVICE  no time to come back
 //	NO_REPLICA       nobody is known to hold the shard of an execute: noReplicaRetryAfter
 const (
 	notReadyRetryAfter  = time.Second
 	noReplicaRetryAfter = time.Second
 	tooManyRetryAfter   = 100 * time.Millisecond
-	triedRetryAfter     = 50 * time.Millisecond
+	allTriedRetryAfter     = 50 * time.Millisecond
 )
 
 func notReady(message string) *failure.Failure {
@@ -58,7 +58,7 @@
 
 // MintTicket returns a ticket for one request that is not repeatable.
 func (e *Engine) MintTicket(now time.Duration) ([]byte, error) {
-	e.begin(now)
+	e.beginCall(now)
 	if e.leaving {
 		return nil, e.leavingFailure()
 	}
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -10,8 +10,8 @@
 	"stiletrail/internal/message"
 )
 
-// begin starts a call at the given time.
-func (e *Engine) begin(now time.Duration) {
+// beginCall starts a call at the given time.
+func (e *Engine) beginCall(now time.Duration) {
 	if now < e.now {
 		panic("engine: time went back")
 	}
@@ -36,8 +36,8 @@
 	e.performDispatch(e.dispatcher.ForgetHoldings(e.now))
 }
 
-// end delivers the node's messages to itself and returns what there is to do.
-func (e *Engine) end() Output {
+// endCall delivers the node's messages to itself and returns what there is to do.
+func (e *Engine) endCall() Output {
 	e.deliverLocal()
 	e.refreshPlacement()
 	e.deliverLocal()
@@ -73,8 +73,8 @@
 	}
 }
 
-// next returns a number that this node never gave out before.
-func (e *Engine) next() uint64 {
+// nextNumber returns a number that this node never gave out before.
+func (e *Engine) nextNumber() uint64 {
 	e.sequence++
 	return e.sequence
 }
--- a/internal/engine/confirm.go
+++ b/internal/engine/confirm.go
@@ -15,8 +15,8 @@
 // copiesWanted is how many peers are handed a document before it is reported as accepted.
 const copiesWanted = 3
 
-// rolloutRun is a confirmation under way.
-type rolloutRun struct {
+// pendingRollout is a confirmation under way.
+type pendingRollout struct {
 	caller  Caller
 	rollout *rollout.Rollout
 }
@@ -40,11 +40,11 @@
 
 // Confirm starts to put a plan into force.
 func (e *Engine) Confirm(now time.Duration, caller Caller, request ConfirmRequest) Output {
-	e.begin(now)
+	e.beginCall(now)
 	service := request.Intent.Service
 	if !e.Ready() {
 		e.answerConfirm(caller, service, rollout.Result{Failure: notReady("the node takes no changes now")})
-		return e.end()
+		return e.endCall()
 	}
 	held := func() catalog.Document {
 		document, _ := e.catalog.Get(service)
@@ -54,10 +54,10 @@
 		Service: service, Operation: request.Operation, Base: request.BaseVersion,
 		Specification: request.Intent.Specification, Delete: request.Intent.Delete,
 	}, held)
-	operation := e.next()
-	e.rollouts[operation] = &rolloutRun{caller: caller, rollout: started}
+	operation := e.nextNumber()
+	e.rollouts[operation] = &pendingRollout{caller: caller, rollout: started}
 	e.performRollout(operation, first)
-	return e.end()
+	return e.endCall()
 }
 
 // performRollout carries out what a rollout decided.
@@ -124,7 +124,7 @@
 
 // StoreReadDone takes in the answer to a StoreRead.
 func (e *Engine) StoreReadDone(now time.Duration, operation uint64, outcome rollout.Outcome, entry platform.Entry) Output {
-	e.begin(now)
+	e.beginCall(now)
 	stored, err := storedDocument(entry)
 	if err != nil {
 		outcome = rollout.Refused
@@ -134,7 +134,7 @@
 	} else if e.store.pending[operation] {
 		e.listedEntryRead(operation, outcome, entry, stored)
 	}
-	return e.end()
+	return e.endCall()
 }
 
 // storedDocument reads the document of an entry; an absent entry is the zero document.
@@ -147,9 +147,9 @@
 
 // StoreWriteDone takes in the answer to a StoreWrite.
 func (e *Engine) StoreWriteDone(now time.Duration, operation uint64, outcome rollout.Outcome, swapped bool) Output {
-	e.begin(now)
+	e.beginCall(now)
 	if run := e.rollouts[operation]; run != nil {
 		e.performRollout(operation, run.rollout.WriteDone(now, outcome, swapped))
 	}
-	return e.end()
+	return e.endCall()
 }
--- a/internal/engine/dispatcher.go
+++ b/internal/engine/dispatcher.go
@@ -18,7 +18,7 @@
 	suspectUntil time.Duration
 }
 
-func (e *Engine) load(address string) *dispatcherLoad {
+func (e *Engine) loadOf(address string) *dispatcherLoad {
 	found := e.loads[address]
 	if found == nil {
 		found = &dispatcherLoad{}
@@ -35,10 +35,10 @@
 //   - with deputiesToo, nodes that dispatched to it before.
 func (e *Engine) PickDispatcher(service string, group uint32, excluded []string, deputiesToo bool) (string, bool) {
 	dispatchers, deputies := e.table.Owners(service, group)
-	candidates, silent := e.split(dispatchers, excluded)
+	candidates, silent := e.splitSilent(dispatchers, excluded)
 	if len(candidates) == 0 && deputiesToo {
 		var silentDeputies []string
-		candidates, silentDeputies = e.split(deputies, excluded)
+		candidates, silentDeputies = e.splitSilent(deputies, excluded)
 		silent = append(silent, silentDeputies...)
 	}
 	if len(candidates) > 0 {
@@ -53,12 +53,12 @@
 	return e.lessLoaded(silent), true
 }
 
-// split tells nodes that may be asked from those that were silent of late, without those excluded.
-func (e *Engine) split(owners, excluded []string) (candidates, silent []string) {
+// splitSilent tells nodes that may be asked from those that were silent of late, without those excluded.
+func (e *Engine) splitSilent(owners, excluded []string) (candidates, silent []string) {
 	for _, owner := range owners {
 		switch {
 		case slices.Contains(excluded, owner):
-		case e.now < e.load(owner).suspectUntil:
+		case e.now < e.loadOf(owner).suspectUntil:
 			silent = append(silent, owner)
 		default:
 			candidates = append(candidates, owner)
@@ -73,7 +73,7 @@
 		return candidates[0]
 	}
 	first, second := dispatch.TwoDistinct(e.random, len(candidates))
-	if e.load(candidates[second]).inFlight < e.load(candidates[first]).inFlight {
+	if e.loadOf(candidates[second]).inFlight < e.loadOf(candidates[first]).inFlight {
 		return candidates[second]
 	}
 	return candidates[first]
@@ -94,7 +94,7 @@
 
 // NextID implements scatter.Environment.
 func (e *Engine) NextID() query.ID {
-	return query.ID{Generation: e.members.Self().Generation, Sequence: e.next()}
+	return query.ID{Generation: e.members.Self().Generation, Sequence: e.nextNumber()}
 }
 
 // Region implements scatter.Environment.
@@ -103,7 +103,7 @@
 // SubQueryLatency implements scatter.Environment.
 func (e *Engine) SubQueryLatency() time.Duration {
 	const quantile, minimumSamples = 0.95, 20
-	return e.queryTimes.Quantile(quantile, minimumSamples, 0)
+	return e.subQueryLatencies.Quantile(quantile, minimumSamples, 0)
 }
 
 // SpendReissue implements scatter.Environment.
@@ -113,5 +113,5 @@
 
 // MarkSuspect implements scatter.Environment.
 func (e *Engine) MarkSuspect(address string) {
-	e.load(address).suspectUntil = e.now + suspectFor
+	e.loadOf(address).suspectUntil = e.now + suspectFor
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -55,8 +55,8 @@
 	dispatcher *dispatch.Core
 	tickets    *ticket.Table
 
-	// membersSeen is one more than the version of the members that placement was computed from; 0 before the first time.
-	membersSeen uint64
+	// placementVersion is one more than the version of the members that placement was computed from; 0 before the first time.
+	placementVersion uint64
 	sequence    uint64
 	startedAt   time.Duration
 	// readyAt is when the node was first ready.
@@ -71,15 +71,15 @@
 	executes map[uint64]*execute
 	// subQueryOwners are the numbers of the searches and executes that sub-queries under way belong to.
 	subQueryOwners map[query.ID]uint64
-	// queryTimes are the times from the start of a search to the end of each of its sub-queries.
-	queryTimes limit.LatencyHistogram
+	// subQueryLatencies are the times from the start of a search to the end of each of its sub-queries.
+	subQueryLatencies limit.LatencyHistogram
 	reissues   limit.Budget
 
-	rollouts map[uint64]*rolloutRun
+	rollouts map[uint64]*pendingRollout
 	// relay: this node reads the store for its zone.
 	relay    bool
 	store    storeReading
-	statuses map[uint64]*statusRun
+	statuses map[uint64]*pendingStatus
 	forwards map[uint64]*forwardedExecute
 
 	nextBackEnds time.Duration
@@ -120,11 +120,11 @@
 		tickets:    ticket.NewTable(identity.Address, identity.Generation, identity.TicketKey),
 		routes:     map[string]*route{}, loads: map[string]*dispatcherLoad{},
 		searches: map[uint64]*search{}, executes: map[uint64]*execute{}, subQueryOwners: map[query.ID]uint64{},
-		rollouts: map[uint64]*rolloutRun{}, statuses: map[uint64]*statusRun{}, forwards: map[uint64]*forwardedExecute{},
+		rollouts: map[uint64]*pendingRollout{}, statuses: map[uint64]*pendingStatus{}, forwards: map[uint64]*forwardedExecute{},
 		store:    newStoreReading(),
 		reissues: limit.NewBudget(settings.ReissueShare, settings.Dispatch.BudgetCapacity),
 	}
-	e.gossip = gossip.New(e.catalog, e.members, settings.Gossip, e.documentArrived)
+	e.gossip = gossip.New(e.catalog, e.members, settings.Gossip, e.applyDocument)
 	e.refreshPlacement()
 	return e
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -23,8 +23,8 @@
 	}}
 }
 
-// alone returns a ready node without peers that has read the store.
-func alone(t *testing.T) *Engine {
+// newLoneNode returns a ready node without peers that has read the store.
+func newLoneNode(t *testing.T) *Engine {
 	t.Helper()
 	identity := Identity{Address: self, Zone: "zone-a", Generation: 1, Incarnation: 1, TicketKey: []byte("key")}
 	e := New(0, identity, DefaultSettings(), rand.New(rand.NewPCG(1, 1)))
@@ -54,7 +54,7 @@
 // TestWokenNodeRefusesUntilItHasJoined: after a gap without any call a node takes no new work until it has read the store
 // or joined its peers.
 func TestWokenNodeRefusesUntilItHasJoined(t *testing.T) {
-	e := alone(t)
+	e := newLoneNode(t)
 	if refused := searchFailure(e.Search(1100*time.Millisecond, 1, SearchRequest{Service: "lookup"})); refused != nil {
 		t.Fatalf("a ready node refused: %v", refused)
 	}
@@ -82,7 +82,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			e := alone(t)
+			e := newLoneNode(t)
 			c.prepare(e)
 			refused := searchFailure(e.Search(1100*time.Millisecond, 1, SearchRequest{Service: c.service}))
 			if refused == nil || refused.Code != c.code || !refused.NotRun {
@@ -94,7 +94,7 @@
 
 // TestUnknownMessagesChangeNothing: answers nobody waits for are dropped.
 func TestUnknownMessagesChangeNothing(t *testing.T) {
-	e := alone(t)
+	e := newLoneNode(t)
 	for _, m := range []message.Message{
 		&message.SubAnswer{Done: true}, &message.SubCancel{}, &message.ForwardReply{Sequence: 3}, &message.VersionReply{Sequence: 3},
 		&message.CatalogAck{Operation: 3}, &message.GroupState{Service: "lookup", Group: 77}, &message.ProbeAck{Sequence: 5},
@@ -106,8 +106,8 @@
 	}
 }
 
-// meet makes a node know a peer of another zone.
-func meet(t *testing.T, e *Engine, now time.Duration, address, zone string) {
+// addPeer makes a node know a peer of another zone.
+func addPeer(t *testing.T, e *Engine, now time.Duration, address, zone string) {
 	t.Helper()
 	e.Receive(now, address, &message.MemberSync{Updates: []message.MemberUpdate{{Address: address, Zone: zone, Generation: 5, Incarnation: 1, State: 1}}})
 	if len(e.Members()) < 2 {
@@ -117,8 +117,8 @@
 
 // TestLeavingNodeServesOn: for its grace a leaving node dispatches what roots send that have not heard of it.
 func TestLeavingNodeServesOn(t *testing.T) {
-	e := alone(t)
-	meet(t, e, time.Second, "10.0.0.2:7200", "zone-a")
+	e := newLoneNode(t)
+	addPeer(t, e, time.Second, "10.0.0.2:7200", "zone-a")
 	holding := query.Holding{State: query.StateServing, Epoch: 1, ShardsTotal: 1, Shards: []uint32{0}, OldestVersion: 1, NewestVersion: 1}
 	e.DescribeDone(time.Second, "lookup", "10.1.0.1:80", holding, true)
 	e.Leave(1100 * time.Millisecond)
@@ -139,8 +139,8 @@
 // TestAcceptedWaitsForCopies: the operator hears of the acceptance when peers hold the document, or after a bounded wait.
 func TestAcceptedWaitsForCopies(t *testing.T) {
 	for _, acked := range []bool{true, false} {
-		e := alone(t)
-		meet(t, e, time.Second, "10.0.0.2:7200", "zone-b")
+		e := newLoneNode(t)
+		addPeer(t, e, time.Second, "10.0.0.2:7200", "zone-b")
 		e.Tick(12 * time.Second) // past the wait for peers that are not there to join
 		e.StoreListDone(12*time.Second, []platform.Entry{{Key: platform.ServicePrefix + "lookup", Stamp: platform.Stamp{Version: 9}}}, true)
 		wanted := intent.Intent{Service: "lookup", Specification: lookupDocument().Specification}
@@ -168,7 +168,7 @@
 
 // TestListedChangesAreRead: a change whose event was lost is found by the next listing.
 func TestListedChangesAreRead(t *testing.T) {
-	e := alone(t)
+	e := newLoneNode(t)
 	output := e.Tick(7 * time.Second)
 	for now := 7 * time.Second; output.StoreLists == 0 && now < 20*time.Second; now += 100 * time.Millisecond {
 		output = e.Tick(now)
@@ -183,7 +183,7 @@
 // TestListedInAnotherEra: an entry whose version is known is read again where the store has come back from a copy since: it may
 // be another write of that number.
 func TestListedInAnotherEra(t *testing.T) {
-	e := alone(t)
+	e := newLoneNode(t)
 	list := func(at time.Duration, era uint64) []StoreRead {
 		entry := platform.Entry{Key: platform.ServicePrefix + "lookup", Stamp: platform.Stamp{Era: era, Version: 9}}
 		output := e.StoreListDone(at, []platform.Entry{entry}, true)
--- a/internal/engine/execute.go
+++ b/internal/engine/execute.go
@@ -31,7 +31,7 @@
 type execute struct {
 	// number is the engine's own; sequence is that of the ticket.
 	number   uint64
-	sequence uint64
+	ticketSequence uint64
 	request  ExecuteRequest
 	deadline time.Duration
 	// wakeAt is when the wait for what the shards hold is over, or for a result, or the deadline.
@@ -40,8 +40,8 @@
 	epoch  uint64
 	// sent: it was handed to a dispatcher, the last time to the one in to, as the sub-query id. tried are all that had it.
 	sent  bool
-	id    query.ID
-	to    string
+	subQueryID    query.ID
+	dispatcher    string
 	tried []string
 	// askDeputies: the dispatcher was lost or did not know its part, so that a deputy may be asked.
 	askDeputies bool
@@ -65,22 +65,22 @@
 
 // Execute takes a caller's request that is not repeatable.
 func (e *Engine) Execute(now time.Duration, caller Caller, request ExecuteRequest) Output {
-	e.begin(now)
+	e.beginCall(now)
 	parsed, err := ticket.Parse(request.Ticket)
 	if err != nil {
 		e.answerExecute(localCaller{caller}, ticket.Outcome{Failure: failure.From(err)})
-		return e.end()
+		return e.endCall()
 	}
 	if parsed.Address != e.Address() {
 		e.forwardExecute(caller, parsed.Address, request)
-		return e.end()
+		return e.endCall()
 	}
-	e.takeExecute(localCaller{caller}, request)
-	return e.end()
+	e.acceptExecute(localCaller{caller}, request)
+	return e.endCall()
 }
 
-// withinFor is the time that a request has: what the caller gives, or the service's deadline.
-func (e *Engine) withinFor(request ExecuteRequest) time.Duration {
+// timeLimitFor is the time that a request has: what the caller gives, or the service's deadline.
+func (e *Engine) timeLimitFor(request ExecuteRequest) time.Duration {
 	if request.TimeLimit > 0 {
 		return request.TimeLimit
 	}
@@ -88,9 +88,9 @@
 	return max(time.Duration(document.Specification.DeadlineMilliseconds)*time.Millisecond, 10*executeMargin)
 }
 
-// takeExecute uses up the ticket and runs the request, unless that was done before. The first decision is final: a caller
+// acceptExecute uses up the ticket and runs the request, unless that was done before. The first decision is final: a caller
 // that was refused asks again with a new ticket.
-func (e *Engine) takeExecute(w waiter, request ExecuteRequest) {
+func (e *Engine) acceptExecute(w waiter, request ExecuteRequest) {
 	e.Counters.Executes++
 	switch use := e.tickets.Use(e.now, request.Ticket, executeBody(request)).(type) {
 	case ticket.Rejected:
@@ -129,7 +129,7 @@
 // joinExecute has a resend wait for the outcome of the request that its ticket was used for.
 func (e *Engine) joinExecute(w waiter, sequence uint64) {
 	for _, x := range e.executes {
-		if x.sequence == sequence {
+		if x.ticketSequence == sequence {
 			x.waiters = append(x.waiters, w)
 			return
 		}
@@ -139,8 +139,8 @@
 // startExecute runs a request once it is known what the shards hold, or that was waited for long enough.
 func (e *Engine) startExecute(w waiter, sequence uint64, request ExecuteRequest) {
 	x := &execute{
-		number: e.next(), sequence: sequence, request: request, waiters: []waiter{w},
-		deadline: e.now + e.withinFor(request) - executeMargin,
+		number: e.nextNumber(), ticketSequence: sequence, request: request, waiters: []waiter{w},
+		deadline: e.now + e.timeLimitFor(request) - executeMargin,
 	}
 	x.wakeAt = min(e.now+e.settings.RoutingWait, x.deadline)
 	e.executes[x.number] = x
@@ -158,17 +158,17 @@
 	}
 	dispatcher, found := e.PickDispatcher(x.request.Service, group, x.tried, x.askDeputies)
 	if !found || slices.Contains(x.tried, dispatcher) {
-		e.finishExecute(x, refusedOutcome(failure.Overloaded, triedRetryAfter))
+		e.finishExecute(x, refusedOutcome(failure.Overloaded, allTriedRetryAfter))
 		return
 	}
 	x.tried = append(x.tried, dispatcher)
-	x.to = dispatcher
-	x.id = e.NextID()
+	x.dispatcher = dispatcher
+	x.subQueryID = e.NextID()
 	x.sent = true
 	x.wakeAt = x.deadline
-	e.subQueryOwners[x.id] = x.number
+	e.subQueryOwners[x.subQueryID] = x.number
 	e.send(dispatcher, &message.SubQuery{
-		ID: x.id, Service: x.request.Service, Group: group, Shards: []uint32{x.shard}, Snapshot: query.Snapshot{Epoch: x.epoch},
+		ID: x.subQueryID, Service: x.request.Service, Group: group, Shards: []uint32{x.shard}, Snapshot: query.Snapshot{Epoch: x.epoch},
 		Execute: true, Body: x.request.Body, RemainingMicroseconds: uint64(max(x.deadline-e.now-executeMargin, 0).Microseconds()),
 	})
 }
@@ -194,7 +194,7 @@
 }
 
 func (e *Engine) receiveExecuteAnswer(x *execute, from string, m *message.SubAnswer) {
-	if m.ID != x.id || from != x.to {
+	if m.ID != x.subQueryID || from != x.dispatcher {
 		return
 	}
 	if len(m.Results) == 1 && m.Results[0].Shard == x.shard {
@@ -217,15 +217,15 @@
 		e.finishExecute(x, unknownOutcome("the back end was lost while it may have run the request"))
 		return
 	}
-	delete(e.subQueryOwners, x.id)
+	delete(e.subQueryOwners, x.subQueryID)
 	x.askDeputies = m.Missing[0].Reason != query.ReasonOverloaded
 	e.dispatchExecute(x)
 }
 
 // executePeerLost takes in that the dispatcher was lost: it may have run the request if the frame may have been written.
 func (e *Engine) executePeerLost(x *execute, written bool) {
-	delete(e.subQueryOwners, x.id)
-	e.MarkSuspect(x.to)
+	delete(e.subQueryOwners, x.subQueryID)
+	e.MarkSuspect(x.dispatcher)
 	if written {
 		e.finishExecute(x, unknownOutcome("the dispatcher was lost while it may have run the request"))
 		return
@@ -236,12 +236,12 @@
 
 // finishExecute tells the outcome to all that wait for it, and keeps it for resends.
 func (e *Engine) finishExecute(x *execute, outcome ticket.Outcome) {
-	delete(e.subQueryOwners, x.id)
+	delete(e.subQueryOwners, x.subQueryID)
 	delete(e.executes, x.number)
 	if outcome.Failure != nil && outcome.Failure.Code == failure.OutcomeUnknown {
 		e.Counters.UnknownOutcomes++
 	}
-	e.tickets.Finish(x.sequence, outcome)
+	e.tickets.Finish(x.ticketSequence, outcome)
 	for _, w := range x.waiters {
 		e.answerExecute(w, outcome)
 	}
--- a/internal/engine/forward.go
+++ b/internal/engine/forward.go
@@ -15,28 +15,28 @@
 	peer     string
 	request  ExecuteRequest
 	deadline time.Duration
-	// until is when it is given up: introduceWait while it is not sent, then the deadline.
-	until time.Duration
+	// giveUpAt is when it is given up: introduceWait while it is not sent, then the deadline.
+	giveUpAt time.Duration
 	// sent is false while this node has not heard of the peer yet, as of one that has just started.
 	sent bool
 }
 
-// introduceWait bounds the wait until a node that this one has not heard of is introduced by others.
-const introduceWait = 300 * time.Millisecond
+// discoveryWait bounds the wait until a node that this one has not heard of is introduced by others.
+const discoveryWait = 300 * time.Millisecond
 
-// introducers is how many members are asked for their view of a node that is not known here.
-const introducers = 3
+// discoveryPeers is how many members are asked for their view of a node that is not known here.
+const discoveryPeers = 3
 
 // forwardExecute passes a request on to the node that minted its ticket. The address comes from the caller, so only a node
 // that other nodes know is connected to.
 func (e *Engine) forwardExecute(caller Caller, to string, request ExecuteRequest) {
-	within := e.withinFor(request)
+	within := e.timeLimitFor(request)
 	f := &forwardedExecute{caller: caller, peer: to, request: request, deadline: e.now + within - executeMargin}
-	f.until = min(f.deadline, e.now+introduceWait)
-	sequence := e.next()
+	f.giveUpAt = min(f.deadline, e.now+discoveryWait)
+	sequence := e.nextNumber()
 	e.forwards[sequence] = f
 	if _, known := e.members.Lookup(to); !known {
-		for _, peer := range e.members.Pick(introducers, membership.Member.Usable) {
+		for _, peer := range e.members.Pick(discoveryPeers, membership.Member.Usable) {
 			e.sendAll(e.members.RequestView(peer))
 		}
 	}
@@ -55,7 +55,7 @@
 		return
 	}
 	f.sent = true
-	f.until = f.deadline
+	f.giveUpAt = f.deadline
 	e.send(f.peer, &message.ForwardExecute{
 		Sequence: sequence, Service: f.request.Service, Key: f.request.Key, Body: f.request.Body, Ticket: f.request.Ticket,
 		RemainingMicroseconds: uint64(max(f.deadline-e.now-executeMargin, 0).Microseconds()),
@@ -63,7 +63,7 @@
 }
 
 func (e *Engine) receiveForward(from string, m *message.ForwardExecute) {
-	e.takeExecute(forwardingPeer{address: from, sequence: m.Sequence}, ExecuteRequest{
+	e.acceptExecute(forwardingPeer{address: from, sequence: m.Sequence}, ExecuteRequest{
 		Service: m.Service, Key: m.Key, Body: m.Body, Ticket: m.Ticket,
 		TimeLimit: time.Duration(m.RemainingMicroseconds) * time.Microsecond,
 	})
@@ -91,7 +91,7 @@
 		if !f.sent {
 			e.sendForward(sequence, f)
 		}
-		if f = e.forwards[sequence]; f != nil && e.now >= f.until {
+		if f = e.forwards[sequence]; f != nil && e.now >= f.giveUpAt {
 			delete(e.forwards, sequence)
 			unknown := unknownOutcome("the node that minted the ticket did not answer in time or is not known")
 			e.answerExecute(localCaller{f.caller}, unknown)
--- a/internal/engine/groups.go
+++ b/internal/engine/groups.go
@@ -10,21 +10,21 @@
 
 // refreshPlacement recomputes who owns what after members or documents changed.
 func (e *Engine) refreshPlacement() {
-	if e.membersSeen == e.members.Version()+1 {
+	if e.placementVersion == e.members.Version()+1 {
 		return
 	}
-	e.membersSeen = e.members.Version() + 1
+	e.placementVersion = e.members.Version() + 1
 	members := e.members.Members()
 	self := e.members.Self()
 	e.relay = placement.IsRelay(self.Address, self.Zone, members, e.settings.Placement)
 	if e.table.SetMembers(members) {
-		e.takeGroups()
+		e.updateGroups()
 	}
 }
 
-// takeGroups hands the dispatcher the groups this node owns. A leaving node keeps those it had: roots send to it until they
+// updateGroups hands the dispatcher the groups this node owns. A leaving node keeps those it had: roots send to it until they
 // and the next owners have heard of it.
-func (e *Engine) takeGroups() {
+func (e *Engine) updateGroups() {
 	if e.leaving {
 		return
 	}
@@ -32,17 +32,17 @@
 	e.performDispatch(e.dispatcher.TickBackEnds(e.now))
 }
 
-// documentArrived takes a document that was merged into the catalog into force.
-func (e *Engine) documentArrived(document catalog.Document) {
+// applyDocument takes a document that was merged into the catalog into force.
+func (e *Engine) applyDocument(document catalog.Document) {
 	e.table.SetDocument(document)
 	delete(e.routes, document.Service)
-	e.takeGroups()
+	e.updateGroups()
 }
 
 // SetMachines takes in the machine list: it seeds the membership and says which back ends are leaving. It lags, so it
 // alone makes no live peer dead and no dead one live.
 func (e *Engine) SetMachines(now time.Duration, machines []platform.Machine) Output {
-	e.begin(now)
+	e.beginCall(now)
 	leaving := map[string]bool{}
 	for _, machine := range machines {
 		if machine.Role == platform.RoleNode {
@@ -52,5 +52,5 @@
 		}
 	}
 	e.performDispatch(e.dispatcher.SetDrainingMachines(now, leaving))
-	return e.end()
+	return e.endCall()
 }
--- a/internal/engine/leave.go
+++ b/internal/engine/leave.go
@@ -4,13 +4,13 @@
 
 // Leave starts the planned stop: peers are told at once, new requests are refused, and what is under way is finished.
 func (e *Engine) Leave(now time.Duration) Output {
-	e.begin(now)
+	e.beginCall(now)
 	if !e.leaving {
 		e.leaving = true
 		e.leftAt = now
 		e.sendAll(e.members.Leave())
 	}
-	return e.end()
+	return e.endCall()
 }
 
 // Drained reports whether a leaving node has nothing under way and its grace is over.
--- a/internal/engine/lost.go
+++ b/internal/engine/lost.go
@@ -12,14 +12,14 @@
 
 // Undelivered takes in that a message was not delivered; written is true where the peer may have got it all the same.
 func (e *Engine) Undelivered(now time.Duration, to string, m message.Message, written bool) Output {
-	e.begin(now)
+	e.beginCall(now)
 	switch m := m.(type) {
 	case *message.SubQuery:
 		e.subQueryLost(to, m.ID, written)
 	case *message.ForwardExecute:
 		e.forwardLost(to, m.Sequence)
 	}
-	return e.end()
+	return e.endCall()
 }
 
 func (e *Engine) subQueryLost(peer string, id query.ID, written bool) {
@@ -28,7 +28,7 @@
 		return
 	}
 	if x := e.executes[number]; x != nil {
-		if x.id == id && x.to == peer {
+		if x.subQueryID == id && x.dispatcher == peer {
 			e.executePeerLost(x, written)
 		}
 		return
@@ -52,7 +52,7 @@
 
 // PeerDisconnected takes in that the connection on which queries went to a peer broke: what was asked of it may have run.
 func (e *Engine) PeerDisconnected(now time.Duration, peer string) Output {
-	e.begin(now)
+	e.beginCall(now)
 	for _, number := range sortedKeys(e.searches) {
 		s := e.searches[number]
 		if s == nil {
@@ -63,14 +63,14 @@
 		}
 	}
 	for _, number := range sortedKeys(e.executes) {
-		if x := e.executes[number]; x != nil && x.sent && x.to == peer {
+		if x := e.executes[number]; x != nil && x.sent && x.dispatcher == peer {
 			e.executePeerLost(x, true)
 		}
 	}
 	for _, sequence := range sortedKeys(e.forwards) {
 		e.forwardLost(peer, sequence)
 	}
-	return e.end()
+	return e.endCall()
 }
 
 // sortedIDs returns the sub-queries at a peer, in order.
--- a/internal/engine/receive.go
+++ b/internal/engine/receive.go
@@ -11,9 +11,9 @@
 
 // Receive takes a message from a peer.
 func (e *Engine) Receive(now time.Duration, from string, m message.Message) Output {
-	e.begin(now)
+	e.beginCall(now)
 	e.receive(from, m)
-	return e.end()
+	return e.endCall()
 }
 
 func (e *Engine) receive(from string, m message.Message) {
@@ -84,14 +84,14 @@
 
 // AttemptEnded takes in the outcome of an attempt.
 func (e *Engine) AttemptEnded(now time.Duration, result query.AttemptResult) Output {
-	e.begin(now)
+	e.beginCall(now)
 	e.performDispatch(e.dispatcher.AttemptEnded(now, result))
-	return e.end()
+	return e.endCall()
 }
 
 // DescribeDone takes in what a back end says it holds; ok is false where it did not answer.
 func (e *Engine) DescribeDone(now time.Duration, service, backEnd string, holding query.Holding, ok bool) Output {
-	e.begin(now)
+	e.beginCall(now)
 	e.performDispatch(e.dispatcher.DescribeDone(now, service, backEnd, holding, ok))
-	return e.end()
+	return e.endCall()
 }
--- a/internal/engine/route.go
+++ b/internal/engine/route.go
@@ -19,7 +19,7 @@
 	known []bool
 	// lastUsed is when a search or an execute last came; nextAsk when dispatchers are asked again.
 	lastUsed time.Duration
-	nextAsk  time.Duration
+	nextRequest  time.Duration
 	// lastTotal keeps the number of shards of the newest epoch when all who state it are gone.
 	lastTotal query.Holding
 }
@@ -34,7 +34,7 @@
 		}
 		found.known = make([]bool, len(found.groups))
 		e.routes[service] = found
-		e.askGroups(service, found)
+		e.requestGroupStates(service, found)
 	}
 	found.lastUsed = e.now
 	return found
@@ -43,9 +43,9 @@
 // complete reports whether it is known what all groups hold.
 func (r *route) complete() bool { return !slices.Contains(r.known, false) }
 
-// askGroups asks the dispatchers of a service what its back ends hold.
-func (e *Engine) askGroups(service string, r *route) {
-	r.nextAsk = e.now + e.settings.RoutingInterval
+// requestGroupStates asks the dispatchers of a service what its back ends hold.
+func (e *Engine) requestGroupStates(service string, r *route) {
+	r.nextRequest = e.now + e.settings.RoutingInterval
 	for i, group := range r.groups {
 		request := &message.GroupRequest{Service: service, Group: group.Number}
 		if !r.known[i] {
@@ -70,8 +70,8 @@
 	}
 	for _, service := range e.catalog.Services() {
 		r := e.routes[service]
-		if r != nil && (e.now >= r.nextAsk || !r.complete()) {
-			e.askGroups(service, r)
+		if r != nil && (e.now >= r.nextRequest || !r.complete()) {
+			e.requestGroupStates(service, r)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 		}
 	}
 	if r.complete() {
-		e.startWaiting(m.Service)
+		e.startWaitingSearches(m.Service)
 	}
 }
 
--- a/internal/engine/search.go
+++ b/internal/engine/search.go
@@ -33,7 +33,7 @@
 	dispatchers map[query.ID]string
 }
 
-func (s *search) wake() time.Duration {
+func (s *search) nextWake() time.Duration {
 	if s.query == nil {
 		return s.waitUntil
 	}
@@ -42,11 +42,11 @@
 
 // Search takes a caller's search; its answer comes with a later Output, or with this one.
 func (e *Engine) Search(now time.Duration, caller Caller, request SearchRequest) Output {
-	e.begin(now)
+	e.beginCall(now)
 	e.Counters.Searches++
 	if refusal := e.admit(request.Service); refusal != nil {
 		e.refuseSearch(caller, refusal)
-		return e.end()
+		return e.endCall()
 	}
 	document, _ := e.catalog.Get(request.Service)
 	within := request.TimeLimit
@@ -54,7 +54,7 @@
 		within = time.Duration(document.Specification.DeadlineMilliseconds) * time.Millisecond
 	}
 	s := &search{
-		number: e.next(), caller: caller, startedAt: now, dispatchers: map[query.ID]string{},
+		number: e.nextNumber(), caller: caller, startedAt: now, dispatchers: map[query.ID]string{},
 		request: scatter.Request{
 			Service: request.Service, Body: request.Body, Deadline: now + within, MinimumVersion: request.MinimumVersion,
 			Document: document,
@@ -65,7 +65,7 @@
 	if e.routeFor(request.Service).complete() {
 		e.startSearch(s)
 	}
-	return e.end()
+	return e.endCall()
 }
 
 func (e *Engine) refuseSearch(caller Caller, refusal *failure.Failure) {
@@ -79,8 +79,8 @@
 	e.performSearch(s, actions)
 }
 
-// startWaiting starts the searches that waited for what a service's shards hold.
-func (e *Engine) startWaiting(service string) {
+// startWaitingSearches starts the searches that waited for what a service's shards hold.
+func (e *Engine) startWaitingSearches(service string) {
 	for _, number := range sortedKeys(e.searches) {
 		if s := e.searches[number]; s != nil && s.query == nil && s.request.Service == service {
 			e.startSearch(s)
@@ -119,7 +119,7 @@
 	case *message.SubQuery:
 		s.dispatchers[m.ID] = to
 		e.subQueryOwners[m.ID] = s.number
-		e.load(to).inFlight++
+		e.loadOf(to).inFlight++
 	case *message.SubCancel:
 		e.untrack(s, m.ID)
 	}
@@ -127,7 +127,7 @@
 
 func (e *Engine) untrack(s *search, id query.ID) {
 	if to, found := s.dispatchers[id]; found {
-		e.load(to).inFlight--
+		e.loadOf(to).inFlight--
 		delete(s.dispatchers, id)
 		delete(e.subQueryOwners, id)
 	}
@@ -149,7 +149,7 @@
 	actions := s.query.Receive(e.now, from, m)
 	if m.Done && !m.NotRun {
 		// Refusals come at once and say nothing of how long a silent dispatcher may be working.
-		e.queryTimes.Record(e.now - s.startedAt)
+		e.subQueryLatencies.Record(e.now - s.startedAt)
 	}
 	e.performSearch(s, actions)
 }
@@ -187,7 +187,7 @@
 func (e *Engine) tickSearches() {
 	for _, number := range sortedKeys(e.searches) {
 		s := e.searches[number]
-		if s == nil || e.now < s.wake() {
+		if s == nil || e.now < s.nextWake() {
 			continue
 		}
 		if s.query == nil {
--- a/internal/engine/status.go
+++ b/internal/engine/status.go
@@ -40,32 +40,32 @@
 	Alarms           []string
 }
 
-// statusRun is a status request under way.
-type statusRun struct {
+// pendingStatus is a status request under way.
+type pendingStatus struct {
 	caller Caller
 	// service is the only one asked for, or empty for all.
 	service string
 	until   time.Duration
-	// waiting are the members that have not answered; versions what the others have in force, by member and service.
-	waiting  map[string]bool
+	// unanswered are the members that have not answered; versions what the others have in force, by member and service.
+	unanswered  map[string]bool
 	versions map[string]map[string]uint64
 }
 
 // Status asks the members which versions they have in force.
 func (e *Engine) Status(now time.Duration, caller Caller, service string) Output {
-	e.begin(now)
-	run := &statusRun{
+	e.beginCall(now)
+	run := &pendingStatus{
 		caller: caller, service: service, until: now + statusWait,
-		waiting: map[string]bool{}, versions: map[string]map[string]uint64{},
+		unanswered: map[string]bool{}, versions: map[string]map[string]uint64{},
 	}
-	number := e.next()
+	number := e.nextNumber()
 	e.statuses[number] = run
 	for _, peer := range e.members.Pick(statusMembers, func(m membership.Member) bool { return m.Usable() }) {
-		run.waiting[peer] = true
+		run.unanswered[peer] = true
 		e.send(peer, &message.VersionRequest{Sequence: number, Service: service})
 	}
 	e.finishStatus(number, run)
-	return e.end()
+	return e.endCall()
 }
 
 func (e *Engine) receiveVersionRequest(from string, m *message.VersionRequest) {
@@ -82,10 +82,10 @@
 
 func (e *Engine) receiveVersionReply(from string, m *message.VersionReply) {
 	run := e.statuses[m.Sequence]
-	if run == nil || !run.waiting[from] {
+	if run == nil || !run.unanswered[from] {
 		return
 	}
-	delete(run.waiting, from)
+	delete(run.unanswered, from)
 	run.versions[from] = make(map[string]uint64, len(m.Versions))
 	for _, version := range m.Versions {
 		run.versions[from][version.Service] = version.Version
@@ -100,8 +100,8 @@
 }
 
 // finishStatus answers once all members have, or the wait is over.
-func (e *Engine) finishStatus(number uint64, run *statusRun) {
-	if len(run.waiting) > 0 && e.now < run.until {
+func (e *Engine) finishStatus(number uint64, run *pendingStatus) {
+	if len(run.unanswered) > 0 && e.now < run.until {
 		return
 	}
 	delete(e.statuses, number)
@@ -121,11 +121,11 @@
 	e.output.StatusAnswers = append(e.output.StatusAnswers, answer)
 }
 
-func (e *Engine) serviceStatus(run *statusRun, service string) ServiceStatus {
+func (e *Engine) serviceStatus(run *pendingStatus, service string) ServiceStatus {
 	document, _ := e.catalog.Get(service)
 	status := ServiceStatus{Service: service, Version: document.Version, Deleted: document.Deleted, InForce: 1}
-	status.Asked = 1 + len(run.waiting) + len(run.versions)
-	status.Unreachable = sortedKeys(run.waiting)
+	status.Asked = 1 + len(run.unanswered) + len(run.versions)
+	status.Unreachable = sortedKeys(run.unanswered)
 	for _, versions := range run.versions {
 		if versions[service] >= document.Version {
 			status.InForce++
--- a/internal/engine/store.go
+++ b/internal/engine/store.go
@@ -9,8 +9,8 @@
 	"stiletrail/internal/rollout"
 )
 
-// storeRetry is the wait after a failed reading of the store, spread by as much again at random.
-const storeRetry = time.Second
+// storeRetryDelay is the wait after a failed reading of the store, spread by as much again at random.
+const storeRetryDelay = time.Second
 
 // A reading of the store costs about entryListBytes a service, and pauses between readings keep it under listBytesPerSecond.
 const (
@@ -20,8 +20,8 @@
 
 // storeReading is how far a node has read the store, and what it was last known to hold.
 type storeReading struct {
-	// underWay since startedAt: the keys were asked for, or the entries in pending, by the numbers of their reads.
-	underWay  bool
+	// inProgress since startedAt: the keys were asked for, or the entries in pending, by the numbers of their reads.
+	inProgress  bool
 	startedAt time.Duration
 	pending   map[uint64]bool
 	// next is when the store is read again; keys is how many it had.
@@ -42,14 +42,14 @@
 
 // tickStore compares with the whole store when due: relays always, others only until they are ready.
 func (e *Engine) tickStore() {
-	if e.store.underWay || e.now < e.store.next || e.leaving {
+	if e.store.inProgress || e.now < e.store.next || e.leaving {
 		return
 	}
 	joining := !e.gossip.Ready() && e.now-e.startedAt >= e.settings.JoinWait
 	if !e.relay && !joining {
 		return
 	}
-	e.store.underWay = true
+	e.store.inProgress = true
 	e.store.startedAt = e.now
 	e.output.StoreLists++
 }
@@ -58,10 +58,10 @@
 // that are not known are read one by one; once all are in force here, the catalog is known equal to the store as it was when it
 // was asked.
 func (e *Engine) StoreListDone(now time.Duration, entries []platform.Entry, ok bool) Output {
-	e.begin(now)
+	e.beginCall(now)
 	if !ok {
 		e.listFailed()
-		return e.end()
+		return e.endCall()
 	}
 	clear(e.store.pending)
 	listed := make(map[string]bool, len(entries))
@@ -69,19 +69,19 @@
 		service := strings.TrimPrefix(entry.Key, platform.ServicePrefix)
 		listed[service] = true
 		if e.store.stamps[service] != entry.Stamp {
-			operation := e.next()
+			operation := e.nextNumber()
 			e.store.pending[operation] = true
 			e.output.StoreReads = append(e.output.StoreReads, StoreRead{Operation: operation, Service: service})
 		}
 	}
-	e.store.forgetAllBut(listed)
+	e.store.retainOnly(listed)
 	e.store.keys = len(entries)
 	e.finishList()
-	return e.end()
+	return e.endCall()
 }
 
-// forgetAllBut forgets the entries that the store does not have any more.
-func (s *storeReading) forgetAllBut(listed map[string]bool) {
+// retainOnly forgets the entries that the store does not have any more.
+func (s *storeReading) retainOnly(listed map[string]bool) {
 	for service := range s.stamps {
 		if !listed[service] {
 			delete(s.stamps, service)
@@ -98,12 +98,12 @@
 		e.listFailed()
 		return
 	}
-	e.takeEntry(entry, stored)
+	e.applyEntry(entry, stored)
 	e.finishList()
 }
 
-// takeEntry takes a document of the store into force and remembers what the store holds.
-func (e *Engine) takeEntry(entry platform.Entry, stored catalog.Document) {
+// applyEntry takes a document of the store into force and remembers what the store holds.
+func (e *Engine) applyEntry(entry platform.Entry, stored catalog.Document) {
 	if stored.Service == "" {
 		return
 	}
@@ -117,23 +117,23 @@
 	if !e.catalog.Merge(document) {
 		return
 	}
-	e.documentArrived(document)
+	e.applyDocument(document)
 	e.sendAll(e.gossip.Push(document.Service, ""))
 }
 
 // listFailed gives a reading of the store up until later.
 func (e *Engine) listFailed() {
-	e.store.underWay = false
+	e.store.inProgress = false
 	e.Counters.StoreFailures++
-	e.store.next = e.now + storeRetry + time.Duration(e.random.Int64N(int64(storeRetry)))
+	e.store.next = e.now + storeRetryDelay + time.Duration(e.random.Int64N(int64(storeRetryDelay)))
 }
 
 // finishList ends a reading of the store once all its entries are in.
 func (e *Engine) finishList() {
-	if !e.store.underWay || len(e.store.pending) > 0 {
+	if !e.store.inProgress || len(e.store.pending) > 0 {
 		return
 	}
-	e.store.underWay = false
+	e.store.inProgress = false
 	pause := time.Duration(entryListBytes*e.store.keys) * time.Second / listBytesPerSecond
 	e.store.next = e.now + max(e.settings.StoreInterval, pause)
 	e.compareStore()
@@ -152,9 +152,9 @@
 
 // StoreChanged takes in an event of a watch.
 func (e *Engine) StoreChanged(now time.Duration, entry platform.Entry) Output {
-	e.begin(now)
+	e.beginCall(now)
 	if document, err := catalog.Decode(entry.Value); err == nil {
-		e.takeEntry(entry, document)
+		e.applyEntry(entry, document)
 	}
-	return e.end()
+	return e.endCall()
 }
--- a/internal/engine/tick.go
+++ b/internal/engine/tick.go
@@ -21,7 +21,7 @@
 
 // Tick advances everything that depends on time.
 func (e *Engine) Tick(now time.Duration) Output {
-	e.begin(now)
+	e.beginCall(now)
 	if e.periodElapsed(&e.nextMembers, membersPeriod) {
 		e.sendAll(e.members.Tick(now))
 	}
@@ -41,7 +41,7 @@
 	e.tickForwards()
 	e.tickRollouts()
 	e.tickStatuses()
-	return e.end()
+	return e.endCall()
 }
 
 // NextWake returns when Tick must be called at the latest.
@@ -51,7 +51,7 @@
 		wake = min(wake, at)
 	}
 	for _, s := range e.searches {
-		wake = min(wake, s.wake())
+		wake = min(wake, s.nextWake())
 	}
 	for _, x := range e.executes {
 		wake = min(wake, x.wakeAt)
