--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -10,10 +10,11 @@
 	"stiletrail/internal/message"
 )
 
-// beginCall starts a call at the given time.
+// beginCall sets the time of a call to the engine and detects that the process was frozen. It is the first step of every
+// exported method that changes state.
 func (e *Engine) beginCall(now time.Duration) {
 	if now < e.now {
-		panic("engine: time went back")
+		panic("engine: the time of a call is before that of the previous call")
 	}
 	frozen := now-e.now > freezeGap
 	e.now = now
@@ -22,11 +23,12 @@
 	}
 }
 
-// freezeGap without any call means that the process did not run: ticks come every 100 ms.
+// freezeGap is the time without any call after which the process is taken to have been frozen. Ticks normally come every
+// 100 ms.
 const freezeGap = 2 * time.Second
 
-// resume makes a node that did not run for a while join again before it takes new work. What back ends said before is forgotten;
-// until they are heard again sub-queries are refused as not run.
+// resume makes a node that was frozen join the other nodes again before it accepts new work. It discards the descriptions of
+// back ends. Until they describe themselves again, sub-queries are refused as not run.
 func (e *Engine) resume() {
 	e.Counters.Freezes++
 	if e.gossip.Ready() {
@@ -36,7 +38,7 @@
 	e.performDispatch(e.dispatcher.ForgetHoldings(e.now))
 }
 
-// endCall delivers the node's messages to itself and returns what there is to do.
+// endCall delivers the messages that the node sent to itself during the call, and returns the collected output.
 func (e *Engine) endCall() Output {
 	e.deliverLocal()
 	e.refreshPlacement()
@@ -49,7 +51,7 @@
 	return output
 }
 
-// deliverLocal hands this node the messages to itself, and those that come of them.
+// deliverLocal processes the messages of this node to itself, including those that are sent while doing so.
 func (e *Engine) deliverLocal() {
 	for len(e.local) > 0 {
 		m := e.local[0]
@@ -58,7 +60,7 @@
 	}
 }
 
-// send sends a message to a node, this one included.
+// send sends a message to a node, which may be this one.
 func (e *Engine) send(to string, m message.Message) {
 	if to == e.Address() {
 		e.local = append(e.local, m)
@@ -67,19 +69,20 @@
 	e.output.Sends = append(e.output.Sends, Envelope{To: to, Message: m})
 }
 
+// sendAll sends the messages that membership or gossip has returned.
 func (e *Engine) sendAll(sends []membership.Send) {
 	for _, s := range sends {
 		e.send(s.To, s.Message)
 	}
 }
 
-// nextNumber returns a number that this node never gave out before.
+// nextNumber returns a number that is unique within this process.
 func (e *Engine) nextNumber() uint64 {
 	e.sequence++
 	return e.sequence
 }
 
-// sortedKeys returns the keys of a map in order, so that a seed gives one trace.
+// sortedKeys returns the keys of a map in order, so that the simulation is reproducible from its seed.
 func sortedKeys[Key cmp.Ordered, Value any](m map[Key]Value) []Key {
 	if len(m) == 0 {
 		return nil
--- a/internal/engine/confirm.go
+++ b/internal/engine/confirm.go
@@ -12,38 +12,38 @@
 	"stiletrail/internal/rollout"
 )
 
-// copiesWanted is how many peers are handed a document before it is reported as accepted.
+// copiesWanted is the number of peers to which a document is sent before it is reported as accepted.
 const copiesWanted = 3
 
-// pendingRollout is a confirmation under way.
+// pendingRollout is a confirmation in progress.
 type pendingRollout struct {
 	caller  Caller
 	rollout *rollout.Rollout
 }
 
-// Plan answers an intent with what confirming it would change. Nothing changes by planning.
+// Plan returns what confirming an intent would change. It changes nothing itself.
 func (e *Engine) Plan(wanted intent.Intent, expiresUnixSeconds int64) (intent.Plan, error) {
 	if !e.serving() {
-		return intent.Plan{}, notReady("the node has no trustworthy configuration yet")
+		return intent.Plan{}, notReady("the node has not finished loading the configuration and joining the other nodes")
 	}
 	base, _ := e.catalog.Get(wanted.Service)
 	return intent.NewPlan(wanted, base, expiresUnixSeconds), nil
 }
 
-// ConfirmRequest is an operator's confirmation of a plan that was checked with intent.Check.
+// ConfirmRequest is an operator's confirmation of a plan. The caller has checked the plan with intent.Check.
 type ConfirmRequest struct {
 	Intent      intent.Intent
 	BaseVersion uint64
-	// Operation is the operator's id; the same one may be sent again to settle an unknown outcome.
+	// Operation is an id that the operator chooses. The same request may be sent again with it to resolve an unknown outcome.
 	Operation string
 }
 
-// Confirm starts to put a plan into force.
+// Confirm starts to apply a plan. The answer comes in a later Output, or in this one.
 func (e *Engine) Confirm(now time.Duration, caller Caller, request ConfirmRequest) Output {
 	e.beginCall(now)
 	service := request.Intent.Service
 	if !e.Ready() {
-		e.answerConfirm(caller, service, rollout.Result{Failure: notReady("the node takes no changes now")})
+		e.answerConfirm(caller, service, rollout.Result{Failure: notReady("the node is not ready or is stopping, and accepts no changes")})
 		return e.endCall()
 	}
 	held := func() catalog.Document {
@@ -60,7 +60,7 @@
 	return e.endCall()
 }
 
-// performRollout carries out what a rollout decided.
+// performRollout carries out the next step that a rollout has requested.
 func (e *Engine) performRollout(operation uint64, request rollout.Request) {
 	run := e.rollouts[operation]
 	switch request := request.(type) {
@@ -76,15 +76,16 @@
 		delete(e.rollouts, operation)
 		e.answerConfirm(run.caller, run.rollout.Service(), request)
 	default:
-		panic(fmt.Sprintf("engine: no case for the rollout's request %T", request))
+		panic(fmt.Sprintf("engine: unhandled type of a rollout's request: %T", request))
 	}
 }
 
+// answerConfirm adds the outcome of a confirmation to the output.
 func (e *Engine) answerConfirm(caller Caller, service string, result rollout.Result) {
 	e.output.ConfirmAnswers = append(e.output.ConfirmAnswers, ConfirmAnswer{Caller: caller, Service: service, Result: result})
 }
 
-// adopt takes an accepted document into force and hands it to peers here and in other zones.
+// adopt puts an accepted document into force on this node and sends it to peers in this and in other zones.
 func (e *Engine) adopt(operation uint64, document catalog.Document) {
 	e.merge(document)
 	peers := e.pickCopyHolders()
@@ -96,15 +97,16 @@
 	e.performRollout(operation, e.rollouts[operation].rollout.Spreading(len(peers)))
 }
 
-// pickCopyHolders picks copiesWanted peers: one in the own zone, where there is one, the others elsewhere.
+// pickCopyHolders picks copiesWanted live peers: one in this node's zone, if there is one, and the others in other zones.
 func (e *Engine) pickCopyHolders() []string {
 	zone := e.members.Self().Zone
-	near := func(m membership.Member) bool { return m.State == membership.Alive && m.Zone == zone }
-	far := func(m membership.Member) bool { return m.State == membership.Alive && m.Zone != zone }
-	peers := e.members.Pick(1, near)
-	return append(peers, e.members.Pick(copiesWanted-len(peers), far)...)
+	sameZone := func(m membership.Member) bool { return m.State == membership.Alive && m.Zone == zone }
+	otherZone := func(m membership.Member) bool { return m.State == membership.Alive && m.Zone != zone }
+	peers := e.members.Pick(1, sameZone)
+	return append(peers, e.members.Pick(copiesWanted-len(peers), otherZone)...)
 }
 
+// receiveCatalogAck handles a peer's acknowledgement that it holds the document of a rollout.
 func (e *Engine) receiveCatalogAck(from string, m *message.CatalogAck) {
 	run := e.rollouts[m.Operation]
 	if run == nil {
@@ -114,6 +116,7 @@
 	e.performRollout(m.Operation, run.rollout.Copied(from, member.Zone))
 }
 
+// tickRollouts advances the rollouts that wait for time to pass.
 func (e *Engine) tickRollouts() {
 	for _, operation := range sortedKeys(e.rollouts) {
 		if run := e.rollouts[operation]; run != nil {
@@ -122,7 +125,7 @@
 	}
 }
 
-// StoreReadDone takes in the answer to a StoreRead.
+// StoreReadDone handles the answer to a StoreRead.
 func (e *Engine) StoreReadDone(now time.Duration, operation uint64, outcome rollout.Outcome, entry platform.Entry) Output {
 	e.beginCall(now)
 	stored, err := storedDocument(entry)
@@ -137,7 +140,7 @@
 	return e.endCall()
 }
 
-// storedDocument reads the document of an entry; an absent entry is the zero document.
+// storedDocument decodes the document of an entry. An absent entry gives the zero document.
 func storedDocument(entry platform.Entry) (catalog.Document, error) {
 	if entry.Version == 0 {
 		return catalog.Document{}, nil
@@ -145,7 +148,7 @@
 	return catalog.Decode(entry.Value)
 }
 
-// StoreWriteDone takes in the answer to a StoreWrite.
+// StoreWriteDone handles the answer to a StoreWrite.
 func (e *Engine) StoreWriteDone(now time.Duration, operation uint64, outcome rollout.Outcome, swapped bool) Output {
 	e.beginCall(now)
 	if run := e.rollouts[operation]; run != nil {
--- a/internal/engine/dispatcher.go
+++ b/internal/engine/dispatcher.go
@@ -9,15 +9,17 @@
 	"stiletrail/internal/query"
 )
 
-// suspectFor is how long a silent dispatcher is avoided.
+// suspectFor is how long a dispatcher is avoided after it did not answer.
 const suspectFor = time.Second
 
-// dispatcherLoad is what this root knows of a dispatcher.
+// dispatcherLoad is what this node, as a root, knows of the load and health of a dispatcher.
 type dispatcherLoad struct {
+	// inFlight counts the sub-queries of searches at the dispatcher.
 	inFlight     int
 	suspectUntil time.Duration
 }
 
+// loadOf returns the entry of a dispatcher, which is created if needed.
 func (e *Engine) loadOf(address string) *dispatcherLoad {
 	found := e.loads[address]
 	if found == nil {
@@ -27,12 +29,12 @@
 	return found
 }
 
-// PickDispatcher implements scatter.Environment. It picks the less loaded of two random nodes of the first of these that has any,
-// none of them excluded:
+// PickDispatcher implements scatter.Environment. It picks the less loaded of two random nodes from the first of these sets
+// that is not empty, without the nodes excluded:
 //   - the dispatchers of the group that are not suspected;
 //   - with deputiesToo, its deputies that are not suspected;
-//   - those that are;
-//   - with deputiesToo, nodes that dispatched to it before.
+//   - the suspected dispatchers and, with deputiesToo, the suspected deputies;
+//   - with deputiesToo, the previous owners of the group.
 func (e *Engine) PickDispatcher(service string, group uint32, excluded []string, deputiesToo bool) (string, bool) {
 	dispatchers, deputies := e.table.Owners(service, group)
 	candidates, silent := e.splitSilent(dispatchers, excluded)
@@ -53,7 +55,8 @@
 	return e.lessLoaded(silent), true
 }
 
-// splitSilent tells nodes that may be asked from those that were silent of late, without those excluded.
+// splitSilent splits the owners into candidates and those that are suspected because they were silent lately. It leaves out
+// those excluded.
 func (e *Engine) splitSilent(owners, excluded []string) (candidates, silent []string) {
 	for _, owner := range owners {
 		switch {
@@ -67,7 +70,7 @@
 	return candidates, silent
 }
 
-// lessLoaded picks the one with less under way of two random candidates.
+// lessLoaded picks two random candidates and returns the one with fewer sub-queries in flight.
 func (e *Engine) lessLoaded(candidates []string) string {
 	if len(candidates) == 1 {
 		return candidates[0]
@@ -79,8 +82,9 @@
 	return candidates[first]
 }
 
-// previousOwners returns who dispatched to a group before its owners changed: an owner that has not heard of the change yet
-// refuses, and a node that is leaving serves on for its grace.
+// previousOwners returns the nodes that owned a group before its owners changed and are not known to be dead. They are
+// worth asking, because a new owner refuses sub-queries until it has learned of the change, and a node that is stopping
+// goes on serving for Settings.LeaveGrace.
 func (e *Engine) previousOwners(service string, group uint32, excluded []string) []string {
 	var result []string
 	for _, owner := range e.table.PreviousOwners(service, group) {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,27 +1,31 @@
-// Package engine joins the decision packages into one node: messages, requests, outcomes and the time go in, an Output of things
-// to do comes out.
+// Package engine combines the packages that make a node's decisions into one node. Its input is messages, requests, outcomes
+// and the current time. Its output is an Output, which lists what the caller (the driver) must do.
 //
-// It does no I/O, starts no goroutine and reads no clock, so that the node and the simulation drive the very same code. All
-// methods must be called by one goroutine at a time, with a time that never goes back. What it draws at random comes from the
-// source that New is given.
+// The package does no I/O, starts no goroutine and reads no clock, so that the real node and the simulation run the same
+// code. Its methods must be called by one goroutine at a time, with times that never decrease. All randomness comes from the
+// source given to New.
 //
-// Its files by matter, with the package that decides and keeps the state where it is not the engine:
+// A search arrives at any node, which is its root: it splits the search into sub-queries and merges the answers. Each group
+// of back ends is owned by a dispatcher, a node that sends sub-queries to them, and by deputies that stand by. A request
+// that is not repeatable, called an execute, needs a ticket and runs at the node that minted the ticket.
 //
-//	call.go       each call: its time, the messages of the node to itself, what a freeze of the process means
-//	tick.go       what is done at which period, and when Tick is next needed
-//	admit.go      which requests the node refuses, and for how long
-//	receive.go    messages of peers, outcomes of back ends
-//	lost.go       messages and connections that were lost
-//	search.go     searches under way (scatter)
-//	execute.go    requests that are not repeatable, at the node that minted their ticket (ticket)
-//	forward.go    such requests on their way to that node
-//	route.go      what the shards of a service hold, as its dispatchers say
-//	dispatcher.go which dispatcher of a group is asked
-//	groups.go     which groups this node dispatches to (membership, placement; dispatch keeps what it knows of back ends)
+// The files, with the package in parentheses that makes the decisions and holds the state if it is not engine:
+//
+//	call.go       the frame of each call: its time, messages of the node to itself, detection of a frozen process
+//	tick.go       periodic work and the time of the next Tick
+//	admit.go      which requests the node refuses, and their retry-after times
+//	receive.go    messages of peers and outcomes of back ends
+//	lost.go       lost messages and connections
+//	search.go     searches in flight (scatter)
+//	execute.go    executes at the node that minted their ticket (ticket)
+//	forward.go    executes that are forwarded to that node
+//	route.go      what the back ends of a service hold, as reported by its dispatchers
+//	dispatcher.go the choice of a dispatcher for a group
+//	groups.go     the groups that this node owns (membership, placement; dispatch holds the state of back ends)
 //	confirm.go    plans and their confirmation (intent, rollout)
 //	store.go      reading the store, as a relay or to join (catalog, gossip)
 //	leave.go      the planned stop
-//	status.go     what operators are shown, and alarms
+//	status.go     status for operators, and alarms
 package engine
 
 import (
@@ -39,13 +43,13 @@
 	"stiletrail/internal/ticket"
 )
 
-// Engine is one node.
+// Engine holds the state of one node.
 type Engine struct {
 	settings Settings
 	random   *rand.Rand
 	now      time.Duration
 	output   Output
-	// local holds messages of this node to itself until the current call ends.
+	// local holds the messages of this node to itself that the current call has not processed yet.
 	local []message.Message
 
 	members    *membership.Core
@@ -55,13 +59,15 @@
 	dispatcher *dispatch.Core
 	tickets    *ticket.Table
 
-	// placementVersion is one more than the version of the members that placement was computed from; 0 before the first time.
+	// placementVersion is one more than the version of the membership that placement was computed from. It is 0 before
+	// placement was first computed.
 	placementVersion uint64
-	sequence    uint64
-	startedAt   time.Duration
-	// readyAt is when the node was first ready.
+	// sequence is the last number that nextNumber returned.
+	sequence  uint64
+	startedAt time.Duration
+	// readyAt is when the node was first ready, zero before that.
 	readyAt time.Duration
-	// leaving since leftAt.
+	// leaving is true from the start of the planned stop, which was at leftAt.
 	leaving bool
 	leftAt  time.Duration
 
@@ -69,14 +75,14 @@
 	loads    map[string]*dispatcherLoad
 	searches map[uint64]*search
 	executes map[uint64]*execute
-	// subQueryOwners are the numbers of the searches and executes that sub-queries under way belong to.
+	// subQueryOwners maps each sub-query in flight to the number of its search or execute.
 	subQueryOwners map[query.ID]uint64
-	// subQueryLatencies are the times from the start of a search to the end of each of its sub-queries.
+	// subQueryLatencies holds the times from the start of a search to the end of each of its sub-queries.
 	subQueryLatencies limit.LatencyHistogram
-	reissues   limit.Budget
+	reissues          limit.Budget
 
 	rollouts map[uint64]*pendingRollout
-	// relay: this node reads the store for its zone.
+	// relay is true if this node reads the store on behalf of its zone.
 	relay    bool
 	store    storeReading
 	statuses map[uint64]*pendingStatus
@@ -87,25 +93,26 @@
 	nextGossip   time.Duration
 	nextRoutes   time.Duration
 
-	// Counters may be read by the driver.
+	// Counters may be read by the caller between calls.
 	Counters Counters
 }
 
-// Identity is what makes a node this one.
+// Identity identifies a node and its process.
 type Identity struct {
-	// Address peers connect to.
+	// Address is the address that peers connect to.
 	Address string
 	Zone    string
 	Region  string
-	// Generation and TicketKey are drawn at random at start.
+	// Generation and TicketKey are drawn at random when the process starts.
 	Generation uint64
 	TicketKey  []byte
-	// Incarnation must be larger than that of an earlier process at the address; wall-clock milliseconds do.
+	// Incarnation must be greater than that of any earlier process at the same address. Wall-clock milliseconds are suitable.
 	Incarnation uint64
-	Seeds       []string
+	// Seeds are the addresses of nodes to join through.
+	Seeds []string
 }
 
-// New returns a node that knows nothing but its seeds.
+// New returns a new node that knows no other nodes than its seeds.
 func New(now time.Duration, identity Identity, settings Settings, random *rand.Rand) *Engine {
 	self := membership.Member{
 		Address: identity.Address, Zone: identity.Zone, Region: identity.Region,
@@ -129,26 +136,27 @@
 	return e
 }
 
-// Address of this node.
+// Address returns the address of this node.
 func (e *Engine) Address() string { return e.members.Self().Address }
 
-// Ready reports whether the node takes new work.
+// Ready reports whether the node accepts new requests.
 func (e *Engine) Ready() bool { return e.serving() && !e.leaving }
 
-// serving reports whether the node knows enough of the configuration and of the other nodes.
+// serving reports whether the node has loaded the configuration and joined the other nodes.
 func (e *Engine) serving() bool { return e.gossip.Ready() && e.members.Joined(e.now) }
 
-// ConfigurationAge is the time since the configuration in force was last known equal to the store's; false where it never was.
+// ConfigurationAge returns the time since the configuration in force was last known to equal the store's, and false if it
+// never was.
 func (e *Engine) ConfigurationAge(now time.Duration) (time.Duration, bool) { return e.gossip.Age(now) }
 
-// IsRelay reports whether the node reads the store for its zone, and should watch it.
+// IsRelay reports whether the node reads the store on behalf of its zone. The caller should then watch the store.
 func (e *Engine) IsRelay() bool { return e.relay }
 
-// Members returns the node's view.
+// Members returns the members of the cluster as this node knows them.
 func (e *Engine) Members() []membership.Member { return e.members.Members() }
 
-// Catalog gives read access to the documents in force.
+// Catalog returns the catalog of the documents in force. The caller must only read it.
 func (e *Engine) Catalog() *catalog.Catalog { return e.catalog }
 
-// DispatchCounters returns what the dispatcher did since the node started.
+// DispatchCounters returns the totals of the node's dispatcher since the node started.
 func (e *Engine) DispatchCounters() dispatch.Counters { return e.dispatcher.Counters }
--- a/internal/engine/execute.go
+++ b/internal/engine/execute.go
@@ -11,50 +11,53 @@
 	"stiletrail/internal/ticket"
 )
 
-// executeMargin is kept before the deadline for handing the outcome to the caller.
+// executeMargin is the time reserved before the deadline for returning the outcome to the caller.
 const executeMargin = 5 * time.Millisecond
 
-// resultWait is how long a result may come after the dispatcher's final answer.
+// resultWait is how long the node waits for a result that has not arrived by the time of the dispatcher's final answer.
 const resultWait = 50 * time.Millisecond
 
-// ExecuteRequest is a caller's request that is not repeatable.
+// ExecuteRequest is a caller's request that is not repeatable: it must run at most once.
 type ExecuteRequest struct {
 	Service string
 	Key     string
 	Body    []byte
 	Ticket  []byte
-	// TimeLimit is the time the caller gives; zero takes the service's deadline.
+	// TimeLimit is the time that the caller allows. Zero means the service's deadline.
 	TimeLimit time.Duration
 }
 
-// execute is a request that is not repeatable under way at the node that minted its ticket.
+// execute is a request that is not repeatable, in flight at the node that minted its ticket.
 type execute struct {
-	// number is the engine's own; sequence is that of the ticket.
-	number   uint64
+	// number identifies the execute within the engine. ticketSequence is the sequence number of its ticket.
+	number         uint64
 	ticketSequence uint64
-	request  ExecuteRequest
-	deadline time.Duration
-	// wakeAt is when the wait for what the shards hold is over, or for a result, or the deadline.
+	request        ExecuteRequest
+	deadline       time.Duration
+	// wakeAt is when tickExecutes handles the execute next: the end of the wait for the holdings of the service's back
+	// ends or of the wait for a result, or the deadline.
 	wakeAt time.Duration
 	shard  uint32
 	epoch  uint64
-	// sent: it was handed to a dispatcher, the last time to the one in to, as the sub-query id. tried are all that had it.
-	sent  bool
-	subQueryID    query.ID
-	dispatcher    string
-	tried []string
-	// askDeputies: the dispatcher was lost or did not know its part, so that a deputy may be asked.
+	// sent is true once the request was sent to a dispatcher.
+	sent bool
+	// subQueryID is the id of the last sub-query sent, dispatcher its receiver, and tried all dispatchers it was sent to.
+	subQueryID query.ID
+	dispatcher string
+	tried      []string
+	// askDeputies is true if deputies may be asked too: the dispatcher was lost, or refused for another reason than overload.
 	askDeputies bool
-	// waiters are told the outcome: the caller, and those of resends that came meanwhile.
+	// waiters are sent the outcome: the sender of the request, and the senders of resends that arrived meanwhile.
 	waiters []waiter
 }
 
-// waiter is someone to be told the outcome of an execute: a localCaller, or a forwardingPeer.
+// waiter is a receiver of the outcome of an execute: a localCaller or a forwardingPeer.
 type waiter interface{ isWaiter() }
 
+// localCaller is a caller that is connected to this node.
 type localCaller struct{ caller Caller }
 
-// forwardingPeer is a node that forwarded the request, with its number for it.
+// forwardingPeer is a node that forwarded the request, with the number under which it did so.
 type forwardingPeer struct {
 	address  string
 	sequence uint64
@@ -63,7 +66,8 @@
 func (localCaller) isWaiter()    {}
 func (forwardingPeer) isWaiter() {}
 
-// Execute takes a caller's request that is not repeatable.
+// Execute receives a caller's request that is not repeatable. It runs the request if this node minted the ticket, and
+// forwards it to the minting node otherwise.
 func (e *Engine) Execute(now time.Duration, caller Caller, request ExecuteRequest) Output {
 	e.beginCall(now)
 	parsed, err := ticket.Parse(request.Ticket)
@@ -79,7 +83,8 @@
 	return e.endCall()
 }
 
-// timeLimitFor is the time that a request has: what the caller gives, or the service's deadline.
+// timeLimitFor returns the time that a request has: the caller's time limit or else the service's deadline, which is never
+// taken as less than ten times executeMargin.
 func (e *Engine) timeLimitFor(request ExecuteRequest) time.Duration {
 	if request.TimeLimit > 0 {
 		return request.TimeLimit
@@ -88,8 +93,8 @@
 	return max(time.Duration(document.Specification.DeadlineMilliseconds)*time.Millisecond, 10*executeMargin)
 }
 
-// acceptExecute uses up the ticket and runs the request, unless that was done before. The first decision is final: a caller
-// that was refused asks again with a new ticket.
+// acceptExecute uses up the ticket and runs the request, unless the ticket was used before. The first decision on a ticket is
+// final: a caller whose request was refused needs a new ticket to try again.
 func (e *Engine) acceptExecute(w waiter, request ExecuteRequest) {
 	e.Counters.Executes++
 	switch use := e.tickets.Use(e.now, request.Ticket, executeBody(request)).(type) {
@@ -102,14 +107,14 @@
 	case ticket.Fresh:
 		e.runFresh(w, use.Sequence, request)
 	default:
-		panic(fmt.Sprintf("engine: no case for the use %T of a ticket", use))
+		panic(fmt.Sprintf("engine: unhandled result of using a ticket: %T", use))
 	}
 }
 
 // runFresh runs a request whose ticket was not used before, or refuses it.
 func (e *Engine) runFresh(w waiter, sequence uint64, request ExecuteRequest) {
 	if refusal := e.admit(request.Service); refusal != nil {
-		// Final for the ticket: a copy of the request that is still on its way must not run after this.
+		// The refusal is final for the ticket. A duplicate of the request that arrives later must not run.
 		e.tickets.Finish(sequence, ticket.Outcome{Failure: refusal})
 		e.answerExecute(w, ticket.Outcome{Failure: refusal})
 		return
@@ -117,7 +122,7 @@
 	e.startExecute(w, sequence, request)
 }
 
-// executeBody identifies a request: service, key and body, with a zero byte between.
+// executeBody returns the bytes that identify a request to its ticket: service, key and body, separated by zero bytes.
 func executeBody(request ExecuteRequest) []byte {
 	body := []byte(request.Service)
 	body = append(body, 0)
@@ -126,7 +131,7 @@
 	return append(body, request.Body...)
 }
 
-// joinExecute has a resend wait for the outcome of the request that its ticket was used for.
+// joinExecute adds the sender of a resend to the waiters of the execute that runs with the same ticket.
 func (e *Engine) joinExecute(w waiter, sequence uint64) {
 	for _, x := range e.executes {
 		if x.ticketSequence == sequence {
@@ -136,7 +141,8 @@
 	}
 }
 
-// startExecute runs a request once it is known what the shards hold, or that was waited for long enough.
+// startExecute creates an execute. It is sent to a dispatcher once the holdings of the service's back ends are known, or
+// when the wait for them ends after Settings.RoutingWait.
 func (e *Engine) startExecute(w waiter, sequence uint64, request ExecuteRequest) {
 	x := &execute{
 		number: e.nextNumber(), ticketSequence: sequence, request: request, waiters: []waiter{w},
@@ -149,7 +155,8 @@
 	}
 }
 
-// dispatchExecute hands the request to one dispatcher that was not tried. Where none is left, none has run it.
+// dispatchExecute sends the request to a dispatcher that was not tried before. If none is left, the request is refused: it is
+// only sent on when the dispatchers tried so far are proved not to have run it.
 func (e *Engine) dispatchExecute(x *execute) {
 	group, found := e.locate(x)
 	if !found {
@@ -173,7 +180,7 @@
 	})
 }
 
-// locate finds the shard of a request in the newest epoch, and a group that holds it.
+// locate sets the shard of a request in the newest epoch, and returns a group that holds the shard.
 func (e *Engine) locate(x *execute) (group uint32, found bool) {
 	routing := e.Routing(x.request.Service)
 	epoch, total, known := routing.NewestEpoch()
@@ -185,14 +192,18 @@
 	return routing.GroupOf(x.shard, epoch, e.Region())
 }
 
+// refusedOutcome returns the outcome of a request that was proved not to have run.
 func refusedOutcome(code failure.Code, retryAfter time.Duration) ticket.Outcome {
-	return ticket.Outcome{Failure: failure.Refused(code, "no back end took the request", retryAfter)}
+	return ticket.Outcome{Failure: failure.Refused(code, "no back end accepted the request", retryAfter)}
 }
 
+// unknownOutcome returns the outcome of a request that may have run.
 func unknownOutcome(message string) ticket.Outcome {
 	return ticket.Outcome{Failure: failure.New(failure.OutcomeUnknown, message)}
 }
 
+// receiveExecuteAnswer handles a dispatcher's answer to an execute: a result, a failure, or a refusal after which another
+// dispatcher is tried.
 func (e *Engine) receiveExecuteAnswer(x *execute, from string, m *message.SubAnswer) {
 	if m.ID != x.subQueryID || from != x.dispatcher {
 		return
@@ -209,12 +220,12 @@
 		return
 	}
 	if len(m.Missing) == 0 {
-		// The result was sent before this message and is on its way.
+		// The result was sent before this message but has not arrived yet.
 		x.wakeAt = min(x.deadline, e.now+resultWait)
 		return
 	}
 	if !m.NotRun {
-		e.finishExecute(x, unknownOutcome("the back end was lost while it may have run the request"))
+		e.finishExecute(x, unknownOutcome("the back end did not answer and may have run the request"))
 		return
 	}
 	delete(e.subQueryOwners, x.subQueryID)
@@ -222,19 +233,20 @@
 	e.dispatchExecute(x)
 }
 
-// executePeerLost takes in that the dispatcher was lost: it may have run the request if the frame may have been written.
+// executePeerLost handles the loss of the dispatcher. The dispatcher may have run the request if written is true, that is if
+// the frame may have been sent.
 func (e *Engine) executePeerLost(x *execute, written bool) {
 	delete(e.subQueryOwners, x.subQueryID)
 	e.MarkSuspect(x.dispatcher)
 	if written {
-		e.finishExecute(x, unknownOutcome("the dispatcher was lost while it may have run the request"))
+		e.finishExecute(x, unknownOutcome("the connection to the dispatcher was lost and the request may have run"))
 		return
 	}
 	x.askDeputies = true
 	e.dispatchExecute(x)
 }
 
-// finishExecute tells the outcome to all that wait for it, and keeps it for resends.
+// finishExecute sends the outcome to all waiters, and stores it with the ticket for resends.
 func (e *Engine) finishExecute(x *execute, outcome ticket.Outcome) {
 	delete(e.subQueryOwners, x.subQueryID)
 	delete(e.executes, x.number)
@@ -247,6 +259,7 @@
 	}
 }
 
+// answerExecute sends the outcome of an execute to one waiter.
 func (e *Engine) answerExecute(w waiter, outcome ticket.Outcome) {
 	switch w := w.(type) {
 	case localCaller:
@@ -254,10 +267,11 @@
 	case forwardingPeer:
 		e.send(w.address, forwardReply(w.sequence, outcome))
 	default:
-		panic(fmt.Sprintf("engine: no case for the waiter %T", w))
+		panic(fmt.Sprintf("engine: unhandled type of waiter: %T", w))
 	}
 }
 
+// forwardReply returns the message that tells a forwarding node the outcome of a request.
 func forwardReply(sequence uint64, outcome ticket.Outcome) *message.ForwardReply {
 	reply := &message.ForwardReply{Sequence: sequence, Shard: outcome.Shard, Result: outcome.Result}
 	if problem := outcome.Failure; problem != nil {
@@ -269,7 +283,8 @@
 	return reply
 }
 
-// tickExecutes ends what its deadline has passed for, and sends what has waited long enough for what the shards hold.
+// tickExecutes ends the executes whose deadline has passed, and sends those that have waited long enough for the holdings of
+// the back ends.
 func (e *Engine) tickExecutes() {
 	for _, number := range sortedKeys(e.executes) {
 		x := e.executes[number]
@@ -282,7 +297,7 @@
 		case !x.sent:
 			e.finishExecute(x, refusedOutcome(failure.DeadlineExceeded, 0))
 		default:
-			e.finishExecute(x, unknownOutcome("the deadline passed while the request may have been running"))
+			e.finishExecute(x, unknownOutcome("the deadline passed before the outcome was known; the request may have run"))
 		}
 	}
 }
--- a/internal/engine/forward.go
+++ b/internal/engine/forward.go
@@ -9,26 +9,27 @@
 	"stiletrail/internal/ticket"
 )
 
-// forwardedExecute is a request passed on to the node that minted its ticket.
+// forwardedExecute is a request that is forwarded to the node that minted its ticket.
 type forwardedExecute struct {
 	caller   Caller
 	peer     string
 	request  ExecuteRequest
 	deadline time.Duration
-	// giveUpAt is when it is given up: introduceWait while it is not sent, then the deadline.
+	// giveUpAt is when the request ends with an unknown outcome: after discoveryWait if it is not sent by then, otherwise at
+	// the deadline.
 	giveUpAt time.Duration
-	// sent is false while this node has not heard of the peer yet, as of one that has just started.
+	// sent is false while this node does not know the peer yet, for example because the peer has just started.
 	sent bool
 }
 
-// discoveryWait bounds the wait until a node that this one has not heard of is introduced by others.
+// discoveryWait is how long a request is kept while this node learns from others of the node that minted its ticket.
 const discoveryWait = 300 * time.Millisecond
 
-// discoveryPeers is how many members are asked for their view of a node that is not known here.
+// discoveryPeers is the number of members that are asked for their view of the membership when a node is unknown here.
 const discoveryPeers = 3
 
-// forwardExecute passes a request on to the node that minted its ticket. The address comes from the caller, so only a node
-// that other nodes know is connected to.
+// forwardExecute forwards a request to the node that minted its ticket. The address comes from the caller and is not trusted:
+// this node only connects to nodes that are members.
 func (e *Engine) forwardExecute(caller Caller, to string, request ExecuteRequest) {
 	within := e.timeLimitFor(request)
 	f := &forwardedExecute{caller: caller, peer: to, request: request, deadline: e.now + within - executeMargin}
@@ -43,14 +44,14 @@
 	e.sendForward(sequence, f)
 }
 
-// sendForward sends a forward once its node is known.
+// sendForward sends a forwarded request if the node that minted its ticket is known.
 func (e *Engine) sendForward(sequence uint64, f *forwardedExecute) {
 	member, known := e.members.Lookup(f.peer)
 	if !known {
 		return
 	}
 	if member.State == membership.Dead {
-		// It may have run the request before it was lost. A leaving node still answers for its tickets.
+		// The node may have run the request before it failed. A node that is leaving still serves its tickets.
 		e.forwardLost(f.peer, sequence)
 		return
 	}
@@ -62,6 +63,7 @@
 	})
 }
 
+// receiveForward handles a request that a peer has forwarded to this node.
 func (e *Engine) receiveForward(from string, m *message.ForwardExecute) {
 	e.acceptExecute(forwardingPeer{address: from, sequence: m.Sequence}, ExecuteRequest{
 		Service: m.Service, Key: m.Key, Body: m.Body, Ticket: m.Ticket,
@@ -69,6 +71,7 @@
 	})
 }
 
+// receiveForwardReply returns the outcome of a forwarded request to its caller.
 func (e *Engine) receiveForwardReply(from string, m *message.ForwardReply) {
 	f := e.forwards[m.Sequence]
 	if f == nil || f.peer != from {
@@ -84,7 +87,7 @@
 	e.answerExecute(localCaller{f.caller}, outcome)
 }
 
-// tickForwards sends the forwards whose node has become known, and ends those that waited too long.
+// tickForwards sends the forwarded requests whose node has become known, and ends those that have waited too long.
 func (e *Engine) tickForwards() {
 	for _, sequence := range sortedKeys(e.forwards) {
 		f := e.forwards[sequence]
@@ -93,7 +96,7 @@
 		}
 		if f = e.forwards[sequence]; f != nil && e.now >= f.giveUpAt {
 			delete(e.forwards, sequence)
-			unknown := unknownOutcome("the node that minted the ticket did not answer in time or is not known")
+			unknown := unknownOutcome("the node that minted the ticket did not answer in time or is not a known member")
 			e.answerExecute(localCaller{f.caller}, unknown)
 		}
 	}
--- a/internal/engine/groups.go
+++ b/internal/engine/groups.go
@@ -8,7 +8,7 @@
 	"stiletrail/internal/platform"
 )
 
-// refreshPlacement recomputes who owns what after members or documents changed.
+// refreshPlacement recomputes the owners of the groups and the relays if the membership has changed.
 func (e *Engine) refreshPlacement() {
 	if e.placementVersion == e.members.Version()+1 {
 		return
@@ -22,8 +22,8 @@
 	}
 }
 
-// updateGroups hands the dispatcher the groups this node owns. A leaving node keeps those it had: roots send to it until they
-// and the next owners have heard of it.
+// updateGroups gives the dispatcher the groups that this node owns now. A leaving node keeps its groups, because roots go on
+// sending to it until they and the next owners have learned that it leaves.
 func (e *Engine) updateGroups() {
 	if e.leaving {
 		return
@@ -32,15 +32,15 @@
 	e.performDispatch(e.dispatcher.TickBackEnds(e.now))
 }
 
-// applyDocument takes a document that was merged into the catalog into force.
+// applyDocument puts a document that was merged into the catalog into force.
 func (e *Engine) applyDocument(document catalog.Document) {
 	e.table.SetDocument(document)
 	delete(e.routes, document.Service)
 	e.updateGroups()
 }
 
-// SetMachines takes in the machine list: it seeds the membership and says which back ends are leaving. It lags, so it
-// alone makes no live peer dead and no dead one live.
+// SetMachines applies the machine list. It provides seeds for the membership and the back ends that are leaving. The list
+// lags behind, so it never changes whether a peer counts as alive or dead.
 func (e *Engine) SetMachines(now time.Duration, machines []platform.Machine) Output {
 	e.beginCall(now)
 	leaving := map[string]bool{}
--- a/internal/engine/leave.go
+++ b/internal/engine/leave.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Leave starts the planned stop: peers are told at once, new requests are refused, and what is under way is finished.
+// Leave starts the planned stop. The node informs its peers at once, refuses new requests and finishes those in flight.
 func (e *Engine) Leave(now time.Duration) Output {
 	e.beginCall(now)
 	if !e.leaving {
@@ -13,7 +13,7 @@
 	return e.endCall()
 }
 
-// Drained reports whether a leaving node has nothing under way and its grace is over.
+// Drained reports whether a leaving node has no requests in flight and Settings.LeaveGrace has passed.
 func (e *Engine) Drained(now time.Duration) bool {
 	busy := len(e.searches) + len(e.executes) + len(e.rollouts) + len(e.forwards)
 	return e.leaving && busy == 0 && e.dispatcher.Idle() && now-e.leftAt >= e.settings.LeaveGrace
--- a/internal/engine/lost.go
+++ b/internal/engine/lost.go
@@ -10,7 +10,7 @@
 	"stiletrail/internal/ticket"
 )
 
-// Undelivered takes in that a message was not delivered; written is true where the peer may have got it all the same.
+// Undelivered handles a message that could not be delivered. If written is true, the peer may have received it after all.
 func (e *Engine) Undelivered(now time.Duration, to string, m message.Message, written bool) Output {
 	e.beginCall(now)
 	switch m := m.(type) {
@@ -22,6 +22,7 @@
 	return e.endCall()
 }
 
+// subQueryLost passes the loss of a sub-query on to its search or execute.
 func (e *Engine) subQueryLost(peer string, id query.ID, written bool) {
 	number, found := e.subQueryOwners[id]
 	if !found {
@@ -38,7 +39,8 @@
 	}
 }
 
-// forwardLost: the minting node may have run the request for an earlier resend, so the outcome is unknown.
+// forwardLost ends a forwarded request whose peer cannot be reached. The peer may have run the request when it was sent
+// before, so the outcome is unknown.
 func (e *Engine) forwardLost(peer string, sequence uint64) {
 	f := e.forwards[sequence]
 	if f == nil || f.peer != peer {
@@ -50,7 +52,8 @@
 	e.answerExecute(localCaller{f.caller}, ticket.Outcome{Failure: unknown})
 }
 
-// PeerDisconnected takes in that the connection on which queries went to a peer broke: what was asked of it may have run.
+// PeerDisconnected handles the loss of the connection on which queries were sent to a peer. Everything that was sent on it
+// may have run.
 func (e *Engine) PeerDisconnected(now time.Duration, peer string) Output {
 	e.beginCall(now)
 	for _, number := range sortedKeys(e.searches) {
@@ -73,7 +76,7 @@
 	return e.endCall()
 }
 
-// sortedIDs returns the sub-queries at a peer, in order.
+// sortedIDs returns the ids of the sub-queries at a peer, in order.
 func sortedIDs(dispatchers map[query.ID]string, peer string) []query.ID {
 	var sequences []uint64
 	generation := uint64(0)
--- a/internal/engine/output.go
+++ b/internal/engine/output.go
@@ -13,7 +13,7 @@
 	"stiletrail/internal/ticket"
 )
 
-// Caller is the driver's own number for a request, given back with its answer.
+// Caller is the number by which the driver identifies a request. It is returned with the answer.
 type Caller uint64
 
 // Envelope is a message for a peer.
@@ -22,13 +22,14 @@
 	Message message.Message
 }
 
-// StoreRead asks the store for a service's entry.
+// StoreRead asks the driver to read a service's entry from the store. The answer goes to Engine.StoreReadDone.
 type StoreRead struct {
 	Operation uint64
 	Service   string
 }
 
-// StoreWrite asks the store for a compare-and-swap of a service's entry.
+// StoreWrite asks the driver to write a service's entry to the store by compare-and-swap, with Base as the expected stamp.
+// The answer goes to Engine.StoreWriteDone.
 type StoreWrite struct {
 	Operation uint64
 	Base      platform.Stamp
@@ -40,7 +41,7 @@
 	Caller Caller
 	scatter.Answer
 	CatalogVersion uint64
-	// ConfigurationAge is the time since the catalog was known equal to the store's; negative for never.
+	// ConfigurationAge is the time since the catalog was last known to equal the store, negative if it never was.
 	ConfigurationAge time.Duration
 }
 
@@ -57,14 +58,16 @@
 	rollout.Result
 }
 
-// Output is what the driver must do, in the order of the fields.
+// Output lists what the driver must do after a call, in the order of the fields.
 type Output struct {
-	Sends          []Envelope
-	Attempts       []query.Attempt
-	Cancels        []uint64
-	Describes      []dispatch.Describe
-	StoreReads     []StoreRead
-	StoreWrites    []StoreWrite
+	Sends    []Envelope
+	Attempts []query.Attempt
+	// Cancels are the numbers of attempts to cancel.
+	Cancels     []uint64
+	Describes   []dispatch.Describe
+	StoreReads  []StoreRead
+	StoreWrites []StoreWrite
+	// StoreLists is how many listings of the whole store to make.
 	StoreLists     int
 	SearchAnswers  []SearchAnswer
 	ExecuteAnswers []ExecuteAnswer
--- a/internal/engine/receive.go
+++ b/internal/engine/receive.go
@@ -9,13 +9,14 @@
 	"stiletrail/internal/query"
 )
 
-// Receive takes a message from a peer.
+// Receive handles a message from a peer.
 func (e *Engine) Receive(now time.Duration, from string, m message.Message) Output {
 	e.beginCall(now)
 	e.receive(from, m)
 	return e.endCall()
 }
 
+// receive handles a message from a peer or from this node itself.
 func (e *Engine) receive(from string, m message.Message) {
 	switch m := m.(type) {
 	case *message.Probe, *message.ProbeAck, *message.ProbeRequest, *message.MemberSync:
@@ -45,17 +46,19 @@
 	}
 }
 
+// receiveMembership handles a message of the membership protocol.
 func (e *Engine) receiveMembership(from string, m message.Message) {
 	sends, met := e.members.Receive(e.now, from, m)
 	e.sendAll(sends)
 	if met {
-		// Zones that meet again compare catalogs at once.
+		// The peer was unknown or taken for dead until now, as after a network partition between zones. The catalogs may
+		// differ and are compared at once.
 		compare := e.gossip.Compare(e.now, from)
 		e.send(compare.To, compare.Message)
 	}
 }
 
-// receiveSubQuery serves a root, also while leaving until the grace is over.
+// receiveSubQuery serves a sub-query. A leaving node still does so until Settings.LeaveGrace has passed.
 func (e *Engine) receiveSubQuery(from string, m *message.SubQuery) {
 	if e.leaving && e.now-e.leftAt >= e.settings.LeaveGrace {
 		e.performDispatch(e.dispatcher.Refuse(e.now, from, m))
@@ -64,7 +67,7 @@
 	e.performDispatch(e.dispatcher.Submit(e.now, from, m))
 }
 
-// performDispatch carries out what the dispatcher decided.
+// performDispatch adds the actions of the dispatcher to the output.
 func (e *Engine) performDispatch(actions []dispatch.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -77,19 +80,19 @@
 		case dispatch.Reply:
 			e.send(action.To, action.Message)
 		default:
-			panic(fmt.Sprintf("engine: no case for the dispatcher's action %T", action))
+			panic(fmt.Sprintf("engine: unhandled type of a dispatcher's action: %T", action))
 		}
 	}
 }
 
-// AttemptEnded takes in the outcome of an attempt.
+// AttemptEnded handles the outcome of an attempt.
 func (e *Engine) AttemptEnded(now time.Duration, result query.AttemptResult) Output {
 	e.beginCall(now)
 	e.performDispatch(e.dispatcher.AttemptEnded(now, result))
 	return e.endCall()
 }
 
-// DescribeDone takes in what a back end says it holds; ok is false where it did not answer.
+// DescribeDone handles a back end's answer to a Describe; ok is false if the back end did not answer.
 func (e *Engine) DescribeDone(now time.Duration, service, backEnd string, holding query.Holding, ok bool) Output {
 	e.beginCall(now)
 	e.performDispatch(e.dispatcher.DescribeDone(now, service, backEnd, holding, ok))
--- a/internal/engine/route.go
+++ b/internal/engine/route.go
@@ -9,22 +9,23 @@
 	"stiletrail/internal/scatter"
 )
 
-// routeIdle is how long a service stays active after its last search.
+// routeIdle is how long the route of a service is kept after the last search or execute.
 const routeIdle = 10 * time.Second
 
-// route is what this root knows of the shards of a service it serves.
+// route is what this node, as a root, knows of the shards of a service: the holdings of its back ends, by group.
 type route struct {
 	groups []scatter.GroupHoldings
-	// known: a dispatcher has said what the group holds, by group.
+	// known tells for each group whether a dispatcher has reported its holdings.
 	known []bool
-	// lastUsed is when a search or an execute last came; nextAsk when dispatchers are asked again.
-	lastUsed time.Duration
-	nextRequest  time.Duration
-	// lastTotal keeps the number of shards of the newest epoch when all who state it are gone.
+	// lastUsed is when the last search or execute was received, nextRequest when the dispatchers are asked again.
+	lastUsed    time.Duration
+	nextRequest time.Duration
+	// lastTotal is a holding without shards that keeps the number of shards of the newest epoch. It is needed when no back
+	// end that states this number is left.
 	lastTotal query.Holding
 }
 
-// routeFor returns the route of a service, and asks for its state if it is new.
+// routeFor returns the route of a service. If the route is new, it requests the holdings from the dispatchers.
 func (e *Engine) routeFor(service string) *route {
 	found := e.routes[service]
 	if found == nil {
@@ -40,16 +41,16 @@
 	return found
 }
 
-// complete reports whether it is known what all groups hold.
+// complete reports whether the holdings of all groups are known.
 func (r *route) complete() bool { return !slices.Contains(r.known, false) }
 
-// requestGroupStates asks the dispatchers of a service what its back ends hold.
+// requestGroupStates asks the dispatchers of a service for the holdings of its back ends.
 func (e *Engine) requestGroupStates(service string, r *route) {
 	r.nextRequest = e.now + e.settings.RoutingInterval
 	for i, group := range r.groups {
 		request := &message.GroupRequest{Service: service, Group: group.Number}
 		if !r.known[i] {
-			// Nothing is known yet, and an owner may not have heard that it is one: all are asked.
+			// No holdings are known yet, and an owner may not have learned that it owns the group. All owners are asked.
 			dispatchers, deputies := e.table.Owners(service, group.Number)
 			for _, owner := range slices.Concat(dispatchers, deputies) {
 				e.send(owner, request)
@@ -62,6 +63,7 @@
 	}
 }
 
+// tickRoutes deletes idle routes and refreshes the others when due.
 func (e *Engine) tickRoutes() {
 	for service, r := range e.routes {
 		if e.now-r.lastUsed > routeIdle {
@@ -76,12 +78,14 @@
 	}
 }
 
+// receiveGroupRequest answers a root that asks what the back ends of a group hold.
 func (e *Engine) receiveGroupRequest(from string, m *message.GroupRequest) {
 	if state, owned := e.dispatcher.GroupState(e.now, m.Service, m.Group); owned {
 		e.send(from, state)
 	}
 }
 
+// receiveGroupState applies a dispatcher's report on a group, and starts the searches that waited for it.
 func (e *Engine) receiveGroupState(m *message.GroupState) {
 	r := e.routes[m.Service]
 	if r == nil || m.CatalogVersion != e.catalog.Version(m.Service) || int(m.Group) >= len(r.groups) {
@@ -109,7 +113,7 @@
 	}
 	routing := scatter.Routing{Groups: r.groups}
 	if r.lastTotal.ShardsTotal > 0 {
-		// A holding without shards: it only keeps the number of shards known.
+		// The added holding has no shards. It only makes the number of shards known.
 		remembered := scatter.GroupHoldings{Number: uint32(len(r.groups)), Holdings: []query.Holding{r.lastTotal}}
 		routing.Groups = append(slices.Clone(r.groups), remembered)
 	}
--- a/internal/engine/search.go
+++ b/internal/engine/search.go
@@ -14,25 +14,26 @@
 type SearchRequest struct {
 	Service string
 	Body    []byte
-	// TimeLimit is the time the caller gives; zero takes the service's deadline.
+	// TimeLimit is the time that the caller allows. Zero means the service's deadline.
 	TimeLimit time.Duration
-	// MinimumVersion of the index.
+	// MinimumVersion is the lowest version of the index at which the search may run.
 	MinimumVersion uint64
 }
 
-// search is a caller's search under way.
+// search is a caller's search in flight.
 type search struct {
 	number  uint64
 	caller  Caller
 	request scatter.Request
-	// waitUntil bounds the wait for what the shards hold, while query is nil.
+	// waitUntil is the end of the wait for the holdings of the back ends. It applies while query is nil.
 	waitUntil time.Duration
 	query     *scatter.Query
 	startedAt time.Duration
-	// dispatchers of the sub-queries under way.
+	// dispatchers maps each sub-query in flight to its dispatcher.
 	dispatchers map[query.ID]string
 }
 
+// nextWake returns when tickSearches must handle the search at the latest.
 func (s *search) nextWake() time.Duration {
 	if s.query == nil {
 		return s.waitUntil
@@ -40,7 +41,7 @@
 	return s.query.NextWake()
 }
 
-// Search takes a caller's search; its answer comes with a later Output, or with this one.
+// Search receives a caller's search. The answer comes in a later Output, or in this one.
 func (e *Engine) Search(now time.Duration, caller Caller, request SearchRequest) Output {
 	e.beginCall(now)
 	e.Counters.Searches++
@@ -68,10 +69,12 @@
 	return e.endCall()
 }
 
+// refuseSearch answers a search with a refusal.
 func (e *Engine) refuseSearch(caller Caller, refusal *failure.Failure) {
 	e.answerSearch(caller, "", scatter.Answer{Failure: refusal})
 }
 
+// startSearch plans a search and sends its sub-queries.
 func (e *Engine) startSearch(s *search) {
 	started, actions := scatter.Start(e.now, s.request, e)
 	s.query = started
@@ -79,7 +82,7 @@
 	e.performSearch(s, actions)
 }
 
-// startWaitingSearches starts the searches that waited for what a service's shards hold.
+// startWaitingSearches starts the searches that waited for the holdings of a service's back ends.
 func (e *Engine) startWaitingSearches(service string) {
 	for _, number := range sortedKeys(e.searches) {
 		if s := e.searches[number]; s != nil && s.query == nil && s.request.Service == service {
@@ -88,7 +91,7 @@
 	}
 }
 
-// performSearch carries out what a query decided.
+// performSearch carries out the actions of a search.
 func (e *Engine) performSearch(s *search, actions []scatter.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -98,13 +101,13 @@
 		case scatter.Answer:
 			e.finishSearch(s, action)
 		default:
-			panic(fmt.Sprintf("engine: no case for the query's action %T", action))
+			panic(fmt.Sprintf("engine: unhandled type of a query's action: %T", action))
 		}
 	}
 	e.untrackClosed(s)
 }
 
-// untrackClosed stops tracking the sub-queries that the query has closed.
+// untrackClosed stops tracking the sub-queries that the search has closed.
 func (e *Engine) untrackClosed(s *search) {
 	for id := range s.dispatchers {
 		if !s.query.HasSubQuery(id) {
@@ -113,7 +116,7 @@
 	}
 }
 
-// track keeps which search a sub-query belongs to, and how many a dispatcher has.
+// track records the search and the dispatcher of a sub-query that is sent, and counts it as in flight there.
 func (e *Engine) track(s *search, to string, m message.Message) {
 	switch m := m.(type) {
 	case *message.SubQuery:
@@ -125,6 +128,7 @@
 	}
 }
 
+// untrack deletes what track has recorded for a sub-query.
 func (e *Engine) untrack(s *search, id query.ID) {
 	if to, found := s.dispatchers[id]; found {
 		e.loadOf(to).inFlight--
@@ -133,6 +137,7 @@
 	}
 }
 
+// receiveSubAnswer passes a dispatcher's answer on to its search or execute.
 func (e *Engine) receiveSubAnswer(from string, m *message.SubAnswer) {
 	number, found := e.subQueryOwners[m.ID]
 	if !found {
@@ -148,13 +153,13 @@
 	}
 	actions := s.query.Receive(e.now, from, m)
 	if m.Done && !m.NotRun {
-		// Refusals come at once and say nothing of how long a silent dispatcher may be working.
+		// Refusals are not recorded. They come at once and do not show how long a dispatcher takes for its work.
 		e.subQueryLatencies.Record(e.now - s.startedAt)
 	}
 	e.performSearch(s, actions)
 }
 
-// finishSearch gives the answer of a search to its caller.
+// finishSearch ends a search and returns the answer to its caller.
 func (e *Engine) finishSearch(s *search, answer scatter.Answer) {
 	for id := range s.dispatchers {
 		e.untrack(s, id)
@@ -163,7 +168,7 @@
 	e.answerSearch(s.caller, s.request.Service, answer)
 }
 
-// answerSearch counts an answer and hands it to the driver.
+// answerSearch counts the answer of a search and adds it to the output.
 func (e *Engine) answerSearch(caller Caller, service string, answer scatter.Answer) {
 	switch {
 	case answer.Failure != nil && answer.Failure.NotRun:
@@ -184,6 +189,7 @@
 	})
 }
 
+// tickSearches starts the searches that have waited long enough for holdings, and advances those that are due.
 func (e *Engine) tickSearches() {
 	for _, number := range sortedKeys(e.searches) {
 		s := e.searches[number]
--- a/internal/engine/settings.go
+++ b/internal/engine/settings.go
@@ -9,29 +9,29 @@
 	"stiletrail/internal/placement"
 )
 
-// Settings of a node's decisions. All nodes must have the same placement settings.
+// Settings are the settings of a node. The Placement settings must be the same on all nodes.
 type Settings struct {
 	Membership membership.Settings
 	Gossip     gossip.Settings
 	Placement  placement.Settings
 	Dispatch   dispatch.Settings
-	// MaximumQueries bounds the searches and executes under way at this root.
+	// MaximumQueries is the maximum number of searches and executes in flight that callers sent to this node.
 	MaximumQueries int
-	// StoreInterval is the time between two readings of the whole store by a relay.
+	// StoreInterval is the minimum time between two listings of the whole store by a relay.
 	StoreInterval time.Duration
-	// JoinWait is how long a fresh node tries peers alone before it asks the store too.
+	// JoinWait is how long a new node tries to get the configuration from peers only before it reads the store too.
 	JoinWait time.Duration
-	// RoutingInterval is the time between two refreshes of what the shards of an active service hold.
+	// RoutingInterval is the time between two requests for the holdings of a service that is in use.
 	RoutingInterval time.Duration
-	// RoutingWait bounds the wait of a first search for what the shards hold.
+	// RoutingWait is the maximum time that a search or an execute waits for the holdings of a service.
 	RoutingWait time.Duration
-	// ReissueShare is the part of shards that may be asked of a second dispatcher while the first is silent.
+	// ReissueShare is the number of shards that may be asked of a second dispatcher, because the first is silent, per search.
 	ReissueShare float64
-	// LeaveGrace is how long a leaving node still takes sub-queries from roots that have not heard of it yet.
+	// LeaveGrace is how long a leaving node still accepts sub-queries from roots that do not know yet that it leaves.
 	LeaveGrace time.Duration
 }
 
-// DefaultSettings gives the settings used where nothing else is said.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
 	return Settings{
 		Membership:      membership.DefaultSettings(),
--- a/internal/engine/status.go
+++ b/internal/engine/status.go
@@ -8,50 +8,53 @@
 	"stiletrail/internal/message"
 )
 
-// Limits of a status request.
+// These are the limits of a status request.
 const (
-	// statusWait bounds the wait for the members' answers.
+	// statusWait is the maximum wait for the members' answers.
 	statusWait = 500 * time.Millisecond
-	// statusMembers bounds how many members are asked; beyond it a random sample is.
+	// statusMembers is the maximum number of members that are asked. If there are more, a random sample is asked.
 	statusMembers = 512
 )
 
-// ServiceStatus says how far a service's version is in force.
+// ServiceStatus states which version of a service's document is in force, and on how many members.
 type ServiceStatus struct {
 	Service string
 	Version uint64
 	Deleted bool
-	// InForce counts the members asked that have this version or a later one, this node included.
+	// InForce counts the members that have this version or a later one in force, this node included.
 	InForce int
-	Asked   int
-	// Unreachable members did not answer in time.
+	// Asked counts the members asked, this node included.
+	Asked int
+	// Unreachable lists the members that did not answer in time.
 	Unreachable []string
 }
 
-// StatusAnswer is the state of a node and of the services as seen from it.
+// StatusAnswer is the state of a node and of the services as this node knows them.
 type StatusAnswer struct {
 	Caller Caller
 	Self   membership.Member
 	Ready  bool
-	Alive  int
-	// ConfigurationAge is negative where the catalog was never known equal to the store's.
+	// Alive is the number of members that are alive.
+	Alive int
+	// ConfigurationAge is the time since the catalog was last known to equal the store, negative if it never was.
 	ConfigurationAge time.Duration
 	Services         []ServiceStatus
 	Alarms           []string
 }
 
-// pendingStatus is a status request under way.
+// pendingStatus is a status request that waits for the answers of members.
 type pendingStatus struct {
 	caller Caller
-	// service is the only one asked for, or empty for all.
+	// service is the service that is asked for. It is empty for all services.
 	service string
 	until   time.Duration
-	// unanswered are the members that have not answered; versions what the others have in force, by member and service.
-	unanswered  map[string]bool
-	versions map[string]map[string]uint64
+	// unanswered are the members that have not answered. versions holds the versions that the others have in force, by
+	// member and service.
+	unanswered map[string]bool
+	versions   map[string]map[string]uint64
 }
 
-// Status asks the members which versions they have in force.
+// Status asks the members which versions they have in force. The answer comes in a later Output, or in this one.
 func (e *Engine) Status(now time.Duration, caller Caller, service string) Output {
 	e.beginCall(now)
 	run := &pendingStatus{
@@ -68,6 +71,7 @@
 	return e.endCall()
 }
 
+// receiveVersionRequest tells a peer which versions are in force on this node.
 func (e *Engine) receiveVersionRequest(from string, m *message.VersionRequest) {
 	reply := &message.VersionReply{Sequence: m.Sequence}
 	services := e.catalog.Services()
@@ -80,6 +84,7 @@
 	e.send(from, reply)
 }
 
+// receiveVersionReply records a member's answer to a status request.
 func (e *Engine) receiveVersionReply(from string, m *message.VersionReply) {
 	run := e.statuses[m.Sequence]
 	if run == nil || !run.unanswered[from] {
@@ -93,13 +98,14 @@
 	e.finishStatus(m.Sequence, run)
 }
 
+// tickStatuses answers the status requests whose wait is over.
 func (e *Engine) tickStatuses() {
 	for _, number := range sortedKeys(e.statuses) {
 		e.finishStatus(number, e.statuses[number])
 	}
 }
 
-// finishStatus answers once all members have, or the wait is over.
+// finishStatus answers a status request if all members asked have answered or the wait is over.
 func (e *Engine) finishStatus(number uint64, run *pendingStatus) {
 	if len(run.unanswered) > 0 && e.now < run.until {
 		return
@@ -121,6 +127,7 @@
 	e.output.StatusAnswers = append(e.output.StatusAnswers, answer)
 }
 
+// serviceStatus evaluates the members' answers for one service.
 func (e *Engine) serviceStatus(run *pendingStatus, service string) ServiceStatus {
 	document, _ := e.catalog.Get(service)
 	status := ServiceStatus{Service: service, Version: document.Version, Deleted: document.Deleted, InForce: 1}
@@ -134,12 +141,12 @@
 	return status
 }
 
-// Alarms lists what an operator must look at.
+// Alarms returns the conditions that need an operator's attention, one text each.
 func (e *Engine) Alarms() []string {
 	var alarms []string
 	for _, service := range sortedKeys(e.store.behind) {
 		alarms = append(alarms, fmt.Sprintf(
-			"STORE_BEHIND: the store holds version %d of %s, in force is %d; confirm any plan for it to repair the store",
+			"STORE_BEHIND: the store holds version %d of service %s, but version %d is in force; confirm any plan for the service to repair the store",
 			e.store.behind[service], service, e.catalog.Version(service)))
 	}
 	return alarms
--- a/internal/engine/store.go
+++ b/internal/engine/store.go
@@ -9,28 +9,30 @@
 	"stiletrail/internal/rollout"
 )
 
-// storeRetryDelay is the wait after a failed reading of the store, spread by as much again at random.
+// storeRetryDelay is the minimum wait after a failed listing of the store. Up to the same time again is added at random.
 const storeRetryDelay = time.Second
 
-// A reading of the store costs about entryListBytes a service, and pauses between readings keep it under listBytesPerSecond.
+// A listing of the store transfers about entryListBytes per service. The pause between two listings is long enough to keep
+// the traffic below listBytesPerSecond.
 const (
 	entryListBytes     = 64
 	listBytesPerSecond = 1500
 )
 
-// storeReading is how far a node has read the store, and what it was last known to hold.
+// storeReading is the progress of a listing of the store, and what the store was last known to hold.
 type storeReading struct {
-	// inProgress since startedAt: the keys were asked for, or the entries in pending, by the numbers of their reads.
-	inProgress  bool
-	startedAt time.Duration
-	pending   map[uint64]bool
-	// next is when the store is read again; keys is how many it had.
+	// inProgress is true while a listing that began at startedAt is not finished. The listing of the keys comes first, then
+	// the reads of changed entries, whose numbers are in pending.
+	inProgress bool
+	startedAt  time.Duration
+	pending    map[uint64]bool
+	// next is when the store is listed again. keys is the number of keys in the last listing.
 	next time.Duration
 	keys int
-	// stamps and versions are those of the entries that were read, by service.
+	// stamps and versions are the store's stamps and the documents' versions of the entries that were read, by service.
 	stamps   map[string]platform.Stamp
 	versions map[string]uint64
-	// behind are the versions of services of which the store holds an older one than is in force.
+	// behind holds, for each service of which the store has an older version than is in force, the version in the store.
 	behind map[string]uint64
 }
 
@@ -40,7 +42,7 @@
 	}
 }
 
-// tickStore compares with the whole store when due: relays always, others only until they are ready.
+// tickStore starts a listing of the whole store when due. Relays do so always, other nodes only until they are ready.
 func (e *Engine) tickStore() {
 	if e.store.inProgress || e.now < e.store.next || e.leaving {
 		return
@@ -54,9 +56,9 @@
 	e.output.StoreLists++
 }
 
-// StoreListDone takes in the keys and stamps of the whole store, without values; ok is false where it was not read. The entries
-// that are not known are read one by one; once all are in force here, the catalog is known equal to the store as it was when it
-// was asked.
+// StoreListDone handles the listing of the whole store, which has keys and stamps but no values; ok is false if it failed.
+// Entries with an unknown stamp are read one by one. Once all are in force here, the catalog is known to equal the store as
+// of the start of the listing.
 func (e *Engine) StoreListDone(now time.Duration, entries []platform.Entry, ok bool) Output {
 	e.beginCall(now)
 	if !ok {
@@ -80,7 +82,7 @@
 	return e.endCall()
 }
 
-// retainOnly forgets the entries that the store does not have any more.
+// retainOnly deletes what is known of entries that are no longer in the store.
 func (s *storeReading) retainOnly(listed map[string]bool) {
 	for service := range s.stamps {
 		if !listed[service] {
@@ -90,7 +92,7 @@
 	}
 }
 
-// listedEntryRead takes in an entry that a reading of the store asked for.
+// listedEntryRead handles the read of an entry that a listing has found to be changed.
 func (e *Engine) listedEntryRead(operation uint64, outcome rollout.Outcome, entry platform.Entry, stored catalog.Document) {
 	delete(e.store.pending, operation)
 	if outcome != rollout.Done {
@@ -102,7 +104,7 @@
 	e.finishList()
 }
 
-// applyEntry takes a document of the store into force and remembers what the store holds.
+// applyEntry puts a document of the store into force and records what the store holds.
 func (e *Engine) applyEntry(entry platform.Entry, stored catalog.Document) {
 	if stored.Service == "" {
 		return
@@ -112,7 +114,7 @@
 	e.merge(stored)
 }
 
-// merge takes a document into force if it is newer, and pushes it on.
+// merge puts a document into force if it is newer than the present one, and sends it on to peers.
 func (e *Engine) merge(document catalog.Document) {
 	if !e.catalog.Merge(document) {
 		return
@@ -121,14 +123,14 @@
 	e.sendAll(e.gossip.Push(document.Service, ""))
 }
 
-// listFailed gives a reading of the store up until later.
+// listFailed ends a failed listing of the store and schedules the next one.
 func (e *Engine) listFailed() {
 	e.store.inProgress = false
 	e.Counters.StoreFailures++
 	e.store.next = e.now + storeRetryDelay + time.Duration(e.random.Int64N(int64(storeRetryDelay)))
 }
 
-// finishList ends a reading of the store once all its entries are in.
+// finishList ends a listing of the store once all entries that it asked for are read.
 func (e *Engine) finishList() {
 	if !e.store.inProgress || len(e.store.pending) > 0 {
 		return
@@ -140,7 +142,7 @@
 	e.gossip.Refreshed(e.store.startedAt)
 }
 
-// compareStore raises an alarm for each service of which the store holds an older version than is in force.
+// compareStore sets the services of which the store holds an older version than is in force. Alarms reports them.
 func (e *Engine) compareStore() {
 	clear(e.store.behind)
 	for _, service := range e.catalog.Services() {
@@ -150,7 +152,7 @@
 	}
 }
 
-// StoreChanged takes in an event of a watch.
+// StoreChanged handles a changed entry that a watch of the store has reported.
 func (e *Engine) StoreChanged(now time.Duration, entry platform.Entry) Output {
 	e.beginCall(now)
 	if document, err := catalog.Decode(entry.Value); err == nil {
--- a/internal/engine/tick.go
+++ b/internal/engine/tick.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Tick periods of the parts that are not driven by their own timers.
+// These are the periods of the tasks that Tick runs periodically.
 const (
 	membersPeriod  = 100 * time.Millisecond
 	gossipPeriod   = 100 * time.Millisecond
@@ -19,7 +19,7 @@
 	return true
 }
 
-// Tick advances everything that depends on time.
+// Tick does everything that is due at the given time.
 func (e *Engine) Tick(now time.Duration) Output {
 	e.beginCall(now)
 	if e.periodElapsed(&e.nextMembers, membersPeriod) {
--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -117,7 +117,7 @@
 	{
 		"an entry of another era is not read", "internal/engine/store.go",
 		"if e.store.stamps[service] != entry.Stamp {", "if e.store.stamps[service].Version != entry.Version {",
-		"./internal/engine", "TestListedInAnotherEra",
+		"./internal/engine", "TestListedEntryOfAnotherEraIsRead",
 	},
 	{
 		"an era that cannot be read passes", "platform/store.go",
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -104,7 +104,7 @@
 	{
 		"accepted is said before any peer holds the document", "internal/engine/confirm.go",
 		"rollout.Spreading(len(peers))", "rollout.Spreading(0)",
-		"./internal/engine", "TestAcceptedWaitsForCopies",
+		"./internal/engine", "TestAcceptanceWaitsForCopies",
 	},
 	{
 		"relays trust their watch", "internal/engine/store.go",
@@ -134,7 +134,7 @@
 	{
 		"a node that was frozen goes on with what it knew", "internal/engine/call.go",
 		"	if frozen {\n		e.resume()\n	}\n", "	_ = frozen\n",
-		"./internal/engine", "TestWokenNodeRefusesUntilItHasJoined",
+		"./internal/engine", "TestFrozenNodeRefusesUntilItHasRejoined",
 	},
 	{
 		"checksums of answers are not compared", "internal/backend/answer.go",
--- a/internal/scatter/retry.go
+++ b/internal/scatter/retry.go
@@ -23,7 +23,7 @@
 //
 // Nothing is retried or planned again in the last two margins before the deadline.
 const (
-	maximumPlans      = 4
+	maximumPlans     = 4
 	silenceLatencies = 4
 	silenceParts     = 3
 	// minimumSilenceTimeout bounds the wait for a silent dispatcher from below, and is the wait for results that come after the final
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -95,8 +95,8 @@
 	dispatcher string
 	shards     []uint32
 	// responded: something came back.
-	responded    bool
-	reissued bool
+	responded bool
+	reissued  bool
 	// waitUntil is when another dispatcher is asked for what did not come.
 	waitUntil time.Duration
 	// finalAnswer is the final answer, kept while results that were sent before it are still on their way.
