--- a/internal/engine/dispatcher.go
+++ b/internal/engine/dispatcher.go
@@ -9,16 +9,18 @@
 	"stiletrail/internal/query"
 )
 
-// suspectFor is how long a silent dispatcher is avoided.
+// suspectFor is how long a dispatcher is avoided after it did not answer.
 const suspectFor = time.Second
 
-// dispatcherLoad is what this root knows of a dispatcher.
+// dispatcherLoad is what this node, as a root, knows of the load and health of a dispatcher.
 type dispatcherLoad struct {
+	// inFlight counts the sub-queries of searches at the dispatcher.
 	inFlight     int
 	suspectUntil time.Duration
 }
 
-func (e *Engine) load(address string) *dispatcherLoad {
+// loadOf returns the entry of a dispatcher, which is created if needed.
+func (e *Engine) loadOf(address string) *dispatcherLoad {
 	found := e.loads[address]
 	if found == nil {
 		found = &dispatcherLoad{}
@@ -27,18 +29,18 @@
 	return found
 }
 
-// Dispatcher implements scatter.Environment. It picks the less loaded of two random nodes of the first of these that has any,
-// none of them excluded:
+// PickDispatcher implements scatter.Environment. It picks the less loaded of two random nodes from the first of these sets
+// that is not empty, without the nodes excluded:
 //   - the dispatchers of the group that are not suspected;
 //   - with deputiesToo, its deputies that are not suspected;
-//   - those that are;
-//   - with deputiesToo, nodes that dispatched to it before.
-func (e *Engine) Dispatcher(service string, group uint32, excluded []string, deputiesToo bool) (string, bool) {
+//   - the suspected dispatchers and, with deputiesToo, the suspected deputies;
+//   - with deputiesToo, the previous owners of the group.
+func (e *Engine) PickDispatcher(service string, group uint32, excluded []string, deputiesToo bool) (string, bool) {
 	dispatchers, deputies := e.table.Owners(service, group)
-	candidates, silent := e.split(dispatchers, excluded)
+	candidates, silent := e.splitSilent(dispatchers, excluded)
 	if len(candidates) == 0 && deputiesToo {
 		var silentDeputies []string
-		candidates, silentDeputies = e.split(deputies, excluded)
+		candidates, silentDeputies = e.splitSilent(deputies, excluded)
 		silent = append(silent, silentDeputies...)
 	}
 	if len(candidates) > 0 {
@@ -53,12 +55,13 @@
 	return e.lessLoaded(silent), true
 }
 
-// split tells nodes that may be asked from those that were silent of late, without those excluded.
-func (e *Engine) split(owners, excluded []string) (candidates, silent []string) {
+// splitSilent splits the owners into candidates and those that are suspected because they were silent lately. It leaves out
+// those excluded.
+func (e *Engine) splitSilent(owners, excluded []string) (candidates, silent []string) {
 	for _, owner := range owners {
 		switch {
 		case slices.Contains(excluded, owner):
-		case e.now < e.load(owner).suspectUntil:
+		case e.now < e.loadOf(owner).suspectUntil:
 			silent = append(silent, owner)
 		default:
 			candidates = append(candidates, owner)
@@ -67,20 +70,21 @@
 	return candidates, silent
 }
 
-// lessLoaded picks the one with less under way of two random candidates.
+// lessLoaded picks two random candidates and returns the one with fewer sub-queries in flight.
 func (e *Engine) lessLoaded(candidates []string) string {
 	if len(candidates) == 1 {
 		return candidates[0]
 	}
-	first, second := dispatch.TwoOf(e.random, len(candidates))
-	if e.load(candidates[second]).inFlight < e.load(candidates[first]).inFlight {
+	first, second := dispatch.TwoDistinct(e.random, len(candidates))
+	if e.loadOf(candidates[second]).inFlight < e.loadOf(candidates[first]).inFlight {
 		return candidates[second]
 	}
 	return candidates[first]
 }
 
-// previousOwners returns who dispatched to a group before its owners changed: an owner that has not heard of the change yet
-// refuses, and a node that is leaving serves on for its grace.
+// previousOwners returns the nodes that owned a group before its owners changed and are not known to be dead. They are
+// worth asking, because a new owner refuses sub-queries until it has learned of the change, and a node that is stopping
+// goes on serving for Settings.LeaveGrace.
 func (e *Engine) previousOwners(service string, group uint32, excluded []string) []string {
 	var result []string
 	for _, owner := range e.table.PreviousOwners(service, group) {
@@ -94,7 +98,7 @@
 
 // NextID implements scatter.Environment.
 func (e *Engine) NextID() query.ID {
-	return query.ID{Generation: e.members.Self().Generation, Sequence: e.next()}
+	return query.ID{Generation: e.members.Self().Generation, Sequence: e.nextNumber()}
 }
 
 // Region implements scatter.Environment.
@@ -103,7 +107,7 @@
 // SubQueryLatency implements scatter.Environment.
 func (e *Engine) SubQueryLatency() time.Duration {
 	const quantile, minimumSamples = 0.95, 20
-	return e.queryTimes.Quantile(quantile, minimumSamples, 0)
+	return e.subQueryLatencies.Quantile(quantile, minimumSamples, 0)
 }
 
 // SpendReissue implements scatter.Environment.
@@ -111,7 +115,7 @@
 	return e.reissues.Spend(shards)
 }
 
-// Suspect implements scatter.Environment.
-func (e *Engine) Suspect(address string) {
-	e.load(address).suspectUntil = e.now + suspectFor
+// MarkSuspect implements scatter.Environment.
+func (e *Engine) MarkSuspect(address string) {
+	e.loadOf(address).suspectUntil = e.now + suspectFor
 }
--- a/internal/engine/search.go
+++ b/internal/engine/search.go
@@ -14,49 +14,50 @@
 type SearchRequest struct {
 	Service string
 	Body    []byte
-	// Within is the time the caller gives; zero takes the service's deadline.
-	Within time.Duration
-	// MinimumVersion of the index.
+	// TimeLimit is the time that the caller allows. Zero means the service's deadline.
+	TimeLimit time.Duration
+	// MinimumVersion is the lowest version of the index at which the search may run.
 	MinimumVersion uint64
 }
 
-// search is a caller's search under way.
+// search is a caller's search in flight.
 type search struct {
 	number  uint64
 	caller  Caller
 	request scatter.Request
-	// waitUntil bounds the wait for what the shards hold, while query is nil.
+	// waitUntil is the end of the wait for the holdings of the back ends. It applies while query is nil.
 	waitUntil time.Duration
 	query     *scatter.Query
 	startedAt time.Duration
-	// dispatchers of the sub-queries under way.
+	// dispatchers maps each sub-query in flight to its dispatcher.
 	dispatchers map[query.ID]string
 }
 
-func (s *search) wake() time.Duration {
+// nextWake returns when tickSearches must handle the search at the latest.
+func (s *search) nextWake() time.Duration {
 	if s.query == nil {
 		return s.waitUntil
 	}
 	return s.query.NextWake()
 }
 
-// Search takes a caller's search; its answer comes with a later Output, or with this one.
+// Search receives a caller's search. The answer comes in a later Output, or in this one.
 func (e *Engine) Search(now time.Duration, caller Caller, request SearchRequest) Output {
-	e.begin(now)
+	e.beginCall(now)
 	e.Counters.Searches++
 	if refusal := e.admit(request.Service); refusal != nil {
 		e.refuseSearch(caller, refusal)
-		return e.end()
+		return e.endCall()
 	}
 	document, _ := e.catalog.Get(request.Service)
-	within := request.Within
+	within := request.TimeLimit
 	if within <= 0 {
 		within = time.Duration(document.Specification.DeadlineMilliseconds) * time.Millisecond
 	}
 	s := &search{
-		number: e.next(), caller: caller, startedAt: now, dispatchers: map[query.ID]string{},
+		number: e.nextNumber(), caller: caller, startedAt: now, dispatchers: map[query.ID]string{},
 		request: scatter.Request{
-			Service: request.Service, Body: request.Body, Deadline: now + within, Floor: request.MinimumVersion,
+			Service: request.Service, Body: request.Body, Deadline: now + within, MinimumVersion: request.MinimumVersion,
 			Document: document,
 		},
 		waitUntil: now + min(e.settings.RoutingWait, within/2),
@@ -65,13 +66,15 @@
 	if e.routeFor(request.Service).complete() {
 		e.startSearch(s)
 	}
-	return e.end()
+	return e.endCall()
 }
 
+// refuseSearch answers a search with a refusal.
 func (e *Engine) refuseSearch(caller Caller, refusal *failure.Failure) {
 	e.answerSearch(caller, "", scatter.Answer{Failure: refusal})
 }
 
+// startSearch plans a search and sends its sub-queries.
 func (e *Engine) startSearch(s *search) {
 	started, actions := scatter.Start(e.now, s.request, e)
 	s.query = started
@@ -79,8 +82,8 @@
 	e.performSearch(s, actions)
 }
 
-// startWaiting starts the searches that waited for what a service's shards hold.
-func (e *Engine) startWaiting(service string) {
+// startWaitingSearches starts the searches that waited for the holdings of a service's back ends.
+func (e *Engine) startWaitingSearches(service string) {
 	for _, number := range sortedKeys(e.searches) {
 		if s := e.searches[number]; s != nil && s.query == nil && s.request.Service == service {
 			e.startSearch(s)
@@ -88,7 +91,7 @@
 	}
 }
 
-// performSearch carries out what a query decided.
+// performSearch carries out the actions of a search.
 func (e *Engine) performSearch(s *search, actions []scatter.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -98,41 +101,43 @@
 		case scatter.Answer:
 			e.finishSearch(s, action)
 		default:
-			panic(fmt.Sprintf("engine: no case for the query's action %T", action))
+			panic(fmt.Sprintf("engine: unhandled type of a query's action: %T", action))
 		}
 	}
 	e.untrackClosed(s)
 }
 
-// untrackClosed stops tracking the sub-queries that the query has closed.
+// untrackClosed stops tracking the sub-queries that the search has closed.
 func (e *Engine) untrackClosed(s *search) {
 	for id := range s.dispatchers {
-		if !s.query.Owns(id) {
+		if !s.query.HasSubQuery(id) {
 			e.untrack(s, id)
 		}
 	}
 }
 
-// track keeps which search a sub-query belongs to, and how many a dispatcher has.
+// track records the search and the dispatcher of a sub-query that is sent, and counts it as in flight there.
 func (e *Engine) track(s *search, to string, m message.Message) {
 	switch m := m.(type) {
 	case *message.SubQuery:
 		s.dispatchers[m.ID] = to
 		e.subQueryOwners[m.ID] = s.number
-		e.load(to).inFlight++
+		e.loadOf(to).inFlight++
 	case *message.SubCancel:
 		e.untrack(s, m.ID)
 	}
 }
 
+// untrack deletes what track has recorded for a sub-query.
 func (e *Engine) untrack(s *search, id query.ID) {
 	if to, found := s.dispatchers[id]; found {
-		e.load(to).inFlight--
+		e.loadOf(to).inFlight--
 		delete(s.dispatchers, id)
 		delete(e.subQueryOwners, id)
 	}
 }
 
+// receiveSubAnswer passes a dispatcher's answer on to its search or execute.
 func (e *Engine) receiveSubAnswer(from string, m *message.SubAnswer) {
 	number, found := e.subQueryOwners[m.ID]
 	if !found {
@@ -148,13 +153,13 @@
 	}
 	actions := s.query.Receive(e.now, from, m)
 	if m.Done && !m.NotRun {
-		// Refusals come at once and say nothing of how long a silent dispatcher may be working.
-		e.queryTimes.Record(e.now - s.startedAt)
+		// Refusals are not recorded. They come at once and do not show how long a dispatcher takes for its work.
+		e.subQueryLatencies.Record(e.now - s.startedAt)
 	}
 	e.performSearch(s, actions)
 }
 
-// finishSearch gives the answer of a search to its caller.
+// finishSearch ends a search and returns the answer to its caller.
 func (e *Engine) finishSearch(s *search, answer scatter.Answer) {
 	for id := range s.dispatchers {
 		e.untrack(s, id)
@@ -163,7 +168,7 @@
 	e.answerSearch(s.caller, s.request.Service, answer)
 }
 
-// answerSearch counts an answer and hands it to the driver.
+// answerSearch counts the answer of a search and adds it to the output.
 func (e *Engine) answerSearch(caller Caller, service string, answer scatter.Answer) {
 	switch {
 	case answer.Failure != nil && answer.Failure.NotRun:
@@ -184,10 +189,11 @@
 	})
 }
 
+// tickSearches starts the searches that have waited long enough for holdings, and advances those that are due.
 func (e *Engine) tickSearches() {
 	for _, number := range sortedKeys(e.searches) {
 		s := e.searches[number]
-		if s == nil || e.now < s.wake() {
+		if s == nil || e.now < s.nextWake() {
 			continue
 		}
 		if s.query == nil {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -53,7 +53,7 @@
 	n.counter(m, "stiletrail_executes_total", "Requests that are not repeatable.",
 		func(e *engine.Engine) uint64 { return e.Counters.Executes })
 	n.counter(m, "stiletrail_executes_unknown_total", "Of these, with unknown outcome.",
-		func(e *engine.Engine) uint64 { return e.Counters.Unknown })
+		func(e *engine.Engine) uint64 { return e.Counters.UnknownOutcomes })
 }
 
 // addBackEndMetrics adds what the dispatcher did.
@@ -82,7 +82,7 @@
 // addNodeMetrics adds the state of the node and its traffic with others.
 func (n *Node) addNodeMetrics(m *metrics) {
 	n.counter(m, "stiletrail_store_failures_total", "Readings of the store that failed.",
-		func(e *engine.Engine) uint64 { return e.Counters.StoreFailed })
+		func(e *engine.Engine) uint64 { return e.Counters.StoreFailures })
 	n.counter(m, "stiletrail_freezes_total", "Times the process was found to have been frozen.",
 		func(e *engine.Engine) uint64 { return e.Counters.Freezes })
 	n.traffic(m, "stiletrail_peer_sent_bytes_total", "Bytes sent to other nodes.", &n.transport.Counters.SentBytes)
@@ -96,7 +96,7 @@
 	n.gauge(m, "stiletrail_ready", "1 while the node takes new work.",
 		func(e *engine.Engine) float64 { return asNumber(e.Ready()) })
 	n.gauge(m, "stiletrail_relay", "1 while the node reads the store for its zone.",
-		func(e *engine.Engine) float64 { return asNumber(e.Relay()) })
+		func(e *engine.Engine) float64 { return asNumber(e.IsRelay()) })
 	n.gauge(m, "stiletrail_alarms", "Alarms that status shows.",
 		func(e *engine.Engine) float64 { return float64(len(e.Alarms())) })
 }
@@ -148,6 +148,6 @@
 func (n *Node) observeSearch(answer engine.SearchAnswer, elapsed time.Duration) {
 	n.metrics.latency.Observe(elapsed.Seconds())
 	if answer.Coverage.TotalKnown {
-		n.metrics.coverage.Observe(answer.Coverage.Share())
+		n.metrics.coverage.Observe(answer.Coverage.Ratio())
 	}
 }
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -27,7 +27,7 @@
 	for range output.StoreLists {
 		n.tasks.Go(n.listStore)
 	}
-	if n.engine.Relay() && n.ctx.Err() == nil && n.watching.CompareAndSwap(false, true) {
+	if n.engine.IsRelay() && n.ctx.Err() == nil && n.watching.CompareAndSwap(false, true) {
 		n.tasks.Go(n.watchStore)
 	}
 }
@@ -63,7 +63,7 @@
 	if err != nil && n.ctx.Err() == nil {
 		n.log.WithField("failure", failure.CodeOf(err)).Warn("the store cannot be read")
 	}
-	n.step(func(now time.Duration) engine.Output { return n.engine.StoreListed(now, entries, err == nil) })
+	n.step(func(now time.Duration) engine.Output { return n.engine.StoreListDone(now, entries, err == nil) })
 }
 
 // watchStore watches while this node is a relay. A watch may lose events; the reading of the whole store makes up for it.
@@ -84,7 +84,7 @@
 
 func (n *Node) isRelay() bool {
 	relay := false
-	n.Inspect(func(e *engine.Engine) { relay = e.Relay() })
+	n.Inspect(func(e *engine.Engine) { relay = e.IsRelay() })
 	return relay
 }
 
--- a/internal/scatter/routing.go
+++ b/internal/scatter/routing.go
@@ -27,9 +27,9 @@
 	Covered uint32
 }
 
-// Choose returns the newest snapshot that covers the most shards, at or above the version floor and not among those
+// ChoosePlan returns the newest snapshot that covers the most shards, at or above the version floor and not among those
 // excluded; false where nothing is known to be held.
-func (r Routing) Choose(floor uint64, excluded []query.Snapshot) (Plan, bool) {
+func (r Routing) ChoosePlan(floor uint64, excluded []query.Snapshot) (Plan, bool) {
 	var best Plan
 	found := false
 	for _, epoch := range r.epochs() {
@@ -40,7 +40,7 @@
 				continue
 			}
 			plan := Plan{Snapshot: snapshot, Total: total, Covered: r.covered(snapshot, total)}
-			if !found || plan.better(best) {
+			if !found || plan.betterThan(best) {
 				best, found = plan, true
 			}
 		}
@@ -48,8 +48,8 @@
 	return best, found && best.Covered > 0
 }
 
-// better prefers the larger share of shards, then the newer version, then the newer epoch.
-func (p Plan) better(other Plan) bool {
+// betterThan prefers the larger share of shards, then the newer version, then the newer epoch.
+func (p Plan) betterThan(other Plan) bool {
 	mine := uint64(p.Covered) * uint64(other.Total)
 	theirs := uint64(other.Covered) * uint64(p.Total)
 	if mine != theirs {
@@ -61,7 +61,7 @@
 	return p.Snapshot.Epoch > other.Snapshot.Epoch
 }
 
-func (r Routing) each(visit func(query.Holding)) {
+func (r Routing) forEachHolding(visit func(query.Holding)) {
 	for _, group := range r.Groups {
 		for _, holding := range group.Holdings {
 			visit(holding)
@@ -71,7 +71,7 @@
 
 func (r Routing) epochs() []uint64 {
 	var epochs []uint64
-	r.each(func(h query.Holding) {
+	r.forEachHolding(func(h query.Holding) {
 		if !slices.Contains(epochs, h.Epoch) {
 			epochs = append(epochs, h.Epoch)
 		}
@@ -82,7 +82,7 @@
 // total is the number of shards in an epoch, which every back end in it states.
 func (r Routing) total(epoch uint64) uint32 {
 	var total uint32
-	r.each(func(h query.Holding) {
+	r.forEachHolding(func(h query.Holding) {
 		if h.Epoch == epoch {
 			total = max(total, h.ShardsTotal)
 		}
@@ -93,9 +93,9 @@
 // versions are the newest versions of all holdings in an epoch: the newest version all shards hold is one of them.
 func (r Routing) versions(epoch uint64) []uint64 {
 	var versions []uint64
-	r.each(func(h query.Holding) {
-		if h.Epoch == epoch && !slices.Contains(versions, h.Newest) {
-			versions = append(versions, h.Newest)
+	r.forEachHolding(func(h query.Holding) {
+		if h.Epoch == epoch && !slices.Contains(versions, h.NewestVersion) {
+			versions = append(versions, h.NewestVersion)
 		}
 	})
 	sort.Slice(versions, func(i, j int) bool { return versions[i] > versions[j] })
@@ -105,8 +105,8 @@
 func (r Routing) covered(at query.Snapshot, total uint32) uint32 {
 	held := make([]bool, total)
 	var count uint32
-	r.each(func(h query.Holding) {
-		if !h.At(at) {
+	r.forEachHolding(func(h query.Holding) {
+		if !h.HasSnapshot(at) {
 			return
 		}
 		for _, shard := range h.Shards {
@@ -119,9 +119,9 @@
 	return count
 }
 
-// nothingCovered is the coverage of an answer without any shard.
-func (r Routing) nothingCovered() query.Coverage {
-	_, total, known := r.Newest()
+// noCoverage is the coverage of an answer without any shard.
+func (r Routing) noCoverage() query.Coverage {
+	_, total, known := r.NewestEpoch()
 	if !known {
 		return query.Coverage{}
 	}
@@ -141,7 +141,7 @@
 				continue
 			}
 			for _, holding := range group.Holdings {
-				if !holding.At(at) {
+				if !holding.HasSnapshot(at) {
 					continue
 				}
 				for _, shard := range holding.Shards {
@@ -155,8 +155,8 @@
 	return holders
 }
 
-// Newest returns the newest epoch held and the number of its shards, for requests keyed to a shard.
-func (r Routing) Newest() (epoch uint64, total uint32, known bool) {
+// NewestEpoch returns the newest epoch held and the number of its shards, for requests keyed to a shard.
+func (r Routing) NewestEpoch() (epoch uint64, total uint32, known bool) {
 	for _, candidate := range r.epochs() {
 		if !known || candidate > epoch {
 			epoch, known = candidate, true
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -25,9 +25,9 @@
 type Environment interface {
 	// Routing is what is known now of the service's shards.
 	Routing(service string) Routing
-	// Dispatcher picks a node that dispatches to a group, none of those excluded. With deputiesToo, deputies and earlier
+	// PickDispatcher picks a node that dispatches to a group, none of those excluded. With deputiesToo, deputies and earlier
 	// dispatchers are picked too where no other is left.
-	Dispatcher(service string, group uint32, excluded []string, deputiesToo bool) (string, bool)
+	PickDispatcher(service string, group uint32, excluded []string, deputiesToo bool) (string, bool)
 	// NextID returns an id never given before.
 	NextID() query.ID
 	// Region of the node.
@@ -36,17 +36,17 @@
 	SubQueryLatency() time.Duration
 	// SpendReissue takes from the budget for asking a second dispatcher while the first is silent.
 	SpendReissue(shards int) bool
-	// Suspect notes that a dispatcher is silent.
-	Suspect(address string)
+	// MarkSuspect notes that a dispatcher is silent.
+	MarkSuspect(address string)
 }
 
 // Request is a search as its root takes it.
 type Request struct {
-	Service  string
-	Body     []byte
-	Deadline time.Duration
-	Floor    uint64
-	Document catalog.Document
+	Service        string
+	Body           []byte
+	Deadline       time.Duration
+	MinimumVersion uint64
+	Document       catalog.Document
 }
 
 // Query is one search under way.
@@ -64,10 +64,10 @@
 	results    map[uint32]query.ShardDocuments
 	answered   uint32
 	subQueries map[query.ID]*subQuery
-	// order of the sub-queries, so that a seed gives one trace.
-	order []query.ID
-	// attempts counts the shards asked of back ends so far.
-	attempts uint32
+	// sendOrder of the sub-queries, so that a seed gives one trace.
+	sendOrder []query.ID
+	// shardAttempts counts the shards asked of back ends so far.
+	shardAttempts uint32
 	// mayHaveRun: a sub-query is not proved not to have run.
 	mayHaveRun bool
 	retryAfter time.Duration
@@ -81,11 +81,11 @@
 	reason   query.Reason
 	// live counts sub-queries under way that were asked for the shard.
 	live  int
-	tried []triedOwner
+	tried []target
 }
 
-// triedOwner is a dispatcher of a group that was asked for a shard.
-type triedOwner struct {
+// target is a dispatcher of a group that was asked for a shard.
+type target struct {
 	group      uint32
 	dispatcher string
 }
@@ -94,13 +94,13 @@
 type subQuery struct {
 	dispatcher string
 	shards     []uint32
-	// heard: something came back.
-	heard    bool
-	reissued bool
+	// responded: something came back.
+	responded bool
+	reissued  bool
 	// waitUntil is when another dispatcher is asked for what did not come.
 	waitUntil time.Duration
-	// last is the final answer, kept while results that were sent before it are still on their way.
-	last *message.SubAnswer
+	// finalAnswer is the final answer, kept while results that were sent before it are still on their way.
+	finalAnswer *message.SubAnswer
 }
 
 // Start plans a search and returns it with its first actions.
@@ -110,16 +110,16 @@
 		results: map[uint32]query.ShardDocuments{}, subQueries: map[query.ID]*subQuery{},
 	}
 	q.plan(now)
-	return q, q.take()
+	return q, q.takeActions()
 }
 
 // Done reports whether the answer was given.
 func (q *Query) Done() bool { return q.done }
 
-// Owns reports whether the id is of a sub-query of this query.
-func (q *Query) Owns(id query.ID) bool { return q.subQueries[id] != nil }
+// HasSubQuery reports whether the id is of a sub-query of this query.
+func (q *Query) HasSubQuery(id query.ID) bool { return q.subQueries[id] != nil }
 
-func (q *Query) take() []Action {
+func (q *Query) takeActions() []Action {
 	actions := q.actions
 	q.actions = nil
 	return actions
@@ -132,7 +132,7 @@
 // plan plans the whole query at a snapshot and sends it out. Nothing of an earlier plan is kept.
 func (q *Query) plan(now time.Duration) {
 	routing := q.environment.Routing(q.request.Service)
-	plan, found := routing.Choose(q.request.Floor, q.excluded)
+	plan, found := routing.ChoosePlan(q.request.MinimumVersion, q.excluded)
 	if !found {
 		q.finishWithoutPlan(routing)
 		return
--- a/internal/simulation/storecalls_test.go
+++ b/internal/simulation/storecalls_test.go
@@ -83,7 +83,7 @@
 	w.Check.written(write.Document)
 	for _, address := range w.live {
 		n := w.nodes[address]
-		if !n.engine.Relay() || w.chance(w.Chances.EventLost) || !w.reachable(n.zone.Name, "") {
+		if !n.engine.IsRelay() || w.chance(w.Chances.EventLost) || !w.reachable(n.zone.Name, "") {
 			continue
 		}
 		w.after(w.jitter(storeLatency), func() {
@@ -97,7 +97,7 @@
 	delay, reached := w.storeDelay(n)
 	if !reached || delay > storeTimeout {
 		w.after(w.failDelay(), func() {
-			w.step(n, func() engine.Output { return n.engine.StoreListed(w.now, nil, false) })
+			w.step(n, func() engine.Output { return n.engine.StoreListDone(w.now, nil, false) })
 		})
 		return
 	}
@@ -107,7 +107,7 @@
 			entries[i].Value = nil
 		}
 		w.after(delay/2, func() {
-			w.step(n, func() engine.Output { return n.engine.StoreListed(w.now, entries, true) })
+			w.step(n, func() engine.Output { return n.engine.StoreListDone(w.now, entries, true) })
 		})
 	})
 }
