--- a/internal/gateway/crashing_copies_test.go
+++ b/internal/gateway/crashing_copies_test.go
@@ -9,8 +9,8 @@
 	"stiletrail/internal/gateway"
 )
 
-// keys of the store that begin with a prefix.
-func (s *fakeStore) keys(prefix string) (count int) {
+// countKeys counts the keys of the store that begin with a prefix.
+func (s *fakeStore) countKeys(prefix string) (count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for key := range s.items {
@@ -24,126 +24,133 @@
 const (
 	quarantines = "quarantine/"
 	retrials    = "quarantine-retrial/"
-	// storedWithin is how long it takes at most until a quarantine is in the store again: the pauses before nodes write that have only heard of it.
-	storedWithin = 10 * time.Second
+	// rewrittenWithin is the longest time until a quarantine is in the store again. It covers the pauses of nodes
+	// that know the quarantine only from others, before they write it.
+	rewrittenWithin = 10 * time.Second
 )
 
-// TestQuarantineLostWithACopy: a store that is back from a copy and knows of no quarantine lets nobody go, also where all nodes know it from the store alone; they
-// write it again, and one that starts then knows it.
-func TestQuarantineLostWithACopy(t *testing.T) {
-	playFrail(t, 5, func(f *frailFleet) {
+// TestQuarantineMissingFromRestoredStore guards against a quarantine that ends because the store was restored from a
+// backup that lacks it. All nodes must keep it, also when they know it from the store alone, and write it again, so
+// that a node that starts afterwards knows it.
+func TestQuarantineMissingFromRestoredStore(t *testing.T) {
+	withCrashFleet(t, 5, func(f *crashFleet) {
 		const path = "/all/!"
-		kept := f.store.copy()
-		f.convict(path)
-		for number := range frailNodes {
+		backup := f.store.backup()
+		f.quarantineRequest(path)
+		for number := range fleetNodes {
 			f.contexts[number]()
 		}
-		for number := range frailNodes {
+		for number := range fleetNodes {
 			f.restart(number)
 		}
 		time.Sleep(10 * time.Second)
-		f.store.restore(kept)
-		f.store.rewrite()
-		for began := time.Now(); time.Since(began) < storedWithin; time.Sleep(200 * time.Millisecond) {
-			f.refusedByAll(t, path)
+		f.store.restore(backup)
+		f.store.rewriteLost()
+		for restoredAt := time.Now(); time.Since(restoredAt) < rewrittenWithin; time.Sleep(200 * time.Millisecond) {
+			f.checkRefusedByAll(t, path)
 		}
-		if f.store.keys(quarantines) == 0 {
-			t.Error("the store does not know the quarantine again")
+		if f.store.countKeys(quarantines) == 0 {
+			t.Error("the quarantine was not written to the restored store again")
 		}
-		if len(f.reached) > 0 {
-			t.Errorf("%d back ends were reached", len(f.reached))
+		if len(f.reachTimes) > 0 {
+			t.Errorf("%d back ends were reached by the quarantined request, want none", len(f.reachTimes))
 		}
 		f.restart(2)
 		time.Sleep(3 * time.Second)
-		f.refusedByAll(t, path)
+		f.checkRefusedByAll(t, path)
 	})
 }
 
-// TestLiftedQuarantineComesBackWithACopy: a quarantine that an answer had ended, and that a copy of the store names again, holds up nobody, and is taken away again.
-func TestLiftedQuarantineComesBackWithACopy(t *testing.T) {
-	playFrail(t, 5, func(f *frailFleet) {
+// TestLiftedQuarantineInRestoredStore guards against a quarantine that returns because the store was restored from a
+// backup that still contains it, although an answer had ended it. The nodes must refuse no request, and remove the
+// quarantine from the store again.
+func TestLiftedQuarantineInRestoredStore(t *testing.T) {
+	withCrashFleet(t, 5, func(f *crashFleet) {
 		const path = "/all/!"
-		f.convict(path)
-		kept := f.store.copy()
+		f.quarantineRequest(path)
+		backup := f.store.backup()
 		f.mu.Lock()
 		f.crashes = func(gateway.BackEndRequest) bool { return false }
 		f.mu.Unlock()
-		if result := f.askAs(1, "somebody else", path, ""); result.Failure != nil {
-			t.Errorf("somebody else is refused: %v", result.Reason)
+		if result := f.requestAs(1, "somebody else", path, ""); result.Failure != nil {
+			t.Errorf("the request of another caller was refused: %v", result.Reason)
 		}
 		time.Sleep(3 * time.Second)
-		left := f.store.keys(quarantines)
-		f.servedByAll(t, path)
-		f.store.restore(kept)
-		f.store.rewrite()
-		for began := time.Now(); time.Since(began) < storedWithin; time.Sleep(500 * time.Millisecond) {
-			f.servedByAll(t, path)
+		before := f.store.countKeys(quarantines)
+		f.checkServedByAll(t, path)
+		f.store.restore(backup)
+		f.store.rewriteLost()
+		for restoredAt := time.Now(); time.Since(restoredAt) < rewrittenWithin; time.Sleep(500 * time.Millisecond) {
+			f.checkServedByAll(t, path)
 		}
-		if now := f.store.keys(quarantines); now > left {
-			t.Errorf("the store goes on naming %d quarantines, %d before the copy", now, left)
+		if now := f.store.countKeys(quarantines); now > before {
+			t.Errorf("the restored store contains %d quarantines, want no more than the %d before the restore", now, before)
 		}
 	})
 }
 
-// TestRetrialLostWithACopy: what one node was let do for all is written again, and nobody is let do anything while the store may lack that another was.
-func TestRetrialLostWithACopy(t *testing.T) {
-	playFrail(t, 5, func(f *frailFleet) {
+// TestRetrialMissingFromRestoredStore checks that a claim that lets one node retry a quarantined request for all
+// nodes is written again after the store was restored from a backup that lacks it. While the store may lack the claim
+// of another node, no node may claim a retrial.
+func TestRetrialMissingFromRestoredStore(t *testing.T) {
+	withCrashFleet(t, 5, func(f *crashFleet) {
 		const path = "/all/!"
-		f.convict(path)
+		f.quarantineRequest(path)
 		f.mu.Lock()
 		f.version = "v2"
 		f.mu.Unlock()
-		for shard := range frailShards {
-			f.begin(frailShard(shard), frailZone(shard))
+		for shard := range fleetShards {
+			f.startBackEnd(fleetShard(shard), fleetZone(shard))
 		}
 		time.Sleep(3 * time.Second)
-		kept := f.store.copy()
-		f.store.restore(kept)
+		backup := f.store.backup()
+		f.store.restore(backup)
 		time.Sleep(1500 * time.Millisecond)
-		f.refusedByAll(t, path)
-		if len(f.reached) > 0 || f.store.keys(retrials) > 0 {
-			t.Errorf("%d back ends of the new version were reached while the store may lack that others were", len(f.reached))
+		f.checkRefusedByAll(t, path)
+		if len(f.reachTimes) > 0 || f.store.countKeys(retrials) > 0 {
+			t.Errorf("%d back ends of the new version were reached, want none while the store may lack a claim", len(f.reachTimes))
 		}
 		time.Sleep(3 * time.Second)
-		f.ask(0, path)
+		f.request(0, path)
 		time.Sleep(time.Second)
-		if len(f.reached) != 1 || f.store.keys(retrials) != 1 {
-			t.Errorf("%d back ends of the new version were reached", len(f.reached))
+		if len(f.reachTimes) != 1 || f.store.countKeys(retrials) != 1 {
+			t.Errorf("%d back ends of the new version were reached, want one, by one claim in the store", len(f.reachTimes))
 		}
-		f.store.restore(kept)
+		f.store.restore(backup)
 		time.Sleep(2 * time.Second)
-		if f.store.keys(retrials) != 1 {
-			t.Error("the store does not know again that one was let try")
+		if f.store.countKeys(retrials) != 1 {
+			t.Error("the claim of the retrial was not written to the restored store again")
 		}
 	})
 }
 
-// convict has a request put under quarantine, on all nodes and in the store, and forgets what it reached.
-func (f *frailFleet) convict(path string) {
-	for number := 0; f.ask(number%frailNodes, path).Reason != forward.Quarantined; number++ {
-		time.Sleep(crashingEvery)
+// quarantineRequest sends a request until it is under quarantine on all nodes and in the store, and then clears what
+// it reached.
+func (f *crashFleet) quarantineRequest(path string) {
+	for number := 0; f.request(number%fleetNodes, path).Reason != forward.Quarantined; number++ {
+		time.Sleep(crashingInterval)
 	}
 	time.Sleep(5 * time.Second)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.reached = nil
+	f.reachTimes = nil
 }
 
-// servedByAll checks that no node refuses what others than the one who ended back ends with it ask.
-func (f *frailFleet) servedByAll(t *testing.T, path string) {
+// checkServedByAll checks that each node serves the request for a caller that has crashed no back end.
+func (f *crashFleet) checkServedByAll(t *testing.T, path string) {
 	t.Helper()
-	for number := range frailNodes {
-		if result := f.askAs(number, "a third one", path, ""); result.Failure != nil {
-			t.Errorf("node %d refuses: %v", number, result.Reason)
+	for number := range fleetNodes {
+		if result := f.requestAs(number, "a third one", path, ""); result.Failure != nil {
+			t.Errorf("node %d refuses the request of another caller: %v", number, result.Reason)
 		}
 	}
 }
 
-func (f *frailFleet) refusedByAll(t *testing.T, path string) {
+func (f *crashFleet) checkRefusedByAll(t *testing.T, path string) {
 	t.Helper()
-	for number := range frailNodes {
-		if result := f.ask(number, path); result.Reason != forward.Quarantined {
-			t.Errorf("node %d does not refuse: %v, %v", number, result.Reason, result.Failure)
+	for number := range fleetNodes {
+		if result := f.request(number, path); result.Reason != forward.Quarantined {
+			t.Errorf("node %d does not refuse the request as quarantined: %v, %v", number, result.Reason, result.Failure)
 		}
 	}
 }
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -24,33 +24,34 @@
 	"stiletrail/internal/settings"
 )
 
-// fakeStore is a store in memory. Watches wait on the virtual clock.
+// fakeStore is an in-memory store. Its watches wait on the virtual clock.
 type fakeStore struct {
-	// padding is how many bytes each value has more.
+	// padding is the number of bytes by which each value is enlarged.
 	padding int
 	mutex   sync.Mutex
 	items   map[string]message.StoreRecord
 	history []message.StoreRecord
-	// meanings of the values, by value.
-	meanings map[string]gateway.Item
-	revision uint64
-	dropped  uint64
-	// era rises when the store comes back from a copy; written is what the operator and the back ends last wrote of each key, lost or not.
+	// decoded maps each value to the item that it encodes.
+	decoded   map[string]gateway.Item
+	revision  uint64
+	compacted uint64
+	// era increases when the store is restored from a backup. written is what the operator and the back ends last
+	// wrote of each key, whether or not a restore lost it.
 	era     uint64
 	written map[string]message.StoreRecord
 	err     error
-	// silent watches end only when their time is over.
-	silent  bool
-	changed chan struct{}
-	calls   int
+	// suppressEvents makes watches deliver nothing, so that they end only at their timeout.
+	suppressEvents bool
+	changed        chan struct{}
+	calls          int
 }
 
 func newStore() *fakeStore {
-	return &fakeStore{items: map[string]message.StoreRecord{}, meanings: map[string]gateway.Item{}, written: map[string]message.StoreRecord{}, changed: make(chan struct{}), era: 1}
+	return &fakeStore{items: map[string]message.StoreRecord{}, decoded: map[string]gateway.Item{}, written: map[string]message.StoreRecord{}, changed: make(chan struct{}), era: 1}
 }
 
 var (
-	errDown        = errors.New("down")
+	errUnavailable = errors.New("down")
 	errHistoryLost = errors.New("history lost")
 )
 
@@ -67,18 +68,18 @@
 	defer s.mutex.Unlock()
 	record := message.StoreRecord{Key: item.Key, Deleted: item.Deleted}
 	if !item.Deleted {
-		record.Value = fmt.Appendf(nil, "value %d%*s", len(s.meanings)+1, s.padding, "")
-		s.meanings[string(record.Value)] = item
+		record.Value = fmt.Appendf(nil, "value %d%*s", len(s.decoded)+1, s.padding, "")
+		s.decoded[string(record.Value)] = item
 	}
 	s.written[record.Key] = record
-	s.note(record)
+	s.apply(record)
 }
 
 // Decode implements gateway.Store.
 func (s *fakeStore) Decode(record message.StoreRecord) gateway.Item {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	item := s.meanings[string(record.Value)]
+	item := s.decoded[string(record.Value)]
 	item.Key, item.Revision, item.Deleted = record.Key, record.Revision, record.Deleted
 	if id, found := strings.CutPrefix(record.Key, "back ends/"); found {
 		known, _ := item.Content.(gateway.BackEnd)
@@ -97,13 +98,13 @@
 	return s.calls
 }
 
-func (s *fakeStore) set(change func(*fakeStore)) {
+func (s *fakeStore) update(change func(*fakeStore)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	change(s)
 }
 
-// Write implements gateway.Store. What was written goes by itself when its time is over.
+// Write implements gateway.Store. The record is deleted when its lease expires.
 func (s *fakeStore) Write(_ context.Context, w gateway.StoreWrite) (bool, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -114,13 +115,13 @@
 	if _, there := s.items[w.Key]; there && w.IfAbsent {
 		return false, nil
 	}
-	s.note(message.StoreRecord{Key: w.Key, Value: w.Value})
+	s.apply(message.StoreRecord{Key: w.Key, Value: w.Value})
 	lease := s.revision
 	time.AfterFunc(w.Lease.Duration(), func() {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
 		if s.items[w.Key].Revision.Number == lease {
-			s.note(message.StoreRecord{Key: w.Key, Deleted: true})
+			s.apply(message.StoreRecord{Key: w.Key, Deleted: true})
 		}
 	})
 	return true, nil
@@ -132,13 +133,13 @@
 	defer s.mutex.Unlock()
 	s.calls++
 	if s.err == nil {
-		s.note(message.StoreRecord{Key: key, Deleted: true})
+		s.apply(message.StoreRecord{Key: key, Deleted: true})
 	}
 	return s.err
 }
 
-// note makes a change; the lock is held.
-func (s *fakeStore) note(record message.StoreRecord) {
+// apply makes a change under the next revision number. The caller holds the lock.
+func (s *fakeStore) apply(record message.StoreRecord) {
 	s.revision++
 	record.Revision = history.At(s.era, s.revision)
 	if record.Deleted {
@@ -167,9 +168,9 @@
 func (s *fakeStore) Watch(ctx context.Context, revision history.Revision, wait time.Duration) ([]message.StoreRecord, history.Revision, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	s.set(func(s *fakeStore) { s.calls++ })
+	s.update(func(s *fakeStore) { s.calls++ })
 	for {
-		items, at, changed, err := s.since(revision)
+		items, at, changed, err := s.changesSince(revision)
 		if err != nil || len(items) > 0 {
 			return items, at, err
 		}
@@ -183,18 +184,18 @@
 	}
 }
 
-// since gives the changes after a revision. A silent store says that there are none.
-func (s *fakeStore) since(revision history.Revision) (items []message.StoreRecord, at history.Revision, changed chan struct{}, err error) {
+// changesSince returns the changes after a revision. A store with suppressEvents reports none.
+func (s *fakeStore) changesSince(revision history.Revision) (items []message.StoreRecord, at history.Revision, changed chan struct{}, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.err != nil {
 		return nil, at, nil, s.err
 	}
-	if s.silent {
+	if s.suppressEvents {
 		return nil, revision, make(chan struct{}), nil
 	}
-	// The store is asked by the number alone.
-	if revision.Number < s.dropped || revision.Number > s.revision {
+	// The store is asked for changes by the revision number alone, without the era.
+	if revision.Number < s.compacted || revision.Number > s.revision {
 		return nil, at, nil, errHistoryLost
 	}
 	for _, item := range s.history {
@@ -205,69 +206,69 @@
 	return items, history.At(s.era, s.revision), s.changed, nil
 }
 
-// fakeBackEnds answers attempts by a function.
+// fakeBackEnds answers attempts by calling a function.
 type fakeBackEnds struct {
-	mutex  sync.Mutex
-	sends  []gateway.BackEndRequest
-	answer func(ctx context.Context, send gateway.BackEndRequest) forward.Outcome
+	mutex    sync.Mutex
+	requests []gateway.BackEndRequest
+	handler  func(ctx context.Context, request gateway.BackEndRequest) forward.Outcome
 }
 
-// set has a function answer attempts from now on.
-func (b *fakeBackEnds) set(answer func(ctx context.Context, send gateway.BackEndRequest) forward.Outcome) {
+// setHandler sets the function that answers attempts from now on.
+func (b *fakeBackEnds) setHandler(handler func(ctx context.Context, request gateway.BackEndRequest) forward.Outcome) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.answer = answer
+	b.handler = handler
 }
 
-// sent gives the attempts so far.
-func (b *fakeBackEnds) sent() []gateway.BackEndRequest {
+// sentRequests returns the attempts so far.
+func (b *fakeBackEnds) sentRequests() []gateway.BackEndRequest {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return slices.Clone(b.sends)
+	return slices.Clone(b.requests)
 }
 
 // Prune implements gateway.BackEndClient.
 func (b *fakeBackEnds) Prune(func(replica.Endpoint) bool) {}
 
 // Exchange implements gateway.BackEndClient.
-func (b *fakeBackEnds) Exchange(ctx context.Context, send gateway.BackEndRequest) forward.Outcome {
+func (b *fakeBackEnds) Exchange(ctx context.Context, request gateway.BackEndRequest) forward.Outcome {
 	b.mutex.Lock()
-	b.sends = append(b.sends, send)
-	answer := b.answer
+	b.requests = append(b.requests, request)
+	handler := b.handler
 	b.mutex.Unlock()
-	return answer(ctx, send)
+	return handler(ctx, request)
 }
 
-// silentLog takes no note.
-type silentLog struct{}
+// discardLog implements gateway.DecisionLog and discards all events.
+type discardLog struct{}
 
-func (silentLog) Request(*gateway.Call, *gateway.Result)                   {}
-func (silentLog) BackEndEjected(*forward.Attempt, forward.Outcome)         {}
-func (silentLog) BackEndCrashed(*gateway.Call, *forward.Attempt, clock.Ms) {}
-func (silentLog) VerdictChanged(quarantine.Fingerprint, quarantine.Verdict, string, clock.Ms) {
+func (discardLog) Request(*gateway.Call, *gateway.Result)                   {}
+func (discardLog) BackEndEjected(*forward.Attempt, forward.Outcome)         {}
+func (discardLog) BackEndCrashed(*gateway.Call, *forward.Attempt, clock.Ms) {}
+func (discardLog) VerdictChanged(quarantine.Fingerprint, quarantine.Verdict, string, clock.Ms) {
 }
-func (silentLog) RetrialClaimed(quarantine.Fingerprint, string)                       {}
-func (silentLog) QuarantineNotWritten(quarantine.Fingerprint, *failure.Failure)       {}
-func (silentLog) ConfigurationApplied(*routing.Table, history.Revision)               {}
-func (silentLog) ItemRejected(*gateway.Item)                                          {}
-func (silentLog) BackEndUpdated(replica.Entry, history.Revision)                      {}
-func (silentLog) BackEndVanished(string, bool)                                        {}
-func (silentLog) ZoneEvacuated(string, history.Revision)                              {}
-func (silentLog) ZoneEvacuationEnded(string)                                          {}
-func (silentLog) StoreListed(int, history.Revision)                                   {}
-func (silentLog) StoreRegressed(history.Revision, history.Revision)                   {}
-func (silentLog) StoreRestored(uint64)                                                {}
-func (silentLog) OutdatedRecordsRead(string, history.Revision, history.Revision, int) {}
-func (silentLog) StoreCallFailed(follow.FailureKind, *failure.Failure, time.Duration) {}
-func (silentLog) StoreAnswered(time.Duration)                                         {}
-func (silentLog) CopyStale(clock.Ms)                                                  {}
-func (silentLog) MachineSuspended(clock.Ms)                                           {}
-func (silentLog) CopyFresh()                                                          {}
-func (silentLog) MembersChanged(int)                                                  {}
-func (silentLog) LearnedFromPeer(string, int, history.Revision)                       {}
-func (silentLog) InternalError(string)                                                {}
-func (silentLog) PeerSilent(string)                                                   {}
-func (silentLog) PeerMalformed(string, error)                                         {}
+func (discardLog) RetrialClaimed(quarantine.Fingerprint, string)                       {}
+func (discardLog) QuarantineNotWritten(quarantine.Fingerprint, *failure.Failure)       {}
+func (discardLog) ConfigurationApplied(*routing.Table, history.Revision)               {}
+func (discardLog) ItemRejected(*gateway.Item)                                          {}
+func (discardLog) BackEndUpdated(replica.Entry, history.Revision)                      {}
+func (discardLog) BackEndVanished(string, bool)                                        {}
+func (discardLog) ZoneEvacuated(string, history.Revision)                              {}
+func (discardLog) ZoneEvacuationEnded(string)                                          {}
+func (discardLog) StoreListed(int, history.Revision)                                   {}
+func (discardLog) StoreRegressed(history.Revision, history.Revision)                   {}
+func (discardLog) StoreRestored(uint64)                                                {}
+func (discardLog) OutdatedRecordsRead(string, history.Revision, history.Revision, int) {}
+func (discardLog) StoreCallFailed(follow.FailureKind, *failure.Failure, time.Duration) {}
+func (discardLog) StoreAnswered(time.Duration)                                         {}
+func (discardLog) CopyStale(clock.Ms)                                                  {}
+func (discardLog) MachineSuspended(clock.Ms)                                           {}
+func (discardLog) CopyFresh()                                                          {}
+func (discardLog) MembersChanged(int)                                                  {}
+func (discardLog) LearnedFromPeer(string, int, history.Revision)                       {}
+func (discardLog) InternalError(string)                                                {}
+func (discardLog) PeerSilent(string)                                                   {}
+func (discardLog) PeerMalformed(string, error)                                         {}
 
 const shards = 4
 
@@ -288,7 +289,7 @@
 	return gateway.Item{Key: "configuration", Content: gateway.Configuration{Configuration: configuration}}
 }
 
-// configurationOf gives the configuration of an item that has one.
+// configurationOf returns the configuration of an item that has one.
 func configurationOf(item gateway.Item) *routing.Configuration {
 	return item.Content.(gateway.Configuration).Configuration
 }
@@ -302,17 +303,18 @@
 	return backEndItem(&replica.Entry{ID: id, Service: service, Address: "127.0.0.1:1", Zone: zone})
 }
 
-// scene is a gateway with its surroundings on a virtual clock.
-type scene struct {
+// fixture is a gateway with a fake store and fake back ends, on a virtual clock.
+type fixture struct {
 	store    *fakeStore
 	backEnds *fakeBackEnds
 	gateway  *gateway.Gateway
 }
 
-// play runs a test on a virtual clock, against a gateway that knows two replicas of each shard, one in its own zone.
-func play(t *testing.T, test func(t *testing.T, s *scene)) {
+// withGateway runs a test on a virtual clock with a gateway that knows two replicas of each shard. One of them is in
+// the gateway's own zone.
+func withGateway(t *testing.T, test func(t *testing.T, s *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &scene{store: newStore(), backEnds: &fakeBackEnds{answer: after(20 * time.Millisecond)}}
+		s := &fixture{store: newStore(), backEnds: &fakeBackEnds{handler: answerAfter(20 * time.Millisecond)}}
 		s.store.put(configuration(1))
 		for i := range shards {
 			s.store.put(backEnd(fmt.Sprint("s", i), "-near", "zone"))
@@ -321,54 +323,54 @@
 		loaded := settings.DefaultGateway()
 		loaded.Zone = "zone"
 		loaded.Regions = map[string]string{"zone": "a", "other": "b"}
-		s.gateway = gateway.New(seeded(loaded, 1), s.backEnds, s.store, silentLog{})
+		s.gateway = gateway.New(withSeed(loaded, 1), s.backEnds, s.store, discardLog{})
 		ctx, cancel := context.WithCancel(context.Background())
 		go s.gateway.Run(ctx)
 		synctest.Wait()
 		test(t, s)
 		cancel()
-		// Attempts that were withdrawn end a little later.
+		// Cancelled attempts end a little later.
 		time.Sleep(time.Second)
 		synctest.Wait()
 	})
 }
 
-// seeded gives settings with a fixed seed, so that each run of a test is alike.
-func seeded(loaded settings.Gateway, seed uint64) gateway.Settings {
+// withSeed returns the gateway's settings with a fixed seed, so that each run of a test makes the same choices.
+func withSeed(loaded settings.Gateway, seed uint64) gateway.Settings {
 	result := gateway.FromSettings(loaded)
 	result.Seed = seed
 	return result
 }
 
-func part(send gateway.BackEndRequest) forward.Outcome {
-	return forward.Outcome{Kind: forward.Answered, Response: &forward.Response{Status: 200, Signature: send.Entry.ID}}
+func answered(request gateway.BackEndRequest) forward.Outcome {
+	return forward.Outcome{Kind: forward.Answered, Response: &forward.Response{Status: 200, Signature: request.Entry.ID}}
 }
 
-// after answers each attempt after some time.
-func after(length time.Duration) func(context.Context, gateway.BackEndRequest) forward.Outcome {
-	return func(ctx context.Context, send gateway.BackEndRequest) forward.Outcome {
+// answerAfter returns a handler that answers each attempt after a delay.
+func answerAfter(delay time.Duration) func(context.Context, gateway.BackEndRequest) forward.Outcome {
+	return func(ctx context.Context, request gateway.BackEndRequest) forward.Outcome {
 		select {
-		case <-time.After(length):
-			return part(send)
+		case <-time.After(delay):
+			return answered(request)
 		case <-ctx.Done():
 			return forward.Outcome{Kind: forward.Lost}
 		}
 	}
 }
 
-// except answers attempts at some back ends by another function.
-func except(answer func(context.Context, gateway.BackEndRequest) forward.Outcome, ids ...string) func(context.Context, gateway.BackEndRequest) forward.Outcome {
-	others := after(20 * time.Millisecond)
-	return func(ctx context.Context, send gateway.BackEndRequest) forward.Outcome {
+// answerExcept returns a handler that answers attempts at the given back ends by another function.
+func answerExcept(answer func(context.Context, gateway.BackEndRequest) forward.Outcome, ids ...string) func(context.Context, gateway.BackEndRequest) forward.Outcome {
+	others := answerAfter(20 * time.Millisecond)
+	return func(ctx context.Context, request gateway.BackEndRequest) forward.Outcome {
 		for _, id := range ids {
-			if send.Entry.ID == id {
-				return answer(ctx, send)
+			if request.Entry.ID == id {
+				return answer(ctx, request)
 			}
 		}
-		return others(ctx, send)
+		return others(ctx, request)
 	}
 }
 
-func (s *scene) search() gateway.Result {
+func (s *fixture) search() gateway.Result {
 	return s.gateway.Serve(context.Background(), &gateway.Call{ID: "id", Host: "h", Path: "/all/x"})
 }
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -18,58 +18,59 @@
 	"stiletrail/internal/settings"
 )
 
-// network carries messages between gateways on the virtual clock.
+// network delivers messages between gateways on the virtual clock.
 type network struct {
 	delay time.Duration
 
 	mutex    sync.Mutex
 	gateways map[string]*gateway.Gateway
-	// silenced addresses send nothing.
-	silenced map[string]bool
-	// silentUntil: nothing that anybody sends arrives before then.
-	silentUntil time.Time
-	// apart, where set, reports whether nothing goes from one address to another.
-	apart func(from, to string) bool
+	// droppedFrom holds the addresses whose messages are dropped.
+	droppedFrom map[string]bool
+	// droppedUntil is the moment before which all messages are dropped.
+	droppedUntil time.Time
+	// partitioned, if set, reports whether messages from one address to another are dropped.
+	partitioned func(from, to string) bool
 }
 
 func newNetwork() *network {
-	return &network{delay: 12 * time.Millisecond, gateways: map[string]*gateway.Gateway{}, silenced: map[string]bool{}}
+	return &network{delay: 12 * time.Millisecond, gateways: map[string]*gateway.Gateway{}, droppedFrom: map[string]bool{}}
 }
 
-// silence has nothing that an address sends arrive from now on.
-func (n *network) silence(address string) {
+// dropFrom drops all messages that an address sends from now on.
+func (n *network) dropFrom(address string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.silenced[address] = true
+	n.droppedFrom[address] = true
 }
 
-func (n *network) heard(address string) bool {
+func (n *network) delivers(address string) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return !n.silenced[address] && !time.Now().Before(n.silentUntil)
+	return !n.droppedFrom[address] && !time.Now().Before(n.droppedUntil)
 }
 
-// silenceAll has nothing arrive for some time: until connections that have fallen silent are noticed and replaced.
-func (n *network) silenceAll(length time.Duration) {
+// dropAllFor drops all messages for some time: until the nodes would have noticed the stalled connections and
+// replaced them.
+func (n *network) dropAllFor(length time.Duration) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.silentUntil = time.Now().Add(length)
+	n.droppedUntil = time.Now().Add(length)
 }
 
-func (n *network) reaches(from, to string) bool {
+func (n *network) connected(from, to string) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.apart == nil || !n.apart(from, to)
+	return n.partitioned == nil || !n.partitioned(from, to)
 }
 
-// separate has nothing go between addresses for which apart holds; nil heals that.
-func (n *network) separate(apart func(from, to string) bool) {
+// partition drops the messages between addresses for which the function returns true. Nil ends the partition.
+func (n *network) partition(partitioned func(from, to string) bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.apart = apart
+	n.partitioned = partitioned
 }
 
-// attach has a gateway receive what is sent to an address from now on.
+// attach lets a gateway receive what is sent to an address from now on.
 func (n *network) attach(address string, g *gateway.Gateway) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -82,75 +83,77 @@
 	return n.gateways[address]
 }
 
-// end is a gateway's own end of the network.
-type end struct {
+// peerTransport is the transport by which one gateway sends to its peers over the network.
+type peerTransport struct {
 	network *network
 	address string
 }
 
 // Send implements gateway.PeerTransport.
-func (e end) Send(to string, m message.Message) {
+func (e peerTransport) Send(to string, m message.Message) {
 	go func() {
 		time.Sleep(e.network.delay)
-		if receiver := e.network.at(to); receiver != nil && e.network.heard(e.address) && e.network.reaches(e.address, to) {
+		if receiver := e.network.at(to); receiver != nil && e.network.delivers(e.address) && e.network.connected(e.address, to) {
 			receiver.Message(e.address, m)
 		}
 	}()
 }
 
-// cluster is some gateways that read one store, each through a path of its own that may be cut.
+// cluster is a group of gateways that read one store, each over a connection of its own.
 type cluster struct {
 	store    *fakeStore
-	paths    []*cutStore
+	stores   []*nodeStore
 	gateways []*gateway.Gateway
 	network  *network
 	backEnds *fakeBackEnds
 	contexts []context.CancelFunc
-	// zoneOf a node, nil for all in "zone". regions of the zones, nil for "zone" and "other".
+	// zoneOf returns the zone of a node; nil puts all nodes into "zone". regions maps zones to regions; nil maps
+	// "zone" to "a" and "other" to "b".
 	zoneOf  func(number int) string
 	regions map[string]string
 }
 
-// cutStore is the store as one node reaches it.
-type cutStore struct {
+// nodeStore is the store as one node reaches it.
+type nodeStore struct {
 	*fakeStore
-	cut atomic.Bool
-	// silences counts how often the connections of calls under way have fallen silent: such a call never ends by itself.
-	silences atomic.Int64
+	disconnected atomic.Bool
+	// stalls counts how often the connections of this node's calls have stalled. A call that was in flight then never
+	// ends by itself.
+	stalls atomic.Int64
 }
 
 // List implements gateway.Store.
-func (s *cutStore) List(ctx context.Context, known history.Revision, after string) (gateway.Page, error) {
-	if s.cut.Load() {
-		return gateway.Page{}, errDown
+func (s *nodeStore) List(ctx context.Context, known history.Revision, after string) (gateway.Page, error) {
+	if s.disconnected.Load() {
+		return gateway.Page{}, errUnavailable
 	}
 	return s.fakeStore.List(ctx, known, after)
 }
 
 // Write implements gateway.Store.
-func (s *cutStore) Write(ctx context.Context, w gateway.StoreWrite) (bool, error) {
-	if s.cut.Load() {
-		return false, errDown
+func (s *nodeStore) Write(ctx context.Context, w gateway.StoreWrite) (bool, error) {
+	if s.disconnected.Load() {
+		return false, errUnavailable
 	}
 	return s.fakeStore.Write(ctx, w)
 }
 
 // Remove implements gateway.Store.
-func (s *cutStore) Remove(ctx context.Context, key string) error {
-	if s.cut.Load() {
-		return errDown
+func (s *nodeStore) Remove(ctx context.Context, key string) error {
+	if s.disconnected.Load() {
+		return errUnavailable
 	}
 	return s.fakeStore.Remove(ctx, key)
 }
 
 // Watch implements gateway.Store.
-func (s *cutStore) Watch(ctx context.Context, revision history.Revision, wait time.Duration) ([]message.StoreRecord, history.Revision, error) {
-	if s.cut.Load() {
-		return nil, history.Revision{}, errDown
+func (s *nodeStore) Watch(ctx context.Context, revision history.Revision, wait time.Duration) ([]message.StoreRecord, history.Revision, error) {
+	if s.disconnected.Load() {
+		return nil, history.Revision{}, errUnavailable
 	}
-	before := s.silences.Load()
+	before := s.stalls.Load()
 	records, at, err := s.fakeStore.Watch(ctx, revision, wait)
-	if s.silences.Load() != before {
+	if s.stalls.Load() != before {
 		<-ctx.Done()
 		return nil, history.Revision{}, ctx.Err()
 	}
@@ -170,25 +173,25 @@
 	if c.regions != nil {
 		loaded.Regions = c.regions
 	}
-	g := gateway.New(seeded(loaded, uint64(number)+7), c.backEnds, c.paths[number], silentLog{})
+	g := gateway.New(withSeed(loaded, uint64(number)+7), c.backEnds, c.stores[number], discardLog{})
 	self := membership.Member{Address: address(number), Zone: loaded.Zone, Region: loaded.Regions[loaded.Zone], Generation: uint64(number) + 1, Incarnation: uint64(time.Now().UnixMilli())}
-	g.Join(self, []string{address(0), address(1)}, end{c.network, address(number)})
+	g.Join(self, []string{address(0), address(1)}, peerTransport{c.network, address(number)})
 	ctx, cancel := context.WithCancel(context.Background())
 	c.gateways[number], c.contexts[number] = g, cancel
 	c.network.attach(address(number), g)
 	go g.Run(ctx)
 }
 
-func playCluster(t *testing.T, nodes int, test func(t *testing.T, c *cluster)) {
-	playClusterIn(t, nodes, nil, test)
+func withCluster(t *testing.T, nodes int, test func(t *testing.T, c *cluster)) {
+	withClusterInZones(t, nodes, nil, test)
 }
 
-// playClusterIn plays a cluster whose nodes stand in several zones.
-func playClusterIn(t *testing.T, nodes int, zoneOf func(number int) string, test func(t *testing.T, c *cluster)) {
+// withClusterInZones runs a test on a cluster whose nodes are in the zones that zoneOf returns.
+func withClusterInZones(t *testing.T, nodes int, zoneOf func(number int) string, test func(t *testing.T, c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &cluster{
 			store: newStore(), network: newNetwork(),
-			backEnds: &fakeBackEnds{answer: after(20 * time.Millisecond)}, gateways: make([]*gateway.Gateway, nodes),
+			backEnds: &fakeBackEnds{handler: answerAfter(20 * time.Millisecond)}, gateways: make([]*gateway.Gateway, nodes),
 			contexts: make([]context.CancelFunc, nodes), zoneOf: zoneOf,
 		}
 		c.store.put(configuration(1))
@@ -196,7 +199,7 @@
 			c.store.put(backEnd(fmt.Sprint("s", i), "-near", "zone"))
 		}
 		for i := range nodes {
-			c.paths = append(c.paths, &cutStore{fakeStore: c.store})
+			c.stores = append(c.stores, &nodeStore{fakeStore: c.store})
 			c.start(i)
 		}
 		time.Sleep(12 * time.Second)
@@ -209,78 +212,81 @@
 	})
 }
 
-// TestNodeThatTheStoreRefuses has each change in force within three seconds all the same: others tell it.
-func TestNodeThatTheStoreRefuses(t *testing.T) {
-	playCluster(t, 5, func(t *testing.T, c *cluster) {
-		c.paths[3].cut.Store(true)
+// TestNodeWithoutStoreAccess checks that a node that cannot reach the store has each change in force within three
+// seconds all the same, because its peers announce it.
+func TestNodeWithoutStoreAccess(t *testing.T) {
+	withCluster(t, 5, func(t *testing.T, c *cluster) {
+		c.stores[3].disconnected.Store(true)
 		time.Sleep(20 * time.Second)
 		for version := uint64(2); version < 8; version++ {
 			c.store.put(configuration(version))
 			time.Sleep(3 * time.Second)
 			if got := c.gateways[3].Version(); got != version {
-				t.Errorf("version %d is in force three seconds after %d", got, version)
+				t.Errorf("version %d is in force three seconds after version %d was put", got, version)
 			}
 		}
-		gone := backEnd("s0", "-near", "zone")
-		c.store.put(gateway.Item{Key: gone.Key, Deleted: true})
+		removed := backEnd("s0", "-near", "zone")
+		c.store.put(gateway.Item{Key: removed.Key, Deleted: true})
 		time.Sleep(3 * time.Second)
 		if known := c.gateways[3].BackEndsKnown(); known != shards-1 {
-			t.Errorf("%d back ends are known three seconds after one left", known)
+			t.Errorf("%d back ends are known three seconds after one was removed", known)
 		}
 	})
 }
 
-// TestRestartWhileTheStoreIsDown: a node that starts while nobody reaches the store serves soon with what the others know.
-func TestRestartWhileTheStoreIsDown(t *testing.T) {
-	playCluster(t, 4, func(t *testing.T, c *cluster) {
-		for _, path := range c.paths {
-			path.cut.Store(true)
+// TestRestartDuringStoreOutage checks that a node that starts while no node reaches the store soon serves with what
+// its peers know.
+func TestRestartDuringStoreOutage(t *testing.T) {
+	withCluster(t, 4, func(t *testing.T, c *cluster) {
+		for _, store := range c.stores {
+			store.disconnected.Store(true)
 		}
 		time.Sleep(10 * time.Second)
 		c.contexts[2]()
 		c.start(2)
 		time.Sleep(2 * time.Second)
 		if !c.gateways[2].Ready() || c.gateways[2].BackEndsKnown() != shards {
-			t.Errorf("ready %v, %d back ends known", c.gateways[2].Ready(), c.gateways[2].BackEndsKnown())
+			t.Errorf("ready is %v with %d back ends known, want a ready node that knows one of each shard", c.gateways[2].Ready(), c.gateways[2].BackEndsKnown())
 		}
 	})
 }
 
-// TestSilentWatchesOfAll: with the watches of all nodes silent and the history dropped, the change is in force everywhere
-// within three seconds, though each watch waits longer than that.
-func TestSilentWatchesOfAll(t *testing.T) {
-	playCluster(t, 9, func(t *testing.T, c *cluster) {
+// TestAllWatchesWithoutEvents checks that a change is in force on all nodes within three seconds although no node's
+// watch delivers events and the store has dropped its history. Each watch waits longer than that.
+func TestAllWatchesWithoutEvents(t *testing.T) {
+	withCluster(t, 9, func(t *testing.T, c *cluster) {
 		time.Sleep(20 * time.Second)
-		c.store.set(func(s *fakeStore) { s.silent = true })
+		c.store.update(func(s *fakeStore) { s.suppressEvents = true })
 		time.Sleep(100 * time.Millisecond)
 		c.store.put(configuration(2))
-		c.store.set(func(s *fakeStore) { s.dropped, s.history = s.revision, nil })
+		c.store.update(func(s *fakeStore) { s.compacted, s.history = s.revision, nil })
 		time.Sleep(500 * time.Millisecond)
-		c.store.set(func(s *fakeStore) { s.silent = false })
+		c.store.update(func(s *fakeStore) { s.suppressEvents = false })
 		time.Sleep(2400 * time.Millisecond)
 		for number, g := range c.gateways {
 			if g.Version() != 2 {
-				t.Errorf("node %d has version %d three seconds after the change", number, g.Version())
+				t.Errorf("node %d has version %d three seconds after the change, want 2", number, g.Version())
 			}
 		}
 	})
 }
 
-// TestRegionThatTheStoreRefuses: while the store refuses all nodes of a region, they learn each change from nodes of another: within three seconds where
-// all nodes tell each other, within five where only single messages cross the border.
-func TestRegionThatTheStoreRefuses(t *testing.T) {
+// TestRegionWithoutStoreAccess checks that, while no node of a region reaches the store, they learn each change from
+// the nodes of another region. That takes at most three seconds where all nodes send each other changes, and at most
+// five where only single messages cross the border of the regions.
+func TestRegionWithoutStoreAccess(t *testing.T) {
 	for nodes, within := range map[int]time.Duration{8: 3 * time.Second, 14: 5 * time.Second} {
-		inB := func(number int) bool { return number >= nodes/2 }
+		withoutAccess := func(number int) bool { return number >= nodes/2 }
 		zoneOf := func(number int) string {
-			if inB(number) {
+			if withoutAccess(number) {
 				return "other"
 			}
 			return "zone"
 		}
 		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
-			playClusterIn(t, nodes, zoneOf, func(t *testing.T, c *cluster) {
+			withClusterInZones(t, nodes, zoneOf, func(t *testing.T, c *cluster) {
 				for number := range nodes {
-					c.paths[number].cut.Store(inB(number))
+					c.stores[number].disconnected.Store(withoutAccess(number))
 				}
 				for version := uint64(2); version < 6; version++ {
 					time.Sleep(7 * time.Second)
@@ -288,7 +294,7 @@
 					time.Sleep(within)
 					for number, g := range c.gateways {
 						if g.Version() != version {
-							t.Errorf("node %d has version %d, %v after version %d", number, g.Version(), within, version)
+							t.Errorf("node %d has version %d in force %v after version %d was put", number, g.Version(), within, version)
 						}
 					}
 				}
@@ -297,42 +303,43 @@
 	}
 }
 
-// TestCallsFallWithNodes: nine nodes call the store less often each than one alone.
-func TestCallsFallWithNodes(t *testing.T) {
-	playCluster(t, 9, func(t *testing.T, c *cluster) {
+// TestNodesShareStoreCalls checks that each of nine nodes calls the store less often than a single node does.
+func TestNodesShareStoreCalls(t *testing.T) {
+	withCluster(t, 9, func(t *testing.T, c *cluster) {
 		before := c.store.callCount()
 		time.Sleep(10 * time.Minute)
 		each := float64(c.store.callCount()-before) / 9
 		if alone := (10 * time.Minute).Seconds() / 2.5; each > 0.6*alone {
-			t.Errorf("%.0f calls a node in ten minutes, one alone makes %.0f", each, alone)
+			t.Errorf("%.0f store calls per node in ten minutes, a single node makes %.0f", each, alone)
 		}
 	})
 }
 
-// TestYoungShare: nodes that have just started together use half of their share of a back end's connections, since the back end may
-// still count those of their earlier lives; later they use all of it, as one that was started alone does from the beginning.
-func TestYoungShare(t *testing.T) {
+// TestStartupConnectionShare checks that nodes that have just started together use half of their share of a back
+// end's connections, since the back end may still count the connections of their previous processes. Later they use
+// all of it. A node that is started alone uses its whole share from the beginning.
+func TestStartupConnectionShare(t *testing.T) {
 	for name, test := range map[string]struct {
 		restarted []int
 		want      []int
 	}{
-		"all":   {[]int{0, 1, 2, 3}, []int{2, 4}},
-		"alone": {[]int{2}, []int{4, 4}},
+		"all nodes restart": {[]int{0, 1, 2, 3}, []int{2, 4}},
+		"one node restarts": {[]int{2}, []int{4, 4}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			playCluster(t, 4, func(t *testing.T, c *cluster) {
-				shared := configuration(2)
-				configurationOf(shared).Services = []routing.Service{{Name: "s0", MaximumConnections: 16}}
-				c.store.put(shared)
+			withCluster(t, 4, func(t *testing.T, c *cluster) {
+				limited := configuration(2)
+				configurationOf(limited).Services = []routing.Service{{Name: "s0", MaximumConnections: 16}}
+				c.store.put(limited)
 				for _, number := range test.restarted {
 					c.contexts[number]()
 					c.start(number)
 				}
-				c.backEnds.set(after(900 * time.Millisecond))
+				c.backEnds.setHandler(answerAfter(900 * time.Millisecond))
 				for step, wait := range []time.Duration{3 * time.Second, 8 * time.Second} {
 					time.Sleep(wait)
-					if got := c.atOnce(2, "/one/x"); got != test.want[step] {
-						t.Errorf("%d requests at once at a back end after %s more, want %d", got, wait, test.want[step])
+					if got := c.concurrentAttempts(2, "/one/x"); got != test.want[step] {
+						t.Errorf("%d concurrent requests at a back end after %s more, want %d", got, wait, test.want[step])
 					}
 				}
 			})
@@ -340,43 +347,45 @@
 	}
 }
 
-// TestYoungSlack: lives of a node that follow each other within a window have no more slack together than one life has.
-func TestYoungSlack(t *testing.T) {
-	playCluster(t, 4, func(t *testing.T, c *cluster) {
+// TestStartupRetrySlack checks that the processes of a node that restarts several times within one window have no
+// more retry slack together than one process has.
+func TestStartupRetrySlack(t *testing.T) {
+	withCluster(t, 4, func(t *testing.T, c *cluster) {
 		c.store.put(backEnd("s0", "-far", "other"))
-		c.backEnds.set(func(context.Context, gateway.BackEndRequest) forward.Outcome {
+		c.backEnds.setHandler(func(context.Context, gateway.BackEndRequest) forward.Outcome {
 			return forward.Outcome{Kind: forward.Refused}
 		})
-		const lives, requests = 3, 6
-		before := len(c.backEnds.sent())
-		for range lives {
+		const restarts, requests = 3, 6
+		before := len(c.backEnds.sentRequests())
+		for range restarts {
 			c.contexts[0]()
 			c.start(0)
-			// With 200 ms for each request a life takes 3.2 s.
+			// With 200 ms for each request, one process lives for 3.2 s.
 			time.Sleep(2 * time.Second)
 			for range requests {
 				c.gateways[0].Serve(context.Background(), &gateway.Call{ID: "id", Host: "h", Path: "/one/x"})
 			}
 		}
-		extras := float64(len(c.backEnds.sent()) - before - lives*requests)
-		// A node's part is half of 60 over four nodes.
-		if part := 60.0 / 8; extras > part+0.2*lives*requests {
-			t.Errorf("%v extra attempts by three lives within ten seconds, one may have %v", extras, part)
+		extras := float64(len(c.backEnds.sentRequests()) - before - restarts*requests)
+		// At startup a node's share of the slack is half of 60 over four nodes.
+		if share := 60.0 / 8; extras > share+0.2*restarts*requests {
+			t.Errorf("%v extra attempts by three processes within ten seconds, one process may send %v", extras, share)
 		}
 		time.Sleep(10 * time.Second)
-		before = len(c.backEnds.sent())
+		before = len(c.backEnds.sentRequests())
 		for range requests {
 			c.gateways[0].Serve(context.Background(), &gateway.Call{ID: "id", Host: "h", Path: "/one/x"})
 		}
-		if extras := len(c.backEnds.sent()) - before - requests; extras < 7 {
-			t.Errorf("%d extra attempts after a whole window, want its part of the slack", extras)
+		if extras := len(c.backEnds.sentRequests()) - before - requests; extras < 7 {
+			t.Errorf("%d extra attempts after a whole window, want the node's share of the slack, at least 7", extras)
 		}
 	})
 }
 
-// atOnce is how many of six requests at once a node sends to back ends.
-func (c *cluster) atOnce(node int, path string) int {
-	before := len(c.backEnds.sent())
+// concurrentAttempts sends six requests at once to a node and returns how many attempts it has in flight at back
+// ends.
+func (c *cluster) concurrentAttempts(node int, path string) int {
+	before := len(c.backEnds.sentRequests())
 	var calls sync.WaitGroup
 	for range 6 {
 		calls.Go(func() {
@@ -384,7 +393,7 @@
 		})
 	}
 	time.Sleep(50 * time.Millisecond)
-	sent := len(c.backEnds.sent()) - before
+	sent := len(c.backEnds.sentRequests()) - before
 	calls.Wait()
 	return sent
 }
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -13,8 +13,8 @@
 	"stiletrail/internal/routing"
 )
 
-// bound is a configuration whose routes may be served in some regions only.
-func bound(version uint64, regions ...string) gateway.Item {
+// restrictedConfiguration is a configuration whose routes may be served in the given regions only.
+func restrictedConfiguration(version uint64, regions ...string) gateway.Item {
 	item := configuration(version)
 	for i := range configurationOf(item).Routes {
 		configurationOf(item).Routes[i].Regions = region.NewSet(regions...)
@@ -22,155 +22,160 @@
 	return item
 }
 
-// strays counts the attempts at back ends in zones that do not count as allowed.
-func strays(sends []gateway.BackEndRequest, allowed string) (count int) {
-	for _, send := range sends {
-		if send.Entry.Zone != allowed {
+// countOutsideZone counts the attempts at back ends outside the allowed zone.
+func countOutsideZone(requests []gateway.BackEndRequest, allowed string) (count int) {
+	for _, request := range requests {
+		if request.Entry.Zone != allowed {
 			count++
 		}
 	}
 	return count
 }
 
-// refuses has an attempt refused.
-func refuses(context.Context, gateway.BackEndRequest) forward.Outcome {
+// refuse is a handler that refuses every attempt.
+func refuse(context.Context, gateway.BackEndRequest) forward.Outcome {
 	return forward.Outcome{Kind: forward.Refused}
 }
 
-// afterWith ends each attempt with an outcome after some time.
-func afterWith(answer func(gateway.BackEndRequest) forward.Outcome, length time.Duration) func(context.Context, gateway.BackEndRequest) forward.Outcome {
-	return func(ctx context.Context, send gateway.BackEndRequest) forward.Outcome {
+// outcomeAfter returns a handler that ends each attempt with an outcome after a delay.
+func outcomeAfter(outcomeOf func(gateway.BackEndRequest) forward.Outcome, delay time.Duration) func(context.Context, gateway.BackEndRequest) forward.Outcome {
+	return func(ctx context.Context, request gateway.BackEndRequest) forward.Outcome {
 		select {
-		case <-time.After(length):
-			return answer(send)
+		case <-time.After(delay):
+			return outcomeOf(request)
 		case <-ctx.Done():
 			return forward.Outcome{Kind: forward.Lost}
 		}
 	}
 }
 
-// one serves a request to a single back end.
-func (s *scene) one() gateway.Result {
+// requestOne sends a request on the route to a single service.
+func (s *fixture) requestOne() gateway.Result {
 	return s.gateway.Serve(context.Background(), &gateway.Call{ID: "id", Host: "h", Path: "/one/x", Deadline: time.Now().Add(4 * time.Second)})
 }
 
-// TestRequestsStayInTheirRegions: first attempts, hedges and retries of a route that is bound to the other region go there only, though the near
-// back ends are sound, and though those allowed are slow, refuse, lose answers or end.
-func TestRequestsStayInTheirRegions(t *testing.T) {
-	troubles := map[string]func(gateway.BackEndRequest) forward.Outcome{
-		"sound":  part,
-		"refuse": func(gateway.BackEndRequest) forward.Outcome { return forward.Outcome{Kind: forward.Refused} },
-		"lose":   func(gateway.BackEndRequest) forward.Outcome { return forward.Outcome{Kind: forward.Lost} },
-		"end": func(gateway.BackEndRequest) forward.Outcome {
+// TestRequestsStayInAllowedRegions checks that first attempts, hedges and retries of a route that is restricted to
+// the other region go there only. That must hold although the back ends in the gateway's own zone work, and although
+// the allowed ones are slow, refuse, lose answers or crash.
+func TestRequestsStayInAllowedRegions(t *testing.T) {
+	behaviours := map[string]func(gateway.BackEndRequest) forward.Outcome{
+		"back ends answer":       answered,
+		"back ends refuse":       func(gateway.BackEndRequest) forward.Outcome { return forward.Outcome{Kind: forward.Refused} },
+		"back ends lose answers": func(gateway.BackEndRequest) forward.Outcome { return forward.Outcome{Kind: forward.Lost} },
+		"back ends crash": func(gateway.BackEndRequest) forward.Outcome {
 			return forward.Outcome{Kind: forward.Lost, BackEndCrashed: true}
 		},
 	}
-	for name, answer := range troubles {
+	for name, behaviour := range behaviours {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(t *testing.T, s *scene) {
-				s.store.put(bound(2, "b"))
+			withGateway(t, func(t *testing.T, s *fixture) {
+				s.store.put(restrictedConfiguration(2, "b"))
 				for i := range shards {
 					s.store.put(backEnd(fmt.Sprint("s", i), "-far-2", "other"))
 				}
 				time.Sleep(2 * time.Second)
-				s.backEnds.set(afterWith(answer, 150*time.Millisecond))
+				s.backEnds.setHandler(outcomeAfter(behaviour, 150*time.Millisecond))
 				for range 20 {
 					s.search()
-					s.one()
+					s.requestOne()
 				}
-				sends := s.backEnds.sent()
-				if count := strays(sends, "other"); count > 0 || len(sends) < 20 {
-					t.Errorf("%d of %d attempts left their region", count, len(sends))
+				requests := s.backEnds.sentRequests()
+				if count := countOutsideZone(requests, "other"); count > 0 || len(requests) < 20 {
+					t.Errorf("%d of %d attempts went outside the allowed region, want none of at least 20", count, len(requests))
 				}
 			})
 		})
 	}
 }
 
-// TestNoBackEndInTheRegions: where no region that a request may be served in has a back end, it is refused at once as not run, with a time to come back.
-func TestNoBackEndInTheRegions(t *testing.T) {
-	play(t, func(t *testing.T, s *scene) {
+// TestNoBackEndInAllowedRegions checks that a request is refused at once, as not run and with a retry time, if no
+// allowed region has a back end.
+func TestNoBackEndInAllowedRegions(t *testing.T) {
+	withGateway(t, func(t *testing.T, s *fixture) {
 		for i := range shards {
 			s.store.put(gateway.Item{Key: fmt.Sprint("back ends/s", i, "-far"), Deleted: true})
 		}
-		s.store.put(bound(2, "b"))
+		s.store.put(restrictedConfiguration(2, "b"))
 		time.Sleep(6 * time.Second)
-		for _, result := range []gateway.Result{s.search(), s.one()} {
+		for _, result := range []gateway.Result{s.search(), s.requestOne()} {
 			if result.Failure == nil || !result.Failure.NotRun || result.Failure.RetryAfter == 0 || result.Elapsed > 10*time.Millisecond {
-				t.Errorf("answered %+v after %v", result.Answer, result.Elapsed)
+				t.Errorf("want a refusal at once, as not run and with a retry time; answered %+v after %v", result.Answer, result.Elapsed)
 			}
 		}
-		if sends := s.backEnds.sent(); len(sends) > 0 {
-			t.Errorf("%d attempts were sent", len(sends))
+		if requests := s.backEnds.sentRequests(); len(requests) > 0 {
+			t.Errorf("%d attempts were sent, want none", len(requests))
 		}
 	})
 }
 
-// TestUnknownRegionIsRejected: a configuration that names a region nobody knows is not put in force; the last good one stays.
+// TestUnknownRegionIsRejected checks that a configuration that names an unknown region is not put in force. The last
+// valid one stays in force.
 func TestUnknownRegionIsRejected(t *testing.T) {
-	table, err := routing.Compile(*configurationOf(bound(2, "nowhere")))
+	table, err := routing.Compile(*configurationOf(restrictedConfiguration(2, "nowhere")))
 	if err != nil {
 		t.Fatal(err)
 	}
 	known := func(name string) bool { return name == "a" || name == "b" }
 	if err := table.CheckRegions(known); failure.CodeOf(err) != failure.InvalidArgument {
-		t.Errorf("checked with %v", err)
+		t.Errorf("want an invalid argument for the unknown region, found %v", err)
 	}
-	play(t, func(t *testing.T, s *scene) {
-		s.store.put(bound(2, "a", "nowhere"))
+	withGateway(t, func(t *testing.T, s *fixture) {
+		s.store.put(restrictedConfiguration(2, "a", "nowhere"))
 		time.Sleep(2 * time.Second)
 		if version := s.gateway.Version(); version != 1 {
-			t.Errorf("version %d is in force", version)
+			t.Errorf("version %d is in force, want 1 since version 2 names an unknown region", version)
 		}
-		s.store.put(bound(3, "a", "b"))
+		s.store.put(restrictedConfiguration(3, "a", "b"))
 		time.Sleep(2 * time.Second)
 		if version := s.gateway.Version(); version != 3 {
-			t.Errorf("version %d is in force", version)
+			t.Errorf("version %d is in force, want 3", version)
 		}
 	})
 }
 
-// TestRegionsOfTheVersionThatDecides: a request under way keeps the regions of the version that it began with, also for what it sends later; the next
-// one has the new ones.
-func TestRegionsOfTheVersionThatDecides(t *testing.T) {
-	play(t, func(t *testing.T, s *scene) {
-		s.store.put(bound(2, "a"))
+// TestRequestKeepsRegionsOfItsVersion checks that a request in flight keeps the allowed regions of the configuration
+// version that it began with, also for attempts that it sends later. The next request has the regions of the new
+// version.
+func TestRequestKeepsRegionsOfItsVersion(t *testing.T) {
+	withGateway(t, func(t *testing.T, s *fixture) {
+		s.store.put(restrictedConfiguration(2, "a"))
 		time.Sleep(2 * time.Second)
-		s.backEnds.set(afterWith(func(gateway.BackEndRequest) forward.Outcome { return forward.Outcome{Kind: forward.Refused} }, 20*time.Millisecond))
+		s.backEnds.setHandler(outcomeAfter(func(gateway.BackEndRequest) forward.Outcome { return forward.Outcome{Kind: forward.Refused} }, 20*time.Millisecond))
 		results := make(chan gateway.Result, 1)
-		go func() { results <- s.one() }()
+		go func() { results <- s.requestOne() }()
 		time.Sleep(30 * time.Millisecond)
-		s.store.put(bound(3, "b"))
+		s.store.put(restrictedConfiguration(3, "b"))
 		<-results
-		if count := strays(s.backEnds.sent(), "zone"); count > 0 {
-			t.Errorf("%d attempts went by a later version", count)
+		if count := countOutsideZone(s.backEnds.sentRequests(), "zone"); count > 0 {
+			t.Errorf("%d attempts went to the regions of a later version, want none", count)
 		}
-		before := len(s.backEnds.sent())
+		before := len(s.backEnds.sentRequests())
 		time.Sleep(2 * time.Second)
-		s.backEnds.set(after(20 * time.Millisecond))
-		s.one()
-		if sends := s.backEnds.sent()[before:]; len(sends) == 0 || strays(sends, "other") > 0 {
-			t.Errorf("sent %d attempts, %d of them by an earlier version", len(sends), strays(sends, "other"))
+		s.backEnds.setHandler(answerAfter(20 * time.Millisecond))
+		s.requestOne()
+		if requests := s.backEnds.sentRequests()[before:]; len(requests) == 0 || countOutsideZone(requests, "other") > 0 {
+			t.Errorf("%d attempts were sent, %d of them to the regions of an earlier version; want some and none", len(requests), countOutsideZone(requests, "other"))
 		}
 	})
 }
 
-// TestPartShortOfRoomIsRefused: what does not fit at one part of a split is refused as not run and not moved to another part.
-func TestPartShortOfRoomIsRefused(t *testing.T) {
-	play(t, func(t *testing.T, s *scene) {
+// TestFullSplitTargetIsRefused checks that requests that exceed the capacity of one target of a traffic split are
+// refused as not run. They must not move to another target.
+func TestFullSplitTargetIsRefused(t *testing.T) {
+	withGateway(t, func(t *testing.T, s *fixture) {
 		split := configuration(2)
 		configurationOf(split).Routes[1].Targets = []routing.Target{{Service: "s0", Weight: 1}, {Service: "s1", Weight: 1}}
 		s.store.put(split)
 		time.Sleep(2 * time.Second)
-		s.backEnds.set(except(refuses, "s0-near", "s0-far"))
+		s.backEnds.setHandler(answerExcept(refuse, "s0-near", "s0-far"))
 		refused := 0
 		for range 40 {
-			if result := s.one(); result.Failure != nil && result.Failure.NotRun {
+			if result := s.requestOne(); result.Failure != nil && result.Failure.NotRun {
 				refused++
 			}
 		}
 		if refused != 20 {
-			t.Errorf("%d of 40 were refused, half of them go to the part without room", refused)
+			t.Errorf("%d of 40 requests were refused, want the half that goes to the target without capacity", refused)
 		}
 	})
 }
--- a/internal/gateway/simulation_copies_test.go
+++ b/internal/gateway/simulation_copies_test.go
@@ -10,121 +10,126 @@
 	"stiletrail/internal/gateway"
 )
 
-// What a course with a store that comes back from copies draws from, and is held to.
+// Frequencies and limits of runs with a store that is restored from backups.
 const (
-	// copyEvery and goneEvery: a copy is taken, and the store comes back from the last one, once in so many steps of ten milliseconds on average.
-	copyEvery, goneEvery = 300, 700
-	// longestAway is how long the store is away before that, writtenWithin how long after it all has been written again that was lost.
-	longestAway   = 2 * time.Second
-	writtenWithin = 2 * time.Second
-	// inForceWithin is how long after it was confirmed a configuration is in force on all nodes.
+	// backupOneIn and restoreOneIn are frequencies. A backup is taken, and the store is restored from the last
+	// backup, once in so many steps of ten milliseconds on average.
+	backupOneIn, restoreOneIn = 300, 700
+	// maximumOutage is the longest time for which the store is unavailable before it is restored. rewrittenLimit is
+	// the longest time after that until all lost records have been written again.
+	maximumOutage  = 2 * time.Second
+	rewrittenLimit = 2 * time.Second
+	// inForceWithin is how long after its confirmation a configuration must be in force on all nodes.
 	inForceWithin = 3 * time.Second
 )
 
-// copies is what a course with a store that comes back from copies goes by.
-type copies struct {
+// restorePlan is the state of a run with a store that is restored from backups.
+type restorePlan struct {
 	random *rand.Rand
-	latest storeCopy
-	// away: the store is away or lacks what was confirmed, since awaySince.
-	away      bool
-	awaySince time.Time
-	// confirmed is when each version was.
+	backup storeBackup
+	// incomplete says whether the store is unavailable or lacks confirmed records. incompleteSince is when that
+	// began.
+	incomplete      bool
+	incompleteSince time.Time
+	// confirmed maps each version to the moment at which the store confirmed it.
 	confirmed map[uint64]time.Time
 }
 
-// TestRandomCopies plays every other seed with a store that comes back from copies some seconds old, beside the usual faults. Nodes do not start anew: what
-// these know then is in TestChangesLostWithBackup.
-func TestRandomCopies(t *testing.T) {
+// TestRandomRestores runs every other seed with a store that is restored from backups some seconds old, in addition
+// to the usual faults. Nodes do not restart here. TestChangesLostWithBackup proves what nodes that restart then know.
+func TestRandomRestores(t *testing.T) {
 	for _, seed := range seeds() {
 		if seed%2 == 0 && len(seeds()) > 1 {
 			continue
 		}
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { simulate(t, seed, withCopies) })
+			synctest.Test(t, func(t *testing.T) { simulate(t, seed, withRestores) })
 		})
 	}
 }
 
-// copySome takes a copy of the store now and then, and has it come back from the last one.
-func (s *simulation) copySome() {
-	c := s.copies
-	if c.away {
+// backUpOrRestore now and then takes a backup of the store, or restores the store from the last backup.
+func (s *simulation) backUpOrRestore() {
+	c := s.restores
+	if c.incomplete {
 		return
 	}
-	if c.random.IntN(copyEvery) == 0 {
-		c.latest = s.cluster.store.copy()
+	if c.random.IntN(backupOneIn) == 0 {
+		c.backup = s.cluster.store.backup()
 	}
-	if c.random.IntN(goneEvery) != 0 {
+	if c.random.IntN(restoreOneIn) != 0 {
 		return
 	}
-	away := time.Duration(c.random.Int64N(int64(longestAway)))
-	written := time.Duration(c.random.Int64N(int64(writtenWithin)))
-	c.away, c.awaySince = true, time.Now()
-	s.outages = append(s.outages, span{time.Now(), time.Now().Add(away + written + settleTime)})
+	outage := time.Duration(c.random.Int64N(int64(maximumOutage)))
+	rewrittenAfter := time.Duration(c.random.Int64N(int64(rewrittenLimit)))
+	c.incomplete, c.incompleteSince = true, time.Now()
+	s.outages = append(s.outages, span{time.Now(), time.Now().Add(outage + rewrittenAfter + settleTime)})
 	store := s.cluster.store
-	store.set(func(store *fakeStore) { store.err = errDown })
-	time.AfterFunc(away, func() {
-		s.locked(func() {
-			store.restore(c.latest)
-			store.set(func(store *fakeStore) { store.err = nil })
+	store.update(func(store *fakeStore) { store.err = errUnavailable })
+	time.AfterFunc(outage, func() {
+		s.withLock(func() {
+			store.restore(c.backup)
+			store.update(func(store *fakeStore) { store.err = nil })
 		})
 	})
-	time.AfterFunc(away+written, func() {
-		s.locked(func() {
-			store.rewrite()
-			c.away = false
+	time.AfterFunc(outage+rewrittenAfter, func() {
+		s.withLock(func() {
+			store.rewriteLost()
+			c.incomplete = false
 		})
 	})
 }
 
-// watchInForce checks that a version is in force on all nodes in time where the store was well since it was confirmed.
-func (s *simulation) watchInForce() {
+// checkInForce checks that each confirmed version is in force on all nodes in time, unless the store had an outage
+// since its confirmation.
+func (s *simulation) checkInForce() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for version, at := range s.copies.confirmed {
-		if time.Now().Before(s.due(at, inForceWithin)) || s.inOutage(at, time.Now()) {
+	for version, at := range s.restores.confirmed {
+		if time.Now().Before(s.effectiveBy(at, inForceWithin)) || s.inOutage(at, time.Now()) {
 			continue
 		}
 		for number, g := range s.cluster.gateways {
 			if g.Version() < version {
-				s.t.Errorf("%v: node %d has version %d in force %v after %d was confirmed", time.Since(s.began), number, g.Version(), time.Since(at), version)
+				s.t.Errorf("%v after the start: node %d has version %d in force, %v after version %d was confirmed", time.Since(s.startedAt), number, g.Version(), time.Since(at), version)
 			}
 		}
-		delete(s.copies.confirmed, version)
+		delete(s.restores.confirmed, version)
 	}
 }
 
-// checkCopies: a back end that had left, and a zone that was evacuated, for long enough before the store went away, get nothing when it names the one and lacks
-// the other.
-func (s *simulation) checkCopies() {
+// checkRestores checks that a restore does not undo what was confirmed long enough before the outage. A back end
+// whose entry was deleted gets no requests although the restored store contains the entry again. A zone that was
+// evacuated gets none although the restored store lacks the evacuation.
+func (s *simulation) checkRestores() {
 	for _, a := range s.arrivals {
-		if gone := a.backEnd.goneSince; !gone.IsZero() && a.at.After(s.drained(gone)) && s.settledBefore(gone, a.at, drainTime) {
-			s.t.Errorf("%s got a request %v after its entry went, as the store named it again", a.backEnd.entry.ID, a.at.Sub(gone))
+		if removedAt := a.backEnd.removedAt; !removedAt.IsZero() && a.at.After(s.drainedBy(removedAt)) && s.settledBefore(removedAt, a.at, drainTime) {
+			s.t.Errorf("back end %s got a request %v after its entry was deleted, when the restored store had it again", a.backEnd.entry.ID, a.at.Sub(removedAt))
 		}
 		for _, e := range s.evacuations[a.backEnd.entry.Zone] {
-			if a.at.After(s.evacuated(e.begin)) && (e.end.IsZero() || a.at.Before(e.end)) && s.settledBefore(e.begin, a.at, evacuateWithin) {
-				s.t.Errorf("%s got a request %v after its zone was evacuated, as the store had lost that", a.backEnd.entry.ID, a.at.Sub(e.begin))
+			if a.at.After(s.evacuatedBy(e.begin)) && (e.end.IsZero() || a.at.Before(e.end)) && s.settledBefore(e.begin, a.at, evacuateWithin) {
+				s.t.Errorf("back end %s got a request %v after its zone was evacuated, when the restored store lacked that", a.backEnd.entry.ID, a.at.Sub(e.begin))
 			}
 		}
 	}
 }
 
-// settledBefore reports whether something that was confirmed at a moment had its time to be known before the first trouble of the store after it, and after
-// the last one before it, and such a trouble began before another moment.
-func (s *simulation) settledBefore(at, until time.Time, known time.Duration) bool {
-	troubled := false
+// settledBefore reports whether all nodes had time to learn what was confirmed at a moment, between the outage of the
+// store before it and the next one, and whether an outage began after it and before the second moment.
+func (s *simulation) settledBefore(confirmedAt, until time.Time, learnTime time.Duration) bool {
+	hadOutage := false
 	for _, outage := range s.outages {
-		if outage.begin.Before(at.Add(known)) && outage.end.After(at) {
+		if outage.begin.Before(confirmedAt.Add(learnTime)) && outage.end.After(confirmedAt) {
 			return false
 		}
-		troubled = troubled || outage.begin.After(at) && outage.begin.Before(until)
+		hadOutage = hadOutage || outage.begin.After(confirmedAt) && outage.begin.Before(until)
 	}
-	return troubled
+	return hadOutage
 }
 
-// confirm notes that the store has taken a version.
-func (s *simulation) confirm(item gateway.Item) {
-	if s.copies != nil {
-		s.copies.confirmed[configurationOf(item).Version] = time.Now()
+// recordConfirmed records that the store has accepted a version.
+func (s *simulation) recordConfirmed(item gateway.Item) {
+	if s.restores != nil {
+		s.restores.confirmed[configurationOf(item).Version] = time.Now()
 	}
 }
--- a/internal/gateway/watchers_test.go
+++ b/internal/gateway/watchers_test.go
@@ -9,8 +9,8 @@
 	"stiletrail/internal/spread"
 )
 
-// watching splits the nodes of a cluster of one region into those that watch the store and those that stand by.
-func watching(nodes int) (watchers, others []int) {
+// splitWatchers divides the nodes of a cluster in one region into those that watch the store and those that do not.
+func splitWatchers(nodes int) (watchers, others []int) {
 	var addresses []string
 	for i := range nodes {
 		addresses = append(addresses, address(i))
@@ -26,27 +26,31 @@
 	return watchers, others
 }
 
-// TestWatchersInTrouble: nodes that stand by have a change of the configuration and the leaving of a back end in force within three
-// seconds, whatever becomes of all that watch for them at that moment.
-func TestWatchersInTrouble(t *testing.T) {
-	for name, strike := range map[string]func(c *cluster, number int){
-		"none":                      func(*cluster, int) {},
-		"turned away by the store":  func(c *cluster, number int) { c.paths[number].cut.Store(true) },
-		"cut off from the others":   func(c *cluster, number int) { c.network.silence(address(number)) },
-		"ended":                     func(c *cluster, number int) { c.contexts[number](); c.network.silence(address(number)) },
-		"ended and started anew":    func(c *cluster, number int) { c.contexts[number](); c.start(number) },
-		"of an older configuration": func(c *cluster, number int) { c.paths[number].cut.Store(true); c.network.silence(address(number)) },
+// TestFailingWatchers checks that a node that does not watch the store itself has a change in force within three
+// seconds, whatever happens at that moment to all nodes that watch for it. The change is a configuration and the
+// removal of a back end.
+func TestFailingWatchers(t *testing.T) {
+	for name, fail := range map[string]func(c *cluster, number int){
+		"no failure":                            func(*cluster, int) {},
+		"watchers lose access to the store":     func(c *cluster, number int) { c.stores[number].disconnected.Store(true) },
+		"watchers are cut off from their peers": func(c *cluster, number int) { c.network.dropFrom(address(number)) },
+		"watchers stop":                         func(c *cluster, number int) { c.contexts[number](); c.network.dropFrom(address(number)) },
+		"watchers restart":                      func(c *cluster, number int) { c.contexts[number](); c.start(number) },
+		"watchers lose the store and their peers": func(c *cluster, number int) {
+			c.stores[number].disconnected.Store(true)
+			c.network.dropFrom(address(number))
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			playCluster(t, 12, func(t *testing.T, c *cluster) {
-				watchers, others := watching(12)
+			withCluster(t, 12, func(t *testing.T, c *cluster) {
+				watchers, others := splitWatchers(12)
 				time.Sleep(20 * time.Second)
 				for _, number := range watchers {
-					strike(c, number)
+					fail(c, number)
 				}
 				c.store.put(configuration(2))
-				gone := backEnd("s0", "-near", "zone")
-				c.store.put(gateway.Item{Key: gone.Key, Deleted: true})
+				removed := backEnd("s0", "-near", "zone")
+				c.store.put(gateway.Item{Key: removed.Key, Deleted: true})
 				time.Sleep(3 * time.Second)
 				for _, number := range others {
 					if g := c.gateways[number]; g.Version() != 2 || g.BackEndsKnown() != shards-1 {
@@ -58,18 +62,18 @@
 	}
 }
 
-// TestFewWatch: of the nodes of a region three call the store, and a change costs three calls.
-func TestFewWatch(t *testing.T) {
-	playCluster(t, 12, func(t *testing.T, c *cluster) {
+// TestStoreCallsOfWatchers checks that three nodes of a region call the store, and that a change costs three calls.
+func TestStoreCallsOfWatchers(t *testing.T) {
+	withCluster(t, 12, func(t *testing.T, c *cluster) {
 		time.Sleep(20 * time.Second)
 		before := c.store.callCount()
 		for version := uint64(2); version < 12; version++ {
 			c.store.put(configuration(version))
 			time.Sleep(6 * time.Second)
 		}
-		// A minute of turns 0.9 s apart, and three calls for each of ten changes.
+		// The bound allows a minute of store polls 0.9 s apart, three calls for each of ten changes, and ten more.
 		if calls := c.store.callCount() - before; calls > 67+3*10+10 {
-			t.Errorf("%d calls in a minute with ten changes", calls)
+			t.Errorf("%d store calls in a minute with ten changes, more than allowed", calls)
 		}
 	})
 }
