--- a/internal/dispatch/group.go
+++ b/internal/dispatch/group.go
@@ -103,7 +103,7 @@
 func (c *Core) updateBackEnd(
 	now time.Duration, previous []*backEnd, specified catalog.BackEnd, owned placement.Ownership,
 ) *backEnd {
-	share := placement.Share(specified, owned.Rank, owned.Dispatchers)
+	share := placement.SlotShare(specified, owned.Rank, owned.Dispatchers)
 	var found *backEnd
 	for _, b := range previous {
 		if b.address == specified.Address {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -69,9 +69,9 @@
 // them: the back end then sheds, which is a refusal that did not run.
 const deputySlots = 1
 
-// Share returns the part of a back end's slots that the owner of the given rank may fill, where so many owners dispatch.
+// SlotShare returns the part of a back end's slots that the owner of the given rank may fill, where so many owners dispatch.
 // Their shares sum to the slots; which of them gets the remainder differs from back end to back end.
-func Share(backEnd catalog.BackEnd, rank, dispatchers int) int {
+func SlotShare(backEnd catalog.BackEnd, rank, dispatchers int) int {
 	if rank >= dispatchers {
 		return min(deputySlots, backEnd.Slots)
 	}
