--- a/internal/placement/group.go
+++ b/internal/placement/group.go
@@ -24,7 +24,7 @@
 		// Each dispatcher holds a slot of each back end.
 		p.dispatchers = min(p.dispatchers, max(1, backEnd.Slots))
 	}
-	p.limit = p.dispatchers + settings.Deputies
+	p.limit = p.dispatchers + settings.Standbys
 	return p
 }
 
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -24,16 +24,16 @@
 	GroupSize int
 	// Dispatchers is how many nodes share the slots of a group's back ends.
 	Dispatchers int
-	// Deputies stand by for the dispatchers of a group: roots ask them when a dispatcher is silent or lost, and they
+	// Standbys stand by for the dispatchers of a group: roots ask them when a dispatcher is silent or lost, and they
 	// then use one slot of each back end until they are dispatchers themselves.
-	Deputies int
+	Standbys int
 	// RelaysPerZone is how many nodes of a zone read the key-value store.
 	RelaysPerZone int
 }
 
 // DefaultSettings gives the settings used where nothing else is said.
 func DefaultSettings() Settings {
-	return Settings{GroupSize: 64, Dispatchers: 1, Deputies: 2, RelaysPerZone: 2}
+	return Settings{GroupSize: 64, Dispatchers: 1, Standbys: 2, RelaysPerZone: 2}
 }
 
 // Group is a part of a service's back ends within one region.
