--- a/internal/engine/confirm.go
+++ b/internal/engine/confirm.go
@@ -51,7 +51,7 @@
 		return document
 	}
 	started, first := rollout.New(now, rollout.Change{
-		Service: service, Operation: request.Operation, Base: request.BaseVersion,
+		Service: service, Operation: request.Operation, BaseVersion: request.BaseVersion,
 		Specification: request.Intent.Specification, Delete: request.Intent.Delete,
 	}, held)
 	operation := e.nextNumber()
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -88,7 +88,7 @@
 	},
 	{
 		"the base of a plan is not checked", "internal/rollout/rollout.go",
-		"	if current.Version != r.change.Base {\n		return r.conflict(current.Version)\n	}\n", "",
+		"	if current.Version != r.change.BaseVersion {\n		return r.conflict(current.Version)\n	}\n", "",
 		"./internal/simulation", "TestOperatorsRace",
 	},
 	{
@@ -98,7 +98,7 @@
 	},
 	{
 		"a swap that lost is not read back", "internal/rollout/rollout.go",
-		"	if outcome == Done {\n		r.phase = reading\n		return Read{}\n	}\n", "	if outcome == Done {\n		return r.conflict(r.change.Base + 1)\n	}\n",
+		"	if outcome == Done {\n		r.phase = reading\n		return Read{}\n	}\n", "	if outcome == Done {\n		return r.conflict(r.change.BaseVersion + 1)\n	}\n",
 		"./internal/rollout", "TestOutcomes",
 	},
 	{
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -45,8 +45,8 @@
 	Service string
 	// Operation is the operator's id of it.
 	Operation string
-	// Base is the version that was planned on.
-	Base          uint64
+	// BaseVersion is the version that was planned on.
+	BaseVersion          uint64
 	Specification catalog.Specification
 	Delete        bool
 }
@@ -108,7 +108,7 @@
 	if current.HasOperation(r.change.Operation) {
 		return r.adopt(now, current)
 	}
-	if current.Version != r.change.Base {
+	if current.Version != r.change.BaseVersion {
 		return r.conflict(current.Version)
 	}
 	current.Service = r.change.Service
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -20,7 +20,7 @@
 
 func start(base uint64, held catalog.Document) *script {
 	s := &script{}
-	s.rollout, s.request = New(0, Change{Service: "lookup", Operation: operation, Base: base}, func() catalog.Document { return held })
+	s.rollout, s.request = New(0, Change{Service: "lookup", Operation: operation, BaseVersion: base}, func() catalog.Document { return held })
 	return s
 }
 
