--- a/internal/engine/confirm.go
+++ b/internal/engine/confirm.go
@@ -68,7 +68,7 @@
 	case rollout.Read:
 		e.output.StoreReads = append(e.output.StoreReads, StoreRead{Operation: operation, Service: run.rollout.Service()})
 	case rollout.Write:
-		write := StoreWrite{Operation: operation, Base: request.Base, Document: request.Document}
+		write := StoreWrite{Operation: operation, Base: request.BaseStamp, Document: request.Document}
 		e.output.StoreWrites = append(e.output.StoreWrites, write)
 	case rollout.Adopt:
 		e.adopt(operation, request.Document)
--- a/internal/rollout/request.go
+++ b/internal/rollout/request.go
@@ -14,7 +14,7 @@
 
 // Write the document over the entry that was read, a compare-and-swap; its outcome comes back through WriteDone.
 type Write struct {
-	Base     platform.Stamp
+	BaseStamp     platform.Stamp
 	Document catalog.Document
 }
 
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -115,7 +115,7 @@
 	r.document = current.Next(entry.Era, r.change.Operation, r.change.Specification, r.change.Delete)
 	r.phase = writing
 	r.wrote = true
-	return Write{Base: entry, Document: r.document}
+	return Write{BaseStamp: entry, Document: r.document}
 }
 
 // WriteDone takes in the answer to a Write. A swap that lost is read back: an earlier write of this very
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -151,7 +151,7 @@
 	for _, c := range []struct{ era, held, want uint64 }{{0, 5, 6}, {2, 5, 2_000_000_001}, {2, 2_000_000_001, 2_000_000_002}, {2, 3_000_000_007, 3_000_000_008}} {
 		s := start(c.held, document(c.held))
 		s.request = s.rollout.ReadDone(s.now, Done, platform.Stamp{Era: c.era, Version: 3}, document(3))
-		if write, ok := s.request.(Write); !ok || write.Document.Version != c.want || write.Base.Era != c.era {
+		if write, ok := s.request.(Write); !ok || write.Document.Version != c.want || write.BaseStamp.Era != c.era {
 			t.Errorf("era %d: request %+v, want version %d", c.era, s.request, c.want)
 		}
 	}
@@ -161,7 +161,7 @@
 func TestStoreBehindIsWrittenOver(t *testing.T) {
 	s := start(5, document(5, "newest"))
 	s.read(Done, document(3))
-	if write, ok := s.request.(Write); !ok || write.Document.Version != 6 || write.Base.Version != 3 {
+	if write, ok := s.request.(Write); !ok || write.Document.Version != 6 || write.BaseStamp.Version != 3 {
 		t.Errorf("request %+v", s.request)
 	}
 }
