--- a/internal/engine/confirm.go
+++ b/internal/engine/confirm.go
@@ -70,7 +70,7 @@
 	case rollout.Write:
 		write := StoreWrite{Operation: operation, Base: request.BaseStamp, Document: request.Document}
 		e.output.StoreWrites = append(e.output.StoreWrites, write)
-	case rollout.Adopt:
+	case rollout.Replicate:
 		e.adopt(operation, request.Document)
 	case rollout.Result:
 		delete(e.rollouts, operation)
--- a/internal/rollout/request.go
+++ b/internal/rollout/request.go
@@ -18,9 +18,9 @@
 	Document catalog.Document
 }
 
-// Adopt a document that is accepted by the store: take it into force, hand it to peers, and say to how many through Spreading.
+// Replicate a document that is accepted by the store: take it into force, hand it to peers, and say to how many through Spreading.
 // Each answers with an ack, which comes back through Copied.
-type Adopt struct{ Document catalog.Document }
+type Replicate struct{ Document catalog.Document }
 
 // Result is what the operator is told; it ends the rollout.
 type Result struct {
@@ -33,7 +33,7 @@
 
 func (Read) isRequest()   {}
 func (Write) isRequest()  {}
-func (Adopt) isRequest()  {}
+func (Replicate) isRequest()  {}
 func (Result) isRequest() {}
 
 // Outcome of a request to the store.
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -159,7 +159,7 @@
 	r.phase = spreading
 	r.document = document
 	r.wakeAt = now + copyWait
-	return Adopt{Document: document}
+	return Replicate{Document: document}
 }
 
 // Spreading takes in how many peers the document was handed to; with none the change is accepted at once.
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -54,7 +54,7 @@
 
 func (s *script) result() *Result {
 	switch request := s.request.(type) {
-	case Adopt:
+	case Replicate:
 		s.request = s.rollout.Spreading(0)
 		return s.result()
 	case Result:
