--- a/internal/engine/confirm.go
+++ b/internal/engine/confirm.go
@@ -94,7 +94,7 @@
 		rumor.Operation = operation
 		e.send(peer, rumor)
 	}
-	e.performRollout(operation, e.rollouts[operation].rollout.Spreading(len(peers)))
+	e.performRollout(operation, e.rollouts[operation].rollout.SentToPeers(len(peers)))
 }
 
 // pickCopyHolders picks copiesWanted live peers: one in this node's zone, if there is one, and the others in other zones.
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -103,7 +103,7 @@
 	},
 	{
 		"accepted is said before any peer holds the document", "internal/engine/confirm.go",
-		"rollout.Spreading(len(peers))", "rollout.Spreading(0)",
+		"rollout.SentToPeers(len(peers))", "rollout.SentToPeers(0)",
 		"./internal/engine", "TestAcceptanceWaitsForCopies",
 	},
 	{
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -162,8 +162,8 @@
 	return Replicate{Document: document}
 }
 
-// Spreading takes in how many peers the document was handed to; with none the change is accepted at once.
-func (r *Rollout) Spreading(peers int) Request {
+// SentToPeers takes in how many peers the document was handed to; with none the change is accepted at once.
+func (r *Rollout) SentToPeers(peers int) Request {
 	r.expected = peers
 	return r.endIfCopied()
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -55,7 +55,7 @@
 func (s *script) result() *Result {
 	switch request := s.request.(type) {
 	case Replicate:
-		s.request = s.rollout.Spreading(0)
+		s.request = s.rollout.SentToPeers(0)
 		return s.result()
 	case Result:
 		return &request
