--- a/internal/engine/confirm.go
+++ b/internal/engine/confirm.go
@@ -113,7 +113,7 @@
 		return
 	}
 	member, _ := e.members.Lookup(from)
-	e.performRollout(m.Operation, run.rollout.Copied(from, member.Zone))
+	e.performRollout(m.Operation, run.rollout.Acknowledged(from, member.Zone))
 }
 
 // tickRollouts advances the rollouts that wait for time to pass.
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -168,8 +168,8 @@
 	return r.endIfCopied()
 }
 
-// Copied takes in that a peer holds the document.
-func (r *Rollout) Copied(peer, zone string) Request {
+// Acknowledged takes in that a peer holds the document.
+func (r *Rollout) Acknowledged(peer, zone string) Request {
 	if r.phase != spreading {
 		return nil
 	}
