--- a/internal/engine/confirm.go
+++ b/internal/engine/confirm.go
@@ -30,7 +30,7 @@
 	return intent.NewPlan(wanted, base, expiresUnixSeconds), nil
 }
 
-// ConfirmRequest is an operator's confirmation of a plan. The caller has checked the plan with intent.Check.
+// ConfirmRequest is an operator's confirmation of a plan. The caller has checked the plan with intent.CheckConfirmation.
 type ConfirmRequest struct {
 	Intent      intent.Intent
 	BaseVersion uint64
--- a/internal/intent/intent_test.go
+++ b/internal/intent/intent_test.go
@@ -100,10 +100,10 @@
 		err  error
 		ok   bool
 	}{
-		{"as planned", Check(wanted, 0, 100, plan.Digest, 99), true},
-		{"another base", Check(wanted, 1, 100, plan.Digest, 99), false},
-		{"another expiry", Check(wanted, 0, 101, plan.Digest, 99), false},
-		{"expired", Check(wanted, 0, 100, plan.Digest, 101), false},
+		{"as planned", CheckConfirmation(wanted, 0, 100, plan.Digest, 99), true},
+		{"another base", CheckConfirmation(wanted, 1, 100, plan.Digest, 99), false},
+		{"another expiry", CheckConfirmation(wanted, 0, 101, plan.Digest, 99), false},
+		{"expired", CheckConfirmation(wanted, 0, 100, plan.Digest, 101), false},
 	}
 	for _, c := range cases {
 		if (c.err == nil) != c.ok {
--- a/internal/intent/plan.go
+++ b/internal/intent/plan.go
@@ -52,8 +52,8 @@
 	return hex.EncodeToString(sum[:16])
 }
 
-// Check refuses a confirmation whose digest does not name the plan of this intent, or whose plan has expired.
-func Check(intent Intent, base uint64, expiresUnixSeconds int64, given string, nowUnixSeconds int64) error {
+// CheckConfirmation refuses a confirmation whose digest does not name the plan of this intent, or whose plan has expired.
+func CheckConfirmation(intent Intent, base uint64, expiresUnixSeconds int64, given string, nowUnixSeconds int64) error {
 	if digest(intent, base, expiresUnixSeconds) != given {
 		return failure.Refused(failure.PlanMismatch, "the digest does not name a plan of this intent and base version", 0)
 	}
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return wanted, err
 	}
-	err = intent.Check(wanted, request.GetBaseVersion(), request.GetExpiresUnixSeconds(), request.GetDigest(), time.Now().Unix())
+	err = intent.CheckConfirmation(wanted, request.GetBaseVersion(), request.GetExpiresUnixSeconds(), request.GetDigest(), time.Now().Unix())
 	if err != nil {
 		return wanted, err
 	}
