--- a/internal/ticket/ticket.go
+++ b/internal/ticket/ticket.go
@@ -67,8 +67,8 @@
 	Failure *failure.Failure
 }
 
-// Use is what may be done with a ticket: Fresh, Running, Finished or Rejected.
-type Use interface{ isUse() }
+// UseResult is what may be done with a ticket: Fresh, Running, Finished or Rejected.
+type UseResult interface{ isUse() }
 
 // Fresh: run the request, once, and say what came of it through Finish.
 type Fresh struct{ Sequence uint64 }
@@ -129,7 +129,7 @@
 }
 
 // Use takes a ticket for a request; body identifies the request.
-func (t *Table) Use(now time.Duration, encoded, body []byte) Use {
+func (t *Table) Use(now time.Duration, encoded, body []byte) UseResult {
 	parsed, err := Parse(encoded)
 	if err != nil {
 		return Rejected{failure.From(err)}
@@ -157,7 +157,7 @@
 	return Fresh{Sequence: parsed.Sequence}
 }
 
-func (t *Table) reuse(sequence uint64, known *entry, digest [sha256.Size]byte) Use {
+func (t *Table) reuse(sequence uint64, known *entry, digest [sha256.Size]byte) UseResult {
 	if known.digest != digest {
 		return Rejected{failure.New(failure.InvalidArgument, "the ticket was used for another request")}
 	}
--- a/internal/ticket/ticket_test.go
+++ b/internal/ticket/ticket_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-func isFresh(use Use) bool {
+func isFresh(use UseResult) bool {
 	_, fresh := use.(Fresh)
 	return fresh
 }
