--- a/internal/ticket/ticket.go
+++ b/internal/ticket/ticket.go
@@ -167,8 +167,8 @@
 	return Finished{Outcome: *known.outcome}
 }
 
-// Finish notes the outcome of the request a ticket was used for.
-func (t *Table) Finish(sequence uint64, outcome Outcome) {
+// RecordOutcome notes the outcome of the request a ticket was used for.
+func (t *Table) RecordOutcome(sequence uint64, outcome Outcome) {
 	if known := t.entries[sequence]; known != nil {
 		known.outcome = &outcome
 	}
--- a/internal/ticket/ticket_test.go
+++ b/internal/ticket/ticket_test.go
@@ -57,7 +57,7 @@
 	if use = table.Use(2*time.Second, ticket, []byte("a")); use != Running(fresh) {
 		t.Errorf("use %+v while running", use)
 	}
-	table.Finish(fresh.Sequence, Outcome{Shard: 3})
+	table.RecordOutcome(fresh.Sequence, Outcome{Shard: 3})
 	use = table.Use(3*time.Second, ticket, []byte("a"))
 	if finished, ok := use.(Finished); !ok || finished.Outcome.Shard != 3 {
 		t.Errorf("use %+v", use)
@@ -87,7 +87,7 @@
 	if !ok {
 		t.Fatalf("use %+v", use)
 	}
-	table.Finish(fresh.Sequence, Outcome{Failure: failure.Refused(failure.NotReady, "not ready", 0)})
+	table.RecordOutcome(fresh.Sequence, Outcome{Failure: failure.Refused(failure.NotReady, "not ready", 0)})
 	use = table.Use(time.Second, ticket, []byte("a"))
 	if finished, ok := use.(Finished); !ok || finished.Outcome.Failure == nil || !finished.Outcome.Failure.NotRun {
 		t.Errorf("use %+v", use)
