--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -35,8 +35,8 @@
 	return Settings{SummaryInterval: time.Second, Fanout: 3, JoinPeers: 3, DocumentsPerMessage: 64}
 }
 
-// Peers picks random usable members.
-type Peers interface {
+// PeerPicker picks random usable members.
+type PeerPicker interface {
 	Pick(count int, match func(membership.Member) bool) []string
 	Self() membership.Member
 }
@@ -48,7 +48,7 @@
 type Core struct {
 	settings Settings
 	catalog  *catalog.Catalog
-	peers    Peers
+	peers    PeerPicker
 	// refreshed is when the catalog was last known equal to the store's.
 	refreshed time.Duration
 	// next is when peers are compared with again.
@@ -60,7 +60,7 @@
 }
 
 // New returns a core that spreads the given catalog. onNew is called with each document that a peer brought.
-func New(held *catalog.Catalog, peers Peers, settings Settings, onNew func(catalog.Document)) *Core {
+func New(held *catalog.Catalog, peers PeerPicker, settings Settings, onNew func(catalog.Document)) *Core {
 	return &Core{
 		settings: settings, catalog: held, peers: peers,
 		refreshed: never, agreed: map[string]bool{}, onNew: onNew,
