--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -70,8 +70,8 @@
 // Ready reports whether the catalog may be served from.
 func (c *Core) Ready() bool { return c.ready }
 
-// Age is the time since the catalog was last known equal to the store's; false where it never was.
-func (c *Core) Age(now time.Duration) (time.Duration, bool) {
+// CatalogAge is the time since the catalog was last known equal to the store's; false where it never was.
+func (c *Core) CatalogAge(now time.Duration) (time.Duration, bool) {
 	if c.refreshed == never {
 		return 0, false
 	}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -61,15 +61,15 @@
 // TestAges shrink only by proof.
 func TestAges(t *testing.T) {
 	core := newCore("a")
-	if _, known := core.Age(time.Second); known {
+	if _, known := core.CatalogAge(time.Second); known {
 		t.Error("an age is known before any proof")
 	}
 	core.Receive(time.Minute, "a", &message.CatalogSummary{Hash: core.catalog.Hash(), AgeMilliseconds: 5000})
-	if age, known := core.Age(2 * time.Minute); !known || age != time.Minute+5*time.Second {
+	if age, known := core.CatalogAge(2 * time.Minute); !known || age != time.Minute+5*time.Second {
 		t.Errorf("age %s, known %t", age, known)
 	}
 	core.Receive(2*time.Minute, "a", &message.CatalogSummary{Hash: core.catalog.Hash() + 1, AgeMilliseconds: 0})
-	if age, _ := core.Age(2 * time.Minute); age != time.Minute+5*time.Second {
+	if age, _ := core.CatalogAge(2 * time.Minute); age != time.Minute+5*time.Second {
 		t.Errorf("a peer with another catalog made the age %s", age)
 	}
 }
