--- a/internal/engine/store.go
+++ b/internal/engine/store.go
@@ -139,7 +139,7 @@
 	pause := time.Duration(entryListBytes*e.store.keys) * time.Second / listBytesPerSecond
 	e.store.next = e.now + max(e.settings.StoreInterval, pause)
 	e.compareStore()
-	e.gossip.Refreshed(e.store.startedAt)
+	e.gossip.RecordStoreRead(e.store.startedAt)
 }
 
 // compareStore sets the services of which the store holds an older version than is in force. Alarms reports them.
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -78,8 +78,8 @@
 	return now - c.refreshed, true
 }
 
-// Refreshed notes that the whole store was read at the given time and is merged.
-func (c *Core) Refreshed(at time.Duration) {
+// RecordStoreRead notes that the whole store was read at the given time and is merged.
+func (c *Core) RecordStoreRead(at time.Duration) {
 	c.refreshed = max(c.refreshed, at)
 	c.ready = true
 }
