--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -32,7 +32,7 @@
 func (e *Engine) resume() {
 	e.Counters.Freezes++
 	if e.gossip.Ready() {
-		e.gossip.Suspend()
+		e.gossip.MarkNotReady()
 	}
 	e.store.next = e.now
 	e.performDispatch(e.dispatcher.ForgetHoldings(e.now))
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -84,8 +84,8 @@
 	c.ready = true
 }
 
-// Suspend makes the node not ready until it has joined peers or the store again, as after a freeze.
-func (c *Core) Suspend() {
+// MarkNotReady makes the node not ready until it has joined peers or the store again, as after a freeze.
+func (c *Core) MarkNotReady() {
 	c.ready = false
 	clear(c.agreed)
 }
