--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -118,8 +118,8 @@
 	return slices.Sorted(maps.Keys(c.documents))
 }
 
-// InBucket returns the names of the services in a bucket, in order.
-func (c *Catalog) InBucket(bucket int) []string {
+// ServicesInBucket returns the names of the services in a bucket, in order.
+func (c *Catalog) ServicesInBucket(bucket int) []string {
 	var names []string
 	for name := range c.documents {
 		if bucketOf(name) == bucket {
--- a/internal/catalog/stored_test.go
+++ b/internal/catalog/stored_test.go
@@ -42,8 +42,8 @@
 	c := New()
 	c.Merge(from)
 	const hash, bucket = 6600441889122856406, 35
-	if c.Hash() != hash || len(c.InBucket(bucket)) != 1 {
-		t.Errorf("hash %d with %q in the bucket", c.Hash(), c.InBucket(bucket))
+	if c.Hash() != hash || len(c.ServicesInBucket(bucket)) != 1 {
+		t.Errorf("hash %d with %q in the bucket", c.Hash(), c.ServicesInBucket(bucket))
 	}
 }
 
--- a/internal/gossip/compare.go
+++ b/internal/gossip/compare.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		keys.Buckets = append(keys.Buckets, uint32(bucket))
-		for _, service := range c.catalog.InBucket(bucket) {
+		for _, service := range c.catalog.ServicesInBucket(bucket) {
 			keys.Keys = append(keys.Keys, message.ServiceVersion{Service: service, Version: c.catalog.Version(service)})
 		}
 	}
@@ -84,7 +84,7 @@
 	}
 	var newer []message.ServiceVersion
 	for _, bucket := range m.Buckets {
-		for _, service := range c.catalog.InBucket(int(bucket)) {
+		for _, service := range c.catalog.ServicesInBucket(int(bucket)) {
 			newer = append(newer, message.ServiceVersion{Service: service, Version: theirs[service]})
 		}
 	}
