--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -71,8 +71,8 @@
 	return found
 }
 
-// Begin registers an attempt, so that Cancel finds it from now on, and returns the context to Run it with.
-func (c *Client) Begin(parent context.Context, attempt uint64, remaining time.Duration) context.Context {
+// Register registers an attempt, so that Cancel finds it from now on, and returns the context to Run it with.
+func (c *Client) Register(parent context.Context, attempt uint64, remaining time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(parent, remaining)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -53,7 +53,7 @@
 	defer client.Close()
 	sent := attempt
 	sent.BackEnd = address
-	return client.Run(client.Begin(context.Background(), sent.Number, 5*time.Second), sent)
+	return client.Run(client.Register(context.Background(), sent.Number, 5*time.Second), sent)
 }
 
 // TestAnswers is the contract of back ends: which answers are taken, and as what.
@@ -143,7 +143,7 @@
 	sent.BackEnd = address
 	for number := range uint64(10) {
 		sent.Number = number + 1
-		result := client.Run(client.Begin(context.Background(), sent.Number, 5*time.Second), sent)
+		result := client.Run(client.Register(context.Background(), sent.Number, 5*time.Second), sent)
 		if result.Status != query.StatusLost {
 			t.Errorf("status %d, want lost", result.Status)
 		}
@@ -176,7 +176,7 @@
 	defer client.Close()
 	sent := attempt
 	sent.BackEnd = address
-	ctx := client.Begin(context.Background(), sent.Number, time.Minute)
+	ctx := client.Register(context.Background(), sent.Number, time.Minute)
 	go func() {
 		<-arrived
 		client.Cancel(sent.Number)
--- a/internal/backend/benchmark_test.go
+++ b/internal/backend/benchmark_test.go
@@ -28,7 +28,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		sent.Number++
-		if result := client.Run(client.Begin(context.Background(), sent.Number, time.Minute), sent); result.Status != query.StatusOK {
+		if result := client.Run(client.Register(context.Background(), sent.Number, time.Minute), sent); result.Status != query.StatusOK {
 			b.Fatal(result.Status)
 		}
 	}
--- a/internal/backend/ended_test.go
+++ b/internal/backend/ended_test.go
@@ -31,7 +31,7 @@
 				_ = connection.Close()
 			}()
 			client := NewClient(1)
-			ctx := client.Begin(context.Background(), 1, time.Minute)
+			ctx := client.Register(context.Background(), 1, time.Minute)
 			result := client.Run(ctx, query.Attempt{Number: 1, BackEnd: listener.Addr().String(), Shards: []uint32{0}})
 			if result.Status != query.StatusLost || result.BackEndCrashed != ends {
 				t.Errorf("%+v", result)
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -15,8 +15,8 @@
 
 // BackEnds is what a node needs of back ends.
 type BackEnds interface {
-	// Begin registers an attempt before it runs, so that it can be cancelled.
-	Begin(parent context.Context, attempt uint64, remaining time.Duration) context.Context
+	// Register registers an attempt before it runs, so that it can be cancelled.
+	Register(parent context.Context, attempt uint64, remaining time.Duration) context.Context
 	// Run sends an attempt and returns what came of it.
 	Run(ctx context.Context, attempt query.Attempt) query.AttemptResult
 	// Cancel gives up an attempt.
@@ -34,7 +34,7 @@
 
 func (n *Node) startAttempt(attempt query.Attempt) {
 	remaining := attempt.Deadline - n.clock.Elapsed()
-	ctx := n.options.BackEnds.Begin(n.ctx, attempt.Number, remaining)
+	ctx := n.options.BackEnds.Register(n.ctx, attempt.Number, remaining)
 	n.tasks.Go(func() {
 		result := n.options.BackEnds.Run(ctx, attempt)
 		n.logAttempt(attempt, result)
