--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,9 +1,12 @@
-// Package catalog decides which of two versions of a service's configuration is in force, and holds what is in force at a node:
-// one versioned document per service. Merging takes the higher version of each, a join: commutative, associative and idempotent.
-// So the order of messages, repeats, isolation and rejoining cannot make a service revert. A deletion is a document too.
+// Package catalog holds the configuration that is in force at a node: one versioned document per service. It decides which
+// of two versions of a document is in force.
 //
-// It owns the forms of documents in the store and between nodes (document.go) and of what changed in one (delta.go). It does no
-// I/O, takes no lock and reads no clock.
+// Merging a document keeps the higher version. The merge is a join: commutative, associative and idempotent. A service
+// therefore never reverts to an older version, whatever the order of messages, and after repeated messages or a network
+// partition. A deleted service keeps a document that is marked as deleted.
+//
+// The package owns the encoding of documents in the store and between nodes (document.go) and the encoding of the
+// difference between two versions (delta.go). It does no I/O, takes no lock and reads no clock.
 package catalog
 
 import (
@@ -14,26 +17,30 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Buckets is the number of parts a catalog is compared in.
+// Buckets is the number of buckets that the services of a catalog are hashed into. Nodes compare their catalogs bucket by
+// bucket.
 const Buckets = 64
 
-// held is a document in force.
-type held struct {
+// entry is a document in force with the delta that leads to it.
+type entry struct {
 	document Document
-	// delta leads here from the version held before, deltaFrom; nil where there was none.
+	// delta is the encoded delta from version deltaFrom, which was in force before, to this document. It is nil if there was
+	// no earlier version, or if no delta can express the change.
 	delta     []byte
 	deltaFrom uint64
 }
 
-// Catalog is the set of documents in force.
+// Catalog is the set of documents in force, one per service.
 type Catalog struct {
-	documents map[string]held
-	hashes    [Buckets]uint64
+	// documents has the entry of each service by its name.
+	documents map[string]entry
+	// hashes has, for each bucket, the exclusive or of the hashes of its services' names and versions.
+	hashes [Buckets]uint64
 }
 
 // New returns an empty catalog.
 func New() *Catalog {
-	return &Catalog{documents: map[string]held{}}
+	return &Catalog{documents: map[string]entry{}}
 }
 
 func bucketOf(service string) int {
@@ -46,7 +53,7 @@
 	return digest.Sum64()
 }
 
-// Merge takes a document in if its version is higher than the one held, and reports whether it did.
+// Merge puts a document into force if its version is higher than the one in force, and reports whether it did.
 func (c *Catalog) Merge(document Document) bool {
 	known, found := c.documents[document.Service]
 	if found && known.document.Version >= document.Version {
@@ -57,39 +64,40 @@
 		c.hashes[bucket] ^= entryHash(document.Service, known.document.Version)
 	}
 	c.hashes[bucket] ^= entryHash(document.Service, document.Version)
-	document.Specification.BackEnds = interned(document.Specification.BackEnds)
-	taken := held{document: document}
+	document.Specification.BackEnds = internNames(document.Specification.BackEnds)
+	merged := entry{document: document}
 	if found {
 		if delta, ok := Diff(known.document, document); ok {
-			taken.delta = delta.Encode()
-			taken.deltaFrom = delta.From
+			merged.delta = delta.Encode()
+			merged.deltaFrom = delta.From
 		}
 	}
-	c.documents[document.Service] = taken
+	c.documents[document.Service] = merged
 	return true
 }
 
-// Get returns the document of a service; deleted ones are returned too.
+// Get returns the document of a service, also if the service is deleted. The second result is false if there is none.
 func (c *Catalog) Get(service string) (Document, bool) {
 	found, ok := c.documents[service]
 	return found.document, ok
 }
 
-// interned returns back ends whose zones and regions share their strings, which saves much of the memory of a large catalog.
-func interned(backEnds []BackEnd) []BackEnd {
+// internNames returns a copy of the back ends in which equal names of zones and regions share one string. This saves much
+// of the memory of a large catalog.
+func internNames(backEnds []BackEnd) []BackEnd {
 	if backEnds == nil {
 		return nil
 	}
-	shared := make([]BackEnd, len(backEnds))
+	interned := make([]BackEnd, len(backEnds))
 	for i, backEnd := range backEnds {
 		backEnd.Zone = unique.Make(backEnd.Zone).Value()
 		backEnd.Region = unique.Make(backEnd.Region).Value()
-		shared[i] = backEnd
+		interned[i] = backEnd
 	}
-	return shared
+	return interned
 }
 
-// Encoded returns the encoded document of a service, or nil.
+// Encoded returns the encoded document of a service, or nil if there is none.
 func (c *Catalog) Encoded(service string) []byte {
 	found, ok := c.documents[service]
 	if !ok {
@@ -98,10 +106,11 @@
 	return found.document.Encode()
 }
 
-// Delta returns the encoded delta to the document of a service from the one held before, or nil.
+// Delta returns the encoded delta from the previous document of a service to the one in force, or nil if there is none.
 func (c *Catalog) Delta(service string) []byte { return c.documents[service].delta }
 
-// DeltaFrom returns the encoded delta to the document of a service from the given version, or nil.
+// DeltaFrom returns the encoded delta from the given version of a service's document to the one in force. It returns nil
+// if the catalog has no delta from that version.
 func (c *Catalog) DeltaFrom(service string, version uint64) []byte {
 	found := c.documents[service]
 	if found.delta == nil || found.deltaFrom != version {
@@ -110,15 +119,15 @@
 	return found.delta
 }
 
-// Version returns the version of a service in force, zero for none.
+// Version returns the version of a service's document in force, or zero if there is none.
 func (c *Catalog) Version(service string) uint64 { return c.documents[service].document.Version }
 
-// Services returns the names of all services, deleted ones included, in order.
+// Services returns the sorted names of all services, deleted ones included.
 func (c *Catalog) Services() []string {
 	return slices.Sorted(maps.Keys(c.documents))
 }
 
-// ServicesInBucket returns the names of the services in a bucket, in order.
+// ServicesInBucket returns the sorted names of the services in a bucket, deleted ones included.
 func (c *Catalog) ServicesInBucket(bucket int) []string {
 	var names []string
 	for name := range c.documents {
@@ -130,10 +139,10 @@
 	return names
 }
 
-// Hashes returns the hash of each bucket: the exclusive or over (service, version).
+// Hashes returns the hash of each bucket: the exclusive or of the hashes of (service, version) of its services.
 func (c *Catalog) Hashes() [Buckets]uint64 { return c.hashes }
 
-// Hash returns the hash of the whole catalog.
+// Hash returns the hash of the whole catalog. Catalogs with the same services at the same versions have the same hash.
 func (c *Catalog) Hash() uint64 {
 	digest := xxhash.New()
 	var number [8]byte
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -18,7 +18,8 @@
 	return document
 }
 
-// TestMergeIsAJoin: any order of the same documents, with repeats, gives the same catalog.
+// TestMergeIsAJoin checks that merging the same documents in any order, with repeats, gives the same catalog, and that the
+// version of a service never decreases. Otherwise nodes that receive messages in different orders would not converge.
 func TestMergeIsAJoin(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var documents []Document
@@ -26,26 +27,27 @@
 			document := Document{Service: rapid.StringMatching("[a-d]").Draw(rt, "service"), Version: rapid.Uint64Range(1, 6).Draw(rt, "version")}
 			documents = append(documents, document)
 		}
-		first, second := New(), New()
+		inOrder, shuffled := New(), New()
 		for _, document := range documents {
-			first.Merge(document)
+			inOrder.Merge(document)
 		}
-		shuffled := rapid.Permutation(append(documents, documents...)).Draw(rt, "order")
-		for _, document := range shuffled {
-			before := second.Version(document.Service)
-			second.Merge(document)
-			if second.Version(document.Service) < before {
-				rt.Fatal("a version went back")
+		permutation := rapid.Permutation(append(documents, documents...)).Draw(rt, "order")
+		for _, document := range permutation {
+			before := shuffled.Version(document.Service)
+			shuffled.Merge(document)
+			if shuffled.Version(document.Service) < before {
+				rt.Fatal("merging a document decreased the version of its service")
 			}
 		}
-		if first.Hash() != second.Hash() {
-			rt.Error("the catalogs differ")
+		if inOrder.Hash() != shuffled.Hash() {
+			rt.Error("the same documents in another order gave a catalog with another hash")
 		}
 	})
 }
 
-// TestDeltas give exactly the document they were made of, or are not made.
-func TestDeltas(t *testing.T) {
+// TestDeltaGivesTheNewDocument checks that applying a delta to the old document gives exactly the new one, for all pairs of
+// documents that Diff makes a delta of.
+func TestDeltaGivesTheNewDocument(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		from, to := drawDocument(rt, 1), drawDocument(rt, 2)
 		delta, ok := Diff(from, to)
@@ -61,11 +63,13 @@
 			rt.Fatal(err)
 		}
 		if string(result.Encode()) != string(to.Encode()) {
-			rt.Errorf("got %s, want %s", result.Encode(), to.Encode())
+			rt.Errorf("the delta gives %s, want %s", result.Encode(), to.Encode())
 		}
 	})
 }
 
+// TestDeltaIsRefusedOnAnotherDocument checks that a delta is not applied to a document of the right version with other back
+// ends, nor to a document of another version.
 func TestDeltaIsRefusedOnAnotherDocument(t *testing.T) {
 	backEnds := []BackEnd{{Address: "a", Slots: 1}, {Address: "b", Slots: 1}}
 	from := Document{Service: "lookup", Version: 1, Specification: Specification{BackEnds: backEnds}}
@@ -74,19 +78,20 @@
 	other := from
 	other.Specification = Specification{BackEnds: []BackEnd{{Address: "c", Slots: 9}}}
 	if _, err := delta.Apply(other); failure.CodeOf(err) != failure.Malformed {
-		t.Errorf("error %v", err)
+		t.Errorf("applied to a document with other back ends: error %v, want MALFORMED", err)
 	}
 	if _, err := delta.Apply(to); failure.CodeOf(err) != failure.Malformed {
-		t.Errorf("error %v", err)
+		t.Errorf("applied to a document of another version: error %v, want MALFORMED", err)
 	}
 }
 
-func TestOperationsAreKeptForAWhile(t *testing.T) {
+// TestDocumentKeepsLastOperations checks that a document carries the ids of its last 8 operations and no older ones.
+func TestDocumentKeepsLastOperations(t *testing.T) {
 	document := Document{Service: "lookup"}
 	for i := range 10 {
 		document = document.Next(0, fmt.Sprint(i), Specification{}, false)
 	}
 	if document.HasOperation("1") || !document.HasOperation("2") || document.Version != 10 {
-		t.Errorf("operations %v, version %d", document.Operations, document.Version)
+		t.Errorf("operations %v, version %d, want the last 8 operations, version 10", document.Operations, document.Version)
 	}
 }
--- a/internal/catalog/delta.go
+++ b/internal/catalog/delta.go
@@ -8,26 +8,28 @@
 	"stiletrail/internal/failure"
 )
 
-// Delta is what changed in a document from one version to a later one. A document of many back ends takes over a hundred
-// kilobytes and a change of one back end a few hundred bytes, so pushes carry deltas.
+// Delta is the difference between two versions of a service's document. Nodes push deltas to each other, because a document
+// with many back ends takes over a hundred kilobytes and a change of one back end only a few hundred bytes.
 type Delta struct {
 	Service string `json:"service"`
-	From    uint64 `json:"from"`
-	To      uint64 `json:"to"`
-	// Operations are those of the document that results.
+	// From is the version that the delta applies to, To the version that results.
+	From uint64 `json:"from"`
+	To   uint64 `json:"to"`
+	// Operations and Deleted are those of the resulting document.
 	Operations []string `json:"operations"`
 	Deleted    bool     `json:"deleted,omitempty"`
-	// Set back ends are added or replace those of the same address; Removed ones go.
-	Set     []BackEnd `json:"set,omitempty"`
-	Removed []string  `json:"removed,omitempty"`
-	// Specification without back ends.
+	// Set has the back ends that are added, and those that replace a back end of the same address.
+	Set []BackEnd `json:"set,omitempty"`
+	// Removed has the addresses of the back ends that are removed.
+	Removed []string `json:"removed,omitempty"`
+	// Specification is that of the resulting document, without its back ends.
 	Specification Specification `json:"specification"`
-	// Hash of the encoded document that must result.
+	// Hash is the hash of the encoded document that must result.
 	Hash uint64 `json:"hash"`
 }
 
-// Diff returns the delta between two versions of a service's document; false where the order of the back ends changed, so
-// that only the whole document will do.
+// Diff returns the delta from one version of a service's document to another. The second result is false if the order of
+// the back ends changed: a delta cannot express that, and the whole document must be sent.
 func Diff(from, to Document) (Delta, bool) {
 	delta := Delta{
 		Service: to.Service, From: from.Version, To: to.Version, Operations: to.Operations, Deleted: to.Deleted,
@@ -54,11 +56,12 @@
 	return delta, err == nil
 }
 
-// Apply returns the document that the delta makes of an earlier one. It is checked by its hash: a receiver never takes a
-// document into force that differs from the one that was accepted. Errors are of code MALFORMED.
+// Apply returns the document that results from applying the delta to an earlier document. It compares the hash of the
+// result with Hash, so that a receiver never puts a document into force that differs from the accepted one. Errors are of
+// code MALFORMED.
 func (d Delta) Apply(from Document) (Document, error) {
 	if from.Service != d.Service || from.Version != d.From {
-		return Document{}, failure.New(failure.Malformed, "the delta is for another version")
+		return Document{}, failure.New(failure.Malformed, "the delta applies to another service or version than that of the given document")
 	}
 	result := Document{
 		Service: d.Service, Version: d.To, Deleted: d.Deleted, Operations: d.Operations, Specification: d.Specification,
@@ -87,12 +90,12 @@
 		}
 	}
 	if xxhash.Sum64(result.Encode()) != d.Hash {
-		return Document{}, failure.New(failure.Malformed, "the delta does not give the document it is of")
+		return Document{}, failure.New(failure.Malformed, "the document that results from the delta does not have the expected hash")
 	}
 	return result, nil
 }
 
-// Encode returns the delta's form between nodes.
+// Encode returns the delta as JSON, the form in which nodes exchange it.
 func (d Delta) Encode() []byte {
 	encoded, err := json.Marshal(d)
 	if err != nil {
@@ -101,14 +104,14 @@
 	return encoded
 }
 
-// DecodeDelta reads a delta. Errors are of code MALFORMED.
+// DecodeDelta decodes a delta. Errors are of code MALFORMED.
 func DecodeDelta(encoded []byte) (Delta, error) {
 	var delta Delta
 	if err := json.Unmarshal(encoded, &delta); err != nil {
-		return delta, failure.Wrap(err, failure.Malformed, "delta cannot be decoded")
+		return delta, failure.Wrap(err, failure.Malformed, "the delta is not valid JSON of a delta")
 	}
 	if delta.Service == "" || delta.To <= delta.From {
-		return delta, failure.New(failure.Malformed, "delta has no service or does not go forward")
+		return delta, failure.New(failure.Malformed, "the delta has no service name, or its resulting version is not higher than its first version")
 	}
 	return delta, nil
 }
--- a/internal/catalog/stored_test.go
+++ b/internal/catalog/stored_test.go
@@ -5,20 +5,22 @@
 	"testing"
 )
 
-// TestStoredDocuments: documents that are in the store keep their form, which is also what deltas are checked against.
+// TestStoredDocuments checks that the encoding of documents does not change. Documents that an earlier release stored must
+// stay readable, and the hash that verifies a delta is computed over this encoding.
 func TestStoredDocuments(t *testing.T) {
 	for stored, want := range map[string]Document{storedDocument: exampleDocument(), storedDeletion: exampleDeletion()} {
 		if got := string(want.Encode()); got != stored {
-			t.Errorf("written as %s, want %s", got, stored)
+			t.Errorf("encoded as %s, want %s", got, stored)
 		}
 		got, err := Decode([]byte(stored))
 		if err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("read as %+v, error %v, want %+v", got, err, want)
+			t.Errorf("decoded as %+v, error %v, want %+v", got, err, want)
 		}
 	}
 }
 
-// TestSentDelta: nodes of different releases exchange deltas in one form, and compare catalogs by one hash.
+// TestSentDelta checks that the encoding of deltas and the hash of a catalog do not change. Nodes of different releases
+// exchange deltas and compare their catalogs by this hash.
 func TestSentDelta(t *testing.T) {
 	from := exampleDocument()
 	to := from.Next(0, "op-3", Specification{
@@ -30,20 +32,21 @@
 	}, false)
 	delta, ok := Diff(from, to)
 	if got := string(delta.Encode()); !ok || got != sentDelta {
-		t.Errorf("sent as %s, want %s", got, sentDelta)
+		t.Errorf("encoded as %s, want %s", got, sentDelta)
 	}
 	read, err := DecodeDelta([]byte(sentDelta))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, err := read.Apply(from); err != nil || !reflect.DeepEqual(got, to) {
-		t.Errorf("gives %+v, error %v, want %+v", got, err, to)
+		t.Errorf("the delta gives %+v, error %v, want %+v", got, err, to)
 	}
 	c := New()
 	c.Merge(from)
 	const hash, bucket = 6600441889122856406, 35
 	if c.Hash() != hash || len(c.ServicesInBucket(bucket)) != 1 {
-		t.Errorf("hash %d with %q in the bucket", c.Hash(), c.ServicesInBucket(bucket))
+		t.Errorf("hash %d and services %q in bucket 35, want hash 6600441889122856406 and one service",
+			c.Hash(), c.ServicesInBucket(bucket))
 	}
 }
 
--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -106,7 +106,7 @@
 	},
 	{
 		"documents of another era go on from the versions before", "internal/catalog/document.go",
-		"version := max(d.Version, era*eraVersions) + 1", "version := max(d.Version, era) + 1",
+		"version := max(d.Version, era*versionsPerEra) + 1", "version := max(d.Version, era) + 1",
 		"./internal/simulation", "TestTwoHistories",
 	},
 	{
