--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog holds the configuration that is in force at a node: one versioned document per service. It decides which
-// of two versions of a document is in force.
+// Package catalog holds the configuration that is in force at a node: one versioned document per service. It decides
+// which of two versions of a document is in force.
 //
 // Merging a document keeps the higher version. The merge is a join: commutative, associative and idempotent. A service
 // therefore never reverts to an older version, whatever the order of messages, and after repeated messages or a network
@@ -17,15 +17,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Buckets is the number of buckets that the services of a catalog are hashed into. Nodes compare their catalogs bucket by
-// bucket.
+// Buckets is the number of buckets that the services of a catalog are hashed into. Nodes compare their catalogs
+// bucket by bucket.
 const Buckets = 64
 
 // entry is a document in force with the delta that leads to it.
 type entry struct {
 	document Document
-	// delta is the encoded delta from version deltaFrom, which was in force before, to this document. It is nil if there was
-	// no earlier version, or if no delta can express the change.
+	// delta is the encoded delta from version deltaFrom, which was in force before, to this document. It is nil if
+	// there was no earlier version, or if no delta can express the change.
 	delta     []byte
 	deltaFrom uint64
 }
@@ -82,8 +82,8 @@
 	return found.document, ok
 }
 
-// internNames returns a copy of the back ends in which equal names of zones and regions share one string. This saves much
-// of the memory of a large catalog.
+// internNames returns a copy of the back ends in which equal names of zones and regions share one string. This saves
+// much of the memory of a large catalog.
 func internNames(backEnds []BackEnd) []BackEnd {
 	if backEnds == nil {
 		return nil
@@ -109,8 +109,8 @@
 // Delta returns the encoded delta from the previous document of a service to the one in force, or nil if there is none.
 func (c *Catalog) Delta(service string) []byte { return c.documents[service].delta }
 
-// DeltaFrom returns the encoded delta from the given version of a service's document to the one in force. It returns nil
-// if the catalog has no delta from that version.
+// DeltaFrom returns the encoded delta from the given version of a service's document to the one in force. It returns
+// nil if the catalog has no delta from that version.
 func (c *Catalog) DeltaFrom(service string, version uint64) []byte {
 	found := c.documents[service]
 	if found.delta == nil || found.deltaFrom != version {
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -18,8 +18,9 @@
 	return document
 }
 
-// TestMergeIsAJoin checks that merging the same documents in any order, with repeats, gives the same catalog, and that the
-// version of a service never decreases. Otherwise nodes that receive messages in different orders would not converge.
+// TestMergeIsAJoin checks that merging the same documents in any order, with repeats, gives the same catalog, and
+// that the version of a service never decreases. Otherwise nodes that receive messages in different orders would not
+// converge.
 func TestMergeIsAJoin(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var documents []Document
@@ -45,8 +46,8 @@
 	})
 }
 
-// TestDeltaGivesTheNewDocument checks that applying a delta to the old document gives exactly the new one, for all pairs of
-// documents that Diff makes a delta of.
+// TestDeltaGivesTheNewDocument checks that applying a delta to the old document gives exactly the new one, for all
+// pairs of documents that Diff makes a delta of.
 func TestDeltaGivesTheNewDocument(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		from, to := drawDocument(rt, 1), drawDocument(rt, 2)
@@ -68,8 +69,8 @@
 	})
 }
 
-// TestDeltaIsRefusedOnAnotherDocument checks that a delta is not applied to a document of the right version with other back
-// ends, nor to a document of another version.
+// TestDeltaIsRefusedOnAnotherDocument checks that a delta is not applied to a document of the right version with
+// other back ends, nor to a document of another version.
 func TestDeltaIsRefusedOnAnotherDocument(t *testing.T) {
 	backEnds := []BackEnd{{Address: "a", Slots: 1}, {Address: "b", Slots: 1}}
 	from := Document{Service: "lookup", Version: 1, Specification: Specification{BackEnds: backEnds}}
--- a/internal/catalog/delta.go
+++ b/internal/catalog/delta.go
@@ -8,8 +8,8 @@
 	"stiletrail/internal/failure"
 )
 
-// Delta is the difference between two versions of a service's document. Nodes push deltas to each other, because a document
-// with many back ends takes over a hundred kilobytes and a change of one back end only a few hundred bytes.
+// Delta is the difference between two versions of a service's document. Nodes push deltas to each other, because a
+// document with many back ends takes over a hundred kilobytes and a change of one back end only a few hundred bytes.
 type Delta struct {
 	Service string `json:"service"`
 	// From is the version that the delta applies to, To the version that results.
@@ -28,8 +28,8 @@
 	Hash uint64 `json:"hash"`
 }
 
-// Diff returns the delta from one version of a service's document to another. The second result is false if the order of
-// the back ends changed: a delta cannot express that, and the whole document must be sent.
+// Diff returns the delta from one version of a service's document to another. The second result is false if the order
+// of the back ends changed: a delta cannot express that, and the whole document must be sent.
 func Diff(from, to Document) (Delta, bool) {
 	delta := Delta{
 		Service: to.Service, From: from.Version, To: to.Version, Operations: to.Operations, Deleted: to.Deleted,
@@ -57,8 +57,8 @@
 }
 
 // Apply returns the document that results from applying the delta to an earlier document. It compares the hash of the
-// result with Hash, so that a receiver never puts a document into force that differs from the accepted one. Errors are of
-// code MALFORMED.
+// result with Hash, so that a receiver never puts a document into force that differs from the accepted one. Errors
+// are of code MALFORMED.
 func (d Delta) Apply(from Document) (Document, error) {
 	if from.Service != d.Service || from.Version != d.From {
 		return Document{}, failure.New(failure.Malformed, "the delta applies to another service or version than that of the given document")
--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -40,8 +40,8 @@
 	Preference      Preference `json:"preference" yaml:"preference"`
 	// DeadlineMilliseconds is the deadline of searches that state none.
 	DeadlineMilliseconds int `json:"deadline_milliseconds" yaml:"deadline_milliseconds"`
-	// TailBudgetMilliseconds is the time after which a latency-first search with enough coverage finishes. Zero means that
-	// it never finishes early.
+	// TailBudgetMilliseconds is the time after which a latency-first search with enough coverage finishes. Zero means
+	// that it never finishes early.
 	TailBudgetMilliseconds int `json:"tail_budget_milliseconds,omitempty" yaml:"tail_budget_milliseconds"`
 }
 
@@ -51,13 +51,14 @@
 // Document is the configuration of one service at one version.
 type Document struct {
 	Service string `json:"service"`
-	// Version rises with each change of the service. Each era of the store starts at a number far above the versions of all
-	// earlier eras. A store that was restored from a backup may have lost a change, and another change then follows on the
-	// same document. The two changes get different versions, and the later one is in force on all nodes.
+	// Version rises with each change of the service. Each era of the store starts at a number far above the versions
+	// of all earlier eras. A store that was restored from a backup may have lost a change, and another change then
+	// follows on the same document. The two changes get different versions, and the later one is in force on all
+	// nodes.
 	Version uint64 `json:"version"`
 	Deleted bool   `json:"deleted,omitempty"`
-	// Operations has the ids of the last operations, newest last. If the store's answer to a write was lost, the ids show
-	// whether the write took effect.
+	// Operations has the ids of the last operations, newest last. If the store's answer to a write was lost, the ids
+	// show whether the write took effect.
 	Operations    []string      `json:"operations,omitempty"`
 	Specification Specification `json:"specification"`
 }
--- a/internal/catalog/stored_test.go
+++ b/internal/catalog/stored_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestStoredDocuments checks that the encoding of documents does not change. Documents that an earlier release stored must
-// stay readable, and the hash that verifies a delta is computed over this encoding.
+// TestStoredDocuments checks that the encoding of documents does not change. Documents that an earlier release stored
+// must stay readable, and the hash that verifies a delta is computed over this encoding.
 func TestStoredDocuments(t *testing.T) {
 	for stored, want := range map[string]Document{storedDocument: exampleDocument(), storedDeletion: exampleDeletion()} {
 		if got := string(want.Encode()); got != stored {
--- a/internal/placement/group.go
+++ b/internal/placement/group.go
@@ -5,39 +5,41 @@
 	"strconv"
 )
 
-// placed is a group with its owners.
-type placed struct {
+// placedGroup is a group with its owners.
+type placedGroup struct {
 	group Group
-	// key of the group in the hashing.
+	// key is hashed together with a member's address to get the member's score for this group.
 	key string
-	// dispatchers share the slots; limit counts the deputies too.
+	// dispatchers is the number of owners that share the slots of the back ends. limit is the number of all owners,
+	// standbys included.
 	dispatchers int
 	limit       int
-	owners      []scoredMember
-	// previous are the owners before the last changes: they serve on while others learn of a change.
+	// owners has the owners by falling score: the dispatchers first, then the standbys.
+	owners []scoredMember
+	// previous has the owners before the last changes. They go on serving the group until all nodes know of a change.
 	previous []scoredMember
 }
 
-func newPlaced(group Group, settings Settings) *placed {
-	p := &placed{group: group, key: group.Service + "/" + strconv.Itoa(int(group.Number)), dispatchers: settings.Dispatchers}
+func newPlacedGroup(group Group, settings Settings) *placedGroup {
+	p := &placedGroup{group: group, key: group.Service + "/" + strconv.Itoa(int(group.Number)), dispatchers: settings.Dispatchers}
 	for _, backEnd := range group.BackEnds {
-		// Each dispatcher holds a slot of each back end.
+		// Each dispatcher needs at least one slot of each back end.
 		p.dispatchers = min(p.dispatchers, max(1, backEnd.Slots))
 	}
 	p.limit = p.dispatchers + settings.Standbys
 	return p
 }
 
-// previousKept is how many earlier owners of a group are remembered.
-const previousKept = 4
+// maximumPrevious is the number of previous owners that a group remembers at most.
+const maximumPrevious = 4
 
-// keepPrevious keeps the present owners among the previous ones; call it before they change.
-func (p *placed) keepPrevious() {
-	kept := slices.Clone(p.owners)
+// rememberOwners adds the present owners to the previous ones. It must be called before the owners change.
+func (p *placedGroup) rememberOwners() {
+	previous := slices.Clone(p.owners)
 	for _, earlier := range p.previous {
-		if !slices.Contains(kept, earlier) {
-			kept = append(kept, earlier)
+		if !slices.Contains(previous, earlier) {
+			previous = append(previous, earlier)
 		}
 	}
-	p.previous = kept[:min(len(kept), previousKept)]
+	p.previous = previous[:min(len(previous), maximumPrevious)]
 }
--- a/internal/placement/owners.go
+++ b/internal/placement/owners.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Groups returns the groups of a service.
+// Groups returns the groups of a service, or nil if the table has no such service.
 func (t *Table) Groups(service string) []Group {
 	found := t.services[service]
 	if found == nil {
@@ -18,8 +18,8 @@
 	return groups
 }
 
-// Owners returns the nodes that dispatch to a group, then its deputies.
-func (t *Table) Owners(service string, number uint32) (dispatchers, deputies []string) {
+// Owners returns the addresses of the nodes that dispatch to a group, and of its standbys, each by falling score.
+func (t *Table) Owners(service string, number uint32) (dispatchers, standbys []string) {
 	p := t.group(service, number)
 	if p == nil {
 		return nil, nil
@@ -29,7 +29,7 @@
 	return owners[:split], owners[split:]
 }
 
-// PreviousOwners returns the nodes that owned a group before its last changes, the latest first.
+// PreviousOwners returns the addresses of the nodes that owned a group before its last changes, the latest first.
 func (t *Table) PreviousOwners(service string, number uint32) []string {
 	p := t.group(service, number)
 	if p == nil {
@@ -38,8 +38,8 @@
 	return addressesOf(p.previous)
 }
 
-// group returns a group of a service, nil if there is none of that number.
-func (t *Table) group(service string, number uint32) *placed {
+// group returns the group of a service with the given number, or nil if there is none.
+func (t *Table) group(service string, number uint32) *placedGroup {
 	found := t.services[service]
 	if found == nil || int(number) >= len(found.groups) {
 		return nil
@@ -47,16 +47,19 @@
 	return found.groups[number]
 }
 
-// Ownership is a group that a node owns.
+// Ownership describes a group that a node owns.
 type Ownership struct {
-	Group   Group
+	Group Group
+	// Version is the version of the service's document that the group comes from.
 	Version uint64
-	// Rank among the owners; those from Dispatchers on are deputies.
-	Rank        int
+	// Rank is the node's position among the owners, from zero. Owners with a rank below Dispatchers dispatch to the
+	// group; the others are standbys.
+	Rank int
+	// Dispatchers is the number of nodes that dispatch to the group.
 	Dispatchers int
 }
 
-// OwnedBy returns the groups of a node, in order.
+// OwnedBy returns the groups that a node owns, ordered by service and number.
 func (t *Table) OwnedBy(address string) []Ownership {
 	var owned []Ownership
 	for _, service := range t.services {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,11 +1,13 @@
-// Package placement decides which back ends form a group, which nodes dispatch to it, and which nodes of a zone read the store.
+// Package placement decides which back ends form a group, which nodes dispatch requests to a group, and which nodes
+// of a zone read the store.
 //
-// It uses rendezvous hashing (Thaler and Ravishankar, 1998): every node computes the same from the catalog and its view of the
-// members; no agreement is needed. Nodes with different views may for a moment both dispatch to a back end: it then sheds, which
-// is a refusal that did not run, and a new owner starts with a window of one.
+// It uses rendezvous hashing (Thaler and Ravishankar, 1998). Nodes with the same catalog and the same view of the
+// members compute the same owners, so no agreement protocol is needed. Nodes with different views may both dispatch
+// to a back end for a short time. The back end then sheds the requests for which it has no free slot: it refuses them
+// without running them. A new owner starts with a concurrency window of one request per back end.
 //
-// It owns a Table of the owners of each group, which is made anew from documents and members. It does no I/O, takes no lock and
-// reads no clock.
+// The package owns the Table of the owners of each group, which is computed from documents and members. It does no I/O,
+// takes no lock and reads no clock.
 package placement
 
 import (
@@ -18,33 +20,36 @@
 	"stiletrail/internal/membership"
 )
 
-// Settings of placement; all nodes must have the same.
+// Settings are the settings of placement. They must be the same on all nodes, or the nodes compute different owners.
 type Settings struct {
 	// GroupSize is the largest number of back ends in a group.
 	GroupSize int
-	// Dispatchers is how many nodes share the slots of a group's back ends.
+	// Dispatchers is the number of nodes that share the slots of a group's back ends.
 	Dispatchers int
-	// Standbys stand by for the dispatchers of a group: roots ask them when a dispatcher is silent or lost, and they
-	// then use one slot of each back end until they are dispatchers themselves.
+	// Standbys is the number of nodes that stand by for the dispatchers of a group. The root node of a search sends a
+	// sub-query to a standby if a dispatcher is silent or lost. A standby uses one slot of each back end until it
+	// becomes a dispatcher itself.
 	Standbys int
-	// RelaysPerZone is how many nodes of a zone read the key-value store.
+	// RelaysPerZone is the number of nodes of a zone that read the key-value store, if the zone has as many.
 	RelaysPerZone int
 }
 
-// DefaultSettings gives the settings used where nothing else is said.
+// DefaultSettings returns the settings that are used where the configuration sets no others.
 func DefaultSettings() Settings {
 	return Settings{GroupSize: 64, Dispatchers: 1, Standbys: 2, RelaysPerZone: 2}
 }
 
-// Group is a part of a service's back ends within one region.
+// Group is a part of the back ends of a service. All its back ends are in one region.
 type Group struct {
-	Service  string
+	Service string
+	// Number counts the groups of a service from zero.
 	Number   uint32
 	Region   string
 	BackEnds []catalog.BackEnd
 }
 
-// Groups cuts the back ends of a document into groups, region by region, in the order of addresses.
+// Groups divides the back ends of a document into groups, ordered by region and address. A group has back ends of one
+// region only, at most Settings.GroupSize of them. A deleted service has no groups.
 func Groups(document catalog.Document, settings Settings) []Group {
 	if document.Deleted {
 		return nil
@@ -65,15 +70,17 @@
 	return groups
 }
 
-// deputySlots is what a deputy may fill of a back end's slots. A dispatcher that was suspected wrongly may be using all of
-// them: the back end then sheds, which is a refusal that did not run.
-const deputySlots = 1
+// standbySlots is the number of a back end's slots that a standby may use. A dispatcher that was wrongly suspected
+// may use all of the slots at the same time. The back end then sheds a request, which is a refusal without running
+// it.
+const standbySlots = 1
 
-// SlotShare returns the part of a back end's slots that the owner of the given rank may fill, where so many owners dispatch.
-// Their shares sum to the slots; which of them gets the remainder differs from back end to back end.
+// SlotShare returns the number of a back end's slots that the owner of the given rank may use. The shares of the
+// dispatchers add up to the back end's slots. Which dispatchers get one of the remaining slots depends on the back
+// end's address, so that no dispatcher gets them on every back end.
 func SlotShare(backEnd catalog.BackEnd, rank, dispatchers int) int {
 	if rank >= dispatchers {
-		return min(deputySlots, backEnd.Slots)
+		return min(standbySlots, backEnd.Slots)
 	}
 	share := backEnd.Slots / dispatchers
 	offset := int(xxhash.Sum64String(backEnd.Address) % uint64(dispatchers))
@@ -83,7 +90,8 @@
 	return share
 }
 
-// IsRelay reports whether the node at the address reads the store for its zone.
+// IsRelay reports whether the node at the address is a relay: a node that reads the store for its zone. The relays of a
+// zone are the usable members with the highest scores.
 func IsRelay(address, zone string, members []membership.Member, settings Settings) bool {
 	key := "relay/" + zone
 	var candidates []scoredMember
@@ -92,5 +100,5 @@
 			candidates = append(candidates, scoreOf(key, member.Address))
 		}
 	}
-	return slices.Contains(addressesOf(highest(candidates, settings.RelaysPerZone)), address)
+	return slices.Contains(addressesOf(highestScored(candidates, settings.RelaysPerZone)), address)
 }
--- a/internal/placement/rank.go
+++ b/internal/placement/rank.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// scoredMember is a member with its rendezvous score for a key, such as a group.
+// scoredMember is the address of a member with its rendezvous hashing score for a key, such as the key of a group.
 type scoredMember struct {
 	address string
 	score   uint64
@@ -21,13 +21,14 @@
 	return scoredMember{address: address, score: digest.Sum64()}
 }
 
-// compareScored puts the higher score first.
+// compareScored orders members by falling score, and members of equal score by address.
 func compareScored(a, b scoredMember) int {
 	return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.address, b.address))
 }
 
-// highest sorts some members and returns up to count of them.
-func highest(members []scoredMember, count int) []scoredMember {
+// highestScored sorts the members in place by falling score and returns the first count of them, or all if there are
+// fewer.
+func highestScored(members []scoredMember, count int) []scoredMember {
 	slices.SortFunc(members, compareScored)
 	return members[:min(len(members), count)]
 }
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -7,13 +7,15 @@
 	"stiletrail/internal/membership"
 )
 
-// Table keeps the owners of all groups as members and documents come and go. A member that appears costs one hash per
-// group; one that goes costs a new ranking only for the groups it owned.
+// Table has the owners of all groups and updates them when members or documents change. A new member takes one hash
+// computation per group. After a member has departed, only the groups that it owned are ranked again.
 type Table struct {
 	settings Settings
-	// usable are the members that may own groups with their regions; regions are the same, by region.
-	usable   map[string]string
-	regions  map[string]map[string]bool
+	// usable has the region of each member that may own groups, by the member's address.
+	usable map[string]string
+	// regions has the addresses of the same members by region.
+	regions map[string]map[string]bool
+	// services has the groups of each service by its name.
 	services map[string]*serviceGroups
 }
 
@@ -25,12 +27,13 @@
 	}
 }
 
+// serviceGroups has the groups of a service, made from the document of the given version.
 type serviceGroups struct {
 	version uint64
-	groups  []*placed
+	groups  []*placedGroup
 }
 
-// SetMembers takes in the current view of the members and reports whether any group changed owners.
+// SetMembers updates the table to the current view of the members and reports whether the owners of any group changed.
 func (t *Table) SetMembers(members []membership.Member) bool {
 	changed := false
 	present := make(map[string]bool, len(members))
@@ -43,14 +46,14 @@
 			changed = t.add(member) || changed
 		}
 	}
-	var gone []string
+	var departed []string
 	for address := range t.usable {
 		if !present[address] {
-			gone = append(gone, address)
+			departed = append(departed, address)
 		}
 	}
-	slices.Sort(gone)
-	for _, address := range gone {
+	slices.Sort(departed)
+	for _, address := range departed {
 		changed = t.remove(address) || changed
 	}
 	return changed
@@ -60,30 +63,30 @@
 	if _, known := t.usable[member.Address]; known {
 		t.remove(member.Address)
 	}
-	first := len(t.regions[member.Region]) == 0
+	firstOfRegion := len(t.regions[member.Region]) == 0
 	if t.regions[member.Region] == nil {
 		t.regions[member.Region] = map[string]bool{}
 	}
 	t.regions[member.Region][member.Address] = true
 	t.usable[member.Address] = member.Region
 	changed := false
-	t.each(func(p *placed) {
+	t.forEach(func(p *placedGroup) {
 		if p.group.Region != member.Region && len(t.regions[p.group.Region]) > 0 {
 			return
 		}
-		if first {
-			// Until now members of other regions stood in.
+		if firstOfRegion {
+			// Members of other regions owned the group until now, because its region had no usable member.
 			t.rank(p)
 			changed = true
 			return
 		}
 		candidate := scoreOf(p.key, member.Address)
-		place, _ := slices.BinarySearchFunc(p.owners, candidate, compareScored)
-		if place >= p.limit {
+		position, _ := slices.BinarySearchFunc(p.owners, candidate, compareScored)
+		if position >= p.limit {
 			return
 		}
-		p.keepPrevious()
-		p.owners = slices.Insert(p.owners, place, candidate)
+		p.rememberOwners()
+		p.owners = slices.Insert(p.owners, position, candidate)
 		p.owners = p.owners[:min(len(p.owners), p.limit)]
 		changed = true
 	})
@@ -95,7 +98,7 @@
 	delete(t.usable, address)
 	delete(t.regions[region], address)
 	changed := false
-	t.each(func(p *placed) {
+	t.forEach(func(p *placedGroup) {
 		if slices.ContainsFunc(p.owners, func(m scoredMember) bool { return m.address == address }) {
 			t.rank(p)
 			changed = true
@@ -104,7 +107,7 @@
 	return changed
 }
 
-func (t *Table) each(visit func(*placed)) {
+func (t *Table) forEach(visit func(*placedGroup)) {
 	for _, service := range t.services {
 		for _, p := range service.groups {
 			visit(p)
@@ -112,8 +115,9 @@
 	}
 }
 
-// rank computes the owners of a group from the members of its region, or from all where there are none.
-func (t *Table) rank(p *placed) {
+// rank computes the owners of a group from the usable members of its region, or from all usable members if the region
+// has none.
+func (t *Table) rank(p *placedGroup) {
 	var all []scoredMember
 	for address := range t.regions[p.group.Region] {
 		all = append(all, scoreOf(p.key, address))
@@ -123,11 +127,11 @@
 			all = append(all, scoreOf(p.key, address))
 		}
 	}
-	p.keepPrevious()
-	p.owners = slices.Clone(highest(all, p.limit))
+	p.rememberOwners()
+	p.owners = slices.Clone(highestScored(all, p.limit))
 }
 
-// SetDocument takes in a document.
+// SetDocument replaces the groups of a service by those of the document, or removes them if the service is deleted.
 func (t *Table) SetDocument(document catalog.Document) {
 	if document.Deleted {
 		delete(t.services, document.Service)
@@ -135,7 +139,7 @@
 	}
 	service := &serviceGroups{version: document.Version}
 	for _, group := range Groups(document, t.settings) {
-		p := newPlaced(group, t.settings)
+		p := newPlacedGroup(group, t.settings)
 		t.rank(p)
 		service.groups = append(service.groups, p)
 	}
