--- a/internal/rollout/request.go
+++ b/internal/rollout/request.go
@@ -14,8 +14,8 @@
 
 // Write the document over the entry that was read, a compare-and-swap; its outcome comes back through WriteDone.
 type Write struct {
-	BaseStamp     platform.Stamp
-	Document catalog.Document
+	BaseStamp platform.Stamp
+	Document  catalog.Document
 }
 
 // Replicate a document that is accepted by the store: take it into force, hand it to peers, and say to how many through Spreading.
@@ -31,10 +31,10 @@
 	Failure   *failure.Failure
 }
 
-func (Read) isRequest()   {}
-func (Write) isRequest()  {}
-func (Replicate) isRequest()  {}
-func (Result) isRequest() {}
+func (Read) isRequest()      {}
+func (Write) isRequest()     {}
+func (Replicate) isRequest() {}
+func (Result) isRequest()    {}
 
 // Outcome of a request to the store.
 type Outcome uint8
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -46,7 +46,7 @@
 	// Operation is the operator's id of it.
 	Operation string
 	// BaseVersion is the version that was planned on.
-	BaseVersion          uint64
+	BaseVersion   uint64
 	Specification catalog.Specification
 	Delete        bool
 }
