--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -93,7 +93,7 @@
 	},
 	{
 		"a write without an answer counts as refused", "internal/rollout/rollout.go",
-		"	if !r.wrote {\n", "	if r.wrote || !r.wrote {\n",
+		"	if !r.writeSent {\n", "	if r.writeSent || !r.writeSent {\n",
 		"./internal/rollout", "TestOutcomes",
 	},
 	{
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,11 +1,15 @@
-// Package rollout decides when a confirmed plan has been accepted.
+// Package rollout carries out a change of a service's configuration that an operator has confirmed, and decides when
+// the change counts as accepted.
 //
-// Accepted is said only when the compare-and-swap is known to have taken effect. An answer lost after the write is settled by
-// reading back: a document carries the ids of its last operations. Before saying so the document is handed to a few peers, in
-// another zone where one can be reached, so that it stays in force although this node and the store are lost next.
+// A change counts as accepted only when its compare-and-swap in the store is known to have taken effect. If the
+// answer to the write was lost, the rollout reads the entry again: a document carries the ids of its last operations.
+// Before the operator is told that the change was accepted, the document is sent to a few peers, one of them in
+// another zone if one can be reached. The change therefore stays in force even if this node and the store are lost
+// next.
 //
-// It owns one Rollout per confirmation under way; what is in force is the catalog's. It relies on its caller for the time and for
-// carrying out each Request, on one call at a time; it does no I/O, takes no lock and reads no clock.
+// The package owns one Rollout per confirmation in progress; package catalog owns the documents in force. The caller
+// must pass the time, carry out each Request, and make one call at a time. The package does no I/O, takes no lock and
+// reads no clock.
 package rollout
 
 import (
@@ -16,80 +20,86 @@
 	"stiletrail/internal/platform"
 )
 
-// Timing of a rollout.
+// Timeouts and pauses of a rollout.
 const (
-	// Deadline is the longest wait for the store.
+	// Deadline is the longest time that a rollout waits for the store.
 	Deadline = 5 * time.Second
-	// copyWait is the longest wait for peers to hold the document.
-	copyWait = 500 * time.Millisecond
-	// firstBackoff is the wait before the store is asked again, doubled each time up to maximumBackoff.
-	firstBackoff   = 20 * time.Millisecond
+	// acknowledgementTimeout is the longest time that a rollout waits for peers to acknowledge the document.
+	acknowledgementTimeout = 500 * time.Millisecond
+	// initialBackoff is the pause before the first repeated read of the store. It doubles each time up to
+	// maximumBackoff.
+	initialBackoff = 20 * time.Millisecond
 	maximumBackoff = 500 * time.Millisecond
-	// storeRetryAfter is what an operator is told to wait where the store was not reached.
+	// storeRetryAfter is the time after which an operator is told to retry when the store was not reached.
 	storeRetryAfter = time.Second
 )
 
-// phase of a rollout: reading, then writing, then spreading; waiting comes between a request that failed and the next read.
+// phase is the state of a rollout: reading, then writing, then replicating, then ended. A rollout whose request to the
+// store failed is in phase waiting until its next read.
 type phase uint8
 
 const (
 	reading phase = iota
 	writing
 	waiting
-	spreading
+	replicating
 	ended
 )
 
-// Change is what is to be put into force.
+// Change is a confirmed change of a service's configuration.
 type Change struct {
 	Service string
-	// Operation is the operator's id of it.
+	// Operation is the id that the operator chose for the change.
 	Operation string
-	// BaseVersion is the version that was planned on.
+	// BaseVersion is the version of the document that the plan was made from.
 	BaseVersion   uint64
 	Specification catalog.Specification
 	Delete        bool
 }
 
-// Rollout is one confirmation under way.
+// Rollout is one confirmation in progress.
 type Rollout struct {
-	change   Change
-	phase    phase
+	change Change
+	phase  phase
+	// deadline is the time at which the rollout stops waiting for the store.
 	deadline time.Duration
-	wakeAt   time.Duration
-	backoff  time.Duration
-	// wrote: a write was handed to the store whose effect is not known.
-	wrote    bool
+	// wakeAt is the end of the pause in phase waiting, and of the wait for acknowledgements in phase replicating.
+	wakeAt  time.Duration
+	backoff time.Duration
+	// writeSent is true once a write was sent to the store, so that its effect may be unknown.
+	writeSent bool
+	// document is the document that is written or replicated.
 	document catalog.Document
-	// expected is how many peers the document was handed to, copies those that hold it, zones theirs.
+	// expected is the number of peers that the document was sent to. copies has the peers that have acknowledged it,
+	// and zones their zones.
 	expected int
 	copies   map[string]bool
 	zones    map[string]bool
-	// held is the document this node has in force.
-	held func() catalog.Document
+	// inForce returns the service's document that is in force at this node.
+	inForce func() catalog.Document
 }
 
-// New starts a rollout; held returns what this node has in force for the service.
-func New(now time.Duration, change Change, held func() catalog.Document) (*Rollout, Request) {
+// New starts a rollout. inForce returns the service's document that is in force at this node.
+func New(now time.Duration, change Change, inForce func() catalog.Document) (*Rollout, Request) {
 	r := &Rollout{
-		change: change, deadline: now + Deadline, backoff: firstBackoff, held: held,
+		change: change, deadline: now + Deadline, backoff: initialBackoff, inForce: inForce,
 		zones: map[string]bool{}, copies: map[string]bool{},
 	}
 	return r, Read{}
 }
 
-// Service is the one that is changed.
+// Service returns the name of the service that is changed.
 func (r *Rollout) Service() string { return r.change.Service }
 
-// NextWake returns when Tick must be called at the latest.
+// NextWake returns the time at which Tick must be called at the latest.
 func (r *Rollout) NextWake() time.Duration {
-	if r.phase == waiting || r.phase == spreading {
-		return min(r.wakeAt, r.deadline+copyWait)
+	if r.phase == waiting || r.phase == replicating {
+		return min(r.wakeAt, r.deadline+acknowledgementTimeout)
 	}
 	return r.deadline
 }
 
-// ReadDone takes in the answer to a Read: the stamp of the entry, and its document.
+// ReadDone handles the outcome of a Read. entry is the stamp of the store's entry, stored its document.
 func (r *Rollout) ReadDone(now time.Duration, outcome Outcome, entry platform.Stamp, stored catalog.Document) Request {
 	if r.phase != reading {
 		return nil
@@ -98,15 +108,16 @@
 		return r.retryLater(now)
 	}
 	if stored.HasOperation(r.change.Operation) {
-		return r.adopt(now, stored)
+		return r.replicate(now, stored)
 	}
 	current := stored
-	// A store that is behind, as one restored from an old copy, is written over with what is in force.
-	if held := r.held(); held.Version > current.Version {
-		current = held
+	// A store that was restored from an old backup may have an older document than this node. The change is then
+	// based on the document in force, and the write replaces the older one in the store.
+	if inForce := r.inForce(); inForce.Version > current.Version {
+		current = inForce
 	}
 	if current.HasOperation(r.change.Operation) {
-		return r.adopt(now, current)
+		return r.replicate(now, current)
 	}
 	if current.Version != r.change.BaseVersion {
 		return r.conflict(current.Version)
@@ -114,18 +125,18 @@
 	current.Service = r.change.Service
 	r.document = current.Next(entry.Era, r.change.Operation, r.change.Specification, r.change.Delete)
 	r.phase = writing
-	r.wrote = true
+	r.writeSent = true
 	return Write{BaseStamp: entry, Document: r.document}
 }
 
-// WriteDone takes in the answer to a Write. A swap that lost is read back: an earlier write of this very
-// operation, whose answer was lost, may be what it lost to.
+// WriteDone handles the outcome of a Write. If the swap failed because the entry had changed, the entry is read
+// again: the change may come from an earlier write of the same operation whose answer was lost.
 func (r *Rollout) WriteDone(now time.Duration, outcome Outcome, swapped bool) Request {
 	if r.phase != writing {
 		return nil
 	}
 	if outcome == Done && swapped {
-		return r.adopt(now, r.document)
+		return r.replicate(now, r.document)
 	}
 	if outcome == Done {
 		r.phase = reading
@@ -134,10 +145,11 @@
 	return r.retryLater(now)
 }
 
-// conflict ends the rollout: the base has moved and this operation is not in the document, so it never took effect
-// and, its base being gone, never will.
+// conflict ends the rollout because the document no longer has the version that the plan was made from. The document
+// does not list this operation, so the operation had no effect. It can have none later, because its base version is
+// replaced.
 func (r *Rollout) conflict(current uint64) Request {
-	result := failure.Refused(failure.Conflict, "another change came first; plan again", 0)
+	result := failure.Refused(failure.Conflict, "the service was changed after the plan was made; plan again", 0)
 	result.CurrentVersion = current
 	return r.end(Result{Failure: result})
 }
@@ -147,7 +159,7 @@
 	return result
 }
 
-// retryLater has the store read again after a pause.
+// retryLater lets the store be read again after a pause.
 func (r *Rollout) retryLater(now time.Duration) Request {
 	r.phase = waiting
 	r.wakeAt = now + r.backoff
@@ -155,30 +167,31 @@
 	return r.Tick(now)
 }
 
-func (r *Rollout) adopt(now time.Duration, document catalog.Document) Request {
-	r.phase = spreading
+func (r *Rollout) replicate(now time.Duration, document catalog.Document) Request {
+	r.phase = replicating
 	r.document = document
-	r.wakeAt = now + copyWait
+	r.wakeAt = now + acknowledgementTimeout
 	return Replicate{Document: document}
 }
 
-// SentToPeers takes in how many peers the document was handed to; with none the change is accepted at once.
+// SentToPeers records the number of peers that the document was sent to. If there are none, the change is accepted at
+// once.
 func (r *Rollout) SentToPeers(peers int) Request {
 	r.expected = peers
-	return r.endIfCopied()
+	return r.endIfAcknowledged()
 }
 
-// Acknowledged takes in that a peer holds the document.
+// Acknowledged records that a peer has the document. The change is accepted once all peers that it was sent to have it.
 func (r *Rollout) Acknowledged(peer, zone string) Request {
-	if r.phase != spreading {
+	if r.phase != replicating {
 		return nil
 	}
 	r.copies[peer] = true
 	r.zones[zone] = true
-	return r.endIfCopied()
+	return r.endIfAcknowledged()
 }
 
-func (r *Rollout) endIfCopied() Request {
+func (r *Rollout) endIfAcknowledged() Request {
 	if len(r.copies) < r.expected {
 		return nil
 	}
@@ -189,14 +202,15 @@
 	return r.end(Result{Version: r.document.Version, Copies: len(r.copies), CopyZones: len(r.zones)})
 }
 
-// Tick takes in the passing of time.
+// Tick handles timeouts: it ends a rollout whose time is over, and starts the next read after a pause. A rollout whose
+// document the store has accepted is accepted after acknowledgementTimeout, even if not all peers have acknowledged it.
 func (r *Rollout) Tick(now time.Duration) Request {
 	switch {
 	case r.phase == ended:
 		return nil
-	case r.phase == spreading && now >= r.wakeAt:
+	case r.phase == replicating && now >= r.wakeAt:
 		return r.accepted()
-	case r.phase != spreading && now >= r.deadline:
+	case r.phase != replicating && now >= r.deadline:
 		return r.expire()
 	case r.phase == waiting && now >= r.wakeAt:
 		r.phase = reading
@@ -205,13 +219,13 @@
 	return nil
 }
 
-// expire ends a rollout that the store has not settled in time.
+// expire ends a rollout whose write was not confirmed by the store before the deadline.
 func (r *Rollout) expire() Request {
-	if !r.wrote {
-		const text = "the store cannot be reached; nothing changed"
+	if !r.writeSent {
+		const text = "the store could not be reached within 5 s; nothing changed"
 		return r.end(Result{Failure: failure.Refused(failure.StoreUnavailable, text, storeRetryAfter)})
 	}
-	const text = "the store did not answer the write; confirm again with the same operation to settle it"
+	const text = "the store did not answer the write within 5 s; confirm again with the same operation id to learn the outcome"
 	unknown := failure.New(failure.OutcomeUnknown, text)
 	unknown.RetryAfter = storeRetryAfter
 	return r.end(Result{Failure: unknown})
