--- a/internal/intent/parse.go
+++ b/internal/intent/parse.go
@@ -1,5 +1,8 @@
-// Package intent decides what an operator may ask for, and turns what is asked for into a plan. Planning is pure: the same intent
-// against the same base gives the same plan and digest, on every node. The package owns no state, does no I/O and reads no clock.
+// Package intent parses and validates an operator's intent, which is the wanted configuration of one service, and makes
+// a plan of it: the list of the changes that confirming the intent would make.
+//
+// Planning is deterministic: on every node, the same intent and the same base document give the same plan and digest.
+// The package owns no state, does no I/O and reads no clock.
 package intent
 
 import (
@@ -18,46 +21,48 @@
 
 // Limits of an intent.
 const (
-	// maximumSize in bytes.
+	// maximumSize is the largest size of an intent's text, in bytes.
 	maximumSize        = 4 << 20
 	maximumBackEnds    = 20000
 	maximumServiceName = 64
 	maximumSlots       = 4096
 	maximumConnections = 65536
-	// maximumDeadline in milliseconds.
+	// maximumDeadline is the longest deadline of a service's searches, in milliseconds.
 	maximumDeadline   = 60000
 	maximumRegionName = 32
 )
 
-// Intent is what an operator wants of one service.
+// Intent is the configuration that an operator wants for one service.
 type Intent struct {
 	Service string `yaml:"service"`
-	// Delete ends the service; the specification is then empty.
+	// Delete asks for the service to be deleted. The specification must then have no back ends.
 	Delete bool `yaml:"delete"`
 
 	catalog.Specification `yaml:",inline"`
 }
 
-// Problem is one fault of an intent, placed where it stands.
+// Problem is an invalid field of an intent.
 type Problem struct {
+	// Field is the path of the field.
 	Field string
-	// Line counts from one; zero where the field is absent.
-	Line    int
+	// Line is the line of the field, counted from one. It is zero if the intent does not have the field.
+	Line int
+	// Found is the value that was found, Allowed a description of the allowed values.
 	Found   string
 	Allowed string
 }
 
-// String puts the problem in one line.
+// String returns the problem as one line of text.
 func (p Problem) String() string {
-	place := p.Field
+	location := p.Field
 	if p.Line > 0 {
-		place = fmt.Sprintf("line %d: %s", p.Line, p.Field)
+		location = fmt.Sprintf("line %d: %s", p.Line, p.Field)
 	}
-	return fmt.Sprintf("%s: found %s, allowed is %s", place, p.Found, p.Allowed)
+	return fmt.Sprintf("%s: found %s, allowed is %s", location, p.Found, p.Allowed)
 }
 
-// Parse reads and validates an intent in YAML or JSON. Unknown fields are refused. The failure, of code
-// INVALID_ARGUMENT, lists all problems with field and line.
+// Parse parses and validates an intent in YAML or JSON. An unknown field is an error. Errors are of code
+// INVALID_ARGUMENT; an error of the validation lists all invalid fields with their lines.
 func Parse(text []byte) (Intent, error) {
 	var intent Intent
 	if len(text) > maximumSize {
@@ -70,12 +75,12 @@
 	if err != nil {
 		return intent, failure.Refused(failure.InvalidArgument, yaml.FormatError(err, false, true), 0)
 	}
-	checks := validator{file: file}
-	checks.intent(intent)
-	return intent, checks.failure()
+	validation := validator{file: file}
+	validation.checkIntent(intent)
+	return intent, validation.failure()
 }
 
-// failure lists all problems, nil if there are none.
+// failure returns an error that lists all problems, or nil if there are none.
 func (v *validator) failure() error {
 	if len(v.problems) == 0 {
 		return nil
@@ -87,12 +92,13 @@
 	return failure.Refused(failure.InvalidArgument, strings.Join(lines, "; "), 0)
 }
 
+// validator checks the fields of an intent and collects the problems.
 type validator struct {
 	file     *ast.File
 	problems []Problem
 }
 
-// lineOf returns the line of a field by its YAML path, zero where it is absent.
+// lineOf returns the line of the field with the given YAML path, or zero if the file does not have the field.
 func lineOf(file *ast.File, path string) int {
 	compiled, err := yaml.PathString("$." + path)
 	if err != nil {
@@ -105,6 +111,7 @@
 	return node.GetToken().Position.Line
 }
 
+// check records a problem of the field unless ok is true.
 func (v *validator) check(ok bool, field string, found any, allowed string) {
 	if ok {
 		return
@@ -116,7 +123,7 @@
 	v.problems = append(v.problems, problem)
 }
 
-func (v *validator) intent(intent Intent) {
+func (v *validator) checkIntent(intent Intent) {
 	v.check(validName(intent.Service), "service", intent.Service, "1 to 64 of a-z, 0-9, '-' and '.'")
 	if intent.Delete {
 		v.check(len(intent.BackEnds) == 0, "back_ends", len(intent.BackEnds), "none with delete")
@@ -133,11 +140,11 @@
 	v.check(tail, "tail_budget_milliseconds", intent.TailBudgetMilliseconds, "0 to deadline_milliseconds")
 	seen := map[string]bool{}
 	for i, backEnd := range intent.BackEnds {
-		v.backEnd(fmt.Sprintf("back_ends[%d]", i), backEnd, seen)
+		v.checkBackEnd(fmt.Sprintf("back_ends[%d]", i), backEnd, seen)
 	}
 }
 
-func (v *validator) backEnd(path string, backEnd catalog.BackEnd, seen map[string]bool) {
+func (v *validator) checkBackEnd(path string, backEnd catalog.BackEnd, seen map[string]bool) {
 	_, err := netip.ParseAddrPort(backEnd.Address)
 	v.check(err == nil, path+".address", backEnd.Address, "an IP address and port")
 	v.check(!seen[backEnd.Address], path+".address", backEnd.Address, "each address once")
--- a/internal/intent/plan.go
+++ b/internal/intent/plan.go
@@ -11,28 +11,34 @@
 	"stiletrail/internal/failure"
 )
 
-// PlanLifetime is how long a plan may be confirmed. It only keeps operators from confirming what they have
-// forgotten; which plan wins is decided by the base version alone.
+// PlanLifetime is the time within which a plan can be confirmed. It only keeps operators from confirming a plan that
+// they have forgotten. Which of two competing plans takes effect depends on the base version alone.
 const PlanLifetime = 15 * time.Minute
 
-// Plan is what confirming an intent would change.
+// Plan lists the changes that confirming an intent would make.
 type Plan struct {
-	Service     string
+	Service string
+	// BaseVersion is the version of the document that the intent was compared with. Zero means that there was none.
 	BaseVersion uint64
-	// ExpiresUnixSeconds is wall-clock time.
+	// ExpiresUnixSeconds is the wall-clock time after which the plan cannot be confirmed.
 	ExpiresUnixSeconds int64
-	Digest             string
-	Changes            []string
-	BackEnds           []string
-	Warnings           []string
+	// Digest identifies the plan. It is computed from the intent, the base version and the expiry.
+	Digest string
+	// Changes has one line of text for each change.
+	Changes []string
+	// BackEnds has the addresses of the back ends that are added, changed or removed.
+	BackEnds []string
+	// Warnings has one line of text for each likely mistake.
+	Warnings []string
 }
 
-// NewPlan compares an intent with the document in force (the zero document where there is none).
+// NewPlan compares an intent with the service's document in force and returns the plan. base is the zero Document if
+// the service has none.
 func NewPlan(intent Intent, base catalog.Document, expiresUnixSeconds int64) Plan {
 	plan := Plan{Service: intent.Service, BaseVersion: base.Version, ExpiresUnixSeconds: expiresUnixSeconds}
 	plan.Digest = digest(intent, base.Version, expiresUnixSeconds)
 	plan.compare(intent, base)
-	plan.warn(intent, base)
+	plan.addWarnings(intent, base)
 	return plan
 }
 
@@ -52,10 +58,11 @@
 	return hex.EncodeToString(sum[:16])
 }
 
-// CheckConfirmation refuses a confirmation whose digest does not name the plan of this intent, or whose plan has expired.
+// CheckConfirmation returns an error of code PLAN_MISMATCH if the given digest is not that of the plan for this intent,
+// base version and expiry, or if the plan has expired.
 func CheckConfirmation(intent Intent, base uint64, expiresUnixSeconds int64, given string, nowUnixSeconds int64) error {
 	if digest(intent, base, expiresUnixSeconds) != given {
-		return failure.Refused(failure.PlanMismatch, "the digest does not name a plan of this intent and base version", 0)
+		return failure.Refused(failure.PlanMismatch, "the digest is not that of the plan for this intent, base version and expiry", 0)
 	}
 	if nowUnixSeconds > expiresUnixSeconds {
 		return failure.Refused(failure.PlanMismatch, "the plan has expired; plan again", 0)
@@ -63,7 +70,7 @@
 	return nil
 }
 
-func (p *Plan) change(format string, values ...any) {
+func (p *Plan) addChange(format string, values ...any) {
 	p.Changes = append(p.Changes, fmt.Sprintf(format, values...))
 }
 
@@ -71,11 +78,11 @@
 	existed := base.Version > 0 && !base.Deleted
 	switch {
 	case intent.Delete && existed:
-		p.change("delete service %s", intent.Service)
+		p.addChange("delete service %s", intent.Service)
 	case intent.Delete:
-		p.change("nothing: service %s does not exist", intent.Service)
+		p.addChange("nothing: service %s does not exist", intent.Service)
 	case !existed:
-		p.change("create service %s", intent.Service)
+		p.addChange("create service %s", intent.Service)
 	}
 	p.compareBackEnds(intent, base)
 	if intent.Delete {
@@ -87,13 +94,13 @@
 	p.compareValue("deadline_milliseconds", old.DeadlineMilliseconds, wanted.DeadlineMilliseconds)
 	p.compareValue("tail_budget_milliseconds", old.TailBudgetMilliseconds, wanted.TailBudgetMilliseconds)
 	if len(p.Changes) == 0 {
-		p.change("nothing: the service is as the intent says")
+		p.addChange("nothing: the service is as the intent says")
 	}
 }
 
 func (p *Plan) compareValue(name string, old, wanted any) {
 	if old != wanted {
-		p.change("%s: %v -> %v", name, old, wanted)
+		p.addChange("%s: %v -> %v", name, old, wanted)
 	}
 }
 
@@ -107,25 +114,25 @@
 		old, existed := before[backEnd.Address]
 		switch {
 		case !existed:
-			p.touch(backEnd, "add")
+			p.addBackEndChange(backEnd, "add")
 		case old != backEnd:
-			p.touch(backEnd, "change")
+			p.addBackEndChange(backEnd, "change")
 		}
 	}
 	for _, backEnd := range base.Specification.BackEnds {
 		if _, stays := after[backEnd.Address]; !stays && before != nil {
-			p.touch(backEnd, "remove")
+			p.addBackEndChange(backEnd, "remove")
 		}
 	}
 }
 
-func (p *Plan) touch(backEnd catalog.BackEnd, verb string) {
+func (p *Plan) addBackEndChange(backEnd catalog.BackEnd, verb string) {
 	p.BackEnds = append(p.BackEnds, backEnd.Address)
 	draining := ""
 	if backEnd.Draining {
 		draining = ", draining"
 	}
-	p.change("%s back end %s (zone %s, %d slots, %d connections%s)",
+	p.addChange("%s back end %s (zone %s, %d slots, %d connections%s)",
 		verb, backEnd.Address, backEnd.Zone, backEnd.Slots, backEnd.Connections, draining)
 }
 
@@ -137,7 +144,8 @@
 	return result
 }
 
-func (p *Plan) warn(intent Intent, base catalog.Document) {
+// addWarnings adds a warning for each part of the intent that is allowed but probably a mistake.
+func (p *Plan) addWarnings(intent Intent, base catalog.Document) {
 	warn := func(text string) { p.Warnings = append(p.Warnings, text) }
 	if intent.Delete {
 		if base.Version > 0 && !base.Deleted {
@@ -154,15 +162,15 @@
 		}
 	}
 	if serving == 0 {
-		warn("every back end is draining: the service will answer nothing")
+		warn("every back end is draining: the service will answer no requests")
 	}
 	if len(zones) == 1 {
-		warn("all back ends are in one zone: the service is lost with it")
+		warn("all back ends are in one zone: the service fails if that zone fails")
 	}
 	if intent.MinimumCoverage == 1 {
-		warn("minimum_coverage 1: any lost shard fails every search")
+		warn("minimum_coverage is 1: every search fails while any shard is missing")
 	}
 	if 2*serving < len(base.Specification.BackEnds) && !base.Deleted {
-		warn("fewer than half of the back ends in force stay in use")
+		warn("fewer than half of the back ends that are now in force stay in use")
 	}
 }
