--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -58,7 +58,7 @@
 	},
 	{
 		"tickets may be used again", "internal/ticket/ticket.go",
-		"	if known := t.entries[parsed.Sequence]; known != nil {\n		return t.reuse", "	if known := t.entries[parsed.Sequence]; known != nil && known.at < 0 {\n		return t.reuse",
+		"	if known := t.entries[parsed.Sequence]; known != nil {\n		return t.reuse", "	if known := t.entries[parsed.Sequence]; known != nil && known.usedAt < 0 {\n		return t.reuse",
 		"./internal/simulation", "TestAtMostOnce",
 	},
 	{
--- a/internal/ticket/ticket.go
+++ b/internal/ticket/ticket.go
@@ -1,11 +1,12 @@
-// Package ticket makes a request that is not repeatable run at most once, whatever the caller resends.
+// Package ticket ensures that a request that is not repeatable runs at most once, however often the caller resends it.
 //
-// A ticket is minted by a node and is good once, at that node, in that generation of its process. Any other node forwards it
-// there. Where the generation is gone nobody can know whether the request ran, so nothing runs and the outcome is unknown. The
-// invariant: Use returns Fresh at most once for a ticket.
+// The caller first gets a ticket from a node. The ticket can be used for one request, only at the node and in the
+// process that minted it; any other node forwards the request there. If that process no longer exists, nobody can know
+// whether the request ran: it is not run, and its outcome is unknown. The invariant is that Table.Use returns Fresh at
+// most once for a ticket.
 //
-// It owns the outcomes of the requests whose tickets this process minted; they are lost with it. It relies on its caller for the
-// time, one call at a time; it does no I/O, takes no lock and reads no clock.
+// The package owns the outcomes of the requests whose tickets this process minted. They are lost when the process ends.
+// The caller must pass the time and make one call at a time. The package does no I/O, takes no lock and reads no clock.
 package ticket
 
 import (
@@ -17,36 +18,40 @@
 	"stiletrail/internal/failure"
 )
 
-// Limits of the table.
+// Limits of the table and of tickets.
 const (
-	// Lifetime is how long after minting a ticket may be used.
+	// Lifetime is the time after minting within which a ticket can be used.
 	Lifetime = 2 * time.Minute
-	// kept is how long an outcome can be asked for again.
-	kept = 10 * time.Minute
-	// maximumOutcomes bounds the table; over it nothing new is taken, and callers are told to come back after fullRetryAfter.
+	// outcomeRetention is the time for which an outcome can be asked for again.
+	outcomeRetention = 10 * time.Minute
+	// maximumOutcomes is the largest number of outcomes in the table. When the table is full, unused tickets are
+	// refused and their callers are told to retry after fullRetryAfter.
 	maximumOutcomes = 1 << 17
 	fullRetryAfter  = time.Second
-	// Sizes of a ticket, in bytes: the generation, the sequence and the moment of minting; then the address; then the code that
-	// proves who minted it.
+	// fixedSize, macSize and maximumSize are sizes in bytes. A ticket starts with fixedSize bytes for the generation, the
+	// sequence number and the time of minting. The address of the minting node follows, and then macSize bytes of the
+	// message authentication code that proves which process minted the ticket. A whole ticket has at most maximumSize.
 	fixedSize   = 8 + 8 + 8
 	macSize     = 16
 	maximumSize = 256
 )
 
-// Ticket is the readable part of a ticket.
+// Ticket has the fields of a ticket, without its message authentication code.
 type Ticket struct {
-	// Address of the node that minted it.
-	Address    string
+	// Address is the address of the node that minted the ticket.
+	Address string
+	// Generation identifies the process that minted the ticket.
 	Generation uint64
-	Sequence   uint64
-	// MintedAt is on the minting node's own clock.
+	// Sequence is the number of the ticket among those of its process.
+	Sequence uint64
+	// MintedAt is the time of minting on the minting node's own clock.
 	MintedAt time.Duration
 }
 
-// Parse reads a ticket without checking who minted it. Errors are of code TICKET_INVALID.
+// Parse decodes a ticket without verifying who minted it. Errors are of code TICKET_INVALID.
 func Parse(encoded []byte) (Ticket, error) {
 	if len(encoded) < fixedSize+macSize || len(encoded) > maximumSize {
-		return Ticket{}, invalid("ticket has a wrong size")
+		return Ticket{}, invalid("the ticket has an invalid size")
 	}
 	return Ticket{
 		Generation: binary.BigEndian.Uint64(encoded),
@@ -60,27 +65,28 @@
 	return failure.Refused(failure.TicketInvalid, message, 0)
 }
 
-// Outcome of a request, kept for the caller's resends.
+// Outcome is the outcome of a request. The table keeps it to answer the caller's resends.
 type Outcome struct {
 	Shard   uint32
 	Result  []byte
 	Failure *failure.Failure
 }
 
-// UseResult is what may be done with a ticket: Fresh, Running, Finished or Rejected.
+// UseResult is the result of Table.Use: Fresh, Running, Finished or Rejected.
 type UseResult interface{ isUse() }
 
-// Fresh: run the request, once, and say what came of it through Finish.
+// Fresh means that the ticket was unused. The caller must run the request once and report its outcome with
+// RecordOutcome.
 type Fresh struct{ Sequence uint64 }
 
-// Running: an earlier request with the ticket is under way.
+// Running means that an earlier request with the same ticket is in flight.
 type Running struct{ Sequence uint64 }
 
-// Finished: the outcome is known.
+// Finished means that an earlier request with the same ticket has ended, with this outcome.
 type Finished struct{ Outcome Outcome }
 
-// Rejected: nothing runs. The failure is a refusal where nothing ran with this ticket, and of code OUTCOME_UNKNOWN where that
-// cannot be told any more.
+// Rejected means that the request must not run. The failure is a refusal if no request has run with this ticket. It is
+// of code OUTCOME_UNKNOWN if that can no longer be known.
 type Rejected struct{ Failure *failure.Failure }
 
 func (Fresh) isUse()    {}
@@ -88,26 +94,31 @@
 func (Finished) isUse() {}
 func (Rejected) isUse() {}
 
-// entry is a ticket that was used.
+// entry is a used ticket.
 type entry struct {
-	at time.Duration
-	// digest of the request.
+	// usedAt is the time at which the ticket was used.
+	usedAt time.Duration
+	// digest is the digest of the request that the ticket was used for.
 	digest [sha256.Size]byte
-	// outcome is nil while the request is under way.
+	// outcome is nil while the request is in flight.
 	outcome *Outcome
 }
 
-// Table mints tickets and remembers what became of them.
+// Table mints tickets and keeps the outcomes of the requests that they were used for.
 type Table struct {
 	address    string
 	generation uint64
-	key        []byte
-	sequence   uint64
-	entries    map[uint64]*entry
-	nextSweep  time.Duration
+	// key is the key of the message authentication codes.
+	key []byte
+	// sequence is the number of the last minted ticket.
+	sequence uint64
+	// entries has the used tickets by their sequence numbers.
+	entries map[uint64]*entry
+	// nextSweep is the time at which old entries are next removed.
+	nextSweep time.Duration
 }
 
-// NewTable returns a table that mints for the address and generation with a random key of this process.
+// NewTable returns a table that mints tickets for the address and generation. key is a random key of this process.
 func NewTable(address string, generation uint64, key []byte) *Table {
 	return &Table{address: address, generation: generation, key: key, entries: map[uint64]*entry{}}
 }
@@ -128,18 +139,18 @@
 	return append(encoded, t.mac(encoded)...)
 }
 
-// Use takes a ticket for a request; body identifies the request.
+// Use uses a ticket for the request with the given body, and returns what the caller must do with the request.
 func (t *Table) Use(now time.Duration, encoded, body []byte) UseResult {
 	parsed, err := Parse(encoded)
 	if err != nil {
 		return Rejected{failure.From(err)}
 	}
 	if parsed.Address != t.address || parsed.Generation != t.generation {
-		return Rejected{failure.New(failure.OutcomeUnknown, "the process that minted the ticket is gone")}
+		return Rejected{failure.New(failure.OutcomeUnknown, "the process that minted the ticket no longer exists")}
 	}
 	signed := encoded[:len(encoded)-macSize]
 	if !hmac.Equal(t.mac(signed), encoded[len(encoded)-macSize:]) {
-		return Rejected{invalid("ticket is not signed by this node")}
+		return Rejected{invalid("the ticket was not minted by this process: its authentication code does not match")}
 	}
 	t.sweep(now)
 	digest := sha256.Sum256(body)
@@ -147,19 +158,19 @@
 		return t.reuse(parsed.Sequence, known, digest)
 	}
 	if now-parsed.MintedAt > Lifetime {
-		// Its outcome may have been forgotten, so "not run" would be a guess.
+		// The outcome may have been removed from the table, so it is not certain that the request did not run.
 		return Rejected{failure.New(failure.OutcomeUnknown, "the ticket has expired")}
 	}
 	if len(t.entries) >= maximumOutcomes {
 		return Rejected{failure.Refused(failure.Overloaded, "too many tickets in use", fullRetryAfter)}
 	}
-	t.entries[parsed.Sequence] = &entry{at: now, digest: digest}
+	t.entries[parsed.Sequence] = &entry{usedAt: now, digest: digest}
 	return Fresh{Sequence: parsed.Sequence}
 }
 
 func (t *Table) reuse(sequence uint64, known *entry, digest [sha256.Size]byte) UseResult {
 	if known.digest != digest {
-		return Rejected{failure.New(failure.InvalidArgument, "the ticket was used for another request")}
+		return Rejected{failure.New(failure.InvalidArgument, "the ticket was already used for a request with another body")}
 	}
 	if known.outcome == nil {
 		return Running{Sequence: sequence}
@@ -167,21 +178,22 @@
 	return Finished{Outcome: *known.outcome}
 }
 
-// RecordOutcome notes the outcome of the request a ticket was used for.
+// RecordOutcome stores the outcome of the request that the ticket with the sequence number was used for.
 func (t *Table) RecordOutcome(sequence uint64, outcome Outcome) {
 	if known := t.entries[sequence]; known != nil {
 		known.outcome = &outcome
 	}
 }
 
-// sweep forgets outcomes well after their tickets have expired: an expired ticket never runs again.
+// sweep removes outcomes well after their tickets have expired. An expired ticket is always rejected, so that no
+// request can run twice because its outcome was removed.
 func (t *Table) sweep(now time.Duration) {
 	if now < t.nextSweep {
 		return
 	}
-	t.nextSweep = now + kept/10
+	t.nextSweep = now + outcomeRetention/10
 	for sequence, known := range t.entries {
-		if known.outcome != nil && now-known.at > kept+Lifetime {
+		if known.outcome != nil && now-known.usedAt > outcomeRetention+Lifetime {
 			delete(t.entries, sequence)
 		}
 	}
