--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -8,8 +8,9 @@
 	"stiletrail/internal/query"
 )
 
-// check verifies that an answer is whole and is to this attempt.
-func check(attempt query.Attempt, response *stiletrailv1.QueryResponse) query.AttemptResult {
+// checkAnswer verifies that an answer is complete and belongs to this attempt. The result has status StatusInvalid if
+// not.
+func checkAnswer(attempt query.Attempt, response *stiletrailv1.QueryResponse) query.AttemptResult {
 	result := query.AttemptResult{
 		Attempt: attempt.Number, Status: statusOf(response.GetStatus()),
 		Snapshot:   query.Snapshot{Version: response.GetVersion(), Epoch: response.GetEpoch()},
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,12 +1,14 @@
-// Package backend reaches back ends over connect. It decides what came of an attempt: it matches every answer to its attempt and
-// checks it (answer.go), and states for each attempt that got none whether a byte of it was written, and whether the back end has
-// ended.
+// Package backend sends attempts to back ends over the connect protocol and decides the result of each attempt. An
+// attempt is one request to one back end.
 //
-// HTTP/1.1 is used on purpose: a POST without an idempotency key is resent by net/http only where nothing of it was written, so
-// an attempt reaches a back end at most once. TestNoSilentResend proves it.
+// It verifies that an answer is complete and belongs to its attempt (answer.go). For an attempt without an answer it
+// states whether any byte of the request may have been written, and whether the back end's process has crashed.
 //
-// It owns the connections to back ends and the means to cancel attempts. A Client does I/O, has a lock of its own and may be used
-// by many goroutines.
+// It uses HTTP/1.1 because net/http then resends a POST without an idempotency key only if nothing of the request was
+// written. An attempt therefore reaches a back end at most once; TestNoSilentResend checks this.
+//
+// The package owns the connections to back ends and the cancel functions of the attempts in flight. A Client does
+// I/O, has a lock of its own and may be used by many goroutines.
 package backend
 
 import (
@@ -27,9 +29,10 @@
 	"stiletrail/internal/query"
 )
 
-// Bounds of requests to back ends.
+// Limits of requests to back ends.
 const (
-	// maximumAnswer in bytes: an answer must fit into a frame to the root with what others answer beside it.
+	// maximumAnswer is the largest size of an answer, in bytes. An answer must fit into one frame to the root node of
+	// the search, together with the answers of other back ends.
 	maximumAnswer   = 4 << 20
 	dialTimeout     = 500 * time.Millisecond
 	idleConnTimeout = 90 * time.Second
@@ -40,12 +43,14 @@
 type Client struct {
 	client *http.Client
 
-	mutex   sync.Mutex
+	mutex sync.Mutex
+	// clients has the client of each back end by the back end's address.
 	clients map[string]stiletrailv1connect.BackEndServiceClient
+	// cancels has the cancel function of each attempt in flight by the attempt's number.
 	cancels map[uint64]context.CancelFunc
 }
 
-// NewClient returns a client that keeps at most so many connections to each back end.
+// NewClient returns a client that opens at most the given number of connections to each back end.
 func NewClient(connectionsPerBackEnd int) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	protocols := new(http.Protocols)
@@ -71,7 +76,8 @@
 	return found
 }
 
-// Register registers an attempt, so that Cancel finds it from now on, and returns the context to Run it with.
+// Register registers an attempt and returns the context that Run must be called with. From now on Cancel can cancel the
+// attempt, even before Run is called.
 func (c *Client) Register(parent context.Context, attempt uint64, remaining time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(parent, remaining)
 	c.mutex.Lock()
@@ -80,7 +86,7 @@
 	return ctx
 }
 
-// Cancel gives up an attempt; its connection is closed, which back ends take as a cancellation.
+// Cancel cancels an attempt. Its connection is closed, which a back end treats as the cancellation of the request.
 func (c *Client) Cancel(attempt uint64) {
 	c.mutex.Lock()
 	cancel := c.cancels[attempt]
@@ -90,7 +96,8 @@
 	}
 }
 
-func (c *Client) end(attempt uint64) {
+// release removes an attempt that has ended and releases its context.
+func (c *Client) release(attempt uint64) {
 	c.mutex.Lock()
 	cancel := c.cancels[attempt]
 	delete(c.cancels, attempt)
@@ -98,9 +105,9 @@
 	cancel()
 }
 
-// Run sends an attempt and returns what came of it.
+// Run sends an attempt to its back end and returns its result. ctx must come from Register.
 func (c *Client) Run(ctx context.Context, attempt query.Attempt) query.AttemptResult {
-	defer c.end(attempt.Number)
+	defer c.release(attempt.Number)
 	var written atomic.Bool
 	var connection atomic.Pointer[net.Conn]
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
@@ -119,27 +126,29 @@
 	}
 	response, err := c.clientFor(attempt.BackEnd).Query(httptrace.WithClientTrace(ctx, trace), connect.NewRequest(request))
 	if err != nil {
-		return withoutAnswer(ctx, attempt, written.Load())
+		return resultWithoutAnswer(ctx, attempt, written.Load())
 	}
-	result := check(attempt, response.Msg)
-	if held := connection.Load(); result.Status == query.StatusInvalid && held != nil {
-		// Whatever else comes on this connection cannot be trusted either.
-		_ = (*held).Close()
+	result := checkAnswer(attempt, response.Msg)
+	if used := connection.Load(); result.Status == query.StatusInvalid && used != nil {
+		// Later answers on this connection cannot be trusted either.
+		_ = (*used).Close()
 	}
 	return result
 }
 
-// withoutAnswer says what came of an attempt that got no answer: where nothing of it may have been written it did not run.
-func withoutAnswer(ctx context.Context, attempt query.Attempt, written bool) query.AttemptResult {
+// resultWithoutAnswer returns the result of an attempt that got no answer. The status is StatusNotSent if the attempt
+// never had a connection, so that nothing of it can have been written and the back end did not run it.
+func resultWithoutAnswer(ctx context.Context, attempt query.Attempt, written bool) query.AttemptResult {
 	if !written {
 		return query.AttemptResult{Attempt: attempt.Number, Status: query.StatusNotSent}
 	}
-	ended := ctx.Err() == nil && refuses(ctx, attempt.BackEnd)
-	return query.AttemptResult{Attempt: attempt.Number, Status: query.StatusLost, BackEndCrashed: ended}
+	crashed := ctx.Err() == nil && refusesConnections(ctx, attempt.BackEnd)
+	return query.AttemptResult{Attempt: attempt.Number, Status: query.StatusLost, BackEndCrashed: crashed}
 }
 
-// refuses reports whether nobody takes connections at an address any more, as after the end of a process.
-func refuses(ctx context.Context, address string) bool {
+// refusesConnections reports whether connections to the address are refused, because the process that listened there
+// has ended.
+func refusesConnections(ctx context.Context, address string) bool {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	connection, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -149,7 +158,8 @@
 	return false
 }
 
-// Describe asks a back end what it holds for a service; false where it does not answer.
+// Describe asks a back end which shards and snapshots of a service it has. The second result is false if the back end
+// does not answer.
 func (c *Client) Describe(ctx context.Context, service, address string) (query.Holding, bool) {
 	ctx, cancel := context.WithTimeout(ctx, describeTimeout)
 	defer cancel()
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -20,14 +20,14 @@
 	"stiletrail/internal/testio"
 )
 
-// scripted is a back end that answers as a test says.
-type scripted struct {
+// scriptedBackEnd is a back end whose answers are set by a test.
+type scriptedBackEnd struct {
 	stiletrailv1connect.UnimplementedBackEndServiceHandler
 	answer func(*stiletrailv1.QueryRequest) (*stiletrailv1.QueryResponse, error)
 }
 
 // Query implements the back-end service.
-func (s scripted) Query(_ context.Context, request *connect.Request[stiletrailv1.QueryRequest]) (*connect.Response[stiletrailv1.QueryResponse], error) {
+func (s scriptedBackEnd) Query(_ context.Context, request *connect.Request[stiletrailv1.QueryRequest]) (*connect.Response[stiletrailv1.QueryResponse], error) {
 	response, err := s.answer(request.Msg)
 	if err != nil {
 		return nil, err
@@ -35,7 +35,8 @@
 	return connect.NewResponse(response), nil
 }
 
-func good(request *stiletrailv1.QueryRequest) *stiletrailv1.QueryResponse {
+// validResponse returns a complete answer to a request, with one document of one shard.
+func validResponse(request *stiletrailv1.QueryRequest) *stiletrailv1.QueryResponse {
 	response := &stiletrailv1.QueryResponse{
 		Generation: request.GetGeneration(), Attempt: request.GetAttempt(), Status: stiletrailv1.QueryStatus_QUERY_STATUS_OK,
 		Version: request.GetVersion(), Epoch: request.GetEpoch(),
@@ -56,22 +57,23 @@
 	return client.Run(client.Register(context.Background(), sent.Number, 5*time.Second), sent)
 }
 
-// TestAnswers is the contract of back ends: which answers are taken, and as what.
+// TestAnswers checks the status that each kind of answer gives. An answer that is incomplete, altered, or to another
+// attempt must be invalid, so that it never becomes part of a search's result.
 func TestAnswers(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*stiletrailv1.QueryResponse)
 		want   query.Status
 	}{
-		{"whole", func(*stiletrailv1.QueryResponse) {}, query.StatusOK},
-		{"another's attempt", func(r *stiletrailv1.QueryResponse) { r.Attempt++ }, query.StatusInvalid},
-		{"another process's", func(r *stiletrailv1.QueryResponse) { r.Generation++ }, query.StatusInvalid},
-		{"a document short", func(r *stiletrailv1.QueryResponse) { r.Results[0].Documents = nil }, query.StatusInvalid},
-		{"a changed document", func(r *stiletrailv1.QueryResponse) { r.Results[0].Documents[0].Body = []byte("x") }, query.StatusInvalid},
-		{"a wrong checksum", func(r *stiletrailv1.QueryResponse) { r.Checksum++ }, query.StatusInvalid},
-		{"a wrong count", func(r *stiletrailv1.QueryResponse) { r.DocumentCount++ }, query.StatusInvalid},
+		{"valid", func(*stiletrailv1.QueryResponse) {}, query.StatusOK},
+		{"another attempt", func(r *stiletrailv1.QueryResponse) { r.Attempt++ }, query.StatusInvalid},
+		{"another process of the node", func(r *stiletrailv1.QueryResponse) { r.Generation++ }, query.StatusInvalid},
+		{"missing document", func(r *stiletrailv1.QueryResponse) { r.Results[0].Documents = nil }, query.StatusInvalid},
+		{"altered document", func(r *stiletrailv1.QueryResponse) { r.Results[0].Documents[0].Body = []byte("x") }, query.StatusInvalid},
+		{"wrong checksum", func(r *stiletrailv1.QueryResponse) { r.Checksum++ }, query.StatusInvalid},
+		{"wrong document count", func(r *stiletrailv1.QueryResponse) { r.DocumentCount++ }, query.StatusInvalid},
 		{"no status", func(r *stiletrailv1.QueryResponse) { r.Status = 0 }, query.StatusInvalid},
-		{"an unknown status", func(r *stiletrailv1.QueryResponse) { r.Status = 99 }, query.StatusInvalid},
+		{"unknown status", func(r *stiletrailv1.QueryResponse) { r.Status = 99 }, query.StatusInvalid},
 		{"shed", func(r *stiletrailv1.QueryResponse) { r.Status = stiletrailv1.QueryStatus_QUERY_STATUS_SHED }, query.StatusShed},
 		{"draining", func(r *stiletrailv1.QueryResponse) { r.Status = stiletrailv1.QueryStatus_QUERY_STATUS_DRAINING }, query.StatusDraining},
 		{"expired", func(r *stiletrailv1.QueryResponse) { r.Status = stiletrailv1.QueryStatus_QUERY_STATUS_EXPIRED }, query.StatusExpired},
@@ -79,8 +81,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			mux := http.NewServeMux()
-			mux.Handle(stiletrailv1connect.NewBackEndServiceHandler(scripted{answer: func(request *stiletrailv1.QueryRequest) (*stiletrailv1.QueryResponse, error) {
-				response := good(request)
+			mux.Handle(stiletrailv1connect.NewBackEndServiceHandler(scriptedBackEnd{answer: func(request *stiletrailv1.QueryRequest) (*stiletrailv1.QueryResponse, error) {
+				response := validResponse(request)
 				c.change(response)
 				return response, nil
 			}}))
@@ -93,8 +95,9 @@
 	}
 }
 
-// faulty accepts connections and treats each as a test says; it counts the requests that reached it.
-func faulty(t *testing.T, treat func(connection net.Conn, requests *atomic.Int64)) (string, *atomic.Int64) {
+// startFaultyBackEnd listens on a free port and calls handle with each connection. It returns the address, and the
+// counter of the requests that arrived, which handle increments.
+func startFaultyBackEnd(t *testing.T, handle func(connection net.Conn, requests *atomic.Int64)) (string, *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -108,13 +111,13 @@
 			if err != nil {
 				return
 			}
-			go treat(connection, requests)
+			go handle(connection, requests)
 		}
 	}()
 	return listener.Addr().String(), requests
 }
 
-// readRequest reads one whole request.
+// readRequest reads one complete request and counts it. It returns false if the connection ends before.
 func readRequest(connection net.Conn, requests *atomic.Int64) bool {
 	request, err := http.ReadRequest(bufio.NewReader(connection))
 	if err != nil {
@@ -125,15 +128,17 @@
 	return true
 }
 
-// TestNoSilentResend: a request whose connection is lost after it was written reaches the back end once, on new connections
-// and on reused ones, and is reported as lost.
+// TestNoSilentResend checks that a request whose connection is lost after it was written reaches the back end only
+// once and is reported as lost, on new connections and on reused ones. An HTTP client that resends such a request by
+// itself would make the back end run it twice.
 func TestNoSilentResend(t *testing.T) {
-	address, requests := faulty(t, func(connection net.Conn, requests *atomic.Int64) {
+	address, requests := startFaultyBackEnd(t, func(connection net.Conn, requests *atomic.Int64) {
 		defer func() { _ = connection.Close() }()
 		if !readRequest(connection, requests) {
 			return
 		}
-		// The first request of a connection gets an answer, so that the connection is reused; the next is read and cut off.
+		// The first request on a connection is answered, so that the connection is reused. After the second one the
+		// connection is closed without an answer.
 		_, _ = io.WriteString(connection, "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/proto\r\nContent-Length: 0\r\n\r\n")
 		readRequest(connection, requests)
 	})
@@ -149,26 +154,28 @@
 		}
 	}
 	if got := requests.Load(); got != 10 {
-		t.Errorf("10 attempts reached the back end %d times", got)
+		t.Errorf("10 attempts reached the back end %d times, want 10", got)
 	}
 }
 
-// TestNotSentIsProved: only where no connection was had is an attempt reported as not sent.
-func TestNotSentIsProved(t *testing.T) {
+// TestNotSentOnlyWithoutConnection checks that an attempt is reported as not sent if the connection was refused, and as
+// lost if the back end accepted the connection and closed it. In the second case the request may have been written.
+func TestNotSentOnlyWithoutConnection(t *testing.T) {
 	address := testio.FreeAddress(t)
 	if result := run(t, address); result.Status != query.StatusNotSent {
 		t.Errorf("refused connection: status %d, want not sent", result.Status)
 	}
-	cut, _ := faulty(t, func(connection net.Conn, _ *atomic.Int64) { _ = connection.Close() })
-	if result := run(t, cut); result.Status != query.StatusLost {
-		t.Errorf("cut connection: status %d, want lost", result.Status)
+	closing, _ := startFaultyBackEnd(t, func(connection net.Conn, _ *atomic.Int64) { _ = connection.Close() })
+	if result := run(t, closing); result.Status != query.StatusLost {
+		t.Errorf("closed connection: status %d, want lost", result.Status)
 	}
 }
 
-// TestCancelEndsAnAttempt that a back end never answers.
-func TestCancelEndsAnAttempt(t *testing.T) {
+// TestCancelEndsAttempt checks that Cancel ends an attempt that the back end never answers, long before its deadline
+// of one minute.
+func TestCancelEndsAttempt(t *testing.T) {
 	arrived := make(chan struct{})
-	address, _ := faulty(t, func(connection net.Conn, requests *atomic.Int64) {
+	address, _ := startFaultyBackEnd(t, func(connection net.Conn, requests *atomic.Int64) {
 		readRequest(connection, requests)
 		close(arrived)
 	})
--- a/internal/backend/benchmark_test.go
+++ b/internal/backend/benchmark_test.go
@@ -13,11 +13,12 @@
 	"stiletrail/internal/query"
 )
 
-// BenchmarkAttempt is one attempt over connect and net/http on loopback, the back end's own half included.
+// BenchmarkAttempt measures one attempt over connect and net/http on loopback, including the work of the back end's
+// server.
 func BenchmarkAttempt(b *testing.B) {
 	mux := http.NewServeMux()
-	mux.Handle(stiletrailv1connect.NewBackEndServiceHandler(scripted{answer: func(request *stiletrailv1.QueryRequest) (*stiletrailv1.QueryResponse, error) {
-		return good(request), nil
+	mux.Handle(stiletrailv1connect.NewBackEndServiceHandler(scriptedBackEnd{answer: func(request *stiletrailv1.QueryRequest) (*stiletrailv1.QueryResponse, error) {
+		return validResponse(request), nil
 	}}))
 	server := httptest.NewServer(mux)
 	defer server.Close()
--- a/internal/backend/ended_test.go
+++ b/internal/backend/crash_test.go
@@ -9,9 +9,10 @@
 	"stiletrail/internal/query"
 )
 
-// TestEndOfABackEnd: an attempt whose back end has ended says so; one whose connection was reset by a back end that goes on does not.
-func TestEndOfABackEnd(t *testing.T) {
-	for name, ends := range map[string]bool{"ends": true, "resets": false} {
+// TestCrashIsDetected checks that a lost attempt reports a crash if the back end no longer accepts connections, and
+// none if the back end only reset the connection and still accepts others.
+func TestCrashIsDetected(t *testing.T) {
+	for name, crashes := range map[string]bool{"crashes": true, "resets the connection": false} {
 		t.Run(name, func(t *testing.T) {
 			listener, err := net.Listen("tcp4", "127.0.0.1:0")
 			if err != nil {
@@ -24,7 +25,7 @@
 					return
 				}
 				_, _ = connection.Read(make([]byte, 1))
-				if ends {
+				if crashes {
 					_ = listener.Close()
 				}
 				_ = connection.(*net.TCPConn).SetLinger(0)
@@ -33,8 +34,8 @@
 			client := NewClient(1)
 			ctx := client.Register(context.Background(), 1, time.Minute)
 			result := client.Run(ctx, query.Attempt{Number: 1, BackEnd: listener.Addr().String(), Shards: []uint32{0}})
-			if result.Status != query.StatusLost || result.BackEndCrashed != ends {
-				t.Errorf("%+v", result)
+			if result.Status != query.StatusLost || result.BackEndCrashed != crashes {
+				t.Errorf("result %+v, want status lost, with a crash reported only in the case \"crashes\"", result)
 			}
 		})
 	}
--- a/internal/ticket/ticket.go
+++ b/internal/ticket/ticket.go
@@ -28,9 +28,10 @@
 	// refused and their callers are told to retry after fullRetryAfter.
 	maximumOutcomes = 1 << 17
 	fullRetryAfter  = time.Second
-	// fixedSize, macSize and maximumSize are sizes in bytes. A ticket starts with fixedSize bytes for the generation, the
-	// sequence number and the time of minting. The address of the minting node follows, and then macSize bytes of the
-	// message authentication code that proves which process minted the ticket. A whole ticket has at most maximumSize.
+	// fixedSize, macSize and maximumSize are sizes in bytes. A ticket starts with fixedSize bytes for the generation,
+	// the sequence number and the time of minting. The address of the minting node follows, and then macSize bytes of
+	// the message authentication code that proves which process minted the ticket. A whole ticket has at most
+	// maximumSize.
 	fixedSize   = 8 + 8 + 8
 	macSize     = 16
 	maximumSize = 256
