--- a/internal/gossip/compare.go
+++ b/internal/gossip/compare.go
@@ -8,7 +8,7 @@
 	"stiletrail/internal/message"
 )
 
-// Compare opens a comparison with one peer, as with one that was just met again.
+// Compare starts a comparison of the catalogs with one peer, for example a peer that has just become reachable again.
 func (c *Core) Compare(now time.Duration, peer string) membership.Send {
 	return membership.Send{To: peer, Message: c.summary(now, false)}
 }
@@ -26,31 +26,35 @@
 		hashes := c.catalog.Hashes()
 		return []membership.Send{{To: from, Message: &message.CatalogBuckets{Hashes: hashes[:]}}}
 	}
-	c.agree(now, from, m)
+	c.recordEqual(now, from, m)
 	if m.Reply {
 		return nil
 	}
 	return []membership.Send{{To: from, Message: c.summary(now, true)}}
 }
 
-// agree takes over the peer's knowledge of the store: both catalogs are equal, so what is proved of one holds of the other.
-func (c *Core) agree(now time.Duration, from string, m *message.CatalogSummary) {
+// recordEqual records that a peer has an equal catalog. If the peer knows when its catalog was equal to the store's,
+// this node's catalog was equal to the store's at that time too. A node that is not ready counts the ready peers with
+// an equal catalog, and becomes ready when there are enough.
+func (c *Core) recordEqual(now time.Duration, from string, m *message.CatalogSummary) {
 	if m.AgeMilliseconds >= 0 {
-		c.refreshed = max(c.refreshed, now-time.Duration(m.AgeMilliseconds)*time.Millisecond)
+		c.equalAt = max(c.equalAt, now-time.Duration(m.AgeMilliseconds)*time.Millisecond)
 	}
 	if c.ready || !m.Ready {
 		return
 	}
-	c.agreed[from] = true
-	c.ready = len(c.agreed) >= c.peersToAgree()
+	c.equalPeers[from] = true
+	c.ready = len(c.equalPeers) >= c.requiredPeers()
 }
 
-// peersToAgree is how many ready peers must agree: the setting, or all usable peers where there are fewer.
-func (c *Core) peersToAgree() int {
+// requiredPeers returns the number of ready peers that must have an equal catalog before this node is ready:
+// Settings.JoinPeers, or the number of usable peers if there are fewer, but at least one.
+func (c *Core) requiredPeers() int {
 	known := len(c.peers.Pick(c.settings.JoinPeers, usable))
 	return max(1, min(c.settings.JoinPeers, known))
 }
 
+// receiveBuckets answers with the services and versions of those buckets whose hash differs from the peer's.
 func (c *Core) receiveBuckets(from string, m *message.CatalogBuckets) []membership.Send {
 	if len(m.Hashes) != catalog.Buckets {
 		return nil
@@ -71,22 +75,23 @@
 	return []membership.Send{{To: from, Message: keys}}
 }
 
-// receiveKeys sends what the peer lacks and asks for what it has newer.
+// receiveKeys sends the documents that the peer does not have or has in an older version, and requests those that the
+// peer has in a newer version.
 func (c *Core) receiveKeys(from string, m *message.CatalogKeys) []membership.Send {
-	theirs := make(map[string]uint64, len(m.Keys))
+	peerVersions := make(map[string]uint64, len(m.Keys))
 	reply := &message.CatalogDocuments{}
 	for _, key := range m.Keys {
-		theirs[key.Service] = key.Version
+		peerVersions[key.Service] = key.Version
 		if key.Version > c.catalog.Version(key.Service) {
 			held := message.ServiceVersion{Service: key.Service, Version: c.catalog.Version(key.Service)}
 			reply.Wanted = append(reply.Wanted, held)
 		}
 	}
-	var newer []message.ServiceVersion
+	var versions []message.ServiceVersion
 	for _, bucket := range m.Buckets {
 		for _, service := range c.catalog.ServicesInBucket(int(bucket)) {
-			newer = append(newer, message.ServiceVersion{Service: service, Version: theirs[service]})
+			versions = append(versions, message.ServiceVersion{Service: service, Version: peerVersions[service]})
 		}
 	}
-	return c.documents(from, newer, reply)
+	return c.sendNewer(from, versions, reply)
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,12 +1,15 @@
-// Package gossip spreads the catalog between nodes: a new document is pushed on from node to node (spread.go), and random pairs
-// of nodes compare hashes and exchange what differs (compare.go; Demers et al., "Epidemic algorithms for replicated database
-// maintenance", 1987). It decides when a node knows enough of the configuration to serve from it.
+// Package gossip replicates the catalog between nodes with an epidemic protocol (Demers et al., "Epidemic algorithms
+// for replicated database maintenance", 1987). Each node pushes a new document on to other nodes (spread.go). Random
+// pairs of nodes compare the hashes of their catalogs and exchange the documents that differ (compare.go). The
+// package also decides when a node's catalog is complete enough to serve requests.
 //
-// Ages: every node knows how long ago its catalog was last known equal to the store's, by its own reading or because a peer with
-// that knowledge held the same. Ages only ever shrink by such proof, and otherwise grow with time.
+// Each node knows the age of its catalog: the time since the catalog was last known to be equal to the store's. A
+// node learns that by reading the whole store itself, or from a peer that knows it and has an equal catalog. The age
+// grows with time and only shrinks on such evidence.
 //
-// It owns that age and the peers that agreed with a fresh node; the documents are the catalog's. It relies on Peers for a choice
-// of members, and on its caller for the time and the store, one call at a time; it does no I/O, takes no lock and reads no clock.
+// The package owns that age, and the set of peers whose catalog is equal to that of a node that is not ready; package
+// catalog owns the documents. It relies on a PeerPicker for a choice of members. The caller must pass the time, read
+// the store, and make one call at a time. The package does no I/O, takes no lock and reads no clock.
 package gossip
 
 import (
@@ -22,88 +25,95 @@
 type Settings struct {
 	// SummaryInterval is the time between two comparisons that a node starts.
 	SummaryInterval time.Duration
-	// Fanout is how many peers a new document is pushed to by each node that learns it.
+	// Fanout is the number of peers that a node pushes a new document to.
 	Fanout int
-	// JoinPeers is how many ready peers a fresh node must agree with before it serves without the store.
+	// JoinPeers is the number of ready peers whose catalog must be equal to that of a new node before the node serves
+	// requests without having read the store.
 	JoinPeers int
-	// DocumentsPerMessage bounds one message.
+	// DocumentsPerMessage is the largest number of documents and deltas in one message.
 	DocumentsPerMessage int
 }
 
-// DefaultSettings gives the settings used where nothing else is said.
+// DefaultSettings returns the settings that are used where the configuration sets no others.
 func DefaultSettings() Settings {
 	return Settings{SummaryInterval: time.Second, Fanout: 3, JoinPeers: 3, DocumentsPerMessage: 64}
 }
 
-// PeerPicker picks random usable members.
+// PeerPicker chooses the peers to send messages to.
 type PeerPicker interface {
+	// Pick returns the addresses of up to count random members for which match returns true.
 	Pick(count int, match func(membership.Member) bool) []string
+	// Self returns this node as a member.
 	Self() membership.Member
 }
 
-// never is the age of a catalog not compared with the store yet.
-const never = time.Duration(math.MinInt64)
+// neverEqual is the value of Core.equalAt for a catalog that was never known to be equal to the store's.
+const neverEqual = time.Duration(math.MinInt64)
 
-// Core is the spreading state of one node.
+// Core is the replication state of one node.
 type Core struct {
 	settings Settings
 	catalog  *catalog.Catalog
 	peers    PeerPicker
-	// refreshed is when the catalog was last known equal to the store's.
-	refreshed time.Duration
-	// next is when peers are compared with again.
-	next time.Duration
-	// ready: the catalog may be served from; until then agreed holds the ready peers whose catalog is the same.
-	ready  bool
-	agreed map[string]bool
-	onNew  func(catalog.Document)
+	// equalAt is the last time at which the catalog was known to be equal to the store's.
+	equalAt time.Duration
+	// nextComparison is the time at which this node next starts comparisons with peers.
+	nextComparison time.Duration
+	// ready is true if requests may be served with this catalog. Until then equalPeers has the addresses of the ready
+	// peers whose catalog is equal to this one.
+	ready      bool
+	equalPeers map[string]bool
+	onDocument func(catalog.Document)
 }
 
-// New returns a core that spreads the given catalog. onNew is called with each document that a peer brought.
-func New(held *catalog.Catalog, peers PeerPicker, settings Settings, onNew func(catalog.Document)) *Core {
+// New returns a core that replicates the given catalog. onDocument is called with each document that came from a peer
+// and was newer than the one in the catalog.
+func New(local *catalog.Catalog, peers PeerPicker, settings Settings, onDocument func(catalog.Document)) *Core {
 	return &Core{
-		settings: settings, catalog: held, peers: peers,
-		refreshed: never, agreed: map[string]bool{}, onNew: onNew,
+		settings: settings, catalog: local, peers: peers,
+		equalAt: neverEqual, equalPeers: map[string]bool{}, onDocument: onDocument,
 	}
 }
 
-// Ready reports whether the catalog may be served from.
+// Ready reports whether requests may be served with the catalog.
 func (c *Core) Ready() bool { return c.ready }
 
-// CatalogAge is the time since the catalog was last known equal to the store's; false where it never was.
+// CatalogAge returns the time since the catalog was last known to be equal to the store's. The second result is false
+// if it never was.
 func (c *Core) CatalogAge(now time.Duration) (time.Duration, bool) {
-	if c.refreshed == never {
+	if c.equalAt == neverEqual {
 		return 0, false
 	}
-	return now - c.refreshed, true
+	return now - c.equalAt, true
 }
 
-// RecordStoreRead notes that the whole store was read at the given time and is merged.
+// RecordStoreRead records that the whole store was read at the given time and merged into the catalog.
 func (c *Core) RecordStoreRead(at time.Duration) {
-	c.refreshed = max(c.refreshed, at)
+	c.equalAt = max(c.equalAt, at)
 	c.ready = true
 }
 
-// MarkNotReady makes the node not ready until it has joined peers or the store again, as after a freeze.
+// MarkNotReady makes the node not ready until it has read the store or enough ready peers have an equal catalog. It is
+// called after the process was frozen, when the catalog may be outdated.
 func (c *Core) MarkNotReady() {
 	c.ready = false
-	clear(c.agreed)
+	clear(c.equalPeers)
 }
 
 func usable(m membership.Member) bool { return m.Usable() }
 
-// Tick starts comparisons when due: one in the own zone and one in another. A node that is not ready compares with
-// more peers, and faster.
+// Tick starts comparisons when they are due: one with a peer in this node's zone and one with a peer in another zone.
+// A node that is not ready compares with Settings.JoinPeers more peers, and four times as often.
 func (c *Core) Tick(now time.Duration) []membership.Send {
-	if now < c.next {
+	if now < c.nextComparison {
 		return nil
 	}
-	c.next = now + c.settings.SummaryInterval
+	c.nextComparison = now + c.settings.SummaryInterval
 	zone := c.peers.Self().Zone
 	targets := c.peers.Pick(1, func(m membership.Member) bool { return m.Usable() && m.Zone == zone })
 	targets = append(targets, c.peers.Pick(1, func(m membership.Member) bool { return m.Usable() && m.Zone != zone })...)
 	if !c.ready {
-		c.next = now + c.settings.SummaryInterval/4
+		c.nextComparison = now + c.settings.SummaryInterval/4
 		targets = append(targets, c.peers.Pick(c.settings.JoinPeers, usable)...)
 	}
 	var sends []membership.Send
@@ -113,7 +123,7 @@
 	return sends
 }
 
-// Receive handles a message of this package's kinds.
+// Receive handles a message of the catalog's kinds and returns the messages to send. It ignores other kinds.
 func (c *Core) Receive(now time.Duration, from string, m message.Message) []membership.Send {
 	switch m := m.(type) {
 	case *message.CatalogSummary:
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -11,7 +11,7 @@
 	"stiletrail/internal/message"
 )
 
-// fixedPeers are usable members that are always the same.
+// fixedPeers is a PeerPicker that always picks the first of its addresses, whatever match returns for them.
 type fixedPeers []string
 
 func (p fixedPeers) Pick(count int, _ func(membership.Member) bool) []string {
@@ -33,7 +33,9 @@
 	return d
 }
 
-// TestFreshNodeNeedsSeveralPeers that are themselves ready and hold the same.
+// TestFreshNodeNeedsSeveralPeers checks that a new node becomes ready only when three different ready peers have an
+// equal catalog. A repeated answer, a peer with another catalog and a peer that is not ready do not count: a node
+// that is ready too early serves requests with an outdated configuration.
 func TestFreshNodeNeedsSeveralPeers(t *testing.T) {
 	core := newCore("a", "b", "c", "d")
 	hash := core.catalog.Hash()
@@ -53,29 +55,31 @@
 	for i, step := range steps {
 		core.Receive(0, step.from, &message.CatalogSummary{Hash: step.hash, Ready: step.ready, AgeMilliseconds: -1})
 		if core.Ready() != step.want {
-			t.Errorf("step %d: ready %t", i, core.Ready())
+			t.Errorf("step %d: ready %t, want the opposite", i, core.Ready())
 		}
 	}
 }
 
-// TestAges shrink only by proof.
-func TestAges(t *testing.T) {
+// TestCatalogAge checks that the age of the catalog is unknown at first, is taken over from a peer with an equal
+// catalog, grows with time, and is not taken over from a peer with another catalog.
+func TestCatalogAge(t *testing.T) {
 	core := newCore("a")
 	if _, known := core.CatalogAge(time.Second); known {
-		t.Error("an age is known before any proof")
+		t.Error("the age is known before a peer with an equal catalog reported one")
 	}
 	core.Receive(time.Minute, "a", &message.CatalogSummary{Hash: core.catalog.Hash(), AgeMilliseconds: 5000})
 	if age, known := core.CatalogAge(2 * time.Minute); !known || age != time.Minute+5*time.Second {
-		t.Errorf("age %s, known %t", age, known)
+		t.Errorf("age %s, known %t, want an age of 1m5s", age, known)
 	}
 	core.Receive(2*time.Minute, "a", &message.CatalogSummary{Hash: core.catalog.Hash() + 1, AgeMilliseconds: 0})
 	if age, _ := core.CatalogAge(2 * time.Minute); age != time.Minute+5*time.Second {
-		t.Errorf("a peer with another catalog made the age %s", age)
+		t.Errorf("a peer with another catalog changed the age to %s, want 1m5s", age)
 	}
 }
 
-// TestExchangeMakesEqual: whatever two nodes hold, one comparison makes both hold the higher version of each service.
-func TestExchangeMakesEqual(t *testing.T) {
+// TestComparisonMakesCatalogsEqual checks that after one comparison both nodes have the higher version of each service,
+// whichever documents they had before.
+func TestComparisonMakesCatalogsEqual(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cores := map[string]*Core{"a": newCore("b"), "b": newCore("a")}
 		want := map[string]uint64{}
@@ -91,7 +95,7 @@
 		from := []string{"a"}
 		for steps := 0; len(queue) > 0; steps++ {
 			if steps > 100 {
-				rt.Fatal("the exchange does not end")
+				rt.Fatal("the nodes still exchange messages after 100 steps")
 			}
 			next, sender := queue[0], from[0]
 			queue, from = queue[1:], from[1:]
@@ -102,17 +106,18 @@
 		}
 		for service, version := range want {
 			if cores["a"].catalog.Version(service) != version || cores["b"].catalog.Version(service) != version {
-				rt.Errorf("%s: %d and %d, want %d", service, cores["a"].catalog.Version(service), cores["b"].catalog.Version(service), version)
+				rt.Errorf("service %s: versions %d and %d, want %d", service, cores["a"].catalog.Version(service), cores["b"].catalog.Version(service), version)
 			}
 		}
 		if cores["a"].catalog.Hash() != cores["b"].catalog.Hash() {
-			rt.Error("hashes differ")
+			rt.Error("the hashes of the two catalogs differ after the comparison")
 		}
 	})
 }
 
-// TestDeltaOfAnotherVersionFetchesTheWhole document.
-func TestDeltaOfAnotherVersionFetchesTheWhole(t *testing.T) {
+// TestUnknownDeltaBaseFetchesDocument checks that a node which receives a delta from a version that it does not have
+// requests the whole document and puts it into force.
+func TestUnknownDeltaBaseFetchesDocument(t *testing.T) {
 	sender, receiver := newCore("r"), newCore("s")
 	for version := uint64(1); version <= 3; version++ {
 		sender.catalog.Merge(document("lookup", version, 4))
@@ -120,12 +125,12 @@
 	receiver.catalog.Merge(document("lookup", 1, 4))
 	replies := receiver.Receive(0, "s", sender.Rumor("lookup"))
 	if len(replies) != 1 || receiver.catalog.Version("lookup") != 1 {
-		t.Fatalf("replies %v, version %d", replies, receiver.catalog.Version("lookup"))
+		t.Fatalf("replies %v, version %d, want one reply and still version 1", replies, receiver.catalog.Version("lookup"))
 	}
 	for _, sent := range sender.Receive(0, "r", replies[0].Message) {
 		receiver.Receive(0, "s", sent.Message)
 	}
 	if receiver.catalog.Version("lookup") != 3 {
-		t.Errorf("version %d", receiver.catalog.Version("lookup"))
+		t.Errorf("version %d after the whole document was sent, want 3", receiver.catalog.Version("lookup"))
 	}
 }
--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -6,7 +6,8 @@
 	"stiletrail/internal/message"
 )
 
-// Push sends a new document to random peers, in other zones too.
+// Push sends the document of a service to random peers: Settings.Fanout of them from all zones, without the peer
+// except, and one in another zone.
 func (c *Core) Push(service string, except string) []membership.Send {
 	zone := c.peers.Self().Zone
 	targets := c.peers.Pick(c.settings.Fanout, func(m membership.Member) bool { return m.Usable() && m.Address != except })
@@ -21,7 +22,8 @@
 	return sends
 }
 
-// Rumor returns the message that pushes the document of a service: the delta where there is one.
+// Rumor returns the message that pushes the document of a service. The message has the delta from the previous
+// version if there is one, and the whole document otherwise. Receivers push a rumor on to other nodes.
 func (c *Core) Rumor(service string) *message.CatalogDocuments {
 	if delta := c.catalog.Delta(service); delta != nil {
 		return &message.CatalogDocuments{Rumor: true, Deltas: [][]byte{delta}}
@@ -29,11 +31,12 @@
 	return &message.CatalogDocuments{Rumor: true, Documents: [][]byte{c.catalog.Encoded(service)}}
 }
 
-// documents sends what is newer than the versions the peer holds, in chunks; the first chunk is the given reply.
-func (c *Core) documents(to string, held []message.ServiceVersion, reply *message.CatalogDocuments) []membership.Send {
+// sendNewer returns messages with the documents that are newer than the given versions, which the peer has. The first
+// documents are added to reply; further messages follow when a message is full.
+func (c *Core) sendNewer(to string, versions []message.ServiceVersion, reply *message.CatalogDocuments) []membership.Send {
 	var sends []membership.Send
 	count := 0
-	for _, key := range held {
+	for _, key := range versions {
 		if c.catalog.Version(key.Service) <= key.Version {
 			continue
 		}
@@ -58,50 +61,52 @@
 	var sends []membership.Send
 	for _, encoded := range m.Documents {
 		if document, err := catalog.Decode(encoded); err == nil {
-			sends = append(sends, c.takeIn(document, from, m.Rumor)...)
+			sends = append(sends, c.mergeDocument(document, from, m.Rumor)...)
 		}
 	}
 	acknowledged := true
 	for _, encoded := range m.Deltas {
 		document, wanted, ok := c.applyDelta(encoded)
 		if ok {
-			sends = append(sends, c.takeIn(document, from, m.Rumor)...)
+			sends = append(sends, c.mergeDocument(document, from, m.Rumor)...)
 		}
 		if wanted != nil {
 			acknowledged = false
 			sends = append(sends, membership.Send{To: from, Message: wanted})
 		}
 	}
-	sends = append(sends, c.documents(from, m.Wanted, &message.CatalogDocuments{})...)
+	sends = append(sends, c.sendNewer(from, m.Wanted, &message.CatalogDocuments{})...)
 	if m.Operation != 0 && acknowledged {
 		sends = append(sends, membership.Send{To: from, Message: &message.CatalogAck{Operation: m.Operation}})
 	}
 	return sends
 }
 
-// takeIn merges a document and passes a rumor on.
-func (c *Core) takeIn(document catalog.Document, from string, rumor bool) []membership.Send {
+// mergeDocument merges a document into the catalog. If the document was new and came as a rumor, it is pushed on to
+// peers.
+func (c *Core) mergeDocument(document catalog.Document, from string, rumor bool) []membership.Send {
 	if !c.catalog.Merge(document) {
 		return nil
 	}
-	c.onNew(document)
+	c.onDocument(document)
 	if !rumor {
 		return nil
 	}
 	return c.Push(document.Service, from)
 }
 
-// applyDelta returns the document a delta leads to. Where the version before is not held, or something else results, the
-// whole document is wanted from the sender.
+// applyDelta returns the document that results from a delta. If this node does not have the version that the delta
+// applies to, or if the result has the wrong hash, it returns a request to the sender for the whole document. A delta
+// to a version that this node has already is ignored.
 func (c *Core) applyDelta(encoded []byte) (document catalog.Document, wanted *message.CatalogDocuments, ok bool) {
 	delta, err := catalog.DecodeDelta(encoded)
 	if err != nil || c.catalog.Version(delta.Service) >= delta.To {
 		return document, nil, false
 	}
-	held, _ := c.catalog.Get(delta.Service)
-	document, err = delta.Apply(held)
+	base, _ := c.catalog.Get(delta.Service)
+	document, err = delta.Apply(base)
 	if err != nil {
-		// Version zero asks for the whole document, whatever is held.
+		// Version zero asks for the whole document, whichever version this node has.
 		key := message.ServiceVersion{Service: delta.Service}
 		return document, &message.CatalogDocuments{Wanted: []message.ServiceVersion{key}}, false
 	}
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -128,7 +128,7 @@
 	},
 	{
 		"a fresh node serves at once", "internal/gossip/compare.go",
-		"	c.ready = len(c.agreed) >= c.peersToAgree()\n", "	c.ready = true\n",
+		"	c.ready = len(c.equalPeers) >= c.requiredPeers()\n", "	c.ready = true\n",
 		"./internal/gossip", "TestFreshNodeNeedsSeveralPeers",
 	},
 	{
