--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -13,21 +13,23 @@
 	"stiletrail/internal/settings"
 )
 
-// BackEnds is what a node needs of back ends.
+// BackEnds sends a node's requests to back ends.
 type BackEnds interface {
-	// Register registers an attempt before it runs, so that it can be cancelled.
+	// Register registers an attempt before it runs, so that it can be cancelled, and returns the context for Run.
 	Register(parent context.Context, attempt uint64, remaining time.Duration) context.Context
-	// Run sends an attempt and returns what came of it.
+	// Run sends an attempt and returns its result.
 	Run(ctx context.Context, attempt query.Attempt) query.AttemptResult
-	// Cancel gives up an attempt.
+	// Cancel cancels an attempt.
 	Cancel(attempt uint64)
-	// Describe asks a back end what it holds for a service.
+	// Describe asks a back end which shards and snapshots of a service it has. The second result is false if the back
+	// end does not answer.
 	Describe(ctx context.Context, service, address string) (query.Holding, bool)
-	// Close releases connections.
+	// Close closes the idle connections.
 	Close()
 }
 
-// NewBackEnds returns the connect adapter with the settings' connection limit.
+// NewBackEnds returns a client that sends requests over the connect protocol, with the connection limit of the
+// settings.
 func NewBackEnds(given settings.Settings) BackEnds {
 	return backend.NewClient(given.Connections)
 }
@@ -42,7 +44,8 @@
 	})
 }
 
-// logAttempt logs an attempt that got no answer, or a broken one; nothing of its query or answer is logged.
+// logAttempt logs an attempt that was not sent, got no answer, or got an invalid one. It logs nothing of the query or
+// the answer, which may be confidential.
 func (n *Node) logAttempt(attempt query.Attempt, result query.AttemptResult) {
 	if result.Status != query.StatusLost && result.Status != query.StatusInvalid && result.Status != query.StatusNotSent {
 		return
@@ -52,7 +55,7 @@
 	}).Debug("attempt failed")
 }
 
-// describe asks a back end what it holds.
+// describe asks a back end which shards and snapshots of a service it has, and passes the answer to the engine.
 func (n *Node) describe(describe dispatch.Describe) {
 	holding, ok := n.options.BackEnds.Describe(n.ctx, describe.Service, describe.BackEnd)
 	n.step(func(now time.Duration) engine.Output {
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -13,18 +13,20 @@
 	"stiletrail/internal/failure"
 )
 
+// queryServer is the query service of a node: searches and executes of callers.
 type queryServer struct{ node *Node }
 
-// withinOf takes the shorter of the stated deadline and the one of the transport.
-func withinOf(ctx context.Context, milliseconds uint32) time.Duration {
-	within := time.Duration(milliseconds) * time.Millisecond
+// timeLimit returns the shorter of the deadline that the request states and the deadline of its connect call. It
+// returns zero if there is neither.
+func timeLimit(ctx context.Context, milliseconds uint32) time.Duration {
+	limit := time.Duration(milliseconds) * time.Millisecond
 	if deadline, ok := ctx.Deadline(); ok {
 		remaining := time.Until(deadline)
-		if within == 0 || remaining < within {
-			within = remaining
+		if limit == 0 || remaining < limit {
+			limit = remaining
 		}
 	}
-	return within
+	return limit
 }
 
 // Search implements the query service.
@@ -32,10 +34,10 @@
 	ctx context.Context, request *connect.Request[stiletrailv1.SearchRequest],
 ) (*connect.Response[stiletrailv1.SearchResponse], error) {
 	started := time.Now()
-	answer, err := ask(ctx, s.node, s.node.searches, func(now time.Duration, caller engine.Caller) engine.Output {
+	answer, err := submit(ctx, s.node, s.node.searches, func(now time.Duration, caller engine.Caller) engine.Output {
 		return s.node.engine.Search(now, caller, engine.SearchRequest{
 			Service: request.Msg.GetService(), Body: request.Msg.GetQuery(),
-			TimeLimit: withinOf(ctx, request.Msg.GetDeadlineMilliseconds()), MinimumVersion: request.Msg.GetMinimumVersion(),
+			TimeLimit: timeLimit(ctx, request.Msg.GetDeadlineMilliseconds()), MinimumVersion: request.Msg.GetMinimumVersion(),
 		})
 	})
 	if err != nil {
@@ -69,14 +71,15 @@
 func (s queryServer) Execute(
 	ctx context.Context, request *connect.Request[stiletrailv1.ExecuteRequest],
 ) (*connect.Response[stiletrailv1.ExecuteResponse], error) {
-	answer, err := ask(ctx, s.node, s.node.executes, func(now time.Duration, caller engine.Caller) engine.Output {
+	answer, err := submit(ctx, s.node, s.node.executes, func(now time.Duration, caller engine.Caller) engine.Output {
 		return s.node.engine.Execute(now, caller, engine.ExecuteRequest{
 			Service: request.Msg.GetService(), Key: request.Msg.GetKey(), Body: request.Msg.GetBody(),
-			Ticket: request.Msg.GetTicket(), TimeLimit: withinOf(ctx, request.Msg.GetDeadlineMilliseconds()),
+			Ticket: request.Msg.GetTicket(), TimeLimit: timeLimit(ctx, request.Msg.GetDeadlineMilliseconds()),
 		})
 	})
 	if err != nil {
-		return nil, api.ToError(failure.New(failure.OutcomeUnknown, "the caller went away"), nil)
+		return nil, api.ToError(failure.New(failure.OutcomeUnknown,
+			"the caller disconnected, or its deadline passed, before the outcome was known"), nil)
 	}
 	if problem := answer.Outcome.Failure; problem != nil {
 		s.node.logFailure("execute", request.Msg.GetService(), answer.Caller, problem)
@@ -85,7 +88,7 @@
 	return connect.NewResponse(&stiletrailv1.ExecuteResponse{Shard: answer.Outcome.Shard, Result: answer.Outcome.Result}), nil
 }
 
-// logFailure logs a failed request; nothing of the caller's query is logged.
+// logFailure logs a failed request. It logs nothing of the caller's query, which may be confidential.
 func (n *Node) logFailure(operation, service string, request engine.Caller, problem *failure.Failure) {
 	n.log.WithFields(logrus.Fields{
 		"operation": operation, "request": uint64(request), "service": service, "failure": problem.Code, "not_run": problem.NotRun,
--- a/internal/node/http.go
+++ b/internal/node/http.go
@@ -12,7 +12,7 @@
 	"stiletrail/internal/failure"
 )
 
-// Limits of what callers and operators may send, sizes in bytes.
+// Limits of requests from callers and operators. Sizes are in bytes.
 const (
 	maximumRequest    = 1 << 20
 	maximumIntent     = 5 << 20
@@ -22,7 +22,8 @@
 	idleTimeout       = 2 * time.Minute
 )
 
-// serveHTTP serves callers, operators, metrics, and whether the node lives and is ready.
+// serveHTTP starts the HTTP server. It serves the query service to callers, the operator service, the metrics, and the
+// liveness and readiness checks.
 func (n *Node) serveHTTP() {
 	mux := http.NewServeMux()
 	mux.Handle(stiletrailv1connect.NewQueryServiceHandler(queryServer{n}, connect.WithReadMaxBytes(maximumRequest)))
@@ -48,34 +49,35 @@
 	}
 }
 
-// waiting holds the channel of each request that waits for its answer. It is used under the node's lock.
-type waiting[Answer any] map[engine.Caller]chan Answer
+// pendingRequests has the channel of each request that waits for its answer. The node's lock must be held to use it.
+type pendingRequests[Answer any] map[engine.Caller]chan Answer
 
-// deliver hands an answer to the request that waits for it; its channel has room for one.
-func (w waiting[Answer]) deliver(caller engine.Caller, answer Answer) {
-	if channel := w[caller]; channel != nil {
+// deliver sends an answer to the request that waits for it. The channel has a buffer of one, so that this never blocks.
+func (p pendingRequests[Answer]) deliver(caller engine.Caller, answer Answer) {
+	if channel := p[caller]; channel != nil {
 		channel <- answer
-		delete(w, caller)
+		delete(p, caller)
 	}
 }
 
-// engineCall takes a request to the engine; its answer comes in a later output, or in this one.
+// engineCall passes a request to the engine. The answer is in the returned output or in a later one.
 type engineCall func(now time.Duration, caller engine.Caller) engine.Output
 
-// ask runs a request through the engine and waits for its answer. A caller that goes away gets none; the engine ends the
-// request at its own deadline.
-func ask[Answer any](ctx context.Context, n *Node, answers waiting[Answer], call engineCall) (Answer, error) {
+// submit passes a request to the engine and waits for its answer. If the caller disconnects before, submit returns an
+// error and the engine ends the request at the request's own deadline.
+func submit[Answer any](ctx context.Context, n *Node, pending pendingRequests[Answer], call engineCall) (Answer, error) {
 	channel := make(chan Answer, 1)
 	n.step(func(now time.Duration) engine.Output {
-		n.caller++
-		answers[n.caller] = channel
-		return call(now, n.caller)
+		n.lastCaller++
+		pending[n.lastCaller] = channel
+		return call(now, n.lastCaller)
 	})
 	select {
 	case answer := <-channel:
 		return answer, nil
 	case <-ctx.Done():
 		var none Answer
-		return none, failure.Wrap(ctx.Err(), failure.DeadlineExceeded, "the caller went away")
+		return none, failure.Wrap(ctx.Err(), failure.DeadlineExceeded,
+			"the caller disconnected, or its deadline passed, before the answer was ready")
 	}
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -12,7 +12,8 @@
 	"stiletrail/internal/engine"
 )
 
-// metrics of a node. Counters kept by the engine and the transport are read when they are scraped.
+// metrics has the metrics of a node. The counters of the engine and the transport are read when the metrics are
+// scraped.
 type metrics struct {
 	registry *prometheus.Registry
 	latency  prometheus.Histogram
@@ -39,69 +40,76 @@
 	return m
 }
 
-// addRequestMetrics adds what became of searches and executes.
+// addRequestMetrics adds the counters of searches and executes by outcome.
 func (n *Node) addRequestMetrics(m *metrics) {
-	n.counter(m, "stiletrail_searches_total", "Searches taken.", func(e *engine.Engine) uint64 { return e.Counters.Searches })
-	n.counter(m, "stiletrail_searches_complete_total", "Searches answered over all shards.",
+	n.registerCounter(m, "stiletrail_searches_total", "Searches received.",
+		func(e *engine.Engine) uint64 { return e.Counters.Searches })
+	n.registerCounter(m, "stiletrail_searches_complete_total", "Searches answered with the results of all shards.",
 		func(e *engine.Engine) uint64 { return e.Counters.Complete })
-	n.counter(m, "stiletrail_searches_partial_total", "Searches answered in part, and said so.",
+	n.registerCounter(m, "stiletrail_searches_partial_total",
+		"Searches answered with the results of some shards and a list of the missing ones.",
 		func(e *engine.Engine) uint64 { return e.Counters.Partial })
-	n.counter(m, "stiletrail_searches_refused_total", "Searches refused as not run.",
+	n.registerCounter(m, "stiletrail_searches_refused_total", "Searches refused without running.",
 		func(e *engine.Engine) uint64 { return e.Counters.Refused })
-	n.counter(m, "stiletrail_searches_failed_total", "Searches failed otherwise.",
+	n.registerCounter(m, "stiletrail_searches_failed_total", "Searches that failed and may have run.",
 		func(e *engine.Engine) uint64 { return e.Counters.Failed })
-	n.counter(m, "stiletrail_executes_total", "Requests that are not repeatable.",
+	n.registerCounter(m, "stiletrail_executes_total", "Executes: requests that are not repeatable.",
 		func(e *engine.Engine) uint64 { return e.Counters.Executes })
-	n.counter(m, "stiletrail_executes_unknown_total", "Of these, with unknown outcome.",
+	n.registerCounter(m, "stiletrail_executes_unknown_total", "Executes whose outcome is unknown.",
 		func(e *engine.Engine) uint64 { return e.Counters.UnknownOutcomes })
 }
 
-// addBackEndMetrics adds what the dispatcher did.
+// addBackEndMetrics adds the counters of the dispatcher: sub-queries, attempts, hedges, retries and faulty back ends.
 func (n *Node) addBackEndMetrics(m *metrics) {
-	n.counter(m, "stiletrail_shards_asked_total", "Shards asked for in sub-queries.",
+	n.registerCounter(m, "stiletrail_shards_asked_total", "Shards requested in sub-queries.",
 		func(e *engine.Engine) uint64 { return e.DispatchCounters().ShardsAsked })
-	n.counter(m, "stiletrail_shard_attempts_total", "Shards asked of back ends, hedges and retries included.",
+	n.registerCounter(m, "stiletrail_shard_attempts_total", "Shards requested from back ends, including hedges and retries.",
 		func(e *engine.Engine) uint64 { return e.DispatchCounters().ShardAttempts })
-	n.counter(m, "stiletrail_attempts_total", "Requests to back ends.",
+	n.registerCounter(m, "stiletrail_attempts_total", "Requests to back ends.",
 		func(e *engine.Engine) uint64 { return e.DispatchCounters().Attempts })
-	n.counter(m, "stiletrail_hedges_total", "Hedges sent.",
+	n.registerCounter(m, "stiletrail_hedges_total", "Hedges sent.",
 		func(e *engine.Engine) uint64 { return e.DispatchCounters().Hedges })
-	n.counter(m, "stiletrail_hedges_won_total", "Hedges that answered first.",
+	n.registerCounter(m, "stiletrail_hedges_won_total", "Hedges whose answer came before that of the first attempt.",
 		func(e *engine.Engine) uint64 { return e.DispatchCounters().HedgesWon })
-	n.counter(m, "stiletrail_retries_total", "Retries sent.",
+	n.registerCounter(m, "stiletrail_retries_total", "Retries sent.",
 		func(e *engine.Engine) uint64 { return e.DispatchCounters().Retries })
-	n.counter(m, "stiletrail_invalid_answers_total", "Answers that did not match their request.", func(e *engine.Engine) uint64 {
-		return e.DispatchCounters().InvalidAnswers + e.DispatchCounters().WrongSnapshot
-	})
-	n.counter(m, "stiletrail_ejections_total", "Back ends taken out for a while.",
+	n.registerCounter(m, "stiletrail_invalid_answers_total", "Answers that did not match their attempt.",
+		func(e *engine.Engine) uint64 {
+			return e.DispatchCounters().InvalidAnswers + e.DispatchCounters().WrongSnapshot
+		})
+	n.registerCounter(m, "stiletrail_ejections_total", "Times that a back end was excluded from use for a limited time.",
 		func(e *engine.Engine) uint64 { return e.DispatchCounters().Ejections })
-	n.counter(m, "stiletrail_sheds_total", "Attempts that back ends refused for lack of slots.",
+	n.registerCounter(m, "stiletrail_sheds_total", "Attempts that back ends refused for lack of free slots.",
 		func(e *engine.Engine) uint64 { return e.DispatchCounters().ShedByBackEnd })
 }
 
-// addNodeMetrics adds the state of the node and its traffic with others.
+// addNodeMetrics adds the state of the node and its traffic with other nodes.
 func (n *Node) addNodeMetrics(m *metrics) {
-	n.counter(m, "stiletrail_store_failures_total", "Readings of the store that failed.",
+	n.registerCounter(m, "stiletrail_store_failures_total", "Reads of the store that failed.",
 		func(e *engine.Engine) uint64 { return e.Counters.StoreFailures })
-	n.counter(m, "stiletrail_freezes_total", "Times the process was found to have been frozen.",
+	n.registerCounter(m, "stiletrail_freezes_total", "Times the process was found to have been frozen.",
 		func(e *engine.Engine) uint64 { return e.Counters.Freezes })
-	n.traffic(m, "stiletrail_peer_sent_bytes_total", "Bytes sent to other nodes.", &n.transport.Counters.SentBytes)
-	n.traffic(m, "stiletrail_peer_sent_control_bytes_total", "Of these, for control.", &n.transport.Counters.SentControlBytes)
-	n.traffic(m, "stiletrail_peer_received_bytes_total", "Bytes received from other nodes.", &n.transport.Counters.ReceivedBytes)
-	n.traffic(m, "stiletrail_peer_undelivered_total", "Frames not delivered to other nodes.",
+	n.registerTrafficCounter(m, "stiletrail_peer_sent_bytes_total", "Bytes sent to other nodes, control traffic included.",
+		&n.transport.Counters.SentBytes)
+	n.registerTrafficCounter(m, "stiletrail_peer_sent_control_bytes_total", "Bytes of control traffic sent to other nodes.",
+		&n.transport.Counters.SentControlBytes)
+	n.registerTrafficCounter(m, "stiletrail_peer_received_bytes_total", "Bytes received from other nodes.",
+		&n.transport.Counters.ReceivedBytes)
+	n.registerTrafficCounter(m, "stiletrail_peer_undelivered_total", "Frames not delivered to other nodes.",
 		&n.transport.Counters.UndeliveredFrames)
-	n.traffic(m, "stiletrail_peer_malformed_total", "Connections closed for malformed input.", &n.transport.Counters.MalformedInput)
-	n.gauge(m, "stiletrail_members_alive", "Members usable for work.",
+	n.registerTrafficCounter(m, "stiletrail_peer_malformed_total", "Connections closed for malformed input.",
+		&n.transport.Counters.MalformedInput)
+	n.registerGauge(m, "stiletrail_members_alive", "Members that can be sent work.",
 		func(e *engine.Engine) float64 { return float64(countUsable(e)) })
-	n.gauge(m, "stiletrail_ready", "1 while the node takes new work.",
-		func(e *engine.Engine) float64 { return asNumber(e.Ready()) })
-	n.gauge(m, "stiletrail_relay", "1 while the node reads the store for its zone.",
-		func(e *engine.Engine) float64 { return asNumber(e.IsRelay()) })
-	n.gauge(m, "stiletrail_alarms", "Alarms that status shows.",
+	n.registerGauge(m, "stiletrail_ready", "1 while the node accepts new requests, 0 otherwise.",
+		func(e *engine.Engine) float64 { return boolToFloat(e.Ready()) })
+	n.registerGauge(m, "stiletrail_relay", "1 while the node reads the store for its zone, 0 otherwise.",
+		func(e *engine.Engine) float64 { return boolToFloat(e.IsRelay()) })
+	n.registerGauge(m, "stiletrail_alarms", "Alarms that the status lists.",
 		func(e *engine.Engine) float64 { return float64(len(e.Alarms())) })
 }
 
-func asNumber(flag bool) float64 {
+func boolToFloat(flag bool) float64 {
 	if flag {
 		return 1
 	}
@@ -118,7 +126,7 @@
 	return count
 }
 
-func (n *Node) counter(m *metrics, name, help string, read func(*engine.Engine) uint64) {
+func (n *Node) registerCounter(m *metrics, name, help string, read func(*engine.Engine) uint64) {
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, func() float64 {
 		var value uint64
 		n.Inspect(func(e *engine.Engine) { value = read(e) })
@@ -126,13 +134,13 @@
 	}))
 }
 
-func (n *Node) traffic(m *metrics, name, help string, counter *atomic.Uint64) {
+func (n *Node) registerTrafficCounter(m *metrics, name, help string, counter *atomic.Uint64) {
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, func() float64 {
 		return float64(counter.Load())
 	}))
 }
 
-func (n *Node) gauge(m *metrics, name, help string, read func(*engine.Engine) float64) {
+func (n *Node) registerGauge(m *metrics, name, help string, read func(*engine.Engine) float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 {
 		var value float64
 		n.Inspect(func(e *engine.Engine) { value = read(e) })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,11 +1,12 @@
-// Package node runs an engine with sockets, the clock and the platform: it is the whole of stiletraild.
+// Package node connects an engine to sockets, the clock and the platform. It is the main part of the program
+// stiletraild.
 //
-// It decides nothing of its own. Each event is one call of the engine under one lock (step.go), whose Output it carries out:
-// messages to peers, attempts at back ends (attempts.go), requests to the store and the machine list (store.go), answers to
-// callers and operators (http.go, callers.go, operators.go).
+// It makes no decisions of its own. Each event is one call of the engine under one lock, and the node carries out the
+// Output of the call (step.go): messages to peers, attempts at back ends (attempts.go), requests to the store and the
+// machine list (store.go), and answers to callers and operators (http.go, callers.go, operators.go).
 //
-// It owns the sockets, the clock, the tasks that run beside, the requests that wait for an answer, and the metrics. It relies on
-// the adapters in transport, backend, platform and api.
+// The package owns the sockets, the clock, the background goroutines, the requests that wait for an answer, and the
+// metrics. It relies on the adapters in the packages transport, backend, platform and api.
 package node
 
 import (
@@ -29,7 +30,7 @@
 	"stiletrail/internal/transport"
 )
 
-// Options are the parts a node is wired with.
+// Options are the settings of a node and the services that it uses.
 type Options struct {
 	Settings settings.Settings
 	BackEnds BackEnds
@@ -45,28 +46,32 @@
 	transport *transport.Transport
 	http      *http.Server
 	listener  net.Listener
-	// clock goes on while the machine is suspended: what is leased or due counts on it.
-	clock    clock.Clock
-	ctx      context.Context
-	stop     context.CancelFunc
-	tasks    sync.WaitGroup
-	wake     chan struct{}
-	metrics  *metrics
+	// clock advances while the machine is suspended, so that leases and timers expire on time.
+	clock clock.Clock
+	ctx   context.Context
+	stop  context.CancelFunc
+	// tasks counts the background goroutines that Kill waits for.
+	tasks sync.WaitGroup
+	// wake wakes runTimer, which then sets its timer to an earlier time.
+	wake    chan struct{}
+	metrics *metrics
+	// watching is true while a goroutine watches the store.
 	watching atomic.Bool
 
 	mutex  sync.Mutex
 	engine *engine.Engine
-	// wakeAt is the time the timer is set to.
+	// wakeAt is the time that the timer is set to.
 	wakeAt time.Duration
-	// caller is the number of the last request; the others hold those that wait for an answer.
-	caller   engine.Caller
-	searches waiting[engine.SearchAnswer]
-	executes waiting[engine.ExecuteAnswer]
-	confirms waiting[engine.ConfirmAnswer]
-	statuses waiting[engine.StatusAnswer]
+	// lastCaller is the number of the last request of a caller or operator. The fields below have the requests that
+	// wait for an answer.
+	lastCaller engine.Caller
+	searches   pendingRequests[engine.SearchAnswer]
+	executes   pendingRequests[engine.ExecuteAnswer]
+	confirms   pendingRequests[engine.ConfirmAnswer]
+	statuses   pendingRequests[engine.StatusAnswer]
 }
 
-// Start opens the ports and runs the node. Errors are of code SETTINGS_INVALID where a port cannot be had.
+// Start opens the ports and starts the node. Errors are of code SETTINGS_INVALID if a port cannot be listened on.
 func Start(options Options) (*Node, error) {
 	peers, err := transport.Listen(options.Settings.PeerAddress, options.Settings.AdvertisedAddress)
 	if err != nil {
@@ -75,16 +80,16 @@
 	listener, err := net.Listen("tcp", options.Settings.HTTPAddress)
 	if err != nil {
 		peers.Close()
-		return nil, failure.Wrap(err, failure.SettingsInvalid, "the http address cannot be listened on")
+		return nil, failure.Wrap(err, failure.SettingsInvalid, "cannot listen on the address of setting http_address")
 	}
 	n := &Node{
 		options: options, transport: peers, listener: listener, clock: clock.Start(), wake: make(chan struct{}, 1),
-		searches: waiting[engine.SearchAnswer]{}, executes: waiting[engine.ExecuteAnswer]{},
-		confirms: waiting[engine.ConfirmAnswer]{}, statuses: waiting[engine.StatusAnswer]{},
+		searches: pendingRequests[engine.SearchAnswer]{}, executes: pendingRequests[engine.ExecuteAnswer]{},
+		confirms: pendingRequests[engine.ConfirmAnswer]{}, statuses: pendingRequests[engine.StatusAnswer]{},
 	}
 	n.ctx, n.stop = context.WithCancel(context.Background())
 	n.log = options.Log.WithFields(logrus.Fields{"node": peers.Address(), "zone": options.Settings.Zone})
-	n.engine = engine.New(0, n.identity(), engineSettings(options.Settings), newRandom())
+	n.engine = engine.New(0, n.newIdentity(), engineSettings(options.Settings), newRandom())
 	n.transport.Serve(n)
 	n.serveHTTP()
 	n.tasks.Go(n.runTimer)
@@ -99,17 +104,18 @@
 	return rand.New(rand.NewChaCha8(seed))
 }
 
-func (n *Node) identity() engine.Identity {
-	var drawn [40]byte
-	_, _ = cryptorand.Read(drawn[:])
+// newIdentity returns the identity of this process, with a random generation and a random key for its tickets.
+func (n *Node) newIdentity() engine.Identity {
+	var random [40]byte
+	_, _ = cryptorand.Read(random[:])
 	return engine.Identity{
 		Address: n.transport.Address(), Zone: n.options.Settings.Zone, Region: n.options.Settings.Region,
-		Generation: binary.BigEndian.Uint64(drawn[:8]), TicketKey: drawn[8:],
+		Generation: binary.BigEndian.Uint64(random[:8]), TicketKey: random[8:],
 		Incarnation: uint64(time.Now().UnixMilli()), Seeds: n.options.Settings.Seeds,
 	}
 }
 
-// engineSettings puts the settings file over the defaults.
+// engineSettings returns the engine's default settings, overridden by those of the settings file.
 func engineSettings(given settings.Settings) engine.Settings {
 	result := engine.DefaultSettings()
 	result.Placement.Dispatchers = given.Dispatchers
@@ -126,13 +132,13 @@
 	return result
 }
 
-// HTTPAddress is where callers and operators reach the node.
+// HTTPAddress returns the address at which callers and operators reach the node.
 func (n *Node) HTTPAddress() string { return n.listener.Addr().String() }
 
-// PeerAddress is where other nodes reach the node.
+// PeerAddress returns the address at which other nodes reach the node.
 func (n *Node) PeerAddress() string { return n.transport.Address() }
 
-// Inspect calls inspect with the engine while nothing else uses it.
+// Inspect calls inspect with the engine while the node's lock is held, so that no other goroutine uses the engine.
 func (n *Node) Inspect(inspect func(*engine.Engine)) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -14,6 +14,7 @@
 	"stiletrail/internal/intent"
 )
 
+// operatorServer is the operator service of a node: plans, confirmations and the status.
 type operatorServer struct{ node *Node }
 
 // Plan implements the operator service.
@@ -40,18 +41,19 @@
 func (s operatorServer) Confirm(
 	ctx context.Context, request *connect.Request[stiletrailv1.ConfirmRequest],
 ) (*connect.Response[stiletrailv1.ConfirmResponse], error) {
-	wanted, err := confirmed(request.Msg)
+	wanted, err := parseConfirmation(request.Msg)
 	if err != nil {
 		return nil, api.ToError(failure.From(err), nil)
 	}
-	// The confirmation goes on when the operator's connection is lost: the change may be in the store already.
-	answer, err := ask(ctx, s.node, s.node.confirms, func(now time.Duration, caller engine.Caller) engine.Output {
+	// The confirmation continues if the operator's connection is lost, because the change may be in the store already.
+	answer, err := submit(ctx, s.node, s.node.confirms, func(now time.Duration, caller engine.Caller) engine.Output {
 		return s.node.engine.Confirm(now, caller, engine.ConfirmRequest{
 			Intent: wanted, BaseVersion: request.Msg.GetBaseVersion(), Operation: request.Msg.GetOperation(),
 		})
 	})
 	if err != nil {
-		return nil, api.ToError(failure.New(failure.OutcomeUnknown, "the operator went away"), nil)
+		return nil, api.ToError(failure.New(failure.OutcomeUnknown,
+			"the operator's connection ended before the change was accepted or refused"), nil)
 	}
 	s.node.logConfirm(answer)
 	if answer.Failure != nil {
@@ -62,8 +64,8 @@
 	}), nil
 }
 
-// confirmed reads the intent of a confirmation and checks that it is what was planned.
-func confirmed(request *stiletrailv1.ConfirmRequest) (intent.Intent, error) {
+// parseConfirmation parses the intent of a confirmation and checks that it is the intent of the plan that is confirmed.
+func parseConfirmation(request *stiletrailv1.ConfirmRequest) (intent.Intent, error) {
 	wanted, err := intent.Parse(request.GetIntent())
 	if err != nil {
 		return wanted, err
@@ -92,7 +94,7 @@
 func (s operatorServer) Status(
 	ctx context.Context, request *connect.Request[stiletrailv1.StatusRequest],
 ) (*connect.Response[stiletrailv1.StatusResponse], error) {
-	answer, err := ask(ctx, s.node, s.node.statuses, func(now time.Duration, caller engine.Caller) engine.Output {
+	answer, err := submit(ctx, s.node, s.node.statuses, func(now time.Duration, caller engine.Caller) engine.Output {
 		return s.node.engine.Status(now, caller, request.Msg.GetService())
 	})
 	if err != nil {
--- a/internal/node/step.go
+++ b/internal/node/step.go
@@ -6,8 +6,8 @@
 	"stiletrail/internal/engine"
 )
 
-// step runs one call of the engine and carries out its output. The order of messages is that of the steps, because all
-// that is done here only hands over.
+// step makes one call of the engine and carries out its output, with the lock held. Messages to a peer are sent in
+// the order of the steps, because step only queues them and starts goroutines for everything that may block.
 func (n *Node) step(call func(now time.Duration) engine.Output) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -23,7 +23,7 @@
 	}
 }
 
-// perform carries out an output; the lock is held.
+// perform carries out an output. The lock must be held.
 func (n *Node) perform(output engine.Output) {
 	for _, envelope := range output.Sends {
 		n.transport.Send(envelope.To, envelope.Message)
@@ -37,7 +37,7 @@
 	for _, describe := range output.Describes {
 		n.tasks.Go(func() { n.describe(describe) })
 	}
-	n.performStore(output)
+	n.performStoreRequests(output)
 	for _, answer := range output.SearchAnswers {
 		n.searches.deliver(answer.Caller, answer)
 	}
@@ -52,7 +52,7 @@
 	}
 }
 
-// runTimer calls Tick when the engine asks for it.
+// runTimer calls the engine's Tick at the times that the engine's NextWake returns, until the node stops.
 func (n *Node) runTimer() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -7,10 +7,11 @@
 	"stiletrail/internal/engine"
 )
 
-// Stop is the planned stop: it tells peers, refuses new work, waits until nothing is under way or the context ends, and
-// closes the ports. It returns false where work was still under way.
+// Stop carries out a planned stop. The node announces to its peers that it is leaving, refuses new requests, waits
+// until no request is in flight or the context ends, and closes the ports. Stop returns false if requests were still
+// in flight.
 func (n *Node) Stop(ctx context.Context) bool {
-	n.log.Info("node is leaving")
+	n.log.Info("planned stop: the node refuses new requests and waits for those in flight")
 	n.step(n.engine.Leave)
 	drained := n.waitDrained(ctx)
 	_ = n.http.Shutdown(ctx)
@@ -19,8 +20,8 @@
 	return drained
 }
 
-// drainPoll is the pause between two looks whether a leaving node has nothing under way any more.
-const drainPoll = 10 * time.Millisecond
+// drainPollInterval is the pause between two checks whether a leaving node still has requests in flight.
+const drainPollInterval = 10 * time.Millisecond
 
 func (n *Node) waitDrained(ctx context.Context) bool {
 	for {
@@ -32,15 +33,15 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(drainPoll):
+		case <-time.After(drainPollInterval):
 		}
 	}
 }
 
-// Kill closes everything at once, as a crash would.
+// Kill closes all sockets at once, as a crash would, and waits for the node's goroutines to end.
 func (n *Node) Kill() {
 	n.stop()
-	// After this no step starts a task any more.
+	// A step that holds the lock may still start tasks. Steps after it start none, because the context has ended.
 	n.Inspect(func(*engine.Engine) {})
 	_ = n.http.Close()
 	n.transport.Close()
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -10,14 +10,16 @@
 	"stiletrail/internal/rollout"
 )
 
-// Periods of the platform tasks.
 const (
-	machineListPeriod = 2 * time.Second
-	watchRetry        = time.Second
+	// machineListInterval is the pause between two reads of the platform's machine list.
+	machineListInterval = 2 * time.Second
+	// watchRetryInterval is the pause before a watch of the store that ended is started again.
+	watchRetryInterval = time.Second
 )
 
-// performStore carries out what the engine wants of the store.
-func (n *Node) performStore(output engine.Output) {
+// performStoreRequests starts the reads, writes and listings of the store that the engine requests. It also starts a
+// watch of the store if this node is a relay and has none.
+func (n *Node) performStoreRequests(output engine.Output) {
 	for _, read := range output.StoreReads {
 		n.tasks.Go(func() { n.readStore(read) })
 	}
@@ -32,7 +34,8 @@
 	}
 }
 
-// outcomeOf is what an error of the store proves of a request.
+// outcomeOf returns the outcome of a request to the store that returned the error: only an error of code
+// OUTCOME_UNKNOWN leaves open whether the request took effect.
 func outcomeOf(err error) rollout.Outcome {
 	switch failure.CodeOf(err) {
 	case "":
@@ -66,7 +69,8 @@
 	n.step(func(now time.Duration) engine.Output { return n.engine.StoreListDone(now, entries, err == nil) })
 }
 
-// watchStore watches while this node is a relay. A watch may lose events; the reading of the whole store makes up for it.
+// watchStore watches the store while this node is a relay, and passes each change to the engine. A watch may lose
+// events; the engine finds lost changes by listing the whole store at intervals.
 func (n *Node) watchStore() {
 	defer n.watching.Store(false)
 	for n.ctx.Err() == nil && n.isRelay() {
@@ -78,7 +82,7 @@
 			}
 		})
 		cancel()
-		n.sleep(watchRetry)
+		n.sleep(watchRetryInterval)
 	}
 }
 
@@ -88,7 +92,7 @@
 	return relay
 }
 
-// sleep waits, or until the node stops.
+// sleep waits for the given time, or until the node stops.
 func (n *Node) sleep(length time.Duration) {
 	select {
 	case <-n.ctx.Done():
@@ -96,7 +100,7 @@
 	}
 }
 
-// runMachineList reads the machine list now and then.
+// runMachineList reads the machine list every machineListInterval and passes it to the engine, until the node stops.
 func (n *Node) runMachineList() {
 	for n.ctx.Err() == nil {
 		machines, err := n.options.Machines.Machines(n.ctx)
@@ -105,6 +109,6 @@
 				return n.engine.SetMachines(now, machines)
 			})
 		}
-		n.sleep(machineListPeriod)
+		n.sleep(machineListInterval)
 	}
 }
