--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,5 +1,5 @@
-// Package api translates between the daemon's terms and the API towards callers and operators. It decides with which code of
-// connect a failure is answered; it owns no state and does no I/O.
+// Package api translates between the types of stiletraild and the messages of its API for callers and operators. It
+// decides which code of the connect protocol a failure is answered with. It owns no state and does no I/O.
 package api
 
 import (
@@ -14,8 +14,8 @@
 	"stiletrail/internal/query"
 )
 
-// codes maps the kinds of failure to connect's codes; docs/OPERATIONS.md lists them.
-var codes = map[failure.Code]connect.Code{
+// connectCodes has the code of the connect protocol for each failure code. docs/OPERATIONS.md lists them.
+var connectCodes = map[failure.Code]connect.Code{
 	failure.InvalidArgument:     connect.CodeInvalidArgument,
 	failure.UnknownService:      connect.CodeNotFound,
 	failure.NotReady:            connect.CodeUnavailable,
@@ -32,9 +32,10 @@
 	failure.StoreUnavailable:    connect.CodeUnavailable,
 }
 
-// ToError returns a failure as an error of the API, with its detail; coverage may be nil.
+// ToError returns a failure as an error of the API. The error has a FailureDetail with the fields of the failure, and
+// with the coverage unless that is nil.
 func ToError(problem *failure.Failure, coverage *stiletrailv1.Coverage) error {
-	code, known := codes[problem.Code]
+	code, known := connectCodes[problem.Code]
 	if !known {
 		code = connect.CodeInternal
 	}
@@ -50,7 +51,9 @@
 	return result
 }
 
-// FromError returns an error of the API as a failure, with its detail where there is one.
+// FromError returns the failure that an error of the API describes, and the error's FailureDetail, or nil if it has none.
+// A connect error without a detail gives a failure of code OUTCOME_UNKNOWN, because the request may have run. The
+// exception is an oversized request, which is refused before it runs.
 func FromError(err error) (*failure.Failure, *stiletrailv1.FailureDetail) {
 	var remote *connect.Error
 	if !errors.As(err, &remote) {
@@ -66,10 +69,10 @@
 		}
 	}
 	if connect.IsWireError(err) && remote.Code() == connect.CodeResourceExhausted {
-		// The connect library itself refused an oversized request, before any handler saw it.
+		// The connect library refused an oversized request before it reached a handler.
 		return failure.Refused(failure.InvalidArgument, remote.Message(), 0), nil
 	}
-	return failure.Wrap(err, failure.OutcomeUnknown, "the node did not answer"), nil
+	return failure.Wrap(err, failure.OutcomeUnknown, "the node did not answer, or answered with an error without a detail"), nil
 }
 
 func fromDetail(detail *stiletrailv1.FailureDetail) *failure.Failure {
@@ -81,7 +84,7 @@
 	return result
 }
 
-// Coverage returns a coverage in the API's form.
+// Coverage returns a coverage as a message of the API.
 func Coverage(coverage query.Coverage) *stiletrailv1.Coverage {
 	result := &stiletrailv1.Coverage{ShardsTotal: coverage.Total, ShardsAnswered: coverage.Answered, TotalKnown: coverage.TotalKnown}
 	for _, missing := range coverage.Missing {
@@ -92,7 +95,7 @@
 	return result
 }
 
-// SearchResponse returns an answer in the API's form.
+// SearchResponse returns the answer to a search as a message of the API.
 func SearchResponse(answer engine.SearchAnswer) *stiletrailv1.SearchResponse {
 	response := &stiletrailv1.SearchResponse{
 		Coverage: Coverage(answer.Coverage), CatalogVersion: answer.CatalogVersion, ShardAttempts: answer.ShardAttempts,
@@ -109,7 +112,8 @@
 	return response
 }
 
-// ageInMilliseconds of the configuration, -1 where it was never known equal to the store's.
+// ageInMilliseconds returns the age of the configuration in milliseconds. It returns -1 if the configuration was
+// never known to be equal to the store's, which the engine states as a negative age.
 func ageInMilliseconds(age time.Duration) int64 {
 	if age < 0 {
 		return -1
@@ -117,7 +121,7 @@
 	return age.Milliseconds()
 }
 
-// StatusResponse returns a status in the API's form.
+// StatusResponse returns a node's status as a message of the API.
 func StatusResponse(answer engine.StatusAnswer) *stiletrailv1.StatusResponse {
 	response := &stiletrailv1.StatusResponse{
 		Node: answer.Self.Address, Zone: answer.Self.Zone, Ready: answer.Ready, MembersAlive: uint32(answer.Alive),
