--- a/internal/platform/connect.go
+++ b/internal/platform/connect.go
@@ -12,10 +12,10 @@
 	"stiletrail/internal/failure"
 )
 
-// maximumReply bounds an answer of the platform, in bytes.
-const maximumReply = 64 << 20
+// maximumResponse is the largest size of a response from the platform, in bytes.
+const maximumResponse = 64 << 20
 
-// Client reaches the platform's services over connect. It implements Store and MachineList.
+// Client sends requests to the platform's services over the connect protocol. It implements Store and MachineList.
 type Client struct {
 	store    stiletrailv1connect.KeyValueServiceClient
 	machines stiletrailv1connect.MachineListServiceClient
@@ -23,19 +23,20 @@
 
 // NewClient returns a client for the platform at the base URL.
 func NewClient(client *http.Client, baseURL string) *Client {
-	limit := connect.WithReadMaxBytes(maximumReply)
+	limit := connect.WithReadMaxBytes(maximumResponse)
 	return &Client{
 		store:    stiletrailv1connect.NewKeyValueServiceClient(client, baseURL, limit),
 		machines: stiletrailv1connect.NewMachineListServiceClient(client, baseURL, limit),
 	}
 }
 
-// readFailure types the error of a request that changes nothing.
+// readFailure returns the failure for an error of a request that changes nothing.
 func readFailure(err error) error {
 	return failure.Wrap(err, failure.StoreUnavailable, "the platform did not answer")
 }
 
-// writeFailure types the error of a write: only a refusal by the service itself proves that nothing was written.
+// writeFailure returns the failure for an error of a write. Only a refusal by the store itself proves that nothing was
+// written; after any other error the write may have taken effect.
 func writeFailure(err error) error {
 	var refused *connect.Error
 	if errors.As(err, &refused) && connect.IsWireError(err) && refused.Code() == connect.CodeResourceExhausted {
@@ -101,8 +102,8 @@
 	return readFailure(errors.Join(stream.Err(), context.Cause(ctx), errWatchEnded))
 }
 
-// errWatchEnded is the cause of a watch that the service closed in good order.
-var errWatchEnded = failure.New(failure.StoreUnavailable, "the watch ended")
+// errWatchEnded is the error of a watch that the store closed without an error of its own.
+var errWatchEnded = failure.New(failure.StoreUnavailable, "the store closed the watch")
 
 // Machines implements MachineList.
 func (c *Client) Machines(ctx context.Context) ([]Machine, error) {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,8 +1,9 @@
-// Package platform states what the daemon needs of the platform's services, in its own terms (platform.go), and holds the adapter
-// that reaches them over connect (connect.go).
+// Package platform defines the interfaces to the platform's services that stiletraild uses: the key-value store and the
+// machine list (platform.go). It also has the client that reaches them over the connect protocol (connect.go).
 //
-// It decides what an error of the store proves: that a request took no effect, or that it may have. It owns no state; a Client
-// does I/O, bounds each request but a watch by RequestTimeout, and may be used by many goroutines at once.
+// It decides what an error of the store means: that a request had no effect, or that it may have had one. The package
+// owns no state. A Client does I/O, limits each request except a watch to RequestTimeout, and may be used by many
+// goroutines at once.
 package platform
 
 import (
@@ -10,40 +11,42 @@
 	"time"
 )
 
-// Stamp says which write of a key is meant; only equality is relied on.
+// Stamp identifies a write of a key. Stamps are only compared for equality.
 type Stamp struct {
-	// Era of the service: it rises when the service comes back from a copy that lacks its latest writes, and gives versions out
-	// again.
+	// Era is the era of the store. It rises when the store was restored from a backup that lacks the latest writes,
+	// because the store then assigns the same versions again to other writes.
 	Era uint64
-	// Version is the service's own, raised with each write; zero for a key that is not there.
+	// Version is assigned by the store and rises with each write. It is zero for a key that does not exist.
 	Version uint64
 }
 
-// Entry is a key of the key-value service with its value. Where the key is not there it has the era alone.
+// Entry is a key of the store with its stamp and value. For a key that does not exist only the era is set.
 type Entry struct {
 	Key string
 	Stamp
 	Value []byte
 }
 
-// Store is the key-value service. Errors are of type *failure.Failure: STORE_UNAVAILABLE where a request certainly took
-// no effect, OUTCOME_UNKNOWN where it may have.
+// Store is the platform's key-value store. Errors are of type *failure.Failure. Their code is STORE_UNAVAILABLE if the
+// request certainly had no effect, and OUTCOME_UNKNOWN if it may have had one.
 type Store interface {
-	// Get returns the entry of a key; found is false where it was never written.
+	// Get returns the entry of a key. found is false if the key was never written.
 	Get(ctx context.Context, key string) (entry Entry, found bool, err error)
-	// List returns all entries with the prefix, without their values, which take megabytes where there are many services.
+	// List returns all entries whose keys have the prefix. The entries have no values: with many services these would
+	// take megabytes.
 	List(ctx context.Context, prefix string) ([]Entry, error)
-	// CompareAndSwap writes if the key is still at the base (version zero: absent). swapped is false, with the present entry, if
-	// it is not.
+	// CompareAndSwap writes the value if the key's present stamp is base. A base of version zero means that the key
+	// must not exist. If the stamp is another one, swapped is false and entry is the present entry.
 	CompareAndSwap(ctx context.Context, key string, base Stamp, value []byte) (entry Entry, swapped bool, err error)
-	// Watch calls changed for each write until the context ends or the connection breaks. Events may be lost.
+	// Watch calls changed for each write to a key with the prefix, until the context ends or the connection breaks. It may
+	// miss writes.
 	Watch(ctx context.Context, prefix string, changed func(Entry)) error
 }
 
-// Role is what a machine does.
+// Role is the purpose of a machine.
 type Role uint8
 
-// The roles.
+// The roles of machines.
 const (
 	RoleUnknown Role = iota
 	RoleNode
@@ -55,17 +58,19 @@
 	Address string
 	Zone    string
 	Role    Role
+	// Leaving is true for a machine that is about to be removed.
 	Leaving bool
 }
 
-// MachineList is the platform's lagging list of machines.
+// MachineList is the platform's list of machines. The list may be out of date by some time.
 type MachineList interface {
-	// Machines returns the list as the platform has it now.
+	// Machines returns the platform's present list.
 	Machines(ctx context.Context) ([]Machine, error)
 }
 
-// RequestTimeout bounds one request to the platform.
+// RequestTimeout is the time limit of one request to the platform, except for a watch.
 const RequestTimeout = 2 * time.Second
 
-// ServicePrefix precedes the name of a service in its key.
+// ServicePrefix is the prefix of the keys of services: the key of a service is the prefix followed by the service's
+// name.
 const ServicePrefix = "services/"
