--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -12,9 +12,9 @@
 
 // The values of Preference.
 const (
-	// LatencyFirst: a search finishes early, once the minimum coverage is reached and the tail budget has passed.
+	// LatencyFirst lets a search finish early, once the minimum coverage is reached and the tail budget has passed.
 	LatencyFirst Preference = "latency"
-	// CoverageFirst: a search waits for missing shards until its deadline.
+	// CoverageFirst lets a search wait for missing shards until its deadline.
 	CoverageFirst Preference = "coverage"
 )
 
@@ -28,7 +28,7 @@
 	Slots int `json:"slots" yaml:"slots"`
 	// Connections is the number of connections that the back end accepts.
 	Connections int `json:"connections" yaml:"connections"`
-	// Draining back ends are sent no new requests.
+	// Draining is true for a back end that must not be sent new requests.
 	Draining bool `json:"draining,omitempty" yaml:"draining"`
 }
 
--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -6,8 +6,8 @@
 	"stiletrail/internal/message"
 )
 
-// Push sends the document of a service to random peers: Settings.Fanout of them from all zones, without the peer
-// except, and one in another zone.
+// Push sends the document of a service to random peers: to Settings.Fanout peers in any zone, and to one peer outside
+// this node's zone. except is the address of a peer that is not among the former, because the document came from it.
 func (c *Core) Push(service string, except string) []membership.Send {
 	zone := c.peers.Self().Zone
 	targets := c.peers.Pick(c.settings.Fanout, func(m membership.Member) bool { return m.Usable() && m.Address != except })
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -44,8 +44,8 @@
 	})
 }
 
-// logAttempt logs an attempt that was not sent, got no answer, or got an invalid one. It logs nothing of the query or
-// the answer, which may be confidential.
+// logAttempt logs an attempt that was not sent, got no answer, or got an invalid one. It logs no part of the query or
+// the answer.
 func (n *Node) logAttempt(attempt query.Attempt, result query.AttemptResult) {
 	if result.Status != query.StatusLost && result.Status != query.StatusInvalid && result.Status != query.StatusNotSent {
 		return
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -88,7 +88,7 @@
 	return connect.NewResponse(&stiletrailv1.ExecuteResponse{Shard: answer.Outcome.Shard, Result: answer.Outcome.Result}), nil
 }
 
-// logFailure logs a failed request. It logs nothing of the caller's query, which may be confidential.
+// logFailure logs a failed request. It logs no part of the caller's query.
 func (n *Node) logFailure(operation, service string, request engine.Caller, problem *failure.Failure) {
 	n.log.WithFields(logrus.Fields{
 		"operation": operation, "request": uint64(request), "service": service, "failure": problem.Code, "not_run": problem.NotRun,
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -26,9 +26,9 @@
 	GroupSize int
 	// Dispatchers is the number of nodes that share the slots of a group's back ends.
 	Dispatchers int
-	// Standbys is the number of nodes that stand by for the dispatchers of a group. The root node of a search sends a
-	// sub-query to a standby if a dispatcher is silent or lost. A standby uses one slot of each back end until it
-	// becomes a dispatcher itself.
+	// Standbys is the number of nodes that stand by for the dispatchers of a group. The root of a search, which is the
+	// node that received it, sends a sub-query to a standby if a dispatcher is silent or lost. A standby uses one slot
+	// of each back end until it becomes a dispatcher itself.
 	Standbys int
 	// RelaysPerZone is the number of nodes of a zone that read the key-value store, if the zone has as many.
 	RelaysPerZone int
@@ -76,8 +76,8 @@
 const standbySlots = 1
 
 // SlotShare returns the number of a back end's slots that the owner of the given rank may use. The shares of the
-// dispatchers add up to the back end's slots. Which dispatchers get one of the remaining slots depends on the back
-// end's address, so that no dispatcher gets them on every back end.
+// dispatchers add up to the back end's slots. If the slots cannot be divided evenly, the hash of the back end's address
+// decides which dispatchers get one more. The extra slots of many back ends are thus spread over the dispatchers.
 func SlotShare(backEnd catalog.BackEnd, rank, dispatchers int) int {
 	if rank >= dispatchers {
 		return min(standbySlots, backEnd.Slots)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -38,8 +38,8 @@
 	// CompareAndSwap writes the value if the key's present stamp is base. A base of version zero means that the key
 	// must not exist. If the stamp is another one, swapped is false and entry is the present entry.
 	CompareAndSwap(ctx context.Context, key string, base Stamp, value []byte) (entry Entry, swapped bool, err error)
-	// Watch calls changed for each write to a key with the prefix, until the context ends or the connection breaks. It may
-	// miss writes.
+	// Watch calls changed for each write to a key with the prefix, until the context ends or the connection breaks.
+	// It may miss writes.
 	Watch(ctx context.Context, prefix string, changed func(Entry)) error
 }
 
@@ -58,7 +58,7 @@
 	Address string
 	Zone    string
 	Role    Role
-	// Leaving is true for a machine that is about to be removed.
+	// Leaving is true for a machine that the platform will remove. A back end on such a machine is treated as draining.
 	Leaving bool
 }
 
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -66,7 +66,7 @@
 	// wakeAt is the end of the pause in phase waiting, and of the wait for acknowledgements in phase replicating.
 	wakeAt  time.Duration
 	backoff time.Duration
-	// writeSent is true once a write was sent to the store, so that its effect may be unknown.
+	// writeSent is true once a write was sent to the store. From then on a missing answer leaves the outcome unknown.
 	writeSent bool
 	// document is the document that is written or replicated.
 	document catalog.Document
