--- a/internal/engine/confirm.go
+++ b/internal/engine/confirm.go
@@ -30,7 +30,7 @@
 	return intent.NewPlan(wanted, base, expiresUnixSeconds), nil
 }
 
-// ConfirmRequest is an operator's confirmation of a plan. The caller has checked the plan with intent.Check.
+// ConfirmRequest is an operator's confirmation of a plan. The caller has checked the plan with intent.CheckConfirmation.
 type ConfirmRequest struct {
 	Intent      intent.Intent
 	BaseVersion uint64
@@ -52,7 +52,7 @@
 		return document
 	}
 	started, first := rollout.New(now, rollout.Change{
-		Service: service, Operation: request.Operation, Base: request.BaseVersion,
+		Service: service, Operation: request.Operation, BaseVersion: request.BaseVersion,
 		Specification: request.Intent.Specification, Delete: request.Intent.Delete,
 	}, held)
 	operation := e.nextNumber()
@@ -69,9 +69,9 @@
 	case rollout.Read:
 		e.output.StoreReads = append(e.output.StoreReads, StoreRead{Operation: operation, Service: run.rollout.Service()})
 	case rollout.Write:
-		write := StoreWrite{Operation: operation, Base: request.Base, Document: request.Document}
+		write := StoreWrite{Operation: operation, Base: request.BaseStamp, Document: request.Document}
 		e.output.StoreWrites = append(e.output.StoreWrites, write)
-	case rollout.Adopt:
+	case rollout.Replicate:
 		e.adopt(operation, request.Document)
 	case rollout.Result:
 		delete(e.rollouts, operation)
@@ -95,7 +95,7 @@
 		rumor.Operation = operation
 		e.send(peer, rumor)
 	}
-	e.performRollout(operation, e.rollouts[operation].rollout.Spreading(len(peers)))
+	e.performRollout(operation, e.rollouts[operation].rollout.SentToPeers(len(peers)))
 }
 
 // pickCopyHolders picks copiesWanted live peers: one in this node's zone, if there is one, and the others in other
@@ -115,7 +115,7 @@
 		return
 	}
 	member, _ := e.members.Lookup(from)
-	e.performRollout(m.Operation, run.rollout.Copied(from, member.Zone))
+	e.performRollout(m.Operation, run.rollout.Acknowledged(from, member.Zone))
 }
 
 // tickRollouts advances the rollouts that wait for time to pass.
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -58,7 +58,7 @@
 	},
 	{
 		"tickets may be used again", "internal/ticket/ticket.go",
-		"	if known := t.entries[parsed.Sequence]; known != nil {\n		return t.reuse", "	if known := t.entries[parsed.Sequence]; known != nil && known.at < 0 {\n		return t.reuse",
+		"	if known := t.entries[parsed.Sequence]; known != nil {\n		return t.reuse", "	if known := t.entries[parsed.Sequence]; known != nil && known.usedAt < 0 {\n		return t.reuse",
 		"./internal/simulation", "TestAtMostOnce",
 	},
 	{
@@ -88,22 +88,22 @@
 	},
 	{
 		"the base of a plan is not checked", "internal/rollout/rollout.go",
-		"	if current.Version != r.change.Base {\n		return r.conflict(current.Version)\n	}\n", "",
+		"	if current.Version != r.change.BaseVersion {\n		return r.conflict(current.Version)\n	}\n", "",
 		"./internal/simulation", "TestOperatorsRace",
 	},
 	{
 		"a write without an answer counts as refused", "internal/rollout/rollout.go",
-		"	if !r.wrote {\n", "	if r.wrote || !r.wrote {\n",
+		"	if !r.writeSent {\n", "	if r.writeSent || !r.writeSent {\n",
 		"./internal/rollout", "TestOutcomes",
 	},
 	{
 		"a swap that lost is not read back", "internal/rollout/rollout.go",
-		"	if outcome == Done {\n		r.phase = reading\n		return Read{}\n	}\n", "	if outcome == Done {\n		return r.conflict(r.change.Base + 1)\n	}\n",
+		"	if outcome == Done {\n		r.phase = reading\n		return Read{}\n	}\n", "	if outcome == Done {\n		return r.conflict(r.change.BaseVersion + 1)\n	}\n",
 		"./internal/rollout", "TestOutcomes",
 	},
 	{
 		"accepted is said before any peer holds the document", "internal/engine/confirm.go",
-		"rollout.Spreading(len(peers))", "rollout.Spreading(0)",
+		"rollout.SentToPeers(len(peers))", "rollout.SentToPeers(0)",
 		"./internal/engine", "TestAcceptanceWaitsForCopies",
 	},
 	{
@@ -128,7 +128,7 @@
 	},
 	{
 		"a fresh node serves at once", "internal/gossip/compare.go",
-		"	c.ready = len(c.agreed) >= c.peersToAgree()\n", "	c.ready = true\n",
+		"	c.ready = len(c.equalPeers) >= c.requiredPeers()\n", "	c.ready = true\n",
 		"./internal/gossip", "TestFreshNodeNeedsSeveralPeers",
 	},
 	{
