--- a/internal/rehearsal/deployment.go
+++ b/internal/rehearsal/deployment.go
@@ -7,44 +7,45 @@
 	"stiletrail/internal/standin"
 )
 
-// Deployment is a set of services with zones.
+// Deployment lists the zones and services of a cluster.
 type Deployment struct {
 	Zones    []string
-	Services []ServiceShape
+	Services []ServiceOptions
 }
 
-// ServiceShape describes a service of a rehearsal.
-type ServiceShape struct {
+// ServiceOptions configure a service and its back ends.
+type ServiceOptions struct {
 	Name     string
 	BackEnds int
-	// Slots and Connections are those of each back end.
+	// Slots and Connections are the limits of each back end.
 	Slots       int
 	Connections int
 	Latency     standin.Latency
 }
 
-// Service times of the stand-ins: small look-ups and wider searches.
+// Service times of the back-end stand-ins: lookupLatency for look-ups in small services, searchLatency for searches over many
+// shards.
 var (
 	lookupLatency = standin.Latency{Median: 4 * time.Millisecond, Sigma: 0.35, PerShard: 0.15, StragglerFactor: 20}
 	searchLatency = standin.Latency{Median: 8 * time.Millisecond, Sigma: 0.4, PerShard: 0.15, StragglerFactor: 20}
 )
 
-// quickstartDeployment has small services, and two whose searches go over many shards.
+// quickstartDeployment returns small services, and two services whose searches cover many shards.
 func quickstartDeployment() Deployment {
-	small := ServiceShape{BackEnds: 4, Slots: 5, Connections: 75, Latency: lookupLatency}
-	services := append(named("lookup", 4, small), named("trade", 6, small)...)
+	small := ServiceOptions{BackEnds: 4, Slots: 5, Connections: 75, Latency: lookupLatency}
+	services := append(numberedServices("lookup", 4, small), numberedServices("trade", 6, small)...)
 	return Deployment{
 		Zones: []string{"zone-a", "zone-b", "zone-c"},
 		Services: append(services,
-			ServiceShape{Name: "archive", BackEnds: 25, Slots: 3, Connections: 110, Latency: searchLatency},
-			ServiceShape{Name: "account", BackEnds: 13, Slots: 3, Connections: 110, Latency: searchLatency},
+			ServiceOptions{Name: "archive", BackEnds: 25, Slots: 3, Connections: 110, Latency: searchLatency},
+			ServiceOptions{Name: "account", BackEnds: 13, Slots: 3, Connections: 110, Latency: searchLatency},
 		),
 	}
 }
 
-// named returns so many services of one shape: NAME-1, NAME-2 and so on.
-func named(name string, count int, shape ServiceShape) []ServiceShape {
-	shapes := make([]ServiceShape, count)
+// numberedServices returns count services with the same options and the names NAME-1, NAME-2 and so on.
+func numberedServices(name string, count int, shape ServiceOptions) []ServiceOptions {
+	shapes := make([]ServiceOptions, count)
 	for i := range shapes {
 		shapes[i] = shape
 		shapes[i].Name = fmt.Sprintf("%s-%d", name, i+1)
--- a/internal/rehearsal/quickstart.go
+++ b/internal/rehearsal/quickstart.go
@@ -18,7 +18,7 @@
 	"stiletrail/internal/standin"
 )
 
-// Summary is the last line of the quickstart.
+// Summary is the result of the quickstart. It is printed as JSON in the last line of the output.
 type Summary struct {
 	Searches         int     `json:"searches"`
 	Complete         int     `json:"complete"`
@@ -40,14 +40,14 @@
 	quickstartTimeout  = 50 * time.Second
 )
 
-// phase is a part of the quickstart with something going on.
+// phase is a part of the quickstart in which a service is under load while a fault or a change happens.
 type phase struct {
 	name    string
 	service string
-	during  func(*quickstart, *BackEnd)
+	event   func(*quickstart, *BackEnd)
 }
 
-// quickstart is one run of the main job.
+// quickstart is the state of one run.
 type quickstart struct {
 	cluster *Cluster
 	out     io.Writer
@@ -56,7 +56,8 @@
 	version uint64
 }
 
-// Quickstart runs the main job on embedded stand-ins and writes a table and a JSON line. Errors are of this project's type.
+// Quickstart starts a cluster with embedded stand-ins, puts load on it under several faults, and writes a table and a JSON line.
+// Errors are of type *failure.Failure.
 func Quickstart(out, log io.Writer) (Summary, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), quickstartTimeout)
 	defer cancel()
@@ -90,7 +91,7 @@
 	return q.summary, nil
 }
 
-// configure plans and confirms an intent for each service and waits until it is in force on every node.
+// configure plans and confirms an intent for each service. It waits until each is in force on every node.
 func (q *quickstart) configure(ctx context.Context) error {
 	if err := q.cluster.WaitReady(ctx); err != nil {
 		return err
@@ -117,24 +118,24 @@
 		{"healthy", "lookup-1", nil},
 		{"healthy", "archive", nil},
 		{"a back end straggles, 20 times slower", "archive", func(_ *quickstart, b *BackEnd) {
-			b.Model(func(m *standin.BackEnd) { m.Latency.Median *= 20 })
+			b.WithModel(func(m *standin.BackEnd) { m.Latency.Median *= 20 })
 		}},
 		{"a back end is lost", "account", func(_ *quickstart, b *BackEnd) { b.Close() }},
 		{"a back end drains", "trade-1", func(_ *quickstart, b *BackEnd) {
-			b.Model(func(m *standin.BackEnd) { m.State = query.StateDraining })
+			b.WithModel(func(m *standin.BackEnd) { m.State = query.StateDraining })
 		}},
 		{"the index version changes", "lookup-2", func(q *quickstart, _ *BackEnd) { q.publish("lookup-2") }},
 		{"the store is down", "lookup-3", func(q *quickstart, _ *BackEnd) { q.cluster.Platform.SetFaults(Faults{Down: true}) }},
 	}
 }
 
-// publish gives the back ends of a service new versions, one after the other.
+// publish publishes 20 new index versions, each to one back end of the service after the other.
 func (q *quickstart) publish(service string) {
 	const versions = 20
 	for range versions {
 		q.version++
 		for _, b := range q.cluster.BackEnds[service] {
-			b.Model(func(m *standin.BackEnd) { m.Publish(q.version) })
+			b.WithModel(func(m *standin.BackEnd) { m.Publish(q.version) })
 			time.Sleep(quickstartPhase / versions / 8)
 		}
 	}
@@ -143,16 +144,16 @@
 func (q *quickstart) clients() []stiletrailv1connect.QueryServiceClient {
 	var clients []stiletrailv1connect.QueryServiceClient
 	for _, n := range q.cluster.Nodes {
-		clients = append(clients, q.cluster.Callers(n))
+		clients = append(clients, q.cluster.QueryClient(n))
 	}
 	return clients
 }
 
 func (q *quickstart) run(ctx context.Context, p phase) {
-	if p.during != nil {
+	if p.event != nil {
 		go func() {
 			time.Sleep(quickstartPhase / 4)
-			p.during(q, q.cluster.BackEnds[p.service][0])
+			p.event(q, q.cluster.BackEnds[p.service][0])
 		}()
 	}
 	index := standin.Index{Service: p.service, Keys: keysPerShard * len(q.cluster.BackEnds[p.service])}
@@ -172,10 +173,10 @@
 	q.summary.P99 = max(q.summary.P99, report.P99)
 }
 
-// execute runs a request that is not repeatable, resends it through another node, and counts how often it ran.
+// execute sends a request that is not repeatable through three nodes with the same ticket and counts how often it ran.
 func (q *quickstart) execute(ctx context.Context) error {
 	const service, key, body = "trade-2", "trade-2/00001", "honour-1"
-	minted, err := q.cluster.Callers(q.cluster.Nodes[0]).MintTicket(ctx, connect.NewRequest(&stiletrailv1.MintTicketRequest{}))
+	minted, err := q.cluster.QueryClient(q.cluster.Nodes[0]).MintTicket(ctx, connect.NewRequest(&stiletrailv1.MintTicketRequest{}))
 	if err != nil {
 		return failure.From(err)
 	}
@@ -183,13 +184,13 @@
 		Service: service, Key: key, Body: []byte(body), Ticket: minted.Msg.GetTicket(), DeadlineMilliseconds: 1000,
 	}
 	for _, n := range q.cluster.Nodes[:3] {
-		if _, err := q.cluster.Callers(n).Execute(ctx, connect.NewRequest(request)); err != nil {
+		if _, err := q.cluster.QueryClient(n).Execute(ctx, connect.NewRequest(request)); err != nil {
 			return failure.From(err)
 		}
 	}
 	ran := 0
 	for _, b := range q.cluster.BackEnds[service] {
-		b.Model(func(m *standin.BackEnd) { ran += m.Ran[body] })
+		b.WithModel(func(m *standin.BackEnd) { ran += m.ExecutionCounts[body] })
 	}
 	if ran != 1 {
 		q.summary.Wrong++
--- a/internal/simulation/machines_test.go
+++ b/internal/simulation/machines_test.go
@@ -7,12 +7,12 @@
 	"stiletrail/internal/platform"
 )
 
-type machinesAt struct {
+type machineListVersion struct {
 	at       time.Duration
 	machines []platform.Machine
 }
 
-// publishMachines puts what is true now into the machine list; it shows after the lag.
+// publishMachines adds the current state of all machines to the machine list. Readers see it after MachineListLag.
 func (w *World) publishMachines() {
 	var machines []platform.Machine
 	for _, address := range w.live {
@@ -24,10 +24,10 @@
 			machines = append(machines, platform.Machine{Address: b.model.Address, Zone: b.zone, Role: platform.RoleBackEnd, Leaving: b.leaving})
 		}
 	}
-	w.machines = append(w.machines, machinesAt{at: w.now, machines: machines})
+	w.machines = append(w.machines, machineListVersion{at: w.now, machines: machines})
 }
 
-// machineList is the newest list that is as old as the lag.
+// machineList returns the newest published list that is at least MachineListLag old, or the first list if none is.
 func (w *World) machineList() []platform.Machine {
 	var shown []platform.Machine
 	for _, list := range w.machines {
@@ -42,7 +42,7 @@
 	if n.dead {
 		return
 	}
-	w.after(machineListPeriod, func() { w.readMachines(n) })
+	w.schedule(machineListPeriod, func() { w.readMachines(n) })
 	if !w.storeDown && w.reachable(n.zone.Name, "") {
 		w.step(n, func() engine.Output {
 			n.machinesAt = w.now
--- a/internal/simulation/nodes_test.go
+++ b/internal/simulation/nodes_test.go
@@ -10,7 +10,7 @@
 	"stiletrail/internal/engine"
 )
 
-// Times of the models around a node.
+// Time-outs, delays and intervals of the simulated environment of a node.
 const (
 	dialTimeout       = time.Second
 	storeTimeout      = 2 * time.Second
@@ -19,7 +19,7 @@
 	handoverDelay     = 50 * time.Microsecond
 )
 
-// simNode is a node: an engine with a model of its driver.
+// simNode is a simulated node: an engine and the state that its process would keep around it.
 type simNode struct {
 	address     string
 	zone        Zone
@@ -30,21 +30,22 @@
 	dead        bool
 	leaving     bool
 	frozen      bool
-	// held is what waits for the process to run again.
-	held     []func()
-	wakeAt   time.Duration
-	attempts map[uint64]*simAttempt
-	pool     map[string]int
-	// machinesAt is when the node last read the machine list; drainsTold when a back end refused its work as leaving.
-	machinesAt time.Duration
-	drainsTold map[string]time.Duration
-	// describedAt is when a back end last described itself to the node.
+	// pendingWork holds the calls that arrived while the process was frozen.
+	pendingWork     []func()
+	wakeAt          time.Duration
+	attempts        map[uint64]*simAttempt
+	idleConnections map[string]int
+	// machinesAt is the time of the node's last read of the machine list. drainRefusedAt holds, for each back end, the time when
+	// it last refused a request of this node because it was draining.
+	machinesAt     time.Duration
+	drainRefusedAt map[string]time.Duration
+	// describedAt holds, for each back end, the time when its description was last received by this node.
 	describedAt map[string]time.Duration
-	// versions is the highest version in force seen per service, by the checker.
-	versions map[string]uint64
+	// highestVersions holds the highest version in force on this node for each service. The checker keeps it.
+	highestVersions map[string]uint64
 }
 
-// startNode starts a node in a zone at a new address.
+// startNode starts a node in a zone, at an address that was not used before.
 func (w *World) startNode(zone Zone) *simNode {
 	w.nextNode++
 	return w.startNodeAt(zone, fmt.Sprintf("10.0.%d.%d:7200", w.nextNode/250, w.nextNode%250+1))
@@ -56,7 +57,7 @@
 	n := &simNode{
 		address: address, zone: zone, startedAt: w.now, generation: w.random.Uint64(),
 		incarnation: uint64(w.now.Milliseconds()) + 1,
-		attempts:    map[uint64]*simAttempt{}, pool: map[string]int{}, versions: map[string]uint64{}, drainsTold: map[string]time.Duration{}, describedAt: map[string]time.Duration{},
+		attempts:    map[uint64]*simAttempt{}, idleConnections: map[string]int{}, highestVersions: map[string]uint64{}, drainRefusedAt: map[string]time.Duration{}, describedAt: map[string]time.Duration{},
 	}
 	var seeds []string
 	for _, other := range w.live {
@@ -71,28 +72,28 @@
 	n.engine = engine.New(w.now, identity, w.options.Engine, rand.New(rand.NewPCG(w.random.Uint64(), w.random.Uint64())))
 	w.nodes[address] = n
 	w.live = append(w.live, address)
-	w.note("start", address, zone.Name)
+	w.record("start", address, zone.Name)
 	w.wakeNode(n, 0)
 	w.readMachines(n)
 	return n
 }
 
-// inNode runs something in the process of a node: at once, when it thaws, or never once it is dead.
-func (w *World) inNode(n *simNode, run func()) {
+// runInProcess runs a function in the process of a node: immediately, after a freeze has ended, or never if the node is dead.
+func (w *World) runInProcess(n *simNode, run func()) {
 	switch {
 	case n.dead:
 	case n.frozen:
-		n.held = append(n.held, run)
+		n.pendingWork = append(n.pendingWork, run)
 	default:
 		run()
 	}
 }
 
-// step runs one call of a node's engine and carries out its output.
+// step calls a node's engine once and carries out its output.
 func (w *World) step(n *simNode, call func() engine.Output) {
-	w.inNode(n, func() {
-		w.perform(n, call())
-		w.Check.node(n)
+	w.runInProcess(n, func() {
+		w.carryOut(n, call())
+		w.Checker.nodeStepped(n)
 		w.scheduleWake(n)
 	})
 }
@@ -108,7 +109,7 @@
 func (w *World) wakeNode(n *simNode, delay time.Duration) {
 	n.wakeAt = w.now + delay
 	due := n.wakeAt
-	w.after(delay, func() {
+	w.schedule(delay, func() {
 		if n.wakeAt == due {
 			n.wakeAt = 0
 			w.step(n, func() engine.Output { return n.engine.Tick(w.now) })
@@ -116,7 +117,7 @@
 	})
 }
 
-func (w *World) perform(n *simNode, output engine.Output) {
+func (w *World) carryOut(n *simNode, output engine.Output) {
 	for _, envelope := range output.Sends {
 		w.sendPeer(n, envelope.To, envelope.Message)
 	}
@@ -141,9 +142,9 @@
 	w.answerCallers(n, output)
 }
 
-// kill ends a node's process without a word. Peers notice broken connections if they can.
-func (w *World) kill(n *simNode) {
-	w.note("kill", n.address)
+// killNode ends a node's process without a drain. Peers that can reach its zone see their connections break.
+func (w *World) killNode(n *simNode) {
+	w.record("kill", n.address)
 	n.dead = true
 	w.live = slices.DeleteFunc(w.live, func(address string) bool { return address == n.address })
 	for _, number := range sortedNumbers(n.attempts) {
@@ -153,43 +154,43 @@
 	for _, address := range w.live {
 		peer := w.nodes[address]
 		if w.reachable(peer.zone.Name, n.zone.Name) {
-			w.after(w.jitter(w.distance(peer.zone.Name, n.zone.Name)), func() {
+			w.schedule(w.jitter(w.distance(peer.zone.Name, n.zone.Name)), func() {
 				w.step(peer, func() engine.Output { return peer.engine.PeerDisconnected(w.now, n.address) })
 			})
 		}
 	}
-	w.Check.nodeGone(n)
+	w.Checker.nodeKilled(n)
 	w.publishMachines()
 }
 
-// freeze stops a node's process for a while.
-func (w *World) freeze(n *simNode, length time.Duration) {
+// freezeNode suspends a node's process for the given duration. Calls that arrive meanwhile run afterwards.
+func (w *World) freezeNode(n *simNode, length time.Duration) {
 	if n.frozen || n.dead {
 		return
 	}
-	w.note("freeze", n.address, length)
+	w.record("freeze", n.address, length)
 	n.frozen = true
-	w.after(length, func() {
+	w.schedule(length, func() {
 		if n.dead {
 			return
 		}
-		w.note("thaw", n.address)
+		w.record("thaw", n.address)
 		n.frozen = false
-		held := n.held
-		n.held = nil
+		held := n.pendingWork
+		n.pendingWork = nil
 		w.step(n, func() engine.Output { return n.engine.Tick(w.now) })
 		for _, run := range held {
-			w.inNode(n, run)
+			w.runInProcess(n, run)
 		}
 	})
 }
 
-// leave starts the planned stop of a node; its process ends once it is drained.
-func (w *World) leave(n *simNode) {
+// stopNode starts the planned stop of a node. Its process ends when the node is drained, at the latest after a minute.
+func (w *World) stopNode(n *simNode) {
 	if n.leaving || n.dead {
 		return
 	}
-	w.note("leave", n.address)
+	w.record("leave", n.address)
 	n.leaving = true
 	w.publishMachines()
 	w.step(n, func() engine.Output { return n.engine.Leave(w.now) })
@@ -198,12 +199,12 @@
 
 func (w *World) awaitDrained(n *simNode, limit time.Duration) {
 	const poll = 10 * time.Millisecond
-	w.after(poll, func() {
+	w.schedule(poll, func() {
 		switch {
 		case n.dead:
 		case !n.frozen && (n.engine.Drained(w.now) || w.now > limit):
-			w.Check.stopped(n, w.now > limit)
-			w.kill(n)
+			w.Checker.nodeStopped(n, w.now > limit)
+			w.killNode(n)
 		default:
 			w.awaitDrained(n, limit)
 		}
--- a/internal/simulation/schedule_test.go
+++ b/internal/simulation/schedule_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Kind of fault that a schedule may draw.
+// Kind is a kind of fault. A random schedule draws from all kinds.
 type Kind uint8
 
-// The kinds of fault.
+// Kinds of faults of nodes, back ends, the network, the store and of changes and requests during a run.
 const (
 	KillNode Kind = iota
 	ReplaceNode
@@ -17,12 +17,12 @@
 	KillBackEnd
 	HangBackEnd
 	DrainBackEnd
-	LieBackEnd
+	MisreportBackEnd
 	StraggleBackEnd
 	CorruptBackEnd
 	ReviveBackEnd
 	IsolateZone
-	PartRegions
+	PartitionRegions
 	StoreDown
 	StoreSlow
 	PublishVersion
@@ -38,10 +38,10 @@
 	"store-slow", "publish-version", "repartition", "race-operators", "execute",
 }
 
-// String names the kind.
+// String returns the name of the kind. The names are part of the trace hashes in testdata.
 func (k Kind) String() string { return kindNames[k] }
 
-// Kinds returns all kinds.
+// Kinds returns all kinds of fault.
 func Kinds() []Kind {
 	all := make([]Kind, kinds)
 	for i := range all {
@@ -50,55 +50,55 @@
 	return all
 }
 
-// Fault is one entry of a schedule.
+// Fault is one fault of a schedule.
 type Fault struct {
 	At   time.Duration
 	Kind Kind
-	// Pick chooses among what the fault can strike; Length is how long it lasts.
-	Pick   int
-	Length time.Duration
+	// Selector chooses the node, back end, zone or service. Length is the duration of the fault.
+	Selector int
+	Length   time.Duration
 }
 
-// String shows the fault in a failing schedule.
+// String describes the fault in the output of a failing schedule.
 func (f Fault) String() string {
-	return fmt.Sprintf("%s %s pick=%d for %s", f.At, f.Kind, f.Pick, f.Length)
+	return fmt.Sprintf("%s %s pick=%d for %s", f.At, f.Kind, f.Selector, f.Length)
 }
 
-// Schedule is what happens in a run.
+// Schedule describes one simulation run: its faults and its load.
 type Schedule struct {
-	Seed    uint64
-	Faults  []Fault
-	Chances Chances
-	// Searches per second.
+	Seed               uint64
+	Faults             []Fault
+	FaultProbabilities FaultProbabilities
+	// Searches is the rate of searches per second.
 	Searches float64
 	Length   time.Duration
 }
 
-// settleTime is given after the last fault is mended, before what must hold in the end is checked.
+// settleTime passes between the end of all faults and the final checks, so that the nodes can recover.
 const settleTime = 25 * time.Second
 
-// DrawSchedule draws a schedule from a seed.
+// DrawSchedule returns the random schedule of a seed.
 func DrawSchedule(seed uint64) Schedule {
 	w := New(Options{Seed: seed ^ 0x9e3779b97f4a7c15})
 	schedule := Schedule{Seed: seed, Length: 25 * time.Second, Searches: 20}
 	if w.random.IntN(2) == 0 {
-		schedule.Chances = Chances{
-			Lost: 0.01, Doubled: 0.02, Late: 0.02, LateBy: 400 * time.Millisecond,
-			StoreAnswerLost: 0.3, StoreLate: 0.2, EventLost: 0.5,
+		schedule.FaultProbabilities = FaultProbabilities{
+			MessageLost: 0.01, MessageDuplicated: 0.02, MessageDelayed: 0.02, MaximumDelay: 400 * time.Millisecond,
+			StoreAnswerLost: 0.3, StoreWriteDelayed: 0.2, WatchEventLost: 0.5,
 		}
 	}
 	for range 5 + w.random.IntN(25) {
 		schedule.Faults = append(schedule.Faults, Fault{
-			At:     5*time.Second + time.Duration(w.random.Int64N(int64(schedule.Length-5*time.Second))),
-			Kind:   Kind(w.random.IntN(int(kinds))),
-			Pick:   w.random.IntN(1000),
-			Length: time.Duration(w.random.Int64N(int64(8*time.Second))) + 100*time.Millisecond,
+			At:       5*time.Second + time.Duration(w.random.Int64N(int64(schedule.Length-5*time.Second))),
+			Kind:     Kind(w.random.IntN(int(kinds))),
+			Selector: w.random.IntN(1000),
+			Length:   time.Duration(w.random.Int64N(int64(8*time.Second))) + 100*time.Millisecond,
 		})
 	}
 	return schedule
 }
 
-// Result of a run.
+// Result is the outcome of a simulation run.
 type Result struct {
 	Seed    uint64
 	Trace   uint64
@@ -107,24 +107,24 @@
 	Checker *Checker
 }
 
-// RunSchedule runs a schedule in the small world and checks it.
+// RunSchedule runs a schedule in the world of SmallOptions and makes the final checks.
 func RunSchedule(schedule Schedule) Result {
 	w := New(SmallOptions(schedule.Seed))
 	w.configureAll()
-	w.Chances = schedule.Chances
+	w.FaultProbabilities = schedule.FaultProbabilities
 	for _, fault := range schedule.Faults {
-		w.after(fault.At-w.now, func() { w.strike(fault) })
+		w.schedule(fault.At-w.now, func() { w.injectFault(fault) })
 	}
 	w.startSearches(schedule.Searches, schedule.Length+settleTime)
 	w.Run(schedule.Length - w.now)
-	w.mend()
+	w.clearFaults()
 	w.Run(settleTime)
-	w.Check.InForce()
-	w.Check.Unanswered(6 * time.Second)
-	return Result{Seed: schedule.Seed, Trace: w.Trace(), Steps: w.Steps, Faults: w.Faults, Checker: w.Check}
+	w.Checker.InForce()
+	w.Checker.Unanswered(6 * time.Second)
+	return Result{Seed: schedule.Seed, Trace: w.Trace(), Steps: w.Steps, Faults: w.Faults, Checker: w.Checker}
 }
 
-// configureAll lets the nodes meet and puts an intent for each service into force.
+// configureAll waits until the nodes have discovered each other and puts an intent for each service into force.
 func (w *World) configureAll() {
 	w.Run(3 * time.Second)
 	for _, service := range w.options.Services {
@@ -134,7 +134,7 @@
 	w.Run(time.Second)
 }
 
-// startSearches sends searches at a rate until a time, to random nodes and services.
+// startSearches sends searches to random nodes and services at a rate (a second) until the given time.
 func (w *World) startSearches(rate float64, until time.Duration) {
 	number := 0
 	var next func()
@@ -147,7 +147,7 @@
 			w.Search(n, service.Name, fmt.Sprintf("search-%d", number))
 		}
 		number++
-		w.after(time.Duration(w.random.ExpFloat64()/rate*float64(time.Second)), next)
+		w.schedule(time.Duration(w.random.ExpFloat64()/rate*float64(time.Second)), next)
 	}
 	next()
 }
