--- a/internal/scatter/action.go
+++ b/internal/scatter/action.go
@@ -6,22 +6,22 @@
 	"stiletrail/internal/query"
 )
 
-// Action is something the driver must do: Send a message, or take the Answer.
+// Action is an effect that a query asks its caller to carry out: Send or Answer.
 type Action interface{ isAction() }
 
-// Send is a message for a dispatcher.
+// Send sends a message to a dispatcher.
 type Send struct {
 	To      string
 	Message message.Message
 }
 
-// Answer is the outcome of a query; it comes once, as the last action.
+// Answer is the outcome of a query. It is emitted once, as the last action.
 type Answer struct {
 	Documents     []query.ShardDocuments
 	Coverage      query.Coverage
 	Snapshot      query.Snapshot
 	ShardAttempts uint32
-	// Failure is set where no answer is given; the coverage is still true.
+	// Failure is set if the query failed. There are no documents then, but the coverage is still correct.
 	Failure *failure.Failure
 }
 
--- a/internal/scatter/ask.go
+++ b/internal/scatter/ask.go
@@ -8,13 +8,14 @@
 	"stiletrail/internal/query"
 )
 
-// ask sends shards out, each to the next group and dispatcher not tried for it. Shards without one become missing.
+// ask sends sub-queries for shards. Each shard goes to the next group and dispatcher that were not tried for it. Shards for
+// which none is left become missing for the given reason.
 func (q *Query) ask(now time.Duration, shards []uint32, reason query.Reason) {
 	chosen := map[target][]uint32{}
 	var order []target
 	perGroup := map[uint32]string{}
 	for _, number := range shards {
-		// Full back ends are no reason to ask a deputy, who would only add to their load.
+		// Deputies send to the same back ends as the dispatcher. If these are overloaded, a deputy would only add to their load.
 		owner, found := q.nextTarget(number, perGroup, reason != query.ReasonOverloaded)
 		if !found {
 			if state := &q.shards[number]; state.live == 0 && !state.answered {
@@ -32,7 +33,8 @@
 	}
 }
 
-// nextTarget picks where to ask for a shard; shards of one group go to one dispatcher.
+// nextTarget picks an untried group and dispatcher for a shard. perGroup holds the dispatchers picked so far by one call of
+// ask, so that shards of one group go to the same dispatcher.
 func (q *Query) nextTarget(number uint32, perGroup map[uint32]string, deputiesToo bool) (target, bool) {
 	state := &q.shards[number]
 	for _, group := range q.holders[number] {
@@ -54,6 +56,7 @@
 	return target{}, false
 }
 
+// sendSubQuery sends one sub-query for the given shards and tracks it.
 func (q *Query) sendSubQuery(now time.Duration, owner target, shards []uint32) {
 	id := q.environment.NextID()
 	remaining := q.request.Deadline - answerMargin - now
@@ -69,7 +72,7 @@
 	})
 }
 
-// cancelAll withdraws every sub-query under way.
+// cancelAll cancels all sub-queries in flight.
 func (q *Query) cancelAll() {
 	for _, id := range q.sendOrder {
 		sub := q.subQueries[id]
--- a/internal/scatter/benchmark_test.go
+++ b/internal/scatter/benchmark_test.go
@@ -8,7 +8,7 @@
 	"stiletrail/internal/query"
 )
 
-// wideEnvironment is a root's environment with a service of 1,400 back ends in 22 groups.
+// wideEnvironment is an Environment with a service of 1,400 back ends in 22 groups, one shard per back end.
 type wideEnvironment struct {
 	routing  Routing
 	sequence uint64
@@ -40,7 +40,8 @@
 	return w
 }
 
-// BenchmarkWideQuery is a root's whole work on a query over 1,400 shards: plan, 22 sub-queries, merge of their answers.
+// BenchmarkWideQuery measures a root's work on one query over 1,400 shards: the plan, 22 sub-queries and the merge of their
+// answers.
 func BenchmarkWideQuery(b *testing.B) {
 	environment := newWideEnvironment()
 	b.ReportAllocs()
--- a/internal/scatter/finish.go
+++ b/internal/scatter/finish.go
@@ -9,6 +9,8 @@
 	"stiletrail/internal/query"
 )
 
+// finishIfDone finishes the query if all shards are answered, if its tail budget has passed with enough coverage, or if no
+// open shard can be answered any more.
 func (q *Query) finishIfDone(now time.Duration) {
 	if q.done || q.planned.Total == 0 {
 		return
@@ -29,7 +31,8 @@
 	q.finish(query.ReasonLost)
 }
 
-// tailBudgetEnd is when a latency-first query with enough coverage finishes; zero for never.
+// tailBudgetEnd returns when the query finishes early if the minimum coverage is reached. It returns zero if the service
+// does not prefer latency or has no tail budget.
 func (q *Query) tailBudgetEnd() time.Duration {
 	specification := q.request.Document.Specification
 	if specification.Preference != catalog.LatencyFirst || specification.TailBudgetMilliseconds == 0 {
@@ -38,12 +41,13 @@
 	return q.startedAt + time.Duration(specification.TailBudgetMilliseconds)*time.Millisecond
 }
 
-// coverageReached reports whether the minimum coverage is met.
+// coverageReached reports whether enough shards are answered for the service's minimum coverage.
 func (q *Query) coverageReached() bool {
 	return q.planned.Total > 0 && float64(q.answered) >= q.request.Document.Specification.MinimumCoverage*float64(q.planned.Total)
 }
 
-// finish gives the answer; shards without one are missing for their own reason, or else for the given one.
+// finish ends the query with its answer. Unanswered shards are reported missing for their own reason, if they have one, or for
+// the given reason.
 func (q *Query) finish(reason query.Reason) {
 	q.cancelAll()
 	answer := Answer{Snapshot: q.planned.Snapshot, ShardAttempts: q.shardAttempts}
@@ -68,32 +72,33 @@
 	q.emitAnswer(answer)
 }
 
-// finishWithoutPlan ends a query for which no snapshot is left: one that was planned before with what it lacks, a new one with a
-// refusal.
+// finishWithoutPlan ends a query for which there is no snapshot. If it was planned before at other snapshots, it ends with the
+// answers of the last plan. A new query is refused.
 func (q *Query) finishWithoutPlan(routing Routing) {
 	if len(q.excluded) > 0 {
 		q.finish(query.ReasonVersionUnavailable)
 		return
 	}
-	code, text := failure.NoReplica, "no back end of the service can be asked"
+	code, text := failure.NoReplica, "no usable back end of the service is known"
 	if _, any := routing.ChoosePlan(0, nil); any {
-		code, text = failure.SnapshotUnavailable, "the minimum version is not held yet"
+		code, text = failure.SnapshotUnavailable, "no back end of the service holds the requested minimum version"
 	}
 	q.emitAnswer(Answer{Coverage: routing.noCoverage(), Failure: failure.Refused(code, text, noPlanRetryAfter)})
 }
 
-// The times to come back of searches that fail, where no dispatcher asked for longer.
+// These are the retry-after times of failed searches. Dispatchers may ask for a longer time, except with noPlanRetryAfter.
 const (
-	// noPlanRetryAfter: back ends are described twice a second, and the routing is refreshed more often.
+	// noPlanRetryAfter applies if there is no snapshot to search at. Back ends are described twice a second and the routing
+	// is refreshed more often, so the state is renewed within this time.
 	noPlanRetryAfter = time.Second
-	// notRunRetryAfter: no back end took the search.
+	// notRunRetryAfter applies if no back end accepted the search.
 	notRunRetryAfter = 10 * time.Millisecond
-	// lowCoverageRetryAfter: some shards may have run it.
+	// lowCoverageRetryAfter applies if too few shards answered. The search may have run on some back ends.
 	lowCoverageRetryAfter = 100 * time.Millisecond
 )
 
-// failureFor returns the failure of an answer with too little coverage, or nil. It is a refusal, proved not to have run, where no
-// shard answered and no sub-query may have run.
+// failureFor returns the failure of an answer with less than the minimum coverage, or nil. The failure is a refusal, which
+// proves that the search did not run, if no shard is answered and every sub-query is proved not to have run.
 func (q *Query) failureFor(coverage query.Coverage) *failure.Failure {
 	if q.answered > 0 && q.coverageReached() {
 		return nil
@@ -105,13 +110,14 @@
 				code = failure.Overloaded
 			}
 		}
-		return failure.Refused(code, "no back end took the search", max(q.retryAfter, notRunRetryAfter))
+		return failure.Refused(code, "no back end accepted the search", max(q.retryAfter, notRunRetryAfter))
 	}
 	result := failure.New(failure.CoverageTooLow, "fewer shards answered than the service's minimum coverage")
 	result.RetryAfter = max(q.retryAfter, lowCoverageRetryAfter)
 	return result
 }
 
+// emitAnswer emits the answer as the last action of the query.
 func (q *Query) emitAnswer(answer Answer) {
 	q.done = true
 	q.actions = append(q.actions, answer)
--- a/internal/scatter/receive.go
+++ b/internal/scatter/receive.go
@@ -8,7 +8,8 @@
 	"stiletrail/internal/query"
 )
 
-// Receive takes in an answer to a sub-query. One at another snapshot, or for shards that were not asked for, is dropped.
+// Receive handles an answer to a sub-query. It ignores answers to unknown sub-queries or from another node than the one
+// asked, results at another snapshot, and results for shards that were not asked for.
 func (q *Query) Receive(now time.Duration, from string, m *message.SubAnswer) []Action {
 	sub := q.subQueries[m.ID]
 	if q.done || sub == nil || from != sub.dispatcher {
@@ -31,6 +32,7 @@
 	return q.takeActions()
 }
 
+// accept stores the first result of each shard of a sub-query.
 func (q *Query) accept(sub *subQuery, results []query.ShardDocuments) {
 	for _, result := range results {
 		if !slices.Contains(sub.shards, result.Shard) || q.shards[result.Shard].answered {
@@ -43,8 +45,8 @@
 	}
 }
 
-// resultsComplete reports whether each shard of a sub-query is answered or said to be missing. Results may come after the final
-// answer where messages overtake each other.
+// resultsComplete reports whether each shard of a sub-query is answered or reported missing by its final answer. Messages may
+// be reordered, so results may arrive after the final answer.
 func (q *Query) resultsComplete(sub *subQuery) bool {
 	answered := 0
 	for _, number := range sub.shards {
@@ -60,7 +62,8 @@
 	return answered >= len(sub.shards)
 }
 
-// close ends a sub-query and decides what happens to its missing shards.
+// close ends a sub-query. Its missing shards are retried elsewhere. If one is missing because the snapshot is not held, the
+// whole query is planned again if possible.
 func (q *Query) close(now time.Duration, id query.ID, sub *subQuery, m *message.SubAnswer) {
 	q.removeSubQuery(id, sub)
 	q.shardAttempts += m.ShardAttempts
@@ -87,6 +90,7 @@
 	q.retry(now, open, reason)
 }
 
+// removeSubQuery stops tracking a sub-query.
 func (q *Query) removeSubQuery(id query.ID, sub *subQuery) {
 	delete(q.subQueries, id)
 	q.sendOrder = slices.DeleteFunc(q.sendOrder, func(other query.ID) bool { return other == id })
@@ -95,23 +99,24 @@
 	}
 }
 
-// resultsLost ends a sub-query whose dispatcher is done while some of its results never came.
+// resultsLost ends a sub-query whose final answer has arrived but whose results have not all arrived in time. The shards
+// without a result count as missing with ReasonLost.
 func (q *Query) resultsLost(now time.Duration, id query.ID, sub *subQuery) {
 	last := *sub.finalAnswer
-	said := map[uint32]bool{}
+	reported := map[uint32]bool{}
 	for _, missing := range last.Missing {
-		said[missing.Shard] = true
+		reported[missing.Shard] = true
 	}
 	for _, number := range sub.shards {
-		if !q.shards[number].answered && !said[number] {
+		if !q.shards[number].answered && !reported[number] {
 			last.Missing = append(last.Missing, query.Missing{Shard: number, Reason: query.ReasonLost})
 		}
 	}
 	q.close(now, id, sub, &last)
 }
 
-// PeerUnreachable takes in that a node cannot be reached. A frame may have arrived before the connection broke, so its
-// sub-queries may have run, unless it is proved that nothing was written.
+// PeerUnreachable handles the loss of a sub-query because its dispatcher cannot be reached. If written is true, the message
+// may have arrived before the connection broke, and the sub-query may have run.
 func (q *Query) PeerUnreachable(now time.Duration, peer string, id query.ID, written bool) []Action {
 	sub := q.subQueries[id]
 	if q.done || sub == nil || sub.dispatcher != peer {
--- a/internal/scatter/retry.go
+++ b/internal/scatter/retry.go
@@ -7,46 +7,48 @@
 	"stiletrail/internal/query"
 )
 
-// answerMargin is kept before the deadline for handing the answer to the caller.
+// answerMargin is the time reserved before the deadline for returning the answer to the caller.
 const answerMargin = 2 * time.Millisecond
 
-// The rules of asking elsewhere:
+// A query retries in these cases:
 //
-//	missing   a shard that came back missing is asked of a dispatcher, or a group, that was not asked for it; of deputies only
-//	          where the reason is not overload, to which they would only add
-//	lost      so is a shard whose dispatcher cannot be reached; that one is suspected
-//	silent    a dispatcher from which nothing came for silenceLatencies times the usual latency, or one of silenceParts of the
-//	          time left while that is not known, is suspected, and its shards are asked of a second one, once and within the
-//	          budget of the node
-//	replan    the whole query begins anew at another snapshot where a back end does not hold this one, at maximumPlans snapshots
-//	          at most
+//	missing   A shard that a dispatcher reports missing is asked of another dispatcher or of a group that was not asked for
+//	          it. Deputies are asked only if the reason is not overload, because they would add to the load.
+//	lost      A shard whose dispatcher cannot be reached is retried in the same way. The dispatcher is suspected.
+//	silent    A dispatcher that has sent nothing until its silence timeout is suspected. Its shards are asked of a second
+//	          dispatcher, once and within the reissue budget of the node.
+//	replan    If a back end does not hold the snapshot of the query, the whole query starts again at another snapshot. It
+//	          is planned at most maximumPlans times.
 //
-// Nothing is retried or planned again in the last two margins before the deadline.
+// There is no retry and no new plan within two answerMargins before the deadline.
 const (
-	maximumPlans     = 4
+	maximumPlans = 4
+	// The silence timeout is silenceLatencies times the usual latency of sub-queries. If that is unknown, it is the time left
+	// until the deadline divided by silenceParts.
 	silenceLatencies = 4
 	silenceParts     = 3
-	// minimumSilenceTimeout bounds the wait for a silent dispatcher from below, and is the wait for results that come after the final
-	// answer.
+	// minimumSilenceTimeout is the lower bound of the silence timeout. It is also the wait for results that arrive after the
+	// final answer.
 	minimumSilenceTimeout = 25 * time.Millisecond
 )
 
-// tooLate reports whether no answer can come in time any more.
+// tooLate reports whether too little time is left before the deadline for another sub-query.
 func (q *Query) tooLate(now time.Duration) bool { return now >= q.request.Deadline-2*answerMargin }
 
-// retry asks for shards that came back missing elsewhere: another dispatcher, or a group of another region.
+// retry asks other dispatchers or other groups for shards that are missing.
 func (q *Query) retry(now time.Duration, open []uint32, reason query.Reason) {
 	if len(open) == 0 || q.tooLate(now) {
 		return
 	}
 	for _, number := range open {
-		// Held open by ask, which sets the reason again where nobody is left.
+		// The shard counts as open while it is asked for again. If no dispatcher is left, ask sets the reason again.
 		q.shards[number].reason = query.ReasonNone
 	}
 	q.ask(now, open, reason)
 }
 
-// replan starts the whole query again at another snapshot, if there is time and another is known.
+// replan starts the whole query again at another snapshot. It returns false if there is too little time, no other snapshot is
+// known, or the query was planned maximumPlans times.
 func (q *Query) replan(now time.Duration) bool {
 	if q.plans >= maximumPlans || q.tooLate(now) {
 		return false
@@ -61,7 +63,7 @@
 	return true
 }
 
-// silenceTimeout is how long a dispatcher may be silent.
+// silenceTimeout returns how long a dispatcher may be silent before a second one is asked.
 func (q *Query) silenceTimeout(remaining time.Duration) time.Duration {
 	latency := q.environment.SubQueryLatency()
 	if latency == 0 {
@@ -70,12 +72,13 @@
 	return max(silenceLatencies*latency, minimumSilenceTimeout)
 }
 
-// canTimeOut reports whether the wait for the dispatcher can run out: nothing has come yet, or less than it says it sent.
+// canTimeOut reports whether waitUntil applies to the sub-query: nothing has been received yet and it was not reissued, or the
+// final answer has arrived before all results.
 func (s *subQuery) canTimeOut() bool {
 	return s.finalAnswer != nil || !s.responded && !s.reissued
 }
 
-// reissue asks a second dispatcher for what a silent one was asked for; the first answer per shard wins.
+// reissue asks a second dispatcher for the shards of a silent one, within the budget. The first answer per shard is used.
 func (q *Query) reissue(now time.Duration, sub *subQuery) {
 	sub.reissued = true
 	q.environment.MarkSuspect(sub.dispatcher)
--- a/internal/scatter/routing.go
+++ b/internal/scatter/routing.go
@@ -7,36 +7,37 @@
 	"stiletrail/internal/query"
 )
 
-// GroupHoldings is what the back ends of one group hold.
+// GroupHoldings states what the back ends of one group hold.
 type GroupHoldings struct {
 	Number   uint32
 	Region   string
 	Holdings []query.Holding
 }
 
-// Routing is what a root knows of a service's shards.
+// Routing is what a root knows of a service: its groups of back ends, and the shards and versions that these hold.
 type Routing struct {
 	Groups []GroupHoldings
 }
 
-// Plan is a snapshot with the number of shards in its epoch.
+// Plan is a snapshot at which a query can run.
 type Plan struct {
 	Snapshot query.Snapshot
-	Total    uint32
+	// Total is the number of shards in the snapshot's epoch.
+	Total uint32
 	// Covered counts the shards that some group can answer at the snapshot.
 	Covered uint32
 }
 
-// ChoosePlan returns the newest snapshot that covers the most shards, at or above the version floor and not among those
-// excluded; false where nothing is known to be held.
-func (r Routing) ChoosePlan(floor uint64, excluded []query.Snapshot) (Plan, bool) {
+// ChoosePlan returns the snapshot that covers the largest share of its shards, and of several such ones the newest. Its
+// version is at least minimumVersion, and it is not excluded. ChoosePlan returns false if no shard is covered.
+func (r Routing) ChoosePlan(minimumVersion uint64, excluded []query.Snapshot) (Plan, bool) {
 	var best Plan
 	found := false
 	for _, epoch := range r.epochs() {
 		total := r.total(epoch)
 		for _, version := range r.versions(epoch) {
 			snapshot := query.Snapshot{Version: version, Epoch: epoch}
-			if version < floor || slices.Contains(excluded, snapshot) {
+			if version < minimumVersion || slices.Contains(excluded, snapshot) {
 				continue
 			}
 			plan := Plan{Snapshot: snapshot, Total: total, Covered: r.covered(snapshot, total)}
@@ -48,7 +49,8 @@
 	return best, found && best.Covered > 0
 }
 
-// betterThan prefers the larger share of shards, then the newer version, then the newer epoch.
+// betterThan reports whether the plan is preferred to another one: it covers a larger share of its shards, or else has the
+// newer version, or else the newer epoch.
 func (p Plan) betterThan(other Plan) bool {
 	mine := uint64(p.Covered) * uint64(other.Total)
 	theirs := uint64(other.Covered) * uint64(p.Total)
@@ -61,6 +63,7 @@
 	return p.Snapshot.Epoch > other.Snapshot.Epoch
 }
 
+// forEachHolding calls visit for the holding of each back end.
 func (r Routing) forEachHolding(visit func(query.Holding)) {
 	for _, group := range r.Groups {
 		for _, holding := range group.Holdings {
@@ -69,6 +72,7 @@
 	}
 }
 
+// epochs returns the epochs of all holdings, without duplicates.
 func (r Routing) epochs() []uint64 {
 	var epochs []uint64
 	r.forEachHolding(func(h query.Holding) {
@@ -79,7 +83,7 @@
 	return epochs
 }
 
-// total is the number of shards in an epoch, which every back end in it states.
+// total returns the number of shards in an epoch. Every back end in the epoch states it, whichever shards the back end holds.
 func (r Routing) total(epoch uint64) uint32 {
 	var total uint32
 	r.forEachHolding(func(h query.Holding) {
@@ -90,7 +94,8 @@
 	return total
 }
 
-// versions are the newest versions of all holdings in an epoch: the newest version all shards hold is one of them.
+// versions returns the newest versions of all holdings in an epoch, in descending order. The newest version that all shards
+// hold is one of them.
 func (r Routing) versions(epoch uint64) []uint64 {
 	var versions []uint64
 	r.forEachHolding(func(h query.Holding) {
@@ -102,6 +107,7 @@
 	return versions
 }
 
+// covered counts the shards that some back end holds at a snapshot.
 func (r Routing) covered(at query.Snapshot, total uint32) uint32 {
 	held := make([]bool, total)
 	var count uint32
@@ -119,7 +125,7 @@
 	return count
 }
 
-// noCoverage is the coverage of an answer without any shard.
+// noCoverage returns the coverage of an answer with no shard answered.
 func (r Routing) noCoverage() query.Coverage {
 	_, total, known := r.NewestEpoch()
 	if !known {
@@ -132,7 +138,8 @@
 	return coverage
 }
 
-// holders returns, per shard, the groups that can answer at the snapshot: those of the region first.
+// holders returns for each shard the numbers of the groups that can answer at the snapshot. Groups of the given region come
+// first.
 func (r Routing) holders(at query.Snapshot, total uint32, region string) [][]uint32 {
 	holders := make([][]uint32, total)
 	for _, local := range []bool{true, false} {
@@ -155,7 +162,8 @@
 	return holders
 }
 
-// NewestEpoch returns the newest epoch held and the number of its shards, for requests keyed to a shard.
+// NewestEpoch returns the newest epoch of any holding and the number of its shards. It is used for requests that go to the one
+// shard of their key.
 func (r Routing) NewestEpoch() (epoch uint64, total uint32, known bool) {
 	for _, candidate := range r.epochs() {
 		if !known || candidate > epoch {
@@ -165,7 +173,8 @@
 	return epoch, r.total(epoch), known && r.total(epoch) > 0
 }
 
-// GroupOf returns a group that holds a shard in an epoch, other than those excluded; the region's first.
+// GroupOf returns the number of a group that holds a shard in an epoch, preferably in the given region, and false if there is
+// none.
 func (r Routing) GroupOf(shard uint32, epoch uint64, region string) (uint32, bool) {
 	fallback, found := uint32(0), false
 	for _, group := range r.Groups {
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -1,16 +1,18 @@
-// Package scatter decides, at the node a caller reached, at which snapshot a query runs, which group is asked for which shard,
-// when another dispatcher is asked, and what the answer may claim.
+// Package scatter runs a search at its root, that is the node that received it from a caller. It decides at which snapshot the
+// search runs, which group of back ends is asked for which shard, when another dispatcher is asked, and which coverage or
+// failure the answer states. A dispatcher is a node that sends sub-queries to the back ends of a group.
 //
-// The way of a query: scatter.go (start and plan, with routing.go for the choice of the snapshot), ask.go (sub-queries out),
-// receive.go (answers in), retry.go (other dispatchers and other snapshots), finish.go (the answer, and each failure with its
-// time to come back).
+// A query passes through scatter.go (start and plan, with routing.go for the choice of the snapshot), ask.go (sub-queries
+// sent), receive.go (answers), retry.go (other dispatchers and other snapshots) and finish.go (the final answer, and each
+// failure with its retry-after time).
 //
-// It owns one Query per search under way. It relies on its Environment for what is known of shards and dispatchers, and on its
-// caller for the time, one call at a time; it does no I/O, takes no lock and reads no clock. Invariants:
-//   - documents of one answer are all of one snapshot;
-//   - a shard counts as answered only with an answer to this query at that snapshot, once;
-//   - answered and missing shards together are all the shards of the epoch;
-//   - a query is reported as not run only if every sub-query sent is proved not to have run.
+// The package holds one Query per search in flight. It relies on its Environment for what is known of shards and dispatchers,
+// and on its caller for the current time and for making one call at a time. It does no I/O, takes no locks and reads no
+// clock. Invariants:
+//   - All documents of one answer are of one snapshot.
+//   - A shard counts as answered only by an answer to this query at that snapshot, and only once.
+//   - The answered and the missing shards together are all shards of the epoch.
+//   - A query is reported as not run only if every sub-query sent is proved not to have run.
 package scatter
 
 import (
@@ -21,26 +23,27 @@
 	"stiletrail/internal/query"
 )
 
-// Environment is what a query needs of the node it runs on.
+// Environment is what a query needs from the node on which it runs.
 type Environment interface {
-	// Routing is what is known now of the service's shards.
+	// Routing returns what is known now of the service's back ends and their holdings.
 	Routing(service string) Routing
-	// PickDispatcher picks a node that dispatches to a group, none of those excluded. With deputiesToo, deputies and earlier
-	// dispatchers are picked too where no other is left.
+	// PickDispatcher picks a node that dispatches to a group and is not excluded. With deputiesToo, it picks a deputy or a
+	// previous owner of the group if no dispatcher is left. It returns false if there is no such node.
 	PickDispatcher(service string, group uint32, excluded []string, deputiesToo bool) (string, bool)
-	// NextID returns an id never given before.
+	// NextID returns a new unique id for a sub-query.
 	NextID() query.ID
-	// Region of the node.
+	// Region returns the region of the node.
 	Region() string
-	// SubQueryLatency is a high quantile of the latency of sub-queries, zero while unknown.
+	// SubQueryLatency returns a high quantile of the latency of sub-queries, or zero while it is unknown.
 	SubQueryLatency() time.Duration
-	// SpendReissue takes from the budget for asking a second dispatcher while the first is silent.
+	// SpendReissue takes a number of shards from the budget for asking a second dispatcher while the first is silent. It
+	// returns false if the budget is too small.
 	SpendReissue(shards int) bool
-	// MarkSuspect notes that a dispatcher is silent.
+	// MarkSuspect records that a dispatcher is silent or cannot be reached, so that others are preferred for a while.
 	MarkSuspect(address string)
 }
 
-// Request is a search as its root takes it.
+// Request is a search as its root received it.
 type Request struct {
 	Service        string
 	Body           []byte
@@ -49,61 +52,66 @@
 	Document       catalog.Document
 }
 
-// Query is one search under way.
+// Query is the state of one search in flight.
 type Query struct {
 	environment Environment
 	request     Request
 	startedAt   time.Duration
-	planned     Plan
-	plans       int
-	// excluded are the snapshots that back ends turned out not to hold.
+	// planned is the current plan, plans the number of plans so far.
+	planned Plan
+	plans   int
+	// excluded are the snapshots that a back end turned out not to hold.
 	excluded []query.Snapshot
 	shards   []shard
-	// holders are, per shard, the groups that can answer.
+	// holders are the numbers of the groups that can answer, by shard.
 	holders    [][]uint32
 	results    map[uint32]query.ShardDocuments
 	answered   uint32
 	subQueries map[query.ID]*subQuery
-	// sendOrder of the sub-queries, so that a seed gives one trace.
+	// sendOrder lists the sub-queries in flight in the order in which they were sent. It makes the simulation reproducible
+	// from its seed.
 	sendOrder []query.ID
-	// shardAttempts counts the shards asked of back ends so far.
+	// shardAttempts counts the shards in all requests to back ends so far, as reported by the dispatchers.
 	shardAttempts uint32
-	// mayHaveRun: a sub-query is not proved not to have run.
+	// mayHaveRun is true if there is a sub-query that is not proved not to have run.
 	mayHaveRun bool
+	// retryAfter is the longest retry-after time that a dispatcher has sent.
 	retryAfter time.Duration
 	actions    []Action
 	done       bool
 }
 
-// shard is what became of a shard so far: it is answered, or live, or missing for a reason.
+// shard is the state of one shard of the query. The shard is answered, asked for, or missing for a reason.
 type shard struct {
 	answered bool
 	reason   query.Reason
-	// live counts sub-queries under way that were asked for the shard.
-	live  int
+	// live counts the sub-queries in flight for the shard.
+	live int
+	// tried are the targets to which a sub-query for the shard was sent.
 	tried []target
 }
 
-// target is a dispatcher of a group that was asked for a shard.
+// target is a group together with a dispatcher for it, to which a sub-query can be sent.
 type target struct {
 	group      uint32
 	dispatcher string
 }
 
-// subQuery is what one dispatcher was asked for.
+// subQuery is a sub-query in flight.
 type subQuery struct {
 	dispatcher string
 	shards     []uint32
-	// responded: something came back.
+	// responded is true once the dispatcher has sent an answer.
 	responded bool
-	reissued  bool
-	// waitUntil is when another dispatcher is asked for what did not come.
+	// reissued is true once a second dispatcher was asked for the shards.
+	reissued bool
+	// waitUntil is when the dispatcher counts as silent, or the results that are still outstanding as lost.
 	waitUntil time.Duration
-	// finalAnswer is the final answer, kept while results that were sent before it are still on their way.
+	// finalAnswer is the final answer, kept while results that were sent before it have not arrived.
 	finalAnswer *message.SubAnswer
 }
 
-// Start plans a search and returns it with its first actions.
+// Start plans a search, and returns its state and its first actions.
 func Start(now time.Duration, request Request, environment Environment) (*Query, []Action) {
 	q := &Query{
 		environment: environment, request: request, startedAt: now,
@@ -113,12 +121,13 @@
 	return q, q.takeActions()
 }
 
-// Done reports whether the answer was given.
+// Done reports whether the answer was emitted.
 func (q *Query) Done() bool { return q.done }
 
-// HasSubQuery reports whether the id is of a sub-query of this query.
+// HasSubQuery reports whether the id belongs to a sub-query of this query that is in flight.
 func (q *Query) HasSubQuery(id query.ID) bool { return q.subQueries[id] != nil }
 
+// takeActions returns the actions collected since the last call.
 func (q *Query) takeActions() []Action {
 	actions := q.actions
 	q.actions = nil
@@ -129,7 +138,7 @@
 	q.actions = append(q.actions, Send{To: to, Message: m})
 }
 
-// plan plans the whole query at a snapshot and sends it out. Nothing of an earlier plan is kept.
+// plan plans the whole query at a snapshot and sends its sub-queries. It discards the results of an earlier plan.
 func (q *Query) plan(now time.Duration) {
 	routing := q.environment.Routing(q.request.Service)
 	plan, found := routing.ChoosePlan(q.request.MinimumVersion, q.excluded)
--- a/internal/scatter/tick.go
+++ b/internal/scatter/tick.go
@@ -11,7 +11,8 @@
 func (q *Query) NextWake() time.Duration {
 	wake := q.request.Deadline - answerMargin
 	if tail := q.tailBudgetEnd(); tail > 0 && q.coverageReached() {
-		// With too little coverage there is nothing to finish early with: answers wake the query then.
+		// The query can only finish early with enough coverage. Until then no wake-up is needed for it, because Receive
+		// checks it with each answer.
 		wake = min(wake, tail)
 	}
 	for _, sub := range q.subQueries {
@@ -22,7 +23,7 @@
 	return wake
 }
 
-// Tick takes in the passing of time.
+// Tick ends the query at its deadline or tail budget, and handles dispatchers that are silent and results that are lost.
 func (q *Query) Tick(now time.Duration) []Action {
 	if q.done {
 		return nil
