--- a/internal/query/attempt.go
+++ b/internal/query/attempt.go
@@ -2,23 +2,28 @@
 
 import "time"
 
-// Status is what came of an attempt.
+// Status is the outcome of an attempt.
 type Status uint8
 
-// The statuses of an attempt. Those from StatusShed to StatusNotSent prove that it did not run.
+// The statuses of an attempt. Those from StatusShed to StatusNotSent prove that the attempt did not run.
 const (
 	StatusNone Status = iota
 	StatusOK
+	// StatusShed means that the back end refused the request because it is overloaded.
 	StatusShed
+	// StatusDraining means that the back end refused the request because it is draining.
 	StatusDraining
+	// StatusVersionUnavailable means that the back end does not hold the snapshot.
 	StatusVersionUnavailable
+	// StatusNotHeld means that the back end does not hold a shard of the request.
 	StatusNotHeld
+	// StatusExpired means that the back end refused the request because its deadline had passed.
 	StatusExpired
-	// StatusNotSent: no byte of the request was written.
+	// StatusNotSent means that no byte of the request was written.
 	StatusNotSent
-	// StatusLost: the request may have run; no answer came.
+	// StatusLost means that no answer was received. The request may have run.
 	StatusLost
-	// StatusInvalid: an answer came that does not match its request, count or checksum.
+	// StatusInvalid means that the answer does not match its request, document count or checksum.
 	StatusInvalid
 )
 
@@ -27,7 +32,7 @@
 	return s >= StatusShed && s <= StatusNotSent
 }
 
-// Reason gives the reason a shard is missing for when its last attempt ended so.
+// Reason returns the reason for which a shard is missing if its last attempt ended with the status.
 func (s Status) Reason() Reason {
 	switch s {
 	case StatusShed:
@@ -56,12 +61,14 @@
 	Shards     []uint32
 	Snapshot   Snapshot
 	Body       []byte
-	Execute    bool
-	// Deadline is on the sender's monotonic clock.
+	// Execute is true if the request is not repeatable.
+	Execute bool
+	// Deadline is a time of the sender's monotonic clock.
 	Deadline time.Duration
 }
 
-// AttemptResult is what came of an attempt, already matched and verified by the adapter.
+// AttemptResult is the outcome of an attempt. The back-end client has already matched the answer to its request, and has
+// verified its count and checksum.
 type AttemptResult struct {
 	Attempt    uint64
 	Status     Status
@@ -70,6 +77,6 @@
 	Holding    Holding
 	HasHolding bool
 	RetryAfter time.Duration
-	// BackEndCrashed: the back end itself ended, and not just the connection: it takes no connections any more.
+	// BackEndCrashed is true if the back end itself has ended and not only the connection: it accepts no new connections.
 	BackEndCrashed bool
 }
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -1,6 +1,6 @@
-// Package query holds the terms shared by everything on the query path of the daemon: requests, snapshots, shards and coverage
-// (query.go), what a back end holds (holding.go), attempts, what came of them and what that proves (attempt.go). Its values are
-// plain data; it decides nothing else and owns no state.
+// Package query defines the data types that the packages on the query path share: requests, snapshots, shards and coverage
+// (query.go), what a back end holds (holding.go), attempts, their outcomes and whether an outcome proves that an attempt did
+// not run (attempt.go). Its values are plain data. It holds no state, and relies on no other package of the repository.
 package query
 
 import (
@@ -9,25 +9,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ID names a request: the generation of the node that took it and a number that node never gives twice.
+// ID identifies a sub-query. Generation is the one of the node that sent it, and Sequence is unique within the generation.
 type ID struct {
 	Generation uint64
 	Sequence   uint64
 }
 
-// Snapshot names one state of an index: its version within a partition epoch.
+// Snapshot identifies one state of an index: a version within an epoch. An epoch is one partitioning of the index into shards.
 type Snapshot struct {
 	Version uint64
 	Epoch   uint64
 }
 
-// Document is one result.
+// Document is one search result.
 type Document struct {
 	Key  string
 	Body []byte
 }
 
-// ShardDocuments is what one shard answered.
+// ShardDocuments is the answer of one shard.
 type ShardDocuments struct {
 	Shard     uint32
 	Documents []Document
@@ -36,7 +36,7 @@
 // Reason says why a shard is missing from an answer.
 type Reason uint8
 
-// The reasons, in the order of the API's enum.
+// The reasons for which a shard is missing, in the order of the API's enum.
 const (
 	ReasonNone Reason = iota
 	ReasonNoReplica
@@ -49,15 +49,15 @@
 	ReasonInvalidAnswer
 )
 
-// Missing is a shard without an answer.
+// Missing is a shard that is missing from an answer, and why.
 type Missing struct {
 	Shard  uint32
 	Reason Reason
 }
 
-// Coverage states how much of an index an answer stands for.
+// Coverage states which part of an index an answer covers.
 type Coverage struct {
-	// Total is the number of shards in the epoch; valid where TotalKnown.
+	// Total is the number of shards in the epoch. It is valid if TotalKnown is true.
 	Total      uint32
 	TotalKnown bool
 	Answered   uint32
@@ -69,7 +69,7 @@
 	return c.TotalKnown && c.Answered == c.Total
 }
 
-// Ratio is the part of the shards that answered, from 0 to 1.
+// Ratio returns the share of the shards that are answered, from 0 to 1. It is 0 if the number of shards is not known.
 func (c Coverage) Ratio() float64 {
 	if !c.TotalKnown || c.Total == 0 {
 		return 0
@@ -77,8 +77,9 @@
 	return float64(c.Answered) / float64(c.Total)
 }
 
-// Checksum is the checksum a back end states with its answer: xxhash64 over shard numbers, keys and bodies in
-// order, each preceded by its length; the second value is the count of documents.
+// Checksum returns the checksum and the number of documents that a back end sends with its answer. The checksum is xxhash64
+// over, for each shard in order, its number, its number of documents, and the key and body of each document, both preceded
+// by their length.
 func Checksum(results []ShardDocuments) (checksum uint64, documents uint32) {
 	digest := xxhash.New()
 	var number [8]byte
@@ -100,7 +101,7 @@
 	return digest.Sum64(), documents
 }
 
-// ShardOf maps a key to its shard: xxhash64 of the key modulo the number of shards.
+// ShardOf returns the shard of a key: xxhash64 of the key modulo the number of shards.
 func ShardOf(key string, total uint32) uint32 {
 	return uint32(xxhash.Sum64String(key) % uint64(total))
 }
