--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -24,8 +24,8 @@
 //   - The predicted wait for a slot exceeds Settings.MaximumQueueWait or half the time left until the deadline. The
 //     retry-after time is the predicted wait.
 //
-// There are refusals elsewhere too: Submit refuses sub-queries for groups that this node does not own and drops
-// duplicates, and Refuse serves a node that is stopping.
+// Sub-queries are also refused elsewhere: Submit refuses those for groups that this node does not own and drops
+// duplicates, and Refuse is called in place of Submit while the node is stopping.
 func (c *Core) admit(now time.Duration, q *subQuery, verdict quarantine.Verdict) (refusal, bool) {
 	if verdict == quarantine.Quarantined {
 		return refusal{reason: query.ReasonLost, retryAfter: c.quarantine.Remaining(clock.FromDuration(now), identityOf(q.request)).Duration()}, false
--- a/internal/dispatch/benchmark_test.go
+++ b/internal/dispatch/benchmark_test.go
@@ -25,7 +25,7 @@
 		}
 		attempts += len(h.started)
 		h.now += time.Millisecond
-		h.take(h.core.Tick(h.now))
+		h.record(h.core.Tick(h.now))
 	}
 	b.ReportMetric(float64(attempts)/float64(b.N), "attempts/op")
 }
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// candidates returns the usable replicas of a shard that the sub-query has not tried yet. For a search a replica must hold
-// the shard at the snapshot of the sub-query; for a request that is not repeatable, the epoch is enough.
+// candidates returns the usable replicas of a shard that the sub-query has not tried yet. For a search, a replica must hold
+// the shard at the snapshot of the sub-query. For a request that is not repeatable, it must hold the shard in the same epoch.
 func (c *Core) candidates(now time.Duration, q *subQuery, shard uint32) []*backEnd {
 	var result []*backEnd
 	state := q.shards[shard]
--- a/internal/dispatch/crashing_test.go
+++ b/internal/dispatch/crashing_test.go
@@ -12,18 +12,18 @@
 // back end at another replica at once, and forgot the query after answering it, one query that is sent again and again would
 // crash all back ends. Package gateway has more tests of such requests.
 
-// ask submits a search with the given body over some shards.
-func (h *harness) ask(body string, shards []uint32) {
+// submitBody submits a search with the given body over some shards.
+func (h *harness) submitBody(body string, shards []uint32) {
 	h.sequence++
-	h.take(h.core.Submit(h.now, "root", &message.SubQuery{
+	h.record(h.core.Submit(h.now, "root", &message.SubQuery{
 		ID: query.ID{Generation: 1, Sequence: h.sequence}, Service: service, Shards: shards, Body: []byte(body),
 		Snapshot: query.Snapshot{Version: 5, Epoch: 1}, RemainingMicroseconds: uint64((2 * time.Second).Microseconds()),
 	}))
 }
 
-// settle ends all attempts in flight, and those that are started in consequence, until there are none. Attempts with the
+// endAttempts ends all attempts in flight, and those that are started in consequence, until there are none. Attempts with the
 // body crashing crash their back ends; the others are answered. It returns the number of crashes.
-func (h *harness) settle(crashing string) (crashes int) {
+func (h *harness) endAttempts(crashing string) (crashes int) {
 	for len(h.started) > 0 {
 		a := h.started[0]
 		h.started = h.started[1:]
@@ -33,7 +33,7 @@
 			continue
 		}
 		crashes++
-		h.take(h.core.AttemptEnded(h.now, query.AttemptResult{Attempt: a.Number, Status: query.StatusLost, BackEndCrashed: true}))
+		h.record(h.core.AttemptEnded(h.now, query.AttemptResult{Attempt: a.Number, Status: query.StatusLost, BackEndCrashed: true}))
 	}
 	return crashes
 }
@@ -49,17 +49,17 @@
 	}
 	crashes := 0
 	for range tries {
-		h.ask("bad", shards)
-		crashes += h.settle("bad")
+		h.submitBody("bad", shards)
+		crashes += h.endAttempts("bad")
 		if got := h.last(); !got.Done || len(got.Missing) != backEnds {
 			t.Fatalf("crashing query: got answer %+v, want a final one with all shards missing", got)
 		}
-		h.pass(4 * time.Second)
+		h.advance(4 * time.Second)
 		for i := range backEnds {
 			h.describe(i, query.StateServing)
 		}
-		h.ask("good", shards)
-		h.settle("bad")
+		h.submitBody("good", shards)
+		h.endAttempts("bad")
 		if got := h.last(); !got.Done || len(got.Missing) > 0 {
 			t.Errorf("other query: got answer %+v, want a final one without missing shards", got)
 		}
@@ -77,14 +77,14 @@
 func TestQuarantinedQueryIsRefused(t *testing.T) {
 	h := newHarness(12, 4, DefaultSettings())
 	for range 6 {
-		h.ask("bad", []uint32{0})
-		h.settle("bad")
-		h.pass(4 * time.Second)
+		h.submitBody("bad", []uint32{0})
+		h.endAttempts("bad")
+		h.advance(4 * time.Second)
 		for i := range 12 {
 			h.describe(i, query.StateServing)
 		}
 	}
-	h.ask("bad", []uint32{0})
+	h.submitBody("bad", []uint32{0})
 	if got := h.last(); len(h.started) > 0 || !got.Done || !got.NotRun || got.RetryAfterMilliseconds == 0 {
 		t.Errorf("got %d attempts and answer %+v, want no attempt and a refusal as not run with a retry-after time", len(h.started), got)
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,7 +1,7 @@
 // Package dispatch sends sub-queries to back ends. A search arrives at one node, its root, which splits it into
-// sub-queries, one per group of back ends. Each group is owned by a node, its dispatcher, and deputies stand by for it.
-// The dispatcher decides which replica gets which shards of a sub-query, when an attempt is hedged or retried, and which
-// sub-queries are refused.
+// sub-queries, one per group of back ends. Each group is owned by one or more nodes, its dispatchers. Other nodes, its
+// deputies, serve it when no dispatcher answers. A dispatcher decides which replica gets which shards of a sub-query, when an
+// attempt is hedged or retried, and which sub-queries are refused. An attempt is one request to one back end.
 //
 // The rules are in these files: admission and refusals in admit.go, the choice of a replica in choose.go, hedging in
 // hedge.go, retries in retry.go, the state of a back end and its ejection in backend.go and health.go, requests that crash
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -27,13 +27,14 @@
 	answers  []*message.SubAnswer
 }
 
+// newHarness returns a harness with the given number of back ends, each of which has described itself as serving.
 func newHarness(backEnds, slots int, settings Settings) *harness {
 	h := &harness{core: New(7, settings, rand.New(rand.NewPCG(1, 2))), now: time.Second}
 	group := placement.Group{Service: service}
 	for i := range backEnds {
 		group.BackEnds = append(group.BackEnds, catalog.BackEnd{Address: address(i), Slots: slots, Connections: 100})
 	}
-	h.take(h.core.SetGroups(h.now, []placement.Ownership{{Group: group, Version: 1, Dispatchers: 1}}))
+	h.record(h.core.SetGroups(h.now, []placement.Ownership{{Group: group, Version: 1, Dispatchers: 1}}))
 	for i := range backEnds {
 		h.describe(i, query.StateServing)
 	}
@@ -42,6 +43,7 @@
 
 func address(number int) string { return fmt.Sprintf("10.0.0.%d:80", number+1) }
 
+// holding returns what a back end reports about itself in the given state.
 func (h *harness) holding(number int, state query.State) query.Holding {
 	total := uint32(len(h.core.groups[groupKey{service: service}].backEnds))
 	return query.Holding{
@@ -49,11 +51,13 @@
 	}
 }
 
+// describe reports the description of a back end to the dispatcher.
 func (h *harness) describe(number int, state query.State) {
-	h.take(h.core.DescribeDone(h.now, service, address(number), h.holding(number, state), true))
+	h.record(h.core.DescribeDone(h.now, service, address(number), h.holding(number, state), true))
 }
 
-func (h *harness) take(actions []Action) {
+// record stores the actions of the dispatcher.
+func (h *harness) record(actions []Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case StartAttempt:
@@ -68,14 +72,16 @@
 	}
 }
 
+// submit sends a sub-query with a deadline of 200 ms.
 func (h *harness) submit(execute bool, shards ...uint32) {
 	h.sequence++
-	h.take(h.core.Submit(h.now, "root", &message.SubQuery{
+	h.record(h.core.Submit(h.now, "root", &message.SubQuery{
 		ID: query.ID{Generation: 1, Sequence: h.sequence}, Service: service, Shards: shards, Execute: execute,
 		Snapshot: query.Snapshot{Version: 5, Epoch: 1}, RemainingMicroseconds: uint64((200 * time.Millisecond).Microseconds()),
 	}))
 }
 
+// answer ends an attempt with the given status.
 func (h *harness) answer(a query.Attempt, status query.Status) {
 	result := query.AttemptResult{Attempt: a.Number, Status: status, Snapshot: a.Snapshot}
 	if status == query.StatusOK {
@@ -83,14 +89,16 @@
 			result.Results = append(result.Results, query.ShardDocuments{Shard: shard})
 		}
 	}
-	h.take(h.core.AttemptEnded(h.now, result))
+	h.record(h.core.AttemptEnded(h.now, result))
 }
 
-func (h *harness) pass(length time.Duration) {
+// advance moves the time on and fires the timers that are due.
+func (h *harness) advance(length time.Duration) {
 	h.now += length
-	h.take(h.core.Tick(h.now))
+	h.record(h.core.Tick(h.now))
 }
 
+// last returns the last answer sent to the root, or an empty one.
 func (h *harness) last() *message.SubAnswer {
 	if len(h.answers) == 0 {
 		return &message.SubAnswer{}
@@ -148,7 +156,7 @@
 	h := newHarness(4, 5, DefaultSettings())
 	h.submit(false, 1, 3)
 	for h.now < time.Second+100*time.Millisecond && h.core.Counters.Hedges == 0 {
-		h.pass(time.Millisecond)
+		h.advance(time.Millisecond)
 	}
 	if h.core.Counters.Hedges == 0 {
 		t.Fatal("no hedge was sent")
@@ -194,7 +202,7 @@
 				Attempt: a.Number, Status: query.StatusOK, Snapshot: a.Snapshot, Results: []query.ShardDocuments{{Shard: 1}},
 			}
 			change(&result)
-			h.take(h.core.AttemptEnded(h.now, result))
+			h.record(h.core.AttemptEnded(h.now, result))
 			if len(h.answers) > 0 || len(h.started) != 2 {
 				t.Errorf("got %d answers and %d attempts, want 0 and 2", len(h.answers), len(h.started))
 			}
@@ -208,7 +216,7 @@
 	h := newHarness(2, 1, DefaultSettings())
 	h.submit(false, 0)
 	h.submit(false, 1)
-	h.pass(60 * time.Millisecond)
+	h.advance(60 * time.Millisecond)
 	if h.core.Counters.Hedges != 0 {
 		t.Errorf("%d hedges were sent into full windows", h.core.Counters.Hedges)
 	}
@@ -219,7 +227,7 @@
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
 	h := newHarness(2, 1, DefaultSettings())
 	h.submit(false, 0)
-	h.pass(40 * time.Millisecond)
+	h.advance(40 * time.Millisecond)
 	h.answer(h.started[0], query.StatusOK)
 	for range 10 {
 		h.submit(false, 0, 1)
@@ -235,7 +243,7 @@
 	h := newHarness(4, 5, DefaultSettings())
 	h.submit(false, 1)
 	for len(h.started) < 2 && h.now < 2*time.Second {
-		h.pass(time.Millisecond)
+		h.advance(time.Millisecond)
 	}
 	h.answer(h.started[1], query.StatusOK)
 	if len(h.cancels) != 1 || h.cancels[0] != h.started[0].Number {
@@ -256,7 +264,7 @@
 			case 0:
 				h.submit(rapid.Bool().Draw(rt, "execute"), uint32(rapid.IntRange(0, 3).Draw(rt, "shard")))
 			case 1:
-				h.pass(time.Duration(rapid.IntRange(1, 50).Draw(rt, "ms")) * time.Millisecond)
+				h.advance(time.Duration(rapid.IntRange(1, 50).Draw(rt, "ms")) * time.Millisecond)
 			default:
 				if answered < len(h.started) {
 					status := query.Status(rapid.IntRange(int(query.StatusOK), int(query.StatusInvalid)).Draw(rt, "status"))
@@ -284,7 +292,7 @@
 func TestDrainSignals(t *testing.T) {
 	signals := map[string]func(h *harness){
 		"description":  func(h *harness) { h.describe(1, query.StateDraining) },
-		"machine list": func(h *harness) { h.take(h.core.SetDrainingMachines(h.now, map[string]bool{address(1): true})) },
+		"machine list": func(h *harness) { h.record(h.core.SetDrainingMachines(h.now, map[string]bool{address(1): true})) },
 		"refusal, then description as serving": func(h *harness) {
 			for len(h.started) == 0 || h.started[len(h.started)-1].BackEnd != address(1) {
 				h.submit(false, 1)
@@ -319,8 +327,8 @@
 		h.submit(false, 1)
 	}
 	h.answer(h.started[len(h.started)-1], query.StatusDraining)
-	h.take(h.core.SetGroups(h.now, nil))
-	h.take(h.core.SetGroups(h.now, owned))
+	h.record(h.core.SetGroups(h.now, nil))
+	h.record(h.core.SetGroups(h.now, owned))
 	before := len(h.started)
 	for i := range 4 {
 		h.describe(i, query.StateServing)
@@ -347,7 +355,7 @@
 			h.answer(a, query.StatusLost)
 		}
 		h.started = nil
-		h.pass(5 * time.Millisecond)
+		h.advance(5 * time.Millisecond)
 	}
 	usable := map[uint32]bool{}
 	for _, b := range h.core.groups[groupKey{service: service}].backEnds {
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -18,8 +18,8 @@
 	return quarantine.NewIdentity(string(request), request, nil)
 }
 
-// serialTrials is the state of a sub-query that has crashed back ends or is suspected to. While it is suspect, its shards
-// are sent to one back end at a time, until one of them is answered.
+// serialTrials is the state of a sub-query that has crashed back ends, or whose request has done so before. While it is
+// suspect, its shards are sent to one back end at a time, as trials, until one of them is answered.
 type serialTrials struct {
 	// suspect is true while at most one attempt of the sub-query may be started at a time.
 	suspect bool
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -6,8 +6,9 @@
 // source given to New.
 //
 // A search arrives at any node, which is its root: it splits the search into sub-queries and merges the answers. Each group
-// of back ends is owned by a dispatcher, a node that sends sub-queries to them, and by deputies that stand by. A request
-// that is not repeatable, called an execute, needs a ticket and runs at the node that minted the ticket.
+// of back ends is owned by dispatchers, which are the nodes that send sub-queries to it, and by deputies, which do so when no
+// dispatcher answers. A request that is not repeatable, called an execute, needs a ticket. It is handled by the node that
+// minted the ticket.
 //
 // The files, with the package in parentheses that makes the decisions and holds the state if it is not engine:
 //
--- a/internal/engine/execute.go
+++ b/internal/engine/execute.go
@@ -225,7 +225,7 @@
 		return
 	}
 	if !m.NotRun {
-		e.finishExecute(x, unknownOutcome("the back end did not answer and may have run the request"))
+		e.finishExecute(x, unknownOutcome("no valid answer came from the back end, which may have run the request"))
 		return
 	}
 	delete(e.subQueryOwners, x.subQueryID)
--- a/internal/engine/store.go
+++ b/internal/engine/store.go
@@ -142,7 +142,7 @@
 	e.gossip.Refreshed(e.store.startedAt)
 }
 
-// compareStore sets the services of which the store holds an older version than is in force. Alarms reports them.
+// compareStore determines the services of which the store holds an older version than is in force. Alarms reports them.
 func (e *Engine) compareStore() {
 	clear(e.store.behind)
 	for _, service := range e.catalog.Services() {
