--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -29,10 +29,11 @@
 	described bool
 	// draining is the set of sources that report the back end as draining.
 	draining drainSignal
-	// latency is the moving average of the latency of its answers, zero before the first answer.
+	// latency is the moving average of the latency of its answers, zero before the first one. Abandoned attempts count with
+	// the time until then, if that exceeds the average.
 	latency time.Duration
 	queue   []*queuedAttempt
-	// failures counts the attempts that failed since the last answer.
+	// failures counts the attempts that failed since the last answer, and the descriptions missing while it answered nothing.
 	failures int
 	// slow counts the attempts since the last answer that were cancelled because a hedge was faster or the deadline passed.
 	slow int
@@ -52,6 +53,7 @@
 	succeededOnce bool
 }
 
+// ejected reports whether the back end is taken out of use after failures.
 func (b *backEnd) ejected(now time.Duration) bool { return now < b.ejectedUntil }
 
 // usable reports whether new attempts may be sent to the back end.
@@ -68,6 +70,7 @@
 // all work, and no queue at it would ever seem long.
 const assumedLatency = 10 * time.Millisecond
 
+// expectedLatency returns the average latency, or assumedLatency before the first answer.
 func (b *backEnd) expectedLatency() time.Duration {
 	if b.latency == 0 {
 		return assumedLatency
