--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -29,18 +29,21 @@
 	described bool
 	// draining is the set of sources that report the back end as draining.
 	draining drainSignal
-	// latency is the moving average of the latency of its answers, zero before the first one. Abandoned attempts count with
-	// the time until then, if that exceeds the average.
+	// latency is the moving average of the latency of its answers, zero before the first one. Abandoned attempts count
+	// with the time until then, if that exceeds the average.
 	latency time.Duration
 	queue   []*queuedAttempt
-	// failures counts the attempts that failed since the last answer, and the descriptions missing while it answered nothing.
+	// failures counts the attempts that failed since the last answer, and the descriptions missing while it answered
+	// nothing.
 	failures int
-	// slow counts the attempts since the last answer that were cancelled because a hedge was faster or the deadline passed.
+	// slow counts the attempts since the last answer that were cancelled because a hedge was faster or the deadline
+	// passed.
 	slow int
 	// ejections counts the ejections since the last answer.
 	ejections    int
 	ejectedUntil time.Duration
-	// notBefore is the earliest time of the next attempt: when the back end last shed one, plus the retry-after it gave.
+	// notBefore is the earliest time of the next attempt: when the back end last shed one, plus the retry-after it
+	// gave.
 	notBefore   time.Duration
 	lastSuccess time.Duration
 	// refusedAt is when it last refused an attempt because it is draining.
@@ -66,8 +69,8 @@
 	return b.window.HasCapacity() && len(b.queue) == 0 && now >= b.notBefore
 }
 
-// assumedLatency is the expected latency of a back end before its first answer. With zero the back end would be chosen for
-// all work, and no queue at it would ever seem long.
+// assumedLatency is the expected latency of a back end before its first answer. With zero the back end would be chosen
+// for all work, and no queue at it would ever seem long.
 const assumedLatency = 10 * time.Millisecond
 
 // expectedLatency returns the average latency, or assumedLatency before the first answer.
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// candidates returns the usable replicas of a shard that the sub-query has not tried yet. For a search, a replica must hold
-// the shard at the snapshot of the sub-query. For a request that is not repeatable, it must hold the shard in the same epoch.
+// candidates returns the usable replicas of a shard that the sub-query has not tried yet. For a search, a replica must
+// hold the shard at the snapshot of the sub-query. For a request that is not repeatable, it must hold the shard in the
+// same epoch.
 func (c *Core) candidates(now time.Duration, q *subQuery, shard uint32) []*backEnd {
 	var result []*backEnd
 	state := q.shards[shard]
@@ -49,8 +50,8 @@
 	return first, second
 }
 
-// cost returns the expected time at a back end in nanoseconds, per remaining shard that it could answer in one attempt. A
-// back end that holds more of the remaining shards is preferred, because the sub-query then needs fewer attempts.
+// cost returns the expected time at a back end in nanoseconds, per remaining shard that it could answer in one attempt.
+// A back end that holds more of the remaining shards is preferred, because the sub-query then needs fewer attempts.
 func (c *Core) cost(now time.Duration, b *backEnd, left []uint32) float64 {
 	held := 0
 	for _, shard := range left {
--- a/internal/dispatch/crashing_test.go
+++ b/internal/dispatch/crashing_test.go
@@ -8,9 +8,9 @@
 	"stiletrail/internal/query"
 )
 
-// These tests guard against a query that crashes every back end that runs it. If a dispatcher retried the shards of a crashed
-// back end at another replica at once, and forgot the query after answering it, one query that is sent again and again would
-// crash all back ends. Package gateway has more tests of such requests.
+// These tests guard against a query that crashes every back end that runs it. If a dispatcher retried the shards of a
+// crashed back end at another replica at once, and forgot the query after answering it, one query that is sent again
+// and again would crash all back ends. Package gateway has more tests of such requests.
 
 // submitBody submits a search with the given body over some shards.
 func (h *harness) submitBody(body string, shards []uint32) {
@@ -21,8 +21,8 @@
 	}))
 }
 
-// endAttempts ends all attempts in flight, and those that are started in consequence, until there are none. Attempts with the
-// body crashing crash their back ends; the others are answered. It returns the number of crashes.
+// endAttempts ends all attempts in flight, and those that are started in consequence, until there are none. Attempts
+// with the body crashing crash their back ends; the others are answered. It returns the number of crashes.
 func (h *harness) endAttempts(crashing string) (crashes int) {
 	for len(h.started) > 0 {
 		a := h.started[0]
@@ -38,8 +38,8 @@
 	return crashes
 }
 
-// TestCrashingQueryIsContained sends a query that crashes every back end that runs it several times. It may crash each back
-// end that it is first sent to and a few more. Other queries must be served all the while.
+// TestCrashingQueryIsContained sends a query that crashes every back end that runs it several times. It may crash each
+// back end that it is first sent to and a few more. Other queries must be served all the while.
 func TestCrashingQueryIsContained(t *testing.T) {
 	const backEnds, tries = 12, 10
 	h := newHarness(backEnds, 4, DefaultSettings())
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestQuarantinedQueryIsRefused checks that a quarantined query is refused as not run, with a retry-after time, and that no
-// attempt is started for it.
+// TestQuarantinedQueryIsRefused checks that a quarantined query is refused as not run, with a retry-after time, and
+// that no attempt is started for it.
 func TestQuarantinedQueryIsRefused(t *testing.T) {
 	h := newHarness(12, 4, DefaultSettings())
 	for range 6 {
--- a/internal/dispatch/describe.go
+++ b/internal/dispatch/describe.go
@@ -6,8 +6,8 @@
 	"stiletrail/internal/query"
 )
 
-// DescribeDone handles the answer to a Describe; ok is false if the back end did not answer. Missing answers alone never
-// eject a back end that answers its attempts.
+// DescribeDone handles the answer to a Describe; ok is false if the back end did not answer. Missing answers alone
+// never eject a back end that answers its attempts.
 func (c *Core) DescribeDone(now time.Duration, service, address string, holding query.Holding, ok bool) []Action {
 	for _, g := range c.orderedGroups() {
 		if g.Service != service {
@@ -22,8 +22,8 @@
 	return c.takeActions()
 }
 
-// recordDescription applies the answer of one back end, and counts a missing answer as a failure only if the back end has
-// not answered any attempt lately either.
+// recordDescription applies the answer of one back end, and counts a missing answer as a failure only if the back end
+// has not answered any attempt lately either.
 func (c *Core) recordDescription(now time.Duration, g *group, b *backEnd, holding query.Holding, ok bool) {
 	b.describing = false
 	b.nextDescribe = now + c.describeInterval(now, g)
@@ -76,8 +76,8 @@
 	return c.takeActions()
 }
 
-// ForgetHoldings discards the descriptions of all back ends and requests new ones at once. It is called after the process
-// was frozen, because the descriptions may then be outdated.
+// ForgetHoldings discards the descriptions of all back ends and requests new ones at once. It is called after the
+// process was frozen, because the descriptions may then be outdated.
 func (c *Core) ForgetHoldings(now time.Duration) []Action {
 	for _, g := range c.groups {
 		g.changedAt = now
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,18 +1,18 @@
 // Package dispatch sends sub-queries to back ends. A search arrives at one node, its root, which splits it into
 // sub-queries, one per group of back ends. Each group is owned by one or more nodes, its dispatchers. Other nodes, its
-// deputies, serve it when no dispatcher answers. A dispatcher decides which replica gets which shards of a sub-query, when an
-// attempt is hedged or retried, and which sub-queries are refused. An attempt is one request to one back end.
+// deputies, serve it when no dispatcher answers. A dispatcher decides which replica gets which shards of a sub-query,
+// when an attempt is hedged or retried, and which sub-queries are refused. An attempt is one request to one back end.
 //
 // The rules are in these files: admission and refusals in admit.go, the choice of a replica in choose.go, hedging in
-// hedge.go, retries in retry.go, the state of a back end and its ejection in backend.go and health.go, requests that crash
-// back ends in quarantine.go. A sub-query passes through dispatch.go (received), assign.go and queue.go (sent to back
-// ends), outcome.go (answers) and finish.go (final answer).
+// hedge.go, retries in retry.go, the state of a back end and its ejection in backend.go and health.go, requests that
+// crash back ends in quarantine.go. A sub-query passes through dispatch.go (received), assign.go and queue.go (sent to
+// back ends), outcome.go (answers) and finish.go (final answer).
 //
-// The package owns what the node knows of the back ends of its groups, the sub-queries that it serves and their attempts.
-// This state is in memory only. If the node is lost, roots ask a deputy, and a new owner starts with concurrency windows
-// of one. The package relies on package placement for the groups, on package limit for windows, budgets and latencies,
-// and on its caller for the current time and for making one call at a time. It does no I/O, takes no locks and reads no
-// clock. Invariants:
+// The package owns what the node knows of the back ends of its groups, the sub-queries that it serves and their
+// attempts. This state is in memory only. If the node is lost, roots ask a deputy, and a new owner starts with
+// concurrency windows of one. The package relies on package placement for the groups, on package limit for windows,
+// budgets and latencies, and on its caller for the current time and for making one call at a time. It does no I/O,
+// takes no locks and reads no clock. Invariants:
 //   - The attempts in flight at a back end never exceed this node's share of its slots.
 //   - A sub-query is reported as not run only if every attempt started for it is proved not to have run.
 //   - An attempt that is not repeatable is started again only after such proof.
@@ -48,8 +48,8 @@
 	actions []Action
 	// drainingMachines holds the addresses of the back ends that the machine list reports as leaving.
 	drainingMachines map[string]bool
-	// refusals holds, by address, when a back end last refused an attempt as draining although its description does not say
-	// so. It outlives the ownership of the group.
+	// refusals holds, by address, when a back end last refused an attempt as draining although its description does not
+	// say so. It outlives the ownership of the group.
 	refusals map[string]time.Duration
 	// quarantine records the requests that have crashed back ends.
 	quarantine *quarantine.Core
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -16,8 +16,8 @@
 
 const service = "lookup"
 
-// harness drives a dispatcher that owns one group of back ends. Back end i holds shards i and i+1, modulo the number of back
-// ends, so that each shard has two replicas.
+// harness drives a dispatcher that owns one group of back ends. Back end i holds shards i and i+1, modulo the number of
+// back ends, so that each shard has two replicas.
 type harness struct {
 	core     *Core
 	now      time.Duration
@@ -106,8 +106,8 @@
 	return h.answers[len(h.answers)-1]
 }
 
-// TestAttemptOutcomes checks what becomes of a sub-query for one shard with two replicas if every attempt ends with the same
-// status: how many attempts are started, and whether the sub-query is reported as not run.
+// TestAttemptOutcomes checks what becomes of a sub-query for one shard with two replicas if every attempt ends with the
+// same status: how many attempts are started, and whether the sub-query is reported as not run.
 func TestAttemptOutcomes(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -183,8 +183,8 @@
 	}
 }
 
-// TestMismatchedAnswersAreRejected checks that an answer that does not match its request is not passed on, and that the shard
-// is asked of the other replica.
+// TestMismatchedAnswersAreRejected checks that an answer that does not match its request is not passed on, and that the
+// shard is asked of the other replica.
 func TestMismatchedAnswersAreRejected(t *testing.T) {
 	cases := map[string]func(*query.AttemptResult){
 		"another version": func(r *query.AttemptResult) { r.Snapshot.Version++ },
@@ -222,8 +222,8 @@
 	}
 }
 
-// TestOverloadIsRefusedAtOnce checks that a sub-query whose predicted wait is too long is refused at once, as not run and with
-// a retry-after time.
+// TestOverloadIsRefusedAtOnce checks that a sub-query whose predicted wait is too long is refused at once, as not run
+// and with a retry-after time.
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
 	h := newHarness(2, 1, DefaultSettings())
 	h.submit(false, 0)
@@ -251,8 +251,8 @@
 	}
 }
 
-// TestWindowsNeverExceedSlots checks with random sequences of sub-queries, outcomes and pauses that the attempts in flight at a
-// back end never exceed its slots.
+// TestWindowsNeverExceedSlots checks with random sequences of sub-queries, outcomes and pauses that the attempts in
+// flight at a back end never exceed its slots.
 func TestWindowsNeverExceedSlots(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const slots = 3
@@ -287,8 +287,8 @@
 	})
 }
 
-// TestDrainSignals checks that each source alone stops new work for a draining back end, and that a description that does not
-// say draining does not undo the refusal of an attempt.
+// TestDrainSignals checks that each source alone stops new work for a draining back end, and that a description that
+// does not say draining does not undo the refusal of an attempt.
 func TestDrainSignals(t *testing.T) {
 	signals := map[string]func(h *harness){
 		"description":  func(h *harness) { h.describe(1, query.StateDraining) },
@@ -318,8 +318,8 @@
 	}
 }
 
-// TestRefusalOutlivesGroupOwnership checks that a dispatcher that loses a group and gets it back still knows which back end has
-// refused an attempt as draining, even if the back end describes itself as serving.
+// TestRefusalOutlivesGroupOwnership checks that a dispatcher that loses a group and gets it back still knows which back
+// end has refused an attempt as draining, even if the back end describes itself as serving.
 func TestRefusalOutlivesGroupOwnership(t *testing.T) {
 	h := newHarness(4, 50, DefaultSettings())
 	owned := []placement.Ownership{{Group: h.core.groups[groupKey{service: service}].Group, Version: 1, Dispatchers: 1}}
@@ -371,8 +371,8 @@
 	}
 }
 
-// TestReplayWindow checks with random sequence numbers that none is accepted twice, and that every new one within replayBits of
-// the newest is accepted.
+// TestReplayWindow checks with random sequence numbers that none is accepted twice, and that every new one within
+// replayBits of the newest is accepted.
 func TestReplayWindow(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var window replayWindow
--- a/internal/dispatch/drain.go
+++ b/internal/dispatch/drain.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// drainSignal is a set of sources that report a back end as draining. One source is enough to stop new work. A source can
-// only clear its own signal.
+// drainSignal is a set of sources that report a back end as draining. One source is enough to stop new work. A source
+// can only clear its own signal.
 type drainSignal uint8
 
 // The sources that can report a back end as draining.
 const (
-	// drainByAttempt is set when the back end refuses an attempt as draining. A description that says otherwise does not
-	// clear it within refusalValidity.
+	// drainByAttempt is set when the back end refuses an attempt as draining. A description that says otherwise does
+	// not clear it within refusalValidity.
 	drainByAttempt drainSignal = 1 << iota
 	// drainByHealth is set while the back end describes itself as draining.
 	drainByHealth
--- a/internal/dispatch/finish.go
+++ b/internal/dispatch/finish.go
@@ -7,7 +7,8 @@
 	"stiletrail/internal/query"
 )
 
-// finishIfDone sends held shards that may now be tried, and finishes the sub-query if every shard is answered or missing.
+// finishIfDone sends held shards that may now be tried, and finishes the sub-query if every shard is answered or
+// missing.
 func (c *Core) finishIfDone(now time.Duration, q *subQuery) {
 	c.sendHeld(now, q)
 	if q.finished {
@@ -64,8 +65,8 @@
 	}
 }
 
-// abandon gives up an attempt in flight and cancels it at the back end, unless the request is not repeatable. The slot of
-// the attempt stays occupied until its outcome is known.
+// abandon gives up an attempt in flight and cancels it at the back end, unless the request is not repeatable. The slot
+// of the attempt stays occupied until its outcome is known.
 func (c *Core) abandon(now time.Duration, a *attempt) {
 	if a.abandoned || c.attempts[a.number] == nil {
 		return
--- a/internal/dispatch/group.go
+++ b/internal/dispatch/group.go
@@ -22,8 +22,8 @@
 	lastUsed  time.Duration
 	backEnds  []*backEnd
 	latencies limit.LatencyHistogram
-	// overdue holds attempts that should have been hedged long ago but found no free slot or no budget. They get the next
-	// free slot that can help.
+	// overdue holds attempts that should have been hedged long ago but found no free slot or no budget. They get the
+	// next free slot that can help.
 	overdue []*attempt
 	hedges  limit.Budget
 	retries limit.Budget
@@ -144,8 +144,8 @@
 	return c.takeActions()
 }
 
-// GroupState returns what the back ends of a group hold, as a message to a root. It returns false if this node does not own
-// the group or still waits for descriptions of its back ends.
+// GroupState returns what the back ends of a group hold, as a message to a root. It returns false if this node does not
+// own the group or still waits for descriptions of its back ends.
 func (c *Core) GroupState(now time.Duration, service string, number uint32) (*message.GroupState, bool) {
 	g := c.groups[groupKey{service: service, number: number}]
 	if g == nil || g.awaitingDescriptions(now) {
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -23,8 +23,8 @@
 		b.notBefore = now + result.RetryAfter
 	case query.StatusDraining:
 		if !result.HasHolding || result.Holding.State != query.StateDraining {
-			// The description does not say draining, so the refusal counts for refusalValidity. If it does say draining, the
-			// back end is used again as soon as it describes itself as serving.
+			// The description does not say draining, so the refusal counts for refusalValidity. If it does say
+			// draining, the back end is used again as soon as it describes itself as serving.
 			b.draining |= drainByAttempt
 			b.refusedAt = now
 			c.refusals[b.address] = now
@@ -38,8 +38,8 @@
 func (c *Core) recordLoss(now time.Duration, a *attempt) {
 	b := a.backEnd
 	if a.abandoned {
-		// The attempt was cancelled because a hedge was faster or the deadline passed. Several in a row without an answer
-		// mean that the back end hangs.
+		// The attempt was cancelled because a hedge was faster or the deadline passed. Several in a row without an
+		// answer mean that the back end hangs.
 		b.slow++
 	} else {
 		b.failures++
@@ -61,9 +61,9 @@
 // maximumDoublings bounds how often the ejection time is doubled, whatever Settings.MaximumEjectionTime is.
 const maximumDoublings = 8
 
-// eject takes a back end out of use for Settings.EjectionTime, and for twice as long each time it is ejected again without
-// an answer in between. It does nothing if too many back ends of the group are ejected already or if a shard would be left
-// without a usable replica.
+// eject takes a back end out of use for Settings.EjectionTime, and for twice as long each time it is ejected again
+// without an answer in between. It does nothing if too many back ends of the group are ejected already or if a shard
+// would be left without a usable replica.
 func (c *Core) eject(now time.Duration, g *group, b *backEnd) {
 	if b.ejected(now) || c.ejectionLimitReached(now, g) || lastHolder(now, g, b) {
 		return
@@ -77,8 +77,8 @@
 	c.requeue(now, g, b)
 }
 
-// ejectionLimitReached reports whether one more ejection would exceed Settings.MaximumEjectedShare of the group, rounded to
-// whole back ends.
+// ejectionLimitReached reports whether one more ejection would exceed Settings.MaximumEjectedShare of the group,
+// rounded to whole back ends.
 func (c *Core) ejectionLimitReached(now time.Duration, g *group) bool {
 	out := 0
 	for _, other := range g.backEnds {
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -10,8 +10,8 @@
 // A hedge is a second attempt for the shards of a slow attempt, at other replicas. The rules are:
 //   - An attempt is hedged once it has taken the hedge delay. This is HedgeMedianFactor times the median of the group's
 //     latencies or their HedgeQuantile, whichever is less, and at least MinimumHedgeDelay.
-//   - A hedge is sent only into a free slot and from the group's hedge budget, for each shard separately. Requests that are
-//     not repeatable are never hedged.
+//   - A hedge is sent only into a free slot and from the group's hedge budget, for each shard separately. Requests that
+//     are not repeatable are never hedged.
 //   - If no hedge can be sent, the attempt is checked again hedgeRetries times per hedge delay.
 //   - After overdueDelays hedge delays it also gets the next slot that becomes free at a replica of its shards.
 const (
@@ -20,8 +20,8 @@
 	minimumHedgeRetry = time.Millisecond
 	// overdueDelays is the number of hedge delays after which an attempt counts as overdue.
 	overdueDelays = 1.5
-	// hedgeSamples is the number of latency samples needed to derive the hedge delay. With fewer samples the hedge delay is
-	// Settings.DefaultHedgeDelay.
+	// hedgeSamples is the number of latency samples needed to derive the hedge delay. With fewer samples the hedge
+	// delay is Settings.DefaultHedgeDelay.
 	hedgeSamples = 20
 )
 
@@ -33,7 +33,8 @@
 	return max(min(quantile, byMedian), c.settings.MinimumHedgeDelay)
 }
 
-// hedge asks other replicas for the shards that an attempt has not answered, if they have free slots and the budget allows.
+// hedge asks other replicas for the shards that an attempt has not answered, if they have free slots and the budget
+// allows.
 func (c *Core) hedge(now time.Duration, a *attempt) {
 	q := a.subQuery
 	if c.hedgeNotNeeded(a) {
@@ -63,8 +64,8 @@
 	}
 }
 
-// hedgeLater schedules another check of an attempt, since a slot may become free or the budget may grow at any moment. An
-// attempt that is overdue is also put on the group's list of overdue attempts.
+// hedgeLater schedules another check of an attempt, since a slot may become free or the budget may grow at any moment.
+// An attempt that is overdue is also put on the group's list of overdue attempts.
 func (c *Core) hedgeLater(now time.Duration, a *attempt) {
 	g := a.subQuery.group
 	delay := c.hedgeDelay(g)
@@ -85,8 +86,8 @@
 	})
 }
 
-// hedgeOverdue returns a hedge for an overdue attempt whose shards the back end holds, or nil. It is called when a slot of
-// the back end has become free.
+// hedgeOverdue returns a hedge for an overdue attempt whose shards the back end holds, or nil. It is called when a slot
+// of the back end has become free.
 func (c *Core) hedgeOverdue(now time.Duration, g *group, b *backEnd) *queuedAttempt {
 	if len(g.overdue) == 0 || !b.usable(now) || now < b.notBefore {
 		return nil
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -7,7 +7,8 @@
 	"stiletrail/internal/query"
 )
 
-// AttemptEnded handles the outcome of an attempt. The outcome of an unknown attempt, such as a second outcome, is dropped.
+// AttemptEnded handles the outcome of an attempt. The outcome of an unknown attempt, such as a second outcome, is
+// dropped.
 func (c *Core) AttemptEnded(now time.Duration, result query.AttemptResult) []Action {
 	a := c.attempts[result.Attempt]
 	if a == nil {
@@ -37,8 +38,8 @@
 	return c.takeActions()
 }
 
-// verify checks that an answer matches its request: it must be at the snapshot of the sub-query, unless the request is not
-// repeatable, and have exactly the requested shards in order. An answer that does not match gets StatusInvalid.
+// verify checks that an answer matches its request: it must be at the snapshot of the sub-query, unless the request is
+// not repeatable, and have exactly the requested shards in order. An answer that does not match gets StatusInvalid.
 func (c *Core) verify(a *attempt, result query.AttemptResult) query.Status {
 	if result.Status == query.StatusInvalid {
 		c.Counters.InvalidAnswers++
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -11,8 +11,8 @@
 	"stiletrail/internal/query"
 )
 
-// identityOf returns the identity under which crashes are recorded for a sub-query: its service and body. The caller is not
-// part of it, because dispatchers do not know the caller.
+// identityOf returns the identity under which crashes are recorded for a sub-query: its service and body. The caller is
+// not part of it, because dispatchers do not know the caller.
 func identityOf(m *message.SubQuery) quarantine.Identity {
 	request := append([]byte(m.Service+"\n"), m.Body...)
 	return quarantine.NewIdentity(string(request), request, nil)
@@ -95,8 +95,9 @@
 	c.finish(now, q, query.ReasonLost)
 }
 
-// sendHeld sends the held shards of a sub-query: all of them once a shard is answered, or one as a trial if nothing is in
-// flight. Shards become missing if the deadline has passed, or if they were tried before and the retry budget is spent.
+// sendHeld sends the held shards of a sub-query: all of them once a shard is answered, or one as a trial if nothing is
+// in flight. Shards become missing if the deadline has passed, or if they were tried before and the retry budget is
+// spent.
 func (c *Core) sendHeld(now time.Duration, q *subQuery) {
 	held := q.serialTrials.held
 	switch {
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// nextQueued removes and returns the next attempt that is still needed from the back end's queue. If there is none, it takes
-// one that the back end can serve from the queue of another back end.
+// nextQueued removes and returns the next attempt that is still needed from the back end's queue. If there is none, it
+// takes one that the back end can serve from the queue of another back end.
 func (c *Core) nextQueued(now time.Duration, g *group, b *backEnd) *queuedAttempt {
 	for len(b.queue) > 0 {
 		queued := b.queue[0]
--- a/internal/dispatch/replay.go
+++ b/internal/dispatch/replay.go
@@ -10,9 +10,9 @@
 // still be served.
 const replayBits = 4096
 
-// replayWindow records which sub-queries of one generation of a root were received, as a bitmap behind the newest sequence
-// number. A duplicate must not be served: its first copy may have run, or may have been refused as not run. A sub-query
-// older than the window is treated as a duplicate.
+// replayWindow records which sub-queries of one generation of a root were received, as a bitmap behind the newest
+// sequence number. A duplicate must not be served: its first copy may have run, or may have been refused as not run. A
+// sub-query older than the window is treated as a duplicate.
 type replayWindow struct {
 	newest uint64
 	bits   [replayBits / 64]uint64
@@ -65,8 +65,8 @@
 	w.bits[word] &^= bit
 }
 
-// rootRetention is how long the window of a root that sends nothing is kept. No frame is delayed that long, since frames do
-// not outlive their connection.
+// rootRetention is how long the window of a root that sends nothing is kept. No frame is delayed that long, since
+// frames do not outlive their connection.
 const rootRetention = 10 * time.Minute
 
 // replayed reports whether the sub-query was received before, and records it.
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -6,8 +6,8 @@
 	"stiletrail/internal/query"
 )
 
-// retry asks other replicas for the shards that a failed attempt left open. Each replica is asked at most once per shard.
-// In these cases there is no retry, and the shards become missing for the reason of the failed attempt:
+// retry asks other replicas for the shards that a failed attempt left open. Each replica is asked at most once per
+// shard. In these cases there is no retry, and the shards become missing for the reason of the failed attempt:
 //   - The deadline has passed.
 //   - The request is not repeatable and an attempt of it may have run.
 //   - The group's retry budget is spent, unless the retry is free (see costsBudget).
@@ -42,8 +42,8 @@
 	return !costsBudget(status) || q.group.retries.Spend(shards)
 }
 
-// costsBudget reports whether a retry after the status is taken from the retry budget. Retries after a draining back end, or
-// one that does not hold the shard or the snapshot, are free: they are not caused by failures or overload.
+// costsBudget reports whether a retry after the status is taken from the retry budget. Retries after a draining back
+// end, or one that does not hold the shard or the snapshot, are free: they are not caused by failures or overload.
 func costsBudget(status query.Status) bool {
 	switch status {
 	case query.StatusDraining, query.StatusVersionUnavailable, query.StatusNotHeld:
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -11,10 +11,11 @@
 type Settings struct {
 	// Hedging enables hedges.
 	Hedging bool
-	// HedgeQuantile is the quantile, from 0 to 1, of the group's latencies after which an attempt is hedged at the latest.
+	// HedgeQuantile is the quantile, from 0 to 1, of the group's latencies after which an attempt is hedged at the
+	// latest.
 	HedgeQuantile float64
-	// HedgeMedianFactor times the median latency is the other upper bound of the hedge delay. It keeps the delay short if
-	// stragglers are so common that they raise the HedgeQuantile.
+	// HedgeMedianFactor times the median latency is the other upper bound of the hedge delay. It keeps the delay short
+	// if stragglers are so common that they raise the HedgeQuantile.
 	HedgeMedianFactor float64
 	// MinimumHedgeDelay is the lower bound of the hedge delay.
 	MinimumHedgeDelay time.Duration
--- a/internal/engine/admit.go
+++ b/internal/engine/admit.go
@@ -7,9 +7,9 @@
 	"stiletrail/internal/membership"
 )
 
-// A node refuses requests itself in the cases below. Each refusal proves that nothing ran. Requests that back ends refuse or
-// fail to answer are handled in packages scatter and dispatch. The list gives each failure code, its cause and its
-// retry-after time:
+// A node refuses requests itself in the cases below. Each refusal proves that nothing ran. Requests that back ends
+// refuse or fail to answer are handled in packages scatter and dispatch. The list gives each failure code, its cause
+// and its retry-after time:
 //
 //	LEAVING          The node is stopping. The caller may retry at once at another node, whose address is given.
 //	NOT_READY        The node does not know the configuration and the members yet, or joins again after a freeze:
@@ -56,8 +56,8 @@
 	return result
 }
 
-// mintWait is how long after it was first ready a node mints no tickets. By then all other nodes know it and can forward
-// requests with its tickets to it.
+// mintWait is how long after it was first ready a node mints no tickets. By then all other nodes know it and can
+// forward requests with its tickets to it.
 const mintWait = 3 * time.Second
 
 // MintTicket returns a new ticket, which admits one request that is not repeatable.
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -10,8 +10,8 @@
 	"stiletrail/internal/message"
 )
 
-// beginCall sets the time of a call to the engine and detects that the process was frozen. It is the first step of every
-// exported method that changes state.
+// beginCall sets the time of a call to the engine and detects that the process was frozen. It is the first step of
+// every exported method that changes state.
 func (e *Engine) beginCall(now time.Duration) {
 	if now < e.now {
 		panic("engine: the time of a call is before that of the previous call")
@@ -23,12 +23,12 @@
 	}
 }
 
-// freezeGap is the time without any call after which the process is taken to have been frozen. Ticks normally come every
-// 100 ms.
+// freezeGap is the time without any call after which the process is taken to have been frozen. Ticks normally come
+// every 100 ms.
 const freezeGap = 2 * time.Second
 
-// resume makes a node that was frozen join the other nodes again before it accepts new work. It discards the descriptions of
-// back ends. Until they describe themselves again, sub-queries are refused as not run.
+// resume makes a node that was frozen join the other nodes again before it accepts new work. It discards the
+// descriptions of back ends. Until they describe themselves again, sub-queries are refused as not run.
 func (e *Engine) resume() {
 	e.Counters.Freezes++
 	if e.gossip.Ready() {
--- a/internal/engine/confirm.go
+++ b/internal/engine/confirm.go
@@ -34,7 +34,8 @@
 type ConfirmRequest struct {
 	Intent      intent.Intent
 	BaseVersion uint64
-	// Operation is an id that the operator chooses. The same request may be sent again with it to resolve an unknown outcome.
+	// Operation is an id that the operator chooses. The same request may be sent again with it to resolve an unknown
+	// outcome.
 	Operation string
 }
 
@@ -97,7 +98,8 @@
 	e.performRollout(operation, e.rollouts[operation].rollout.Spreading(len(peers)))
 }
 
-// pickCopyHolders picks copiesWanted live peers: one in this node's zone, if there is one, and the others in other zones.
+// pickCopyHolders picks copiesWanted live peers: one in this node's zone, if there is one, and the others in other
+// zones.
 func (e *Engine) pickCopyHolders() []string {
 	zone := e.members.Self().Zone
 	sameZone := func(m membership.Member) bool { return m.State == membership.Alive && m.Zone == zone }
--- a/internal/engine/dispatcher.go
+++ b/internal/engine/dispatcher.go
@@ -29,8 +29,8 @@
 	return found
 }
 
-// PickDispatcher implements scatter.Environment. It picks the less loaded of two random nodes from the first of these sets
-// that is not empty, without the nodes excluded:
+// PickDispatcher implements scatter.Environment. It picks the less loaded of two random nodes from the first of these
+// sets that is not empty, without the nodes excluded:
 //   - the dispatchers of the group that are not suspected;
 //   - with deputiesToo, its deputies that are not suspected;
 //   - the suspected dispatchers and, with deputiesToo, the suspected deputies;
@@ -55,8 +55,8 @@
 	return e.lessLoaded(silent), true
 }
 
-// splitSilent splits the owners into candidates and those that are suspected because they were silent lately. It leaves out
-// those excluded.
+// splitSilent splits the owners into candidates and those that are suspected because they were silent lately. It leaves
+// out those excluded.
 func (e *Engine) splitSilent(owners, excluded []string) (candidates, silent []string) {
 	for _, owner := range owners {
 		switch {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,14 +1,14 @@
-// Package engine combines the packages that make a node's decisions into one node. Its input is messages, requests, outcomes
-// and the current time. Its output is an Output, which lists what the caller (the driver) must do.
+// Package engine combines the packages that make a node's decisions into one node. Its input is messages, requests,
+// outcomes and the current time. Its output is an Output, which lists what the caller (the driver) must do.
 //
-// The package does no I/O, starts no goroutine and reads no clock, so that the real node and the simulation run the same
-// code. Its methods must be called by one goroutine at a time, with times that never decrease. All randomness comes from the
-// source given to New.
+// The package does no I/O, starts no goroutine and reads no clock, so that the real node and the simulation run the
+// same code. Its methods must be called by one goroutine at a time, with times that never decrease. All randomness
+// comes from the source given to New.
 //
-// A search arrives at any node, which is its root: it splits the search into sub-queries and merges the answers. Each group
-// of back ends is owned by dispatchers, which are the nodes that send sub-queries to it, and by deputies, which do so when no
-// dispatcher answers. A request that is not repeatable, called an execute, needs a ticket. It is handled by the node that
-// minted the ticket.
+// A search arrives at any node, which is its root: it splits the search into sub-queries and merges the answers. Each
+// group of back ends is owned by dispatchers, which are the nodes that send sub-queries to it, and by deputies, which
+// do so when no dispatcher answers. A request that is not repeatable, called an execute, needs a ticket. It is handled
+// by the node that minted the ticket.
 //
 // The files, with the package in parentheses that makes the decisions and holds the state if it is not engine:
 //
@@ -107,7 +107,8 @@
 	// Generation and TicketKey are drawn at random when the process starts.
 	Generation uint64
 	TicketKey  []byte
-	// Incarnation must be greater than that of any earlier process at the same address. Wall-clock milliseconds are suitable.
+	// Incarnation must be greater than that of any earlier process at the same address. Wall-clock milliseconds are
+	// suitable.
 	Incarnation uint64
 	// Seeds are the addresses of nodes to join through.
 	Seeds []string
@@ -146,8 +147,8 @@
 // serving reports whether the node has loaded the configuration and joined the other nodes.
 func (e *Engine) serving() bool { return e.gossip.Ready() && e.members.Joined(e.now) }
 
-// ConfigurationAge returns the time since the configuration in force was last known to equal the store's, and false if it
-// never was.
+// ConfigurationAge returns the time since the configuration in force was last known to equal the store's, and false if
+// it never was.
 func (e *Engine) ConfigurationAge(now time.Duration) (time.Duration, bool) { return e.gossip.Age(now) }
 
 // IsRelay reports whether the node reads the store on behalf of its zone. The caller should then watch the store.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -52,8 +52,9 @@
 	return output.SearchAnswers[0].Failure
 }
 
-// TestFrozenNodeRefusesUntilItHasRejoined guards against a node that goes on with an outdated configuration after its process
-// was frozen. After a gap without any call the node must refuse new work until it has read the store or joined its peers.
+// TestFrozenNodeRefusesUntilItHasRejoined guards against a node that goes on with an outdated configuration after its
+// process was frozen. After a gap without any call the node must refuse new work until it has read the store or joined
+// its peers.
 func TestFrozenNodeRefusesUntilItHasRejoined(t *testing.T) {
 	e := newLoneNode(t)
 	if refused := searchFailure(e.Search(1100*time.Millisecond, 1, SearchRequest{Service: "lookup"})); refused != nil {
@@ -116,8 +117,8 @@
 	}
 }
 
-// TestLeavingNodeServesOn checks that a leaving node still serves sub-queries during its grace period. Roots send them as long
-// as they do not know that the node leaves.
+// TestLeavingNodeServesOn checks that a leaving node still serves sub-queries during its grace period. Roots send them
+// as long as they do not know that the node leaves.
 func TestLeavingNodeServesOn(t *testing.T) {
 	e := newLoneNode(t)
 	addPeer(t, e, time.Second, "10.0.0.2:7200", "zone-a")
@@ -138,8 +139,8 @@
 	}
 }
 
-// TestAcceptanceWaitsForCopies checks that a confirmation is reported as accepted only when peers hold the document, or after a
-// bounded wait. Otherwise an accepted change could be lost together with this node and the store.
+// TestAcceptanceWaitsForCopies checks that a confirmation is reported as accepted only when peers hold the document, or
+// after a bounded wait. Otherwise an accepted change could be lost together with this node and the store.
 func TestAcceptanceWaitsForCopies(t *testing.T) {
 	for _, acked := range []bool{true, false} {
 		e := newLoneNode(t)
@@ -183,8 +184,8 @@
 	}
 }
 
-// TestListedEntryOfAnotherEraIsRead checks that an entry with a known version is read again if the store's era has changed. The
-// store was then restored from a backup, and the same version may belong to another write.
+// TestListedEntryOfAnotherEraIsRead checks that an entry with a known version is read again if the store's era has
+// changed. The store was then restored from a backup, and the same version may belong to another write.
 func TestListedEntryOfAnotherEraIsRead(t *testing.T) {
 	e := newLoneNode(t)
 	list := func(at time.Duration, era uint64) []StoreRead {
--- a/internal/engine/execute.go
+++ b/internal/engine/execute.go
@@ -41,11 +41,13 @@
 	epoch  uint64
 	// sent is true once the request was sent to a dispatcher.
 	sent bool
-	// subQueryID is the id of the last sub-query sent, dispatcher its receiver, and tried all dispatchers it was sent to.
+	// subQueryID is the id of the last sub-query sent, dispatcher its receiver, and tried all dispatchers it was sent
+	// to.
 	subQueryID query.ID
 	dispatcher string
 	tried      []string
-	// askDeputies is true if deputies may be asked too: the dispatcher was lost, or refused for another reason than overload.
+	// askDeputies is true if deputies may be asked too: the dispatcher was lost, or refused for another reason than
+	// overload.
 	askDeputies bool
 	// waiters are sent the outcome: the sender of the request, and the senders of resends that arrived meanwhile.
 	waiters []waiter
@@ -83,8 +85,8 @@
 	return e.endCall()
 }
 
-// timeLimitFor returns the time that a request has: the caller's time limit or else the service's deadline, which is never
-// taken as less than ten times executeMargin.
+// timeLimitFor returns the time that a request has: the caller's time limit or else the service's deadline, which is
+// never taken as less than ten times executeMargin.
 func (e *Engine) timeLimitFor(request ExecuteRequest) time.Duration {
 	if request.TimeLimit > 0 {
 		return request.TimeLimit
@@ -93,8 +95,8 @@
 	return max(time.Duration(document.Specification.DeadlineMilliseconds)*time.Millisecond, 10*executeMargin)
 }
 
-// acceptExecute uses up the ticket and runs the request, unless the ticket was used before. The first decision on a ticket is
-// final: a caller whose request was refused needs a new ticket to try again.
+// acceptExecute uses up the ticket and runs the request, unless the ticket was used before. The first decision on a
+// ticket is final: a caller whose request was refused needs a new ticket to try again.
 func (e *Engine) acceptExecute(w waiter, request ExecuteRequest) {
 	e.Counters.Executes++
 	switch use := e.tickets.Use(e.now, request.Ticket, executeBody(request)).(type) {
@@ -141,8 +143,8 @@
 	}
 }
 
-// startExecute creates an execute. It is sent to a dispatcher once the holdings of the service's back ends are known, or
-// when the wait for them ends after Settings.RoutingWait.
+// startExecute creates an execute. It is sent to a dispatcher once the holdings of the service's back ends are known,
+// or when the wait for them ends after Settings.RoutingWait.
 func (e *Engine) startExecute(w waiter, sequence uint64, request ExecuteRequest) {
 	x := &execute{
 		number: e.nextNumber(), ticketSequence: sequence, request: request, waiters: []waiter{w},
@@ -155,8 +157,8 @@
 	}
 }
 
-// dispatchExecute sends the request to a dispatcher that was not tried before. If none is left, the request is refused: it is
-// only sent on when the dispatchers tried so far are proved not to have run it.
+// dispatchExecute sends the request to a dispatcher that was not tried before. If none is left, the request is refused:
+// it is only sent on when the dispatchers tried so far are proved not to have run it.
 func (e *Engine) dispatchExecute(x *execute) {
 	group, found := e.locate(x)
 	if !found {
@@ -202,8 +204,8 @@
 	return ticket.Outcome{Failure: failure.New(failure.OutcomeUnknown, message)}
 }
 
-// receiveExecuteAnswer handles a dispatcher's answer to an execute: a result, a failure, or a refusal after which another
-// dispatcher is tried.
+// receiveExecuteAnswer handles a dispatcher's answer to an execute: a result, a failure, or a refusal after which
+// another dispatcher is tried.
 func (e *Engine) receiveExecuteAnswer(x *execute, from string, m *message.SubAnswer) {
 	if m.ID != x.subQueryID || from != x.dispatcher {
 		return
@@ -233,8 +235,8 @@
 	e.dispatchExecute(x)
 }
 
-// executePeerLost handles the loss of the dispatcher. The dispatcher may have run the request if written is true, that is if
-// the frame may have been sent.
+// executePeerLost handles the loss of the dispatcher. The dispatcher may have run the request if written is true, that
+// is if the frame may have been sent.
 func (e *Engine) executePeerLost(x *execute, written bool) {
 	delete(e.subQueryOwners, x.subQueryID)
 	e.MarkSuspect(x.dispatcher)
@@ -283,8 +285,8 @@
 	return reply
 }
 
-// tickExecutes ends the executes whose deadline has passed, and sends those that have waited long enough for the holdings of
-// the back ends.
+// tickExecutes ends the executes whose deadline has passed, and sends those that have waited long enough for the
+// holdings of the back ends.
 func (e *Engine) tickExecutes() {
 	for _, number := range sortedKeys(e.executes) {
 		x := e.executes[number]
--- a/internal/engine/forward.go
+++ b/internal/engine/forward.go
@@ -15,8 +15,8 @@
 	peer     string
 	request  ExecuteRequest
 	deadline time.Duration
-	// giveUpAt is when the request ends with an unknown outcome: after discoveryWait if it is not sent by then, otherwise at
-	// the deadline.
+	// giveUpAt is when the request ends with an unknown outcome: after discoveryWait if it is not sent by then,
+	// otherwise at the deadline.
 	giveUpAt time.Duration
 	// sent is false while this node does not know the peer yet, for example because the peer has just started.
 	sent bool
@@ -28,8 +28,8 @@
 // discoveryPeers is the number of members that are asked for their view of the membership when a node is unknown here.
 const discoveryPeers = 3
 
-// forwardExecute forwards a request to the node that minted its ticket. The address comes from the caller and is not trusted:
-// this node only connects to nodes that are members.
+// forwardExecute forwards a request to the node that minted its ticket. The address comes from the caller and is not
+// trusted: this node only connects to nodes that are members.
 func (e *Engine) forwardExecute(caller Caller, to string, request ExecuteRequest) {
 	within := e.timeLimitFor(request)
 	f := &forwardedExecute{caller: caller, peer: to, request: request, deadline: e.now + within - executeMargin}
--- a/internal/engine/groups.go
+++ b/internal/engine/groups.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// updateGroups gives the dispatcher the groups that this node owns now. A leaving node keeps its groups, because roots go on
-// sending to it until they and the next owners have learned that it leaves.
+// updateGroups gives the dispatcher the groups that this node owns now. A leaving node keeps its groups, because roots
+// go on sending to it until they and the next owners have learned that it leaves.
 func (e *Engine) updateGroups() {
 	if e.leaving {
 		return
@@ -39,8 +39,8 @@
 	e.updateGroups()
 }
 
-// SetMachines applies the machine list. It provides seeds for the membership and the back ends that are leaving. The list
-// lags behind, so it never changes whether a peer counts as alive or dead.
+// SetMachines applies the machine list. It provides seeds for the membership and the back ends that are leaving. The
+// list lags behind, so it never changes whether a peer counts as alive or dead.
 func (e *Engine) SetMachines(now time.Duration, machines []platform.Machine) Output {
 	e.beginCall(now)
 	leaving := map[string]bool{}
--- a/internal/engine/lost.go
+++ b/internal/engine/lost.go
@@ -10,7 +10,8 @@
 	"stiletrail/internal/ticket"
 )
 
-// Undelivered handles a message that could not be delivered. If written is true, the peer may have received it after all.
+// Undelivered handles a message that could not be delivered. If written is true, the peer may have received it after
+// all.
 func (e *Engine) Undelivered(now time.Duration, to string, m message.Message, written bool) Output {
 	e.beginCall(now)
 	switch m := m.(type) {
@@ -52,8 +53,8 @@
 	e.answerExecute(localCaller{f.caller}, ticket.Outcome{Failure: unknown})
 }
 
-// PeerDisconnected handles the loss of the connection on which queries were sent to a peer. Everything that was sent on it
-// may have run.
+// PeerDisconnected handles the loss of the connection on which queries were sent to a peer. Everything that was sent on
+// it may have run.
 func (e *Engine) PeerDisconnected(now time.Duration, peer string) Output {
 	e.beginCall(now)
 	for _, number := range sortedKeys(e.searches) {
--- a/internal/engine/output.go
+++ b/internal/engine/output.go
@@ -28,8 +28,8 @@
 	Service   string
 }
 
-// StoreWrite asks the driver to write a service's entry to the store by compare-and-swap, with Base as the expected stamp.
-// The answer goes to Engine.StoreWriteDone.
+// StoreWrite asks the driver to write a service's entry to the store by compare-and-swap, with Base as the expected
+// stamp. The answer goes to Engine.StoreWriteDone.
 type StoreWrite struct {
 	Operation uint64
 	Base      platform.Stamp
--- a/internal/engine/receive.go
+++ b/internal/engine/receive.go
@@ -51,8 +51,8 @@
 	sends, met := e.members.Receive(e.now, from, m)
 	e.sendAll(sends)
 	if met {
-		// The peer was unknown or taken for dead until now, as after a network partition between zones. The catalogs may
-		// differ and are compared at once.
+		// The peer was unknown or taken for dead until now, as after a network partition between zones. The catalogs
+		// may differ and are compared at once.
 		compare := e.gossip.Compare(e.now, from)
 		e.send(compare.To, compare.Message)
 	}
--- a/internal/engine/route.go
+++ b/internal/engine/route.go
@@ -20,8 +20,8 @@
 	// lastUsed is when the last search or execute was received, nextRequest when the dispatchers are asked again.
 	lastUsed    time.Duration
 	nextRequest time.Duration
-	// lastTotal is a holding without shards that keeps the number of shards of the newest epoch. It is needed when no back
-	// end that states this number is left.
+	// lastTotal is a holding without shards that keeps the number of shards of the newest epoch. It is needed when no
+	// back end that states this number is left.
 	lastTotal query.Holding
 }
 
@@ -50,7 +50,8 @@
 	for i, group := range r.groups {
 		request := &message.GroupRequest{Service: service, Group: group.Number}
 		if !r.known[i] {
-			// No holdings are known yet, and an owner may not have learned that it owns the group. All owners are asked.
+			// No holdings are known yet, and an owner may not have learned that it owns the group. All owners are
+			// asked.
 			dispatchers, deputies := e.table.Owners(service, group.Number)
 			for _, owner := range slices.Concat(dispatchers, deputies) {
 				e.send(owner, request)
--- a/internal/engine/settings.go
+++ b/internal/engine/settings.go
@@ -25,7 +25,8 @@
 	RoutingInterval time.Duration
 	// RoutingWait is the maximum time that a search or an execute waits for the holdings of a service.
 	RoutingWait time.Duration
-	// ReissueShare is the number of shards that may be asked of a second dispatcher, because the first is silent, per search.
+	// ReissueShare is the number of shards that may be asked of a second dispatcher, because the first is silent, per
+	// search.
 	ReissueShare float64
 	// LeaveGrace is how long a leaving node still accepts sub-queries from roots that do not know yet that it leaves.
 	LeaveGrace time.Duration
--- a/internal/engine/store.go
+++ b/internal/engine/store.go
@@ -9,11 +9,12 @@
 	"stiletrail/internal/rollout"
 )
 
-// storeRetryDelay is the minimum wait after a failed listing of the store. Up to the same time again is added at random.
+// storeRetryDelay is the minimum wait after a failed listing of the store. Up to the same time again is added at
+// random.
 const storeRetryDelay = time.Second
 
-// A listing of the store transfers about entryListBytes per service. The pause between two listings is long enough to keep
-// the traffic below listBytesPerSecond.
+// A listing of the store transfers about entryListBytes per service. The pause between two listings is long enough to
+// keep the traffic below listBytesPerSecond.
 const (
 	entryListBytes     = 64
 	listBytesPerSecond = 1500
@@ -21,8 +22,8 @@
 
 // storeReading is the progress of a listing of the store, and what the store was last known to hold.
 type storeReading struct {
-	// inProgress is true while a listing that began at startedAt is not finished. The listing of the keys comes first, then
-	// the reads of changed entries, whose numbers are in pending.
+	// inProgress is true while a listing that began at startedAt is not finished. The listing of the keys comes first,
+	// then the reads of changed entries, whose numbers are in pending.
 	inProgress bool
 	startedAt  time.Duration
 	pending    map[uint64]bool
@@ -32,7 +33,8 @@
 	// stamps and versions are the store's stamps and the documents' versions of the entries that were read, by service.
 	stamps   map[string]platform.Stamp
 	versions map[string]uint64
-	// behind holds, for each service of which the store has an older version than is in force, the version in the store.
+	// behind holds, for each service of which the store has an older version than is in force, the version in the
+	// store.
 	behind map[string]uint64
 }
 
@@ -56,9 +58,9 @@
 	e.output.StoreLists++
 }
 
-// StoreListDone handles the listing of the whole store, which has keys and stamps but no values; ok is false if it failed.
-// Entries with an unknown stamp are read one by one. Once all are in force here, the catalog is known to equal the store as
-// of the start of the listing.
+// StoreListDone handles the listing of the whole store, which has keys and stamps but no values; ok is false if it
+// failed. Entries with an unknown stamp are read one by one. Once all are in force here, the catalog is known to equal
+// the store as of the start of the listing.
 func (e *Engine) StoreListDone(now time.Duration, entries []platform.Entry, ok bool) Output {
 	e.beginCall(now)
 	if !ok {
--- a/internal/query/attempt.go
+++ b/internal/query/attempt.go
@@ -67,8 +67,8 @@
 	Deadline time.Duration
 }
 
-// AttemptResult is the outcome of an attempt. The back-end client has already matched the answer to its request, and has
-// verified its count and checksum.
+// AttemptResult is the outcome of an attempt. The back-end client has already matched the answer to its request, and
+// has verified its count and checksum.
 type AttemptResult struct {
 	Attempt    uint64
 	Status     Status
@@ -77,6 +77,7 @@
 	Holding    Holding
 	HasHolding bool
 	RetryAfter time.Duration
-	// BackEndCrashed is true if the back end itself has ended and not only the connection: it accepts no new connections.
+	// BackEndCrashed is true if the back end itself has ended and not only the connection: it accepts no new
+	// connections.
 	BackEndCrashed bool
 }
--- a/internal/query/holding.go
+++ b/internal/query/holding.go
@@ -15,7 +15,8 @@
 	StateDraining
 )
 
-// Holding is what a back end reports about itself for one service: its state, and the shards and versions that it holds.
+// Holding is what a back end reports about itself for one service: its state, and the shards and versions that it
+// holds.
 type Holding struct {
 	State State
 	Epoch uint64
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -1,6 +1,7 @@
-// Package query defines the data types that the packages on the query path share: requests, snapshots, shards and coverage
-// (query.go), what a back end holds (holding.go), attempts, their outcomes and whether an outcome proves that an attempt did
-// not run (attempt.go). Its values are plain data. It holds no state, and relies on no other package of the repository.
+// Package query defines the data types that the packages on the query path share: requests, snapshots, shards and
+// coverage (query.go), what a back end holds (holding.go), attempts, their outcomes and whether an outcome proves that
+// an attempt did not run (attempt.go). Its values are plain data. It holds no state, and relies on no other package of
+// the repository.
 package query
 
 import (
@@ -9,13 +10,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ID identifies a sub-query. Generation is the one of the node that sent it, and Sequence is unique within the generation.
+// ID identifies a sub-query. Generation is the one of the node that sent it, and Sequence is unique within the
+// generation.
 type ID struct {
 	Generation uint64
 	Sequence   uint64
 }
 
-// Snapshot identifies one state of an index: a version within an epoch. An epoch is one partitioning of the index into shards.
+// Snapshot identifies one state of an index: a version within an epoch. An epoch is one partitioning of the index into
+// shards.
 type Snapshot struct {
 	Version uint64
 	Epoch   uint64
@@ -77,9 +80,9 @@
 	return float64(c.Answered) / float64(c.Total)
 }
 
-// Checksum returns the checksum and the number of documents that a back end sends with its answer. The checksum is xxhash64
-// over, for each shard in order, its number, its number of documents, and the key and body of each document, both preceded
-// by their length.
+// Checksum returns the checksum and the number of documents that a back end sends with its answer. The checksum is
+// xxhash64 over, for each shard in order, its number, its number of documents, and the key and body of each document,
+// both preceded by their length.
 func Checksum(results []ShardDocuments) (checksum uint64, documents uint32) {
 	digest := xxhash.New()
 	var number [8]byte
--- a/internal/scatter/ask.go
+++ b/internal/scatter/ask.go
@@ -8,14 +8,15 @@
 	"stiletrail/internal/query"
 )
 
-// ask sends sub-queries for shards. Each shard goes to the next group and dispatcher that were not tried for it. Shards for
-// which none is left become missing for the given reason.
+// ask sends sub-queries for shards. Each shard goes to the next group and dispatcher that were not tried for it. Shards
+// for which none is left become missing for the given reason.
 func (q *Query) ask(now time.Duration, shards []uint32, reason query.Reason) {
 	chosen := map[target][]uint32{}
 	var order []target
 	perGroup := map[uint32]string{}
 	for _, number := range shards {
-		// Deputies send to the same back ends as the dispatcher. If these are overloaded, a deputy would only add to their load.
+		// Deputies send to the same back ends as the dispatcher. If these are overloaded, a deputy would only add to
+		// their load.
 		owner, found := q.nextTarget(number, perGroup, reason != query.ReasonOverloaded)
 		if !found {
 			if state := &q.shards[number]; state.live == 0 && !state.answered {
@@ -33,8 +34,8 @@
 	}
 }
 
-// nextTarget picks an untried group and dispatcher for a shard. perGroup holds the dispatchers picked so far by one call of
-// ask, so that shards of one group go to the same dispatcher.
+// nextTarget picks an untried group and dispatcher for a shard. perGroup holds the dispatchers picked so far by one
+// call of ask, so that shards of one group go to the same dispatcher.
 func (q *Query) nextTarget(number uint32, perGroup map[uint32]string, deputiesToo bool) (target, bool) {
 	state := &q.shards[number]
 	for _, group := range q.holders[number] {
--- a/internal/scatter/benchmark_test.go
+++ b/internal/scatter/benchmark_test.go
@@ -40,8 +40,8 @@
 	return w
 }
 
-// BenchmarkWideQuery measures a root's work on one query over 1,400 shards: the plan, 22 sub-queries and the merge of their
-// answers.
+// BenchmarkWideQuery measures a root's work on one query over 1,400 shards: the plan, 22 sub-queries and the merge of
+// their answers.
 func BenchmarkWideQuery(b *testing.B) {
 	environment := newWideEnvironment()
 	b.ReportAllocs()
--- a/internal/scatter/finish.go
+++ b/internal/scatter/finish.go
@@ -9,8 +9,8 @@
 	"stiletrail/internal/query"
 )
 
-// finishIfDone finishes the query if all shards are answered, if its tail budget has passed with enough coverage, or if no
-// open shard can be answered any more.
+// finishIfDone finishes the query if all shards are answered, if its tail budget has passed with enough coverage, or if
+// no open shard can be answered any more.
 func (q *Query) finishIfDone(now time.Duration) {
 	if q.done || q.planned.Total == 0 {
 		return
@@ -31,8 +31,8 @@
 	q.finish(query.ReasonLost)
 }
 
-// tailBudgetEnd returns when the query finishes early if the minimum coverage is reached. It returns zero if the service
-// does not prefer latency or has no tail budget.
+// tailBudgetEnd returns when the query finishes early if the minimum coverage is reached. It returns zero if the
+// service does not prefer latency or has no tail budget.
 func (q *Query) tailBudgetEnd() time.Duration {
 	specification := q.request.Document.Specification
 	if specification.Preference != catalog.LatencyFirst || specification.TailBudgetMilliseconds == 0 {
@@ -46,8 +46,8 @@
 	return q.planned.Total > 0 && float64(q.answered) >= q.request.Document.Specification.MinimumCoverage*float64(q.planned.Total)
 }
 
-// finish ends the query with its answer. Unanswered shards are reported missing for their own reason, if they have one, or for
-// the given reason.
+// finish ends the query with its answer. Unanswered shards are reported missing for their own reason, if they have one,
+// or for the given reason.
 func (q *Query) finish(reason query.Reason) {
 	q.cancelAll()
 	answer := Answer{Snapshot: q.planned.Snapshot, ShardAttempts: q.shardAttempts}
@@ -72,8 +72,8 @@
 	q.emitAnswer(answer)
 }
 
-// finishWithoutPlan ends a query for which there is no snapshot. If it was planned before at other snapshots, it ends with the
-// answers of the last plan. A new query is refused.
+// finishWithoutPlan ends a query for which there is no snapshot. If it was planned before at other snapshots, it ends
+// with the answers of the last plan. A new query is refused.
 func (q *Query) finishWithoutPlan(routing Routing) {
 	if len(q.excluded) > 0 {
 		q.finish(query.ReasonVersionUnavailable)
@@ -86,10 +86,11 @@
 	q.emitAnswer(Answer{Coverage: routing.noCoverage(), Failure: failure.Refused(code, text, noPlanRetryAfter)})
 }
 
-// These are the retry-after times of failed searches. Dispatchers may ask for a longer time, except with noPlanRetryAfter.
+// These are the retry-after times of failed searches. Dispatchers may ask for a longer time, except with
+// noPlanRetryAfter.
 const (
-	// noPlanRetryAfter applies if there is no snapshot to search at. Back ends are described twice a second and the routing
-	// is refreshed more often, so the state is renewed within this time.
+	// noPlanRetryAfter applies if there is no snapshot to search at. Back ends are described twice a second and the
+	// routing is refreshed more often, so the state is renewed within this time.
 	noPlanRetryAfter = time.Second
 	// notRunRetryAfter applies if no back end accepted the search.
 	notRunRetryAfter = 10 * time.Millisecond
@@ -97,8 +98,8 @@
 	lowCoverageRetryAfter = 100 * time.Millisecond
 )
 
-// failureFor returns the failure of an answer with less than the minimum coverage, or nil. The failure is a refusal, which
-// proves that the search did not run, if no shard is answered and every sub-query is proved not to have run.
+// failureFor returns the failure of an answer with less than the minimum coverage, or nil. The failure is a refusal,
+// which proves that the search did not run, if no shard is answered and every sub-query is proved not to have run.
 func (q *Query) failureFor(coverage query.Coverage) *failure.Failure {
 	if q.answered > 0 && q.coverageReached() {
 		return nil
--- a/internal/scatter/receive.go
+++ b/internal/scatter/receive.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// resultsComplete reports whether each shard of a sub-query is answered or reported missing by its final answer. Messages may
-// be reordered, so results may arrive after the final answer.
+// resultsComplete reports whether each shard of a sub-query is answered or reported missing by its final answer.
+// Messages may be reordered, so results may arrive after the final answer.
 func (q *Query) resultsComplete(sub *subQuery) bool {
 	answered := 0
 	for _, number := range sub.shards {
@@ -62,8 +62,8 @@
 	return answered >= len(sub.shards)
 }
 
-// close ends a sub-query. Its missing shards are retried elsewhere. If one is missing because the snapshot is not held, the
-// whole query is planned again if possible.
+// close ends a sub-query. Its missing shards are retried elsewhere. If one is missing because the snapshot is not held,
+// the whole query is planned again if possible.
 func (q *Query) close(now time.Duration, id query.ID, sub *subQuery, m *message.SubAnswer) {
 	q.removeSubQuery(id, sub)
 	q.shardAttempts += m.ShardAttempts
@@ -99,8 +99,8 @@
 	}
 }
 
-// resultsLost ends a sub-query whose final answer has arrived but whose results have not all arrived in time. The shards
-// without a result count as missing with ReasonLost.
+// resultsLost ends a sub-query whose final answer has arrived but whose results have not all arrived in time. The
+// shards without a result count as missing with ReasonLost.
 func (q *Query) resultsLost(now time.Duration, id query.ID, sub *subQuery) {
 	last := *sub.finalAnswer
 	reported := map[uint32]bool{}
@@ -115,8 +115,8 @@
 	q.close(now, id, sub, &last)
 }
 
-// PeerUnreachable handles the loss of a sub-query because its dispatcher cannot be reached. If written is true, the message
-// may have arrived before the connection broke, and the sub-query may have run.
+// PeerUnreachable handles the loss of a sub-query because its dispatcher cannot be reached. If written is true, the
+// message may have arrived before the connection broke, and the sub-query may have run.
 func (q *Query) PeerUnreachable(now time.Duration, peer string, id query.ID, written bool) []Action {
 	sub := q.subQueries[id]
 	if q.done || sub == nil || sub.dispatcher != peer {
--- a/internal/scatter/retry.go
+++ b/internal/scatter/retry.go
@@ -23,12 +23,12 @@
 // There is no retry and no new plan within two answerMargins before the deadline.
 const (
 	maximumPlans = 4
-	// The silence timeout is silenceLatencies times the usual latency of sub-queries. If that is unknown, it is the time left
-	// until the deadline divided by silenceParts.
+	// The silence timeout is silenceLatencies times the usual latency of sub-queries. If that is unknown, it is the
+	// time left until the deadline divided by silenceParts.
 	silenceLatencies = 4
 	silenceParts     = 3
-	// minimumSilenceTimeout is the lower bound of the silence timeout. It is also the wait for results that arrive after the
-	// final answer.
+	// minimumSilenceTimeout is the lower bound of the silence timeout. It is also the wait for results that arrive
+	// after the final answer.
 	minimumSilenceTimeout = 25 * time.Millisecond
 )
 
@@ -47,8 +47,8 @@
 	q.ask(now, open, reason)
 }
 
-// replan starts the whole query again at another snapshot. It returns false if there is too little time, no other snapshot is
-// known, or the query was planned maximumPlans times.
+// replan starts the whole query again at another snapshot. It returns false if there is too little time, no other
+// snapshot is known, or the query was planned maximumPlans times.
 func (q *Query) replan(now time.Duration) bool {
 	if q.plans >= maximumPlans || q.tooLate(now) {
 		return false
@@ -72,13 +72,14 @@
 	return max(silenceLatencies*latency, minimumSilenceTimeout)
 }
 
-// canTimeOut reports whether waitUntil applies to the sub-query: nothing has been received yet and it was not reissued, or the
-// final answer has arrived before all results.
+// canTimeOut reports whether waitUntil applies to the sub-query: nothing has been received yet and it was not reissued,
+// or the final answer has arrived before all results.
 func (s *subQuery) canTimeOut() bool {
 	return s.finalAnswer != nil || !s.responded && !s.reissued
 }
 
-// reissue asks a second dispatcher for the shards of a silent one, within the budget. The first answer per shard is used.
+// reissue asks a second dispatcher for the shards of a silent one, within the budget. The first answer per shard is
+// used.
 func (q *Query) reissue(now time.Duration, sub *subQuery) {
 	sub.reissued = true
 	q.environment.MarkSuspect(sub.dispatcher)
--- a/internal/scatter/routing.go
+++ b/internal/scatter/routing.go
@@ -49,8 +49,8 @@
 	return best, found && best.Covered > 0
 }
 
-// betterThan reports whether the plan is preferred to another one: it covers a larger share of its shards, or else has the
-// newer version, or else the newer epoch.
+// betterThan reports whether the plan is preferred to another one: it covers a larger share of its shards, or else has
+// the newer version, or else the newer epoch.
 func (p Plan) betterThan(other Plan) bool {
 	mine := uint64(p.Covered) * uint64(other.Total)
 	theirs := uint64(other.Covered) * uint64(p.Total)
@@ -83,7 +83,8 @@
 	return epochs
 }
 
-// total returns the number of shards in an epoch. Every back end in the epoch states it, whichever shards the back end holds.
+// total returns the number of shards in an epoch. Every back end in the epoch states it, whichever shards the back end
+// holds.
 func (r Routing) total(epoch uint64) uint32 {
 	var total uint32
 	r.forEachHolding(func(h query.Holding) {
@@ -94,8 +95,8 @@
 	return total
 }
 
-// versions returns the newest versions of all holdings in an epoch, in descending order. The newest version that all shards
-// hold is one of them.
+// versions returns the newest versions of all holdings in an epoch, in descending order. The newest version that all
+// shards hold is one of them.
 func (r Routing) versions(epoch uint64) []uint64 {
 	var versions []uint64
 	r.forEachHolding(func(h query.Holding) {
@@ -138,8 +139,8 @@
 	return coverage
 }
 
-// holders returns for each shard the numbers of the groups that can answer at the snapshot. Groups of the given region come
-// first.
+// holders returns for each shard the numbers of the groups that can answer at the snapshot. Groups of the given region
+// come first.
 func (r Routing) holders(at query.Snapshot, total uint32, region string) [][]uint32 {
 	holders := make([][]uint32, total)
 	for _, local := range []bool{true, false} {
@@ -162,8 +163,8 @@
 	return holders
 }
 
-// NewestEpoch returns the newest epoch of any holding and the number of its shards. It is used for requests that go to the one
-// shard of their key.
+// NewestEpoch returns the newest epoch of any holding and the number of its shards. It is used for requests that go to
+// the one shard of their key.
 func (r Routing) NewestEpoch() (epoch uint64, total uint32, known bool) {
 	for _, candidate := range r.epochs() {
 		if !known || candidate > epoch {
@@ -173,8 +174,8 @@
 	return epoch, r.total(epoch), known && r.total(epoch) > 0
 }
 
-// GroupOf returns the number of a group that holds a shard in an epoch, preferably in the given region, and false if there is
-// none.
+// GroupOf returns the number of a group that holds a shard in an epoch, preferably in the given region, and false if
+// there is none.
 func (r Routing) GroupOf(shard uint32, epoch uint64, region string) (uint32, bool) {
 	fallback, found := uint32(0), false
 	for _, group := range r.Groups {
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -1,14 +1,15 @@
-// Package scatter runs a search at its root, that is the node that received it from a caller. It decides at which snapshot the
-// search runs, which group of back ends is asked for which shard, when another dispatcher is asked, and which coverage or
-// failure the answer states. A dispatcher is a node that sends sub-queries to the back ends of a group.
+// Package scatter runs a search at its root, that is the node that received it from a caller. It decides at which
+// snapshot the search runs, which group of back ends is asked for which shard, when another dispatcher is asked, and
+// which coverage or failure the answer states. A dispatcher is a node that sends sub-queries to the back ends of a
+// group.
 //
-// A query passes through scatter.go (start and plan, with routing.go for the choice of the snapshot), ask.go (sub-queries
-// sent), receive.go (answers), retry.go (other dispatchers and other snapshots) and finish.go (the final answer, and each
-// failure with its retry-after time).
+// A query passes through scatter.go (start and plan, with routing.go for the choice of the snapshot), ask.go
+// (sub-queries sent), receive.go (answers), retry.go (other dispatchers and other snapshots) and finish.go (the final
+// answer, and each failure with its retry-after time).
 //
-// The package holds one Query per search in flight. It relies on its Environment for what is known of shards and dispatchers,
-// and on its caller for the current time and for making one call at a time. It does no I/O, takes no locks and reads no
-// clock. Invariants:
+// The package holds one Query per search in flight. It relies on its Environment for what is known of shards and
+// dispatchers, and on its caller for the current time and for making one call at a time. It does no I/O, takes no locks
+// and reads no clock. Invariants:
 //   - All documents of one answer are of one snapshot.
 //   - A shard counts as answered only by an answer to this query at that snapshot, and only once.
 //   - The answered and the missing shards together are all shards of the epoch.
@@ -27,8 +28,8 @@
 type Environment interface {
 	// Routing returns what is known now of the service's back ends and their holdings.
 	Routing(service string) Routing
-	// PickDispatcher picks a node that dispatches to a group and is not excluded. With deputiesToo, it picks a deputy or a
-	// previous owner of the group if no dispatcher is left. It returns false if there is no such node.
+	// PickDispatcher picks a node that dispatches to a group and is not excluded. With deputiesToo, it picks a deputy
+	// or a previous owner of the group if no dispatcher is left. It returns false if there is no such node.
 	PickDispatcher(service string, group uint32, excluded []string, deputiesToo bool) (string, bool)
 	// NextID returns a new unique id for a sub-query.
 	NextID() query.ID
@@ -36,8 +37,8 @@
 	Region() string
 	// SubQueryLatency returns a high quantile of the latency of sub-queries, or zero while it is unknown.
 	SubQueryLatency() time.Duration
-	// SpendReissue takes a number of shards from the budget for asking a second dispatcher while the first is silent. It
-	// returns false if the budget is too small.
+	// SpendReissue takes a number of shards from the budget for asking a second dispatcher while the first is silent.
+	// It returns false if the budget is too small.
 	SpendReissue(shards int) bool
 	// MarkSuspect records that a dispatcher is silent or cannot be reached, so that others are preferred for a while.
 	MarkSuspect(address string)
@@ -68,8 +69,8 @@
 	results    map[uint32]query.ShardDocuments
 	answered   uint32
 	subQueries map[query.ID]*subQuery
-	// sendOrder lists the sub-queries in flight in the order in which they were sent. It makes the simulation reproducible
-	// from its seed.
+	// sendOrder lists the sub-queries in flight in the order in which they were sent. It makes the simulation
+	// reproducible from its seed.
 	sendOrder []query.ID
 	// shardAttempts counts the shards in all requests to back ends so far, as reported by the dispatchers.
 	shardAttempts uint32
--- a/internal/scatter/tick.go
+++ b/internal/scatter/tick.go
@@ -23,7 +23,8 @@
 	return wake
 }
 
-// Tick ends the query at its deadline or tail budget, and handles dispatchers that are silent and results that are lost.
+// Tick ends the query at its deadline or tail budget, and handles dispatchers that are silent and results that are
+// lost.
 func (q *Query) Tick(now time.Duration) []Action {
 	if q.done {
 		return nil
