--- a/internal/engine/execute.go
+++ b/internal/engine/execute.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// startExecute creates an execute. It is sent to a dispatcher once the holdings of the service's back ends are known,
-// or when the wait for them ends after Settings.RoutingWait.
+// startExecute creates an execute. It is sent to a dispatcher at once if the holdings of the service's back ends are
+// known, and after Settings.RoutingWait otherwise.
 func (e *Engine) startExecute(w waiter, sequence uint64, request ExecuteRequest) {
 	x := &execute{
 		number: e.nextNumber(), ticketSequence: sequence, request: request, waiters: []waiter{w},
@@ -157,8 +157,8 @@
 	}
 }
 
-// dispatchExecute sends the request to a dispatcher that was not tried before. If none is left, the request is refused:
-// it is only sent on when the dispatchers tried so far are proved not to have run it.
+// dispatchExecute sends the request to a dispatcher that was not tried before. It is only called when the dispatchers
+// tried so far are proved not to have run the request. If none is left, the request is therefore refused as not run.
 func (e *Engine) dispatchExecute(x *execute) {
 	group, found := e.locate(x)
 	if !found {
