--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -73,7 +73,7 @@
 
 // BackEndEjected implements gateway.DecisionLog.
 func (l *Log) BackEndEjected(attempt *forward.Attempt, outcome forward.Outcome) {
-	l.info(EventEjected, logrus.Fields{
+	l.info(EventBackEndEjected, logrus.Fields{
 		fieldBackEnd: attempt.Replica.ID, fieldService: attempt.Service,
 		fieldOutcome: outcome.Kind.String(), fieldReason: outcome.Detail,
 	})
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -62,7 +62,7 @@
 	EventStop           = "stop"
 	EventReload         = "reload"
 	EventRequest        = "request"
-	EventEjected        = "back_end_ejected"
+	EventBackEndEjected        = "back_end_ejected"
 	EventBackEndEnded   = "back_end_ended"
 	EventJudged         = "request_judged"
 	EventRetrial        = "request_retrial"
