--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -84,7 +84,7 @@
 	if !l.rate.allow(time.Now()) {
 		return
 	}
-	l.warn(EventBackEndEnded, logrus.Fields{
+	l.warn(EventBackEndCrashed, logrus.Fields{
 		fieldRequest: call.ID, fieldMark: call.Identity.Request.String(), fieldCaller: call.Caller, fieldBackEnd: attempt.Replica.ID,
 		fieldService: attempt.Service, fieldRan: ran,
 	})
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -63,7 +63,7 @@
 	EventReload         = "reload"
 	EventRequest        = "request"
 	EventBackEndEjected        = "back_end_ejected"
-	EventBackEndEnded   = "back_end_ended"
+	EventBackEndCrashed   = "back_end_ended"
 	EventJudged         = "request_judged"
 	EventRetrial        = "request_retrial"
 	EventQuarantineLost = "quarantine_not_written"
