--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -92,7 +92,7 @@
 
 // VerdictChanged implements gateway.DecisionLog.
 func (l *Log) VerdictChanged(mark quarantine.Fingerprint, verdict quarantine.Verdict, by string, left clock.Ms) {
-	l.warn(EventJudged, logrus.Fields{
+	l.warn(EventVerdictChanged, logrus.Fields{
 		fieldMark: mark.String(), fieldOutcome: verdict.String(), fieldReason: by, fieldLeft: left,
 	})
 }
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -64,7 +64,7 @@
 	EventRequest        = "request"
 	EventBackEndEjected        = "back_end_ejected"
 	EventBackEndCrashed   = "back_end_ended"
-	EventJudged         = "request_judged"
+	EventVerdictChanged         = "request_judged"
 	EventRetrial        = "request_retrial"
 	EventQuarantineLost = "quarantine_not_written"
 	EventConfiguration  = "configuration_in_force"
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -148,7 +148,7 @@
 		return matterCopy
 	case decisionlog.EventListed, decisionlog.EventReturned:
 		return known.Event
-	case decisionlog.EventJudged:
+	case decisionlog.EventVerdictChanged:
 		if known.Mark != "" && known.Mark == request.Mark {
 			return known.Event
 		}
