--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -99,7 +99,7 @@
 
 // RetrialClaimed implements gateway.DecisionLog.
 func (l *Log) RetrialClaimed(mark quarantine.Fingerprint, version string) {
-	l.info(EventRetrial, logrus.Fields{fieldMark: mark.String(), fieldSoftware: version})
+	l.info(EventRetrialClaimed, logrus.Fields{fieldMark: mark.String(), fieldSoftware: version})
 }
 
 // QuarantineNotWritten implements gateway.DecisionLog.
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -65,7 +65,7 @@
 	EventBackEndEjected        = "back_end_ejected"
 	EventBackEndCrashed   = "back_end_ended"
 	EventVerdictChanged         = "request_judged"
-	EventRetrial        = "request_retrial"
+	EventRetrialClaimed        = "request_retrial"
 	EventQuarantineLost = "quarantine_not_written"
 	EventConfiguration  = "configuration_in_force"
 	EventRejected       = "item_rejected"
