--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -104,7 +104,7 @@
 
 // QuarantineNotWritten implements gateway.DecisionLog.
 func (l *Log) QuarantineNotWritten(mark quarantine.Fingerprint, cause *failure.Failure) {
-	l.warn(EventQuarantineLost, logrus.Fields{fieldMark: mark.String(), fieldReason: cause.Error()})
+	l.warn(EventQuarantineNotWritten, logrus.Fields{fieldMark: mark.String(), fieldReason: cause.Error()})
 }
 
 // ConfigurationApplied implements gateway.DecisionLog.
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -66,7 +66,7 @@
 	EventBackEndCrashed   = "back_end_ended"
 	EventVerdictChanged         = "request_judged"
 	EventRetrialClaimed        = "request_retrial"
-	EventQuarantineLost = "quarantine_not_written"
+	EventQuarantineNotWritten = "quarantine_not_written"
 	EventConfiguration  = "configuration_in_force"
 	EventRejected       = "item_rejected"
 	EventBackEnd        = "back_end"
