--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -109,7 +109,7 @@
 
 // ConfigurationApplied implements gateway.DecisionLog.
 func (l *Log) ConfigurationApplied(table *routing.Table, revision history.Revision) {
-	l.info(EventConfiguration, logrus.Fields{
+	l.info(EventConfigurationApplied, logrus.Fields{
 		fieldVersion: table.Version(), fieldRevision: revision.Number, fieldEra: revision.Era, fieldRoutes: table.RouteCount(),
 	})
 }
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -67,7 +67,7 @@
 	EventVerdictChanged         = "request_judged"
 	EventRetrialClaimed        = "request_retrial"
 	EventQuarantineNotWritten = "quarantine_not_written"
-	EventConfiguration  = "configuration_in_force"
+	EventConfigurationApplied  = "configuration_in_force"
 	EventRejected       = "item_rejected"
 	EventBackEnd        = "back_end"
 	EventVanished       = "back_end_vanished"
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -152,7 +152,7 @@
 		if known.Mark != "" && known.Mark == request.Mark {
 			return known.Event
 		}
-	case decisionlog.EventConfiguration:
+	case decisionlog.EventConfigurationApplied:
 		return "configuration"
 	case decisionlog.EventEvacuated, decisionlog.EventTakenBack:
 		return "zone " + known.Zone
