--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -116,7 +116,7 @@
 
 // ItemRejected implements gateway.DecisionLog.
 func (l *Log) ItemRejected(item *gateway.Item) {
-	l.warn(EventRejected, logrus.Fields{
+	l.warn(EventItemRejected, logrus.Fields{
 		fieldKey: item.Key, fieldRevision: item.Revision.Number, fieldEra: item.Revision.Era, fieldReason: item.Err.Error(),
 	})
 }
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -68,7 +68,7 @@
 	EventRetrialClaimed        = "request_retrial"
 	EventQuarantineNotWritten = "quarantine_not_written"
 	EventConfigurationApplied  = "configuration_in_force"
-	EventRejected       = "item_rejected"
+	EventItemRejected       = "item_rejected"
 	EventBackEnd        = "back_end"
 	EventVanished       = "back_end_vanished"
 	EventEvacuated      = "zone_evacuated"
