--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -134,7 +134,7 @@
 	if entry.StartedAt > 0 {
 		fields[fieldStarted] = entry.StartedAt
 	}
-	l.info(EventBackEnd, fields)
+	l.info(EventBackEndUpdated, fields)
 }
 
 // BackEndVanished implements gateway.DecisionLog.
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -69,7 +69,7 @@
 	EventQuarantineNotWritten = "quarantine_not_written"
 	EventConfigurationApplied  = "configuration_in_force"
 	EventItemRejected       = "item_rejected"
-	EventBackEnd        = "back_end"
+	EventBackEndUpdated        = "back_end"
 	EventVanished       = "back_end_vanished"
 	EventEvacuated      = "zone_evacuated"
 	EventTakenBack      = "zone_taken_back"
