--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -143,7 +143,7 @@
 	if certain {
 		outcome = "forgotten"
 	}
-	l.info(EventVanished, logrus.Fields{fieldBackEnd: id, fieldOutcome: outcome})
+	l.info(EventBackEndVanished, logrus.Fields{fieldBackEnd: id, fieldOutcome: outcome})
 }
 
 // ZoneEvacuated implements gateway.DecisionLog.
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -70,7 +70,7 @@
 	EventConfigurationApplied  = "configuration_in_force"
 	EventItemRejected       = "item_rejected"
 	EventBackEndUpdated        = "back_end"
-	EventVanished       = "back_end_vanished"
+	EventBackEndVanished       = "back_end_vanished"
 	EventEvacuated      = "zone_evacuated"
 	EventTakenBack      = "zone_taken_back"
 	EventListed         = "store_listed"
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -156,7 +156,7 @@
 		return "configuration"
 	case decisionlog.EventEvacuated, decisionlog.EventTakenBack:
 		return "zone " + known.Zone
-	case decisionlog.EventBackEndUpdated, decisionlog.EventVanished, decisionlog.EventBackEndEjected, decisionlog.EventBackEndCrashed:
+	case decisionlog.EventBackEndUpdated, decisionlog.EventBackEndVanished, decisionlog.EventBackEndEjected, decisionlog.EventBackEndCrashed:
 		for _, attempt := range request.Attempts {
 			// What is believed of a back end that answered explains nothing.
 			if known.BackEnd != "" && strings.Contains(attempt, " "+known.BackEnd+" ") && !strings.Contains(attempt, answered) {
