--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -148,7 +148,7 @@
 
 // ZoneEvacuated implements gateway.DecisionLog.
 func (l *Log) ZoneEvacuated(zone string, revision history.Revision) {
-	l.warn(EventEvacuated, logrus.Fields{fieldZone: zone, fieldRevision: revision.Number, fieldEra: revision.Era})
+	l.warn(EventZoneEvacuated, logrus.Fields{fieldZone: zone, fieldRevision: revision.Number, fieldEra: revision.Era})
 }
 
 // ZoneEvacuationEnded implements gateway.DecisionLog.
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -71,7 +71,7 @@
 	EventItemRejected       = "item_rejected"
 	EventBackEndUpdated        = "back_end"
 	EventBackEndVanished       = "back_end_vanished"
-	EventEvacuated      = "zone_evacuated"
+	EventZoneEvacuated      = "zone_evacuated"
 	EventTakenBack      = "zone_taken_back"
 	EventListed         = "store_listed"
 	EventWentBack       = "store_went_back"
