--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -153,7 +153,7 @@
 
 // ZoneEvacuationEnded implements gateway.DecisionLog.
 func (l *Log) ZoneEvacuationEnded(zone string) {
-	l.info(EventTakenBack, logrus.Fields{fieldZone: zone})
+	l.info(EventZoneEvacuationEnded, logrus.Fields{fieldZone: zone})
 }
 
 // StoreListed implements gateway.DecisionLog.
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -72,7 +72,7 @@
 	EventBackEndUpdated        = "back_end"
 	EventBackEndVanished       = "back_end_vanished"
 	EventZoneEvacuated      = "zone_evacuated"
-	EventTakenBack      = "zone_taken_back"
+	EventZoneEvacuationEnded      = "zone_taken_back"
 	EventListed         = "store_listed"
 	EventWentBack       = "store_went_back"
 	EventReturned       = "store_from_a_copy"
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -154,7 +154,7 @@
 		}
 	case decisionlog.EventConfigurationApplied:
 		return "configuration"
-	case decisionlog.EventZoneEvacuated, decisionlog.EventTakenBack:
+	case decisionlog.EventZoneEvacuated, decisionlog.EventZoneEvacuationEnded:
 		return "zone " + known.Zone
 	case decisionlog.EventBackEndUpdated, decisionlog.EventBackEndVanished, decisionlog.EventBackEndEjected, decisionlog.EventBackEndCrashed:
 		for _, attempt := range request.Attempts {
