--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -158,7 +158,7 @@
 
 // StoreListed implements gateway.DecisionLog.
 func (l *Log) StoreListed(items int, revision history.Revision) {
-	l.info(EventListed, logrus.Fields{fieldItems: items, fieldRevision: revision.Number, fieldEra: revision.Era})
+	l.info(EventStoreListed, logrus.Fields{fieldItems: items, fieldRevision: revision.Number, fieldEra: revision.Era})
 }
 
 // StoreRegressed implements gateway.DecisionLog.
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -73,7 +73,7 @@
 	EventBackEndVanished       = "back_end_vanished"
 	EventZoneEvacuated      = "zone_evacuated"
 	EventZoneEvacuationEnded      = "zone_taken_back"
-	EventListed         = "store_listed"
+	EventStoreListed         = "store_listed"
 	EventWentBack       = "store_went_back"
 	EventReturned       = "store_from_a_copy"
 	EventOlder          = "store_tells_older"
