--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -163,7 +163,7 @@
 
 // StoreRegressed implements gateway.DecisionLog.
 func (l *Log) StoreRegressed(known, told history.Revision) {
-	l.warn(EventWentBack, logrus.Fields{fieldRevision: told.Number, fieldEra: told.Era, fieldKnown: known.Number, fieldKnownEra: known.Era})
+	l.warn(EventStoreRegressed, logrus.Fields{fieldRevision: told.Number, fieldEra: told.Era, fieldKnown: known.Number, fieldKnownEra: known.Era})
 }
 
 // StoreRestored implements gateway.DecisionLog.
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -74,7 +74,7 @@
 	EventZoneEvacuated      = "zone_evacuated"
 	EventZoneEvacuationEnded      = "zone_taken_back"
 	EventStoreListed         = "store_listed"
-	EventWentBack       = "store_went_back"
+	EventStoreRegressed       = "store_went_back"
 	EventReturned       = "store_from_a_copy"
 	EventOlder          = "store_tells_older"
 	EventMembers        = "members"
