--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -168,7 +168,7 @@
 
 // StoreRestored implements gateway.DecisionLog.
 func (l *Log) StoreRestored(era uint64) {
-	l.warn(EventReturned, logrus.Fields{fieldEra: era})
+	l.warn(EventStoreRestored, logrus.Fields{fieldEra: era})
 }
 
 // OutdatedRecordsRead implements gateway.DecisionLog.
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -75,7 +75,7 @@
 	EventZoneEvacuationEnded      = "zone_taken_back"
 	EventStoreListed         = "store_listed"
 	EventStoreRegressed       = "store_went_back"
-	EventReturned       = "store_from_a_copy"
+	EventStoreRestored       = "store_from_a_copy"
 	EventOlder          = "store_tells_older"
 	EventMembers        = "members"
 	EventLearned        = "learned_from_peer"
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -146,7 +146,7 @@
 		return matterStore
 	case decisionlog.EventCopyStale, decisionlog.EventCopyFresh:
 		return matterCopy
-	case decisionlog.EventStoreListed, decisionlog.EventReturned:
+	case decisionlog.EventStoreListed, decisionlog.EventStoreRestored:
 		return known.Event
 	case decisionlog.EventVerdictChanged:
 		if known.Mark != "" && known.Mark == request.Mark {
