--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -173,7 +173,7 @@
 
 // OutdatedRecordsRead implements gateway.DecisionLog.
 func (l *Log) OutdatedRecordsRead(key string, revision, known history.Revision, count int) {
-	l.info(EventOlder, logrus.Fields{
+	l.info(EventOutdatedRecordsRead, logrus.Fields{
 		fieldKey: key, fieldRevision: revision.Number, fieldEra: revision.Era, fieldKnown: known.Number, fieldKnownEra: known.Era, fieldItems: count,
 	})
 }
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -76,7 +76,7 @@
 	EventStoreListed         = "store_listed"
 	EventStoreRegressed       = "store_went_back"
 	EventStoreRestored       = "store_from_a_copy"
-	EventOlder          = "store_tells_older"
+	EventOutdatedRecordsRead          = "store_tells_older"
 	EventMembers        = "members"
 	EventLearned        = "learned_from_peer"
 	EventPeerSilent     = "peer_silent"
