--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -211,7 +211,7 @@
 
 // MembersChanged implements gateway.DecisionLog.
 func (l *Log) MembersChanged(alive int) {
-	l.info(EventMembers, logrus.Fields{fieldAlive: alive})
+	l.info(EventMembersChanged, logrus.Fields{fieldAlive: alive})
 }
 
 // LearnedFromPeer implements gateway.DecisionLog.
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -77,7 +77,7 @@
 	EventStoreRegressed       = "store_went_back"
 	EventStoreRestored       = "store_from_a_copy"
 	EventOutdatedRecordsRead          = "store_tells_older"
-	EventMembers        = "members"
+	EventMembersChanged        = "members"
 	EventLearned        = "learned_from_peer"
 	EventPeerSilent     = "peer_silent"
 	EventPeerMalformed  = "peer_malformed"
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -140,7 +140,7 @@
 // matterOf names what a line is about, where it bears on the request.
 func matterOf(known, request *line) string {
 	switch known.Event {
-	case decisionlog.EventStart, decisionlog.EventStop, decisionlog.EventMembers:
+	case decisionlog.EventStart, decisionlog.EventStop, decisionlog.EventMembersChanged:
 		return known.Event
 	case decisionlog.EventStoreLost, decisionlog.EventStoreRegained:
 		return matterStore
