--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -216,7 +216,7 @@
 
 // LearnedFromPeer implements gateway.DecisionLog.
 func (l *Log) LearnedFromPeer(from string, records int, revision history.Revision) {
-	l.info(EventLearned, logrus.Fields{
+	l.info(EventLearnedFromPeer, logrus.Fields{
 		fieldPeer: from, fieldItems: records, fieldRevision: revision.Number, fieldEra: revision.Era,
 	})
 }
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -78,7 +78,7 @@
 	EventStoreRestored       = "store_from_a_copy"
 	EventOutdatedRecordsRead          = "store_tells_older"
 	EventMembersChanged        = "members"
-	EventLearned        = "learned_from_peer"
+	EventLearnedFromPeer        = "learned_from_peer"
 	EventPeerSilent     = "peer_silent"
 	EventPeerMalformed  = "peer_malformed"
 	EventFault          = "fault"
