--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -233,7 +233,7 @@
 
 // InternalError implements gateway.DecisionLog.
 func (l *Log) InternalError(text string) {
-	l.log.WithFields(logrus.Fields{fieldEvent: EventFault, fieldReason: text}).Error(EventFault)
+	l.log.WithFields(logrus.Fields{fieldEvent: EventInternalError, fieldReason: text}).Error(EventInternalError)
 }
 
 // Write implements io.Writer for what libraries log, such as net/http of a handler that failed.
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -81,7 +81,7 @@
 	EventLearnedFromPeer        = "learned_from_peer"
 	EventPeerSilent     = "peer_silent"
 	EventPeerMalformed  = "peer_malformed"
-	EventFault          = "fault"
+	EventInternalError          = "fault"
 	EventStoreLost      = "store_lost"
 	EventStoreRegained  = "store_regained"
 	EventCopyStale      = "copy_stale"
