--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -206,7 +206,7 @@
 
 // MachineSuspended implements gateway.DecisionLog.
 func (l *Log) MachineSuspended(length clock.Ms) {
-	l.warn(EventSuspended, logrus.Fields{fieldAge: length})
+	l.warn(EventMachineSuspended, logrus.Fields{fieldAge: length})
 }
 
 // MembersChanged implements gateway.DecisionLog.
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -86,5 +86,5 @@
 	EventStoreRegained  = "store_regained"
 	EventCopyStale      = "copy_stale"
 	EventCopyFresh      = "copy_fresh"
-	EventSuspended      = "suspended"
+	EventMachineSuspended      = "suspended"
 )
