--- a/cmd/stiletrail-gateway/main.go
+++ b/cmd/stiletrail-gateway/main.go
@@ -86,7 +86,7 @@
 		Gateway: node, BackEndConnections: pool.OpenCount.Load, BackEndConnectionsOpened: pool.OpenedTotal.Load,
 		LogLinesDropped: writer.Dropped, MalformedLoads: backEnds.MalformedLoads, PeerFrames: frames,
 	})
-	log.Started(loaded, loaded.WithoutEffect())
+	log.Started(loaded, loaded.IgnoredSettings())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go node.Run(ctx)
--- a/cmd/stiletrail-gateway/reload.go
+++ b/cmd/stiletrail-gateway/reload.go
@@ -48,5 +48,5 @@
 	r.inUse = changed
 	r.store.SetAddress(changed.StoreAddress)
 	r.node.Reconfigure(gateway.FromSettings(changed))
-	r.log.Reloaded(changed, changed.WithoutEffect())
+	r.log.Reloaded(changed, changed.IgnoredSettings())
 }
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -101,8 +101,8 @@
 	withoutEffect []string
 }
 
-// WithoutEffect returns the names of settings that the file gives and that have been removed since.
-func (s Gateway) WithoutEffect() []string { return s.withoutEffect }
+// IgnoredSettings returns the names of settings that the file gives and that have been removed since.
+func (s Gateway) IgnoredSettings() []string { return s.withoutEffect }
 
 // removed are the names of settings that earlier releases had. A file that names one stays valid.
 var removed = []string{"linger"}
--- a/internal/settings/removed_test.go
+++ b/internal/settings/removed_test.go
@@ -25,7 +25,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := loaded.WithoutEffect(); !slices.Equal(got, want) {
+		if got := loaded.IgnoredSettings(); !slices.Equal(got, want) {
 			t.Errorf("without effect are %v, want %v", got, want)
 		}
 	}
