--- a/cmd/stiletrail-gateway/main.go
+++ b/cmd/stiletrail-gateway/main.go
@@ -66,7 +66,7 @@
 	log := decisionlog.New(writer, level, loaded.Node)
 	pool := exchange.NewPool()
 	measured := telemetry.New(log)
-	pool.OnConnected = measured.Connected
+	pool.OnConnected = measured.RecordConnectTime
 	store := platform.NewStoreClient(loaded.StoreAddress)
 	backEnds := platform.NewBackEnds(pool)
 	node := gateway.New(gateway.FromSettings(loaded), backEnds, store, measured)
--- a/internal/telemetry/kept_test.go
+++ b/internal/telemetry/kept_test.go
@@ -56,7 +56,7 @@
 		Answer: forward.Answer{MissingShards: 1, Reason: forward.TargetReached}, Attempts: append(attempts, lost), Elapsed: 30 * time.Millisecond,
 		Denied: func(*forward.Attempt) forward.DenialReason { return forward.DeniedNoBudget },
 	})
-	measured.Connected(7 * time.Millisecond)
+	measured.RecordConnectTime(7 * time.Millisecond)
 	measured.BackEndEjected(lost, lost.Outcome)
 	measured.BackEndCrashed(&gateway.Call{}, lost, 12)
 	measured.VerdictChanged(quarantine.Fingerprint{}, quarantine.Quarantined, "own", 0)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// Connected takes in how long it took to open a connection to a back end.
-func (m *Metrics) Connected(elapsed time.Duration) { m.connect.Update(elapsed.Seconds()) }
+// RecordConnectTime takes in how long it took to open a connection to a back end.
+func (m *Metrics) RecordConnectTime(elapsed time.Duration) { m.connect.Update(elapsed.Seconds()) }
 
 // BackEndEjected implements gateway.DecisionLog.
 func (m *Metrics) BackEndEjected(attempt *forward.Attempt, outcome forward.Outcome) {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -40,7 +40,7 @@
 		Outcome: forward.Outcome{Kind: forward.Answered},
 	}
 	measured.Request(&gateway.Call{}, &gateway.Result{Attempts: []*forward.Attempt{attempt}, Elapsed: 30 * time.Millisecond})
-	measured.Connected(7 * time.Millisecond)
+	measured.RecordConnectTime(7 * time.Millisecond)
 	first := &forward.Attempt{Replica: &replica.Replica{}, Purpose: forward.First, StartedAt: 40 * time.Millisecond}
 	measured.Request(&gateway.Call{}, &gateway.Result{Attempts: []*forward.Attempt{first}, Arrived: 10 * time.Millisecond})
 	measured.Request(&gateway.Call{}, &gateway.Result{Answer: forward.Answer{
