--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -138,8 +138,8 @@
 	m.DecisionLog.LearnedFromPeer(from, records, revision)
 }
 
-// Observe registers gauges that are read when metrics are asked for.
-func (m *Metrics) Observe(source Source) {
+// RegisterGauges registers gauges that are read when metrics are asked for.
+func (m *Metrics) RegisterGauges(source Source) {
 	gauge := func(name string, read func() float64) { m.set.NewGauge(name, read) }
 	gauge("stiletrail_ready", func() float64 { return asNumber(source.Gateway.Ready()) })
 	gauge("stiletrail_requests_under_way", func() float64 { return float64(source.Gateway.InFlight()) })
