--- a/cmd/stiletrail-gateway/main.go
+++ b/cmd/stiletrail-gateway/main.go
@@ -82,7 +82,7 @@
 		return exitFailed
 	}
 	defer closePeers()
-	measured.RegisterGauges(telemetry.Source{
+	measured.RegisterGauges(telemetry.GaugeSource{
 		Gateway: node, BackEndConnections: pool.OpenCount.Load, BackEndConnectionsOpened: pool.OpenedTotal.Load,
 		LogLinesDropped: writer.Dropped, MalformedLoads: backEnds.MalformedLoads, PeerFrames: frames,
 	})
--- a/internal/telemetry/kept_test.go
+++ b/internal/telemetry/kept_test.go
@@ -41,7 +41,7 @@
 func TestMetricsOfOld(t *testing.T) {
 	measured := telemetry.New(silent{})
 	count := func() int64 { return 1 }
-	measured.RegisterGauges(telemetry.Source{
+	measured.RegisterGauges(telemetry.GaugeSource{
 		Gateway: gateway.New(gateway.FromSettings(settings.DefaultGateway()), nil, nil, measured), BackEndConnections: count,
 		BackEndConnectionsOpened: count, LogLinesDropped: func() uint64 { return 1 }, MalformedLoads: count, PeerFrames: &transport.Counters{},
 	})
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -23,8 +23,8 @@
 // latencyBuckets in seconds.
 var latencyBuckets = []float64{0.005, 0.01, 0.025, 0.05, 0.075, 0.1, 0.15, 0.2, 0.25, 0.35, 0.5, 0.75, 1, 2, 5, 15}
 
-// Source is what gauges are read from when they are asked for.
-type Source struct {
+// GaugeSource is what gauges are read from when they are asked for.
+type GaugeSource struct {
 	Gateway *gateway.Gateway
 	// BackEndConnections open now, and opened since the start.
 	BackEndConnections       func() int64
@@ -139,7 +139,7 @@
 }
 
 // RegisterGauges registers gauges that are read when metrics are asked for.
-func (m *Metrics) RegisterGauges(source Source) {
+func (m *Metrics) RegisterGauges(source GaugeSource) {
 	gauge := func(name string, read func() float64) { m.set.NewGauge(name, read) }
 	gauge("stiletrail_ready", func() float64 { return asNumber(source.Gateway.Ready()) })
 	gauge("stiletrail_requests_under_way", func() float64 { return float64(source.Gateway.InFlight()) })
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -31,7 +31,7 @@
 	node := gateway.New(gateway.FromSettings(settings.DefaultGateway()), nil, nil, measured)
 	frames := &transport.Counters{}
 	frames.SentFrames.Store(5)
-	measured.RegisterGauges(telemetry.Source{
+	measured.RegisterGauges(telemetry.GaugeSource{
 		Gateway: node, BackEndConnections: func() int64 { return 3 }, BackEndConnectionsOpened: func() int64 { return 9 },
 		LogLinesDropped: func() uint64 { return 2 }, MalformedLoads: func() int64 { return 3 }, PeerFrames: frames,
 	})
