--- a/internal/settings/kept_test.go
+++ b/internal/settings/compatibility_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// noEffect stands for the field of a removed setting, which a file may name all the same.
+// noEffect is given in place of a field name for a removed setting: a file may still set it, but it sets no field.
 const noEffect = ""
 
-// TestGatewayFileOfOld: a file that names every setting of a gateway is valid, and each has its effect. The file and what it means stay as they are: such
-// files lie on the users' machines.
-func TestGatewayFileOfOld(t *testing.T) {
+// TestGatewayFileCompatibility: a file that sets every setting of a gateway is valid, and each setting sets its field.
+// The file in testdata and its meaning must not change, since users have such files on their machines.
+func TestGatewayFileCompatibility(t *testing.T) {
 	loaded, err := LoadGateway("testdata/gateway.yaml", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -68,8 +68,9 @@
 	})
 }
 
-// TestNodeFileOfOld is TestGatewayFileOfOld for a node.
-func TestNodeFileOfOld(t *testing.T) {
+// TestNodeFileCompatibility checks the settings file of a node as TestGatewayFileCompatibility checks that of a
+// gateway.
+func TestNodeFileCompatibility(t *testing.T) {
 	loaded, err := Load("testdata/node.yaml", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -98,13 +99,14 @@
 	})
 }
 
-// effect of a setting: what it makes of which field, noEffect where it has none any more.
+// effect is the value that a setting of the file gives to a field. The field is noEffect for a removed setting.
 type effect struct {
 	field string
 	want  any
 }
 
-// checkEffects compares what was loaded from a file with the effects of the settings that it names, and sees that the file names each setting there is.
+// checkEffects compares the settings loaded from a file with the expected effects, and checks that the file sets every
+// exported field to another value than its default.
 func checkEffects(t *testing.T, path string, loaded, defaults any, effects map[string]effect) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -119,7 +121,7 @@
 	fields := map[string]bool{}
 	for name, effect := range effects {
 		if !named[name] {
-			t.Errorf("%s does not name %s", path, name)
+			t.Errorf("%s does not set %s", path, name)
 		}
 		if effect.field == noEffect {
 			continue
@@ -130,12 +132,12 @@
 			t.Errorf("%s: %s is %v, want %v", name, effect.field, got, effect.want)
 		}
 		if reflect.DeepEqual(got, reflect.ValueOf(defaults).FieldByName(effect.field).Interface()) {
-			t.Errorf("%s: %s is at its default, which shows no effect", name, effect.field)
+			t.Errorf("%s: %s has its default value, so that the test shows no effect of the setting", name, effect.field)
 		}
 	}
 	for i := range reflect.TypeOf(loaded).NumField() {
 		if field := reflect.TypeOf(loaded).Field(i); field.IsExported() && !fields[field.Name] {
-			t.Errorf("no setting of %s sets %s", path, field.Name)
+			t.Errorf("no setting in %s sets the field %s", path, field.Name)
 		}
 	}
 }
--- a/internal/settings/export_test.go
+++ b/internal/settings/export_test.go
@@ -1,11 +1,11 @@
 package settings
 
-// Parse reads settings of a node from the text of a file and overrides, and returns all problems.
+// Parse reads the settings of a node from the text of a file and from overrides, and returns all problems.
 func Parse(file string, text []byte, overrides []Override) (Settings, []Problem) {
-	return parse(file, text, overrides, Default(), fields)
+	return parse(file, text, overrides, Default(), nodeFields)
 }
 
-// ParseGateway is Parse for a gateway.
+// ParseGateway reads the settings of a gateway as Parse reads those of a node.
 func ParseGateway(file string, text []byte, overrides []Override) (Gateway, []Problem) {
-	return parse(file, text, overrides, DefaultGateway(), accepted())
+	return parse(file, text, overrides, DefaultGateway(), acceptedFields())
 }
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -6,108 +6,121 @@
 	"time"
 )
 
-// Gateway settings: of a node that asks back ends itself and learns everything else from the store. The names of the
-// fields stand in the log line of a start.
+// Gateway holds the settings of a gateway: a node that sends requests to back ends itself and learns everything else
+// from the store. The fields are logged under their Go names when the node starts, so the names must not change.
 type Gateway struct {
+	// Node is the name of the node.
 	Node string
-	// CallerAddress serves callers, ReadyAddress tells whether the node should get any, MetricsAddress serves metrics.
+	// CallerAddress is where callers are served, ReadyAddress where the node reports whether it is ready for them, and
+	// MetricsAddress where it serves its metrics.
 	CallerAddress  string
 	ReadyAddress   string
 	MetricsAddress string
-	// StoreAddress of the store that holds the configuration and the back ends.
+	// StoreAddress is the address of the store that holds the configuration and the entries of the back ends.
 	StoreAddress string
-	Zone         string
-	// Regions gives the region of each zone.
+	// Zone is the zone of the node.
+	Zone string
+	// Regions maps each zone to its region.
 	Regions  map[string]string
 	LogLevel string
-	// StopWithin bounds a planned stop.
+	// StopWithin is the longest time that a planned stop may take.
 	StopWithin time.Duration
-	// EntryInterval is how often back ends renew their entries.
+	// EntryInterval is the interval at which back ends renew their entries in the store.
 	EntryInterval time.Duration
-	// LeavingTime is how long a back end that leaves may get requests, ApplyWithin how long a configuration may take to
-	// be in force, EvacuateWithin how long a zone may get requests that is evacuated. All that a node waits for before
-	// it learns of them is derived from the shortest one.
+	// LeavingTime is how long a draining back end may still get requests, ApplyWithin how long a configuration may take
+	// until it is in force, and EvacuateWithin how long an evacuated zone may still get requests. The intervals and
+	// timeouts with which a node learns of such changes are derived from the shortest of the three.
 	LeavingTime    time.Duration
 	ApplyWithin    time.Duration
 	EvacuateWithin time.Duration
-	// RetryShare of a service's requests may be extra attempts in any RetryWindow, over all nodes.
+	// RetryShare is the largest part of a service's requests that may be extra attempts in any RetryWindow, over all
+	// nodes.
 	RetryShare  float64
 	RetryWindow time.Duration
-	// RetrySlack is what all nodes together may send extra in a window beyond the share.
+	// RetrySlack is the number of extra attempts that all nodes together may send in a window beyond the share.
 	RetrySlack float64
-	// PeerAddress serves other nodes, Seeds are those of some of them; without it the node goes by the store alone.
+	// PeerAddress is where other nodes are served, Seeds are the peer addresses of some of them. Without a peer address
+	// the node learns everything from the store alone.
 	PeerAddress string
-	// PeerAdvertisedAddress is the one at which other nodes reach it, where that is another; empty for the same.
+	// PeerAdvertisedAddress is the address at which other nodes reach this one. If it is empty, that is PeerAddress.
 	PeerAdvertisedAddress string
 	Seeds                 []string
 	// Connections is the largest number of connections of this node to one back end.
 	Connections int
-	// HedgeShare of a route's target latency is waited before another replica is asked too; 0 turns hedging off.
+	// HedgeShare is the part of a route's target latency after which a hedge is sent to another replica. With 0 no hedges
+	// are sent.
 	HedgeShare float64
-	// RetryPace is the first pause before a shard whose attempts have failed is tried again; 0 gives it up at once.
+	// RetryPace is the first pause before a shard whose attempts have failed is tried again. With 0 such a shard is not
+	// tried again.
 	RetryPace time.Duration
-	// EarlyFinish answers at the target latency with what is there, where that is enough.
+	// EarlyFinish makes the node answer at the target latency with the shards that have answered, if they are enough.
 	EarlyFinish bool
-	// MaximumRequests bounds the requests under way.
+	// MaximumRequests is the largest number of requests in flight.
 	MaximumRequests int
 
-	// SiblingHedges has a shard hedged that takes much longer than the others of its request.
+	// SiblingHedges makes the node hedge a shard that takes much longer than the other shards of its request.
 	SiblingHedges bool
-	// LastExtras that the retry budget of a service allows are kept for shards that are very late; 0 keeps none.
+	// LastExtras is the number of extra attempts in the retry budget of a service that are reserved for shards that are
+	// very late. With 0 none are reserved.
 	LastExtras int
-	// SubsetSize is how many near replicas a node prefers where connections are few; 0 prefers none.
+	// SubsetSize is the number of replicas in the own region that a node prefers if it may open few connections. With 0
+	// it prefers none.
 	SubsetSize int
-	// FewRest lets only one connection be idle at a back end where they are few.
+	// FewRest limits the idle connections to a back end to one if the node may open few connections.
 	FewRest bool
-	// ShareConnections divides the connections of a back end among the nodes known.
+	// ShareConnections divides the connections that a back end accepts among the known nodes.
 	ShareConnections bool
-	// YoungPart of the connections, one in so many, is shared while many nodes have just started.
+	// YoungPart is a divisor: while many nodes have just started, only one in YoungPart connections is divided among them.
 	YoungPart int
-	// Ejection leaves failing back ends out for a while.
+	// Ejection excludes failing back ends for a while.
 	Ejection bool
-	// Doubt uses a back end on for a while whose entry vanished while the store was in trouble.
+	// Doubt makes the node use a back end for a while longer if its entry disappeared while the store was failing.
 	Doubt bool
-	// StoreTurns has the nodes look at the store one after the other.
+	// StoreTurns makes the nodes poll the store one after the other.
 	StoreTurns bool
-	// Watchers of the store in each region tell the other nodes of it; with 0 every node watches.
+	// Watchers is the number of nodes in each region that watch the store and announce its changes to the other nodes.
+	// With 0 every node watches.
 	Watchers int
-	// PeerCopies has nodes tell each other what they know of the store.
+	// PeerCopies lets nodes send each other what they have learned of the store.
 	PeerCopies bool
-	// ProveConnections has new connections prove themselves before they are used, where the back end may be at its limit of them.
+	// ProveConnections makes the node verify a new connection before its first use, if the back end may be at its
+	// connection limit.
 	ProveConnections bool
-	// StartingHold is how long a request that comes while the node starts waits for its first listing, and for back
-	// ends that the listing lacks. Requests that have waited together are let go together, onto the first back end of
-	// each shard.
+	// StartingHold is how long a request that arrives while the node starts waits for the first listing of the store, and
+	// for back ends that the listing lacks. All requests that have waited are released at the same time, and all go to the
+	// first back end of each shard.
 	StartingHold time.Duration
-	// TurnAway refuses a part of the requests at once, as not run, while back ends cannot answer all of them by the target.
+	// TurnAway makes the node reject a part of the requests at once, without sending them, while the back ends cannot
+	// answer all of them within the target latency.
 	TurnAway bool
-	// QuarantineRounds of runs of a request, one after the other, that end their back ends put it under quarantine for
-	// QuarantineFor; 0 never does. With fewer than three, back ends that end by themselves one after the other may put
-	// it there.
+	// QuarantineRounds is the number of consecutive runs of a request that crash their back ends and after which the
+	// request is quarantined for QuarantineFor. With 0 no request is quarantined. With fewer than three, back ends that
+	// happen to crash one after the other for another reason may quarantine a harmless request.
 	QuarantineRounds int
 	QuarantineFor    time.Duration
-	// WithdrawnFactor times its age is taken for the latency of an attempt that was withdrawn without an answer; 1
-	// takes it for as quick as it was old.
+	// WithdrawnFactor is multiplied by the age of an attempt that was cancelled without an answer, which gives its assumed
+	// latency. With 1 the attempt counts as answered at the moment of the cancellation.
 	WithdrawnFactor float64
-	// FarPrice and FaultPrice are what a replica of another region, and a failed attempt, are expected to cost, as
-	// shares of the route's target; 0 prices neither.
+	// FarPrice is the penalty that the pick of a replica adds for a replica in another region, and FaultPrice is the cost
+	// that it assumes for an attempt that fails. Both are parts of the route's target latency; 0 adds nothing.
 	FarPrice   float64
 	FaultPrice float64
-	// GoByPace has choices go by the slowdown that back ends tell.
+	// GoByPace makes the pick of a replica depend on the slowdown that back ends report.
 	GoByPace bool
-	// Reports has nodes tell each other of back ends that turn slow or faulty.
+	// Reports makes the nodes report slow and faulty back ends to each other.
 	Reports bool
-	// withoutEffect are the removed settings that the file names.
-	withoutEffect []string
+	// ignored has the names of the removed settings that the file sets.
+	ignored []string
 }
 
-// IgnoredSettings returns the names of settings that the file gives and that have been removed since.
-func (s Gateway) IgnoredSettings() []string { return s.withoutEffect }
+// IgnoredSettings returns the names of settings that the file sets but that have no effect, since they have been
+// removed.
+func (s Gateway) IgnoredSettings() []string { return s.ignored }
 
-// removed are the names of settings that earlier releases had. A file that names one stays valid.
-var removed = []string{"linger"}
+// removedSettings has the names of settings that earlier releases had. A file that sets one stays valid.
+var removedSettings = []string{"linger"}
 
-// DefaultGateway gives the settings of fields that are not set.
+// DefaultGateway returns the settings of a gateway whose file and flags set none.
 func DefaultGateway() Gateway {
 	return Gateway{
 		LogLevel: "info", StopWithin: 6 * time.Second,
@@ -131,7 +144,7 @@
 	{"store_address", addressAllowed, true, address(func(s *Gateway) *string { return &s.StoreAddress })},
 	{"zone", "1 to 32 characters without blanks and slashes", true, name(func(s *Gateway) *string { return &s.Zone })},
 	{"regions", "a list of zone=region", false, setRegions},
-	{"log_level", "debug, info, warn or error", false, level(func(s *Gateway) *string { return &s.LogLevel })},
+	{"log_level", "debug, info, warn or error", false, logLevel(func(s *Gateway) *string { return &s.LogLevel })},
 	{"stop_within", "1s to 10m", false, duration(time.Second, 10*time.Minute, func(s *Gateway) *time.Duration { return &s.StopWithin })},
 	{"entry_interval", "50ms to 1m", false, duration(50*time.Millisecond, time.Minute, func(s *Gateway) *time.Duration { return &s.EntryInterval })},
 	{"leaving_time", "2s to 10m", false, duration(2*time.Second, 10*time.Minute, func(s *Gateway) *time.Duration { return &s.LeavingTime })},
@@ -146,26 +159,26 @@
 	{"connections_per_back_end", "1 to 4096", false, integer(1, 4096, func(s *Gateway) *int { return &s.Connections })},
 	{"hedge_share", "0 to 1", false, share(func(s *Gateway) *float64 { return &s.HedgeShare })},
 	{"retry_pace", "0s to 10s", false, duration(0, 10*time.Second, func(s *Gateway) *time.Duration { return &s.RetryPace })},
-	{"early_finish", switchAllowed, false, onOff(func(s *Gateway) *bool { return &s.EarlyFinish })},
+	{"early_finish", booleanAllowed, false, boolean(func(s *Gateway) *bool { return &s.EarlyFinish })},
 	{"maximum_requests", "1 to 1000000", false, integer(1, 1000000, func(s *Gateway) *int { return &s.MaximumRequests })},
-	{"sibling_hedges", switchAllowed, false, onOff(func(s *Gateway) *bool { return &s.SiblingHedges })},
+	{"sibling_hedges", booleanAllowed, false, boolean(func(s *Gateway) *bool { return &s.SiblingHedges })},
 	{"last_extras", "0 to 1000", false, integer(0, 1000, func(s *Gateway) *int { return &s.LastExtras })},
 	{"subset_size", "0 to 1000", false, integer(0, 1000, func(s *Gateway) *int { return &s.SubsetSize })},
-	{"few_rest", switchAllowed, false, onOff(func(s *Gateway) *bool { return &s.FewRest })},
-	{"share_connections", switchAllowed, false, onOff(func(s *Gateway) *bool { return &s.ShareConnections })},
+	{"few_rest", booleanAllowed, false, boolean(func(s *Gateway) *bool { return &s.FewRest })},
+	{"share_connections", booleanAllowed, false, boolean(func(s *Gateway) *bool { return &s.ShareConnections })},
 	{"young_part", "1 to 16", false, integer(1, 16, func(s *Gateway) *int { return &s.YoungPart })},
-	{"ejection", switchAllowed, false, onOff(func(s *Gateway) *bool { return &s.Ejection })},
-	{"doubt", switchAllowed, false, onOff(func(s *Gateway) *bool { return &s.Doubt })},
-	{"store_turns", switchAllowed, false, onOff(func(s *Gateway) *bool { return &s.StoreTurns })},
+	{"ejection", booleanAllowed, false, boolean(func(s *Gateway) *bool { return &s.Ejection })},
+	{"doubt", booleanAllowed, false, boolean(func(s *Gateway) *bool { return &s.Doubt })},
+	{"store_turns", booleanAllowed, false, boolean(func(s *Gateway) *bool { return &s.StoreTurns })},
 	{"watchers_per_region", "0 to 1000", false, integer(0, 1000, func(s *Gateway) *int { return &s.Watchers })},
-	{"peer_copies", switchAllowed, false, onOff(func(s *Gateway) *bool { return &s.PeerCopies })},
-	{"prove_connections", switchAllowed, false, onOff(func(s *Gateway) *bool { return &s.ProveConnections })},
-	{"turn_away", switchAllowed, false, onOff(func(s *Gateway) *bool { return &s.TurnAway })},
+	{"peer_copies", booleanAllowed, false, boolean(func(s *Gateway) *bool { return &s.PeerCopies })},
+	{"prove_connections", booleanAllowed, false, boolean(func(s *Gateway) *bool { return &s.ProveConnections })},
+	{"turn_away", booleanAllowed, false, boolean(func(s *Gateway) *bool { return &s.TurnAway })},
 	{"quarantine_rounds", "0 to 100", false, integer(0, 100, func(s *Gateway) *int { return &s.QuarantineRounds })},
 	{"quarantine_for", "10s to 10m", false, duration(10*time.Second, 10*time.Minute, func(s *Gateway) *time.Duration { return &s.QuarantineFor })},
 	{"withdrawn_factor", "1 to 10", false, fraction(1, 10, func(s *Gateway) *float64 { return &s.WithdrawnFactor })},
-	{"go_by_pace", switchAllowed, false, onOff(func(s *Gateway) *bool { return &s.GoByPace })},
-	{"reports", switchAllowed, false, onOff(func(s *Gateway) *bool { return &s.Reports })},
+	{"go_by_pace", booleanAllowed, false, boolean(func(s *Gateway) *bool { return &s.GoByPace })},
+	{"reports", booleanAllowed, false, boolean(func(s *Gateway) *bool { return &s.Reports })},
 	{"far_price", "0 to 10", false, fraction(0, 10, func(s *Gateway) *float64 { return &s.FarPrice })},
 	{"fault_price", "0 to 10", false, fraction(0, 10, func(s *Gateway) *float64 { return &s.FaultPrice })},
 	{"starting_hold", "0s to 10s", false, duration(0, 10*time.Second, func(s *Gateway) *time.Duration { return &s.StartingHold })},
@@ -183,22 +196,23 @@
 	return true
 }
 
-// LoadGateway reads the settings file of a gateway and the overrides. The failure, of code SETTINGS_INVALID, lists all problems.
+// LoadGateway reads the settings file of a gateway and applies the overrides. It fails with SETTINGS_INVALID and lists
+// all problems.
 func LoadGateway(path string, overrides []Override) (Gateway, error) {
-	return load(path, overrides, DefaultGateway(), accepted())
+	return load(path, overrides, DefaultGateway(), acceptedFields())
 }
 
-// accepted are the fields that a file may name, removed ones included.
-func accepted() []field[Gateway] {
+// acceptedFields returns the fields that a file may set, including the removed ones.
+func acceptedFields() []field[Gateway] {
 	fields := slices.Clone(gatewayFields)
-	for _, name := range removed {
-		fields = append(fields, field[Gateway]{name, "anything: it has no effect", false, func(s *Gateway, _ string) bool {
-			s.withoutEffect = append(s.withoutEffect, name)
+	for _, name := range removedSettings {
+		fields = append(fields, field[Gateway]{name, "any value: the setting has been removed and has no effect", false, func(s *Gateway, _ string) bool {
+			s.ignored = append(s.ignored, name)
 			return true
 		}})
 	}
 	return fields
 }
 
-// GatewayNames returns the names of all fields of a gateway.
-func GatewayNames() []string { return namesOf(gatewayFields) }
+// GatewayNames returns the names of all settings of a gateway, without the removed ones.
+func GatewayNames() []string { return fieldNames(gatewayFields) }
--- a/internal/settings/kinds.go
+++ b/internal/settings/kinds.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// What some kinds of setting may be set to.
+// Descriptions of the allowed values of some kinds of setting, as problems quote them.
 const (
 	addressAllowed = "an IP address and port, as 127.0.0.1:7000"
-	switchAllowed  = "true or false"
+	booleanAllowed = "true or false"
 )
 
-// The functions below give the way in which a kind of setting is read into its place, which reports whether the value is allowed.
+// Each of the generic functions below returns the setter of a kind of setting. The setter parses the value into the
+// field to which target points and reports whether the value is allowed.
 
 func isAddress(value string) bool {
 	_, err := netip.ParseAddrPort(value)
@@ -28,10 +29,10 @@
 }
 
 func name[T any](target func(*T) *string) func(*T, string) bool {
-	const maximumName = 32
+	const maximumLength = 32
 	return func(s *T, value string) bool {
 		*target(s) = value
-		return value != "" && len(value) <= maximumName && !strings.ContainsAny(value, " \t/")
+		return value != "" && len(value) <= maximumLength && !strings.ContainsAny(value, " \t/")
 	}
 }
 
@@ -78,14 +79,14 @@
 	}
 }
 
-func level[T any](target func(*T) *string) func(*T, string) bool {
+func logLevel[T any](target func(*T) *string) func(*T, string) bool {
 	return func(s *T, value string) bool {
 		*target(s) = value
 		return value == "debug" || value == "info" || value == "warn" || value == "error"
 	}
 }
 
-func onOff[T any](target func(*T) *bool) func(*T, string) bool {
+func boolean[T any](target func(*T) *bool) func(*T, string) bool {
 	return func(s *T, value string) bool {
 		*target(s) = value == "true"
 		return value == "true" || value == "false"
--- a/internal/settings/logged_test.go
+++ b/internal/settings/logged_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// loggedFile has the settings of a gateway that sets none, as the line of a start or reload tells them. Their names there are those of the fields of
-// Gateway, and lengths of time are nanoseconds: readers of logs go by both.
+// loggedFile has the default settings of a gateway as they are logged at a start or a reload. They are logged under the
+// names of the fields of Gateway, with durations in nanoseconds. Readers of the logs depend on both.
 const loggedFile = "testdata/logged.json"
 
-// TestSettingsAreLoggedAsBefore: a field that is renamed, or that gets another unit, changes what a start's line tells.
-func TestSettingsAreLoggedAsBefore(t *testing.T) {
-	kept, err := os.ReadFile(loggedFile)
+// TestLoggedSettingsCompatibility: renaming a field of Gateway or changing its unit would change the logged settings.
+func TestLoggedSettingsCompatibility(t *testing.T) {
+	want, err := os.ReadFile(loggedFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if string(logged) != strings.TrimSpace(string(kept)) {
-		t.Errorf("the settings are logged as\n%s\nand were as\n%s", logged, kept)
+	if string(logged) != strings.TrimSpace(string(want)) {
+		t.Errorf("the settings are logged as\n%s\nwant\n%s", logged, want)
 	}
 }
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -5,37 +5,48 @@
 	"time"
 )
 
-// Settings of a node.
+// Settings holds the settings of a stiletraild node.
 type Settings struct {
-	// HTTPAddress serves callers, operators, metrics and health.
+	// HTTPAddress is where callers, operators, metrics and health checks are served.
 	HTTPAddress string
-	// PeerAddress serves other nodes; AdvertisedAddress is what they are told, where it differs.
+	// PeerAddress is where other nodes are served. AdvertisedAddress is the address at which they reach this node, if
+	// it is another one.
 	PeerAddress       string
 	AdvertisedAddress string
 	Zone              string
 	Region            string
 	// Seeds are the peer addresses of some other nodes.
 	Seeds []string
-	// PlatformURL is where the key-value service and the machine list are.
+	// PlatformURL is the base URL of the key-value service and the machine list.
 	PlatformURL string
 	LogLevel    string
-	// DrainTimeout bounds a planned stop.
+	// DrainTimeout is the longest time that a planned stop may take.
 	DrainTimeout time.Duration
 
-	Dispatchers    int
-	GroupSize      int
-	RelaysPerZone  int
+	// Dispatchers is the number of nodes that share the slots of a group's back ends.
+	Dispatchers int
+	// GroupSize is the largest number of back ends in a group.
+	GroupSize int
+	// RelaysPerZone is the number of nodes of a zone that read the key-value store.
+	RelaysPerZone int
+	// MaximumQueries is the largest number of searches and executes in flight.
 	MaximumQueries int
-	Connections    int
-	Hedging        bool
-	HedgeShare     float64
-	RetryShare     float64
-	QueueWait      time.Duration
-	ProbeInterval  time.Duration
-	StoreInterval  time.Duration
+	// Connections is the largest number of connections of this node to one back end.
+	Connections int
+	// Hedging switches hedges on.
+	Hedging bool
+	// HedgeShare and RetryShare are the numbers of hedges and of retries of a shard allowed per first attempt.
+	HedgeShare float64
+	RetryShare float64
+	// QueueWait is the longest predicted wait for a slot with which a query is still admitted.
+	QueueWait time.Duration
+	// ProbeInterval is the time between two probes of other nodes.
+	ProbeInterval time.Duration
+	// StoreInterval is the time between two reads of the key-value store.
+	StoreInterval time.Duration
 }
 
-// Default gives the settings of fields that are not set.
+// Default returns the settings of a node whose file and flags set none.
 func Default() Settings {
 	return Settings{
 		LogLevel: "info", DrainTimeout: 30 * time.Second, Dispatchers: 1, GroupSize: 64, RelaysPerZone: 2,
@@ -44,22 +55,22 @@
 	}
 }
 
-var fields = []field[Settings]{
+var nodeFields = []field[Settings]{
 	{"http_address", addressAllowed, true, address(func(s *Settings) *string { return &s.HTTPAddress })},
 	{"peer_address", addressAllowed, true, address(func(s *Settings) *string { return &s.PeerAddress })},
 	{"advertised_address", addressAllowed, false, address(func(s *Settings) *string { return &s.AdvertisedAddress })},
 	{"zone", "1 to 32 characters without blanks and slashes", true, name(func(s *Settings) *string { return &s.Zone })},
 	{"region", "1 to 32 characters without blanks and slashes", false, name(func(s *Settings) *string { return &s.Region })},
 	{"seeds", "a list of IP addresses and ports", false, addresses(func(s *Settings) *[]string { return &s.Seeds })},
-	{"platform_url", "http:// with an IP address and port", true, setPlatform},
-	{"log_level", "debug, info, warn or error", false, level(func(s *Settings) *string { return &s.LogLevel })},
+	{"platform_url", "http:// with an IP address and port", true, setPlatformURL},
+	{"log_level", "debug, info, warn or error", false, logLevel(func(s *Settings) *string { return &s.LogLevel })},
 	{"drain_timeout", "1s to 10m", false, duration(time.Second, 10*time.Minute, func(s *Settings) *time.Duration { return &s.DrainTimeout })},
 	{"dispatchers_per_group", "1 to 64", false, integer(1, 64, func(s *Settings) *int { return &s.Dispatchers })},
 	{"group_size", "1 to 1024", false, integer(1, 1024, func(s *Settings) *int { return &s.GroupSize })},
 	{"relays_per_zone", "1 to 16", false, integer(1, 16, func(s *Settings) *int { return &s.RelaysPerZone })},
 	{"maximum_queries", "1 to 1000000", false, integer(1, 1000000, func(s *Settings) *int { return &s.MaximumQueries })},
 	{"connections_per_back_end", "1 to 4096", false, integer(1, 4096, func(s *Settings) *int { return &s.Connections })},
-	{"hedging", switchAllowed, false, onOff(func(s *Settings) *bool { return &s.Hedging })},
+	{"hedging", booleanAllowed, false, boolean(func(s *Settings) *bool { return &s.Hedging })},
 	{"hedge_share", "0 to 1", false, share(func(s *Settings) *float64 { return &s.HedgeShare })},
 	{"retry_share", "0 to 1", false, share(func(s *Settings) *float64 { return &s.RetryShare })},
 	{"queue_wait", "1ms to 10s", false, duration(time.Millisecond, 10*time.Second, func(s *Settings) *time.Duration { return &s.QueueWait })},
@@ -67,16 +78,17 @@
 	{"store_interval", "100ms to 10m", false, duration(100*time.Millisecond, 10*time.Minute, func(s *Settings) *time.Duration { return &s.StoreInterval })},
 }
 
-func setPlatform(s *Settings, value string) bool {
+func setPlatformURL(s *Settings, value string) bool {
 	s.PlatformURL = value
 	rest, ok := strings.CutPrefix(value, "http://")
 	return ok && isAddress(rest)
 }
 
-// Load reads the file, where a path is given, and the overrides. The failure, of code SETTINGS_INVALID, lists all problems.
+// Load reads the settings file of a node, if a path is given, and applies the overrides. It fails with SETTINGS_INVALID
+// and lists all problems.
 func Load(path string, overrides []Override) (Settings, error) {
-	return load(path, overrides, Default(), fields)
+	return load(path, overrides, Default(), nodeFields)
 }
 
-// Names returns the names of all fields.
-func Names() []string { return namesOf(fields) }
+// Names returns the names of all settings of a node.
+func Names() []string { return fieldNames(nodeFields) }
--- a/internal/settings/removed_test.go
+++ b/internal/settings/removed_test.go
@@ -9,7 +9,8 @@
 	"stiletrail/internal/settings"
 )
 
-// TestRemovedSettings: a file that names a removed setting loads and tells that it has no effect; one that names none tells nothing.
+// TestRemovedSettings: a file that sets a removed setting is valid, and the setting is reported as ignored. A file that
+// sets it twice is rejected.
 func TestRemovedSettings(t *testing.T) {
 	required := "node: n\ncaller_address: 127.0.0.1:1\nready_address: 127.0.0.1:2\nstore_address: 127.0.0.1:3\nzone: z\n"
 	for text, want := range map[string][]string{
@@ -26,7 +27,7 @@
 			t.Fatal(err)
 		}
 		if got := loaded.IgnoredSettings(); !slices.Equal(got, want) {
-			t.Errorf("without effect are %v, want %v", got, want)
+			t.Errorf("ignored settings %v, want %v", got, want)
 		}
 	}
 	twice := filepath.Join(t.TempDir(), "settings.yaml")
@@ -34,6 +35,6 @@
 		t.Fatal(err)
 	}
 	if _, err := settings.LoadGateway(twice, nil); err == nil {
-		t.Error("a removed setting that is named twice passes")
+		t.Error("a file that sets a removed setting twice was accepted, want an error")
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,8 @@
-// Package settings reads and checks the settings file of a node (node.go) or a gateway (gateway.go). All problems are
-// found at once, each with file, line, field, what was found and what is allowed; unknown and doubled fields are
-// problems too.
+// Package settings reads and validates the settings file of a node (node.go) or of a gateway (gateway.go). It reports
+// all problems of a file at once: each with file, line and field, with what was found and what is allowed. A field that
+// is unknown or set twice is a problem too.
 //
-// It owns the names of the settings, what each may be, and what holds where one is not set. It reads the file and keeps nothing.
+// The package owns the names, the allowed values and the defaults of the settings. It keeps no state.
 package settings
 
 import (
@@ -17,7 +17,8 @@
 	"stiletrail/internal/failure"
 )
 
-// field describes one setting: how it is read, and what is allowed.
+// field describes one setting: its name, its allowed values in words, whether it must be set, and a setter that reports
+// whether a value is allowed.
 type field[T any] struct {
 	name     string
 	allowed  string
@@ -25,7 +26,7 @@
 	set      func(s *T, value string) bool
 }
 
-// Problem is one fault of the settings.
+// Problem is one invalid, unknown, repeated or missing setting.
 type Problem struct {
 	File    string
 	Line    int
@@ -34,7 +35,7 @@
 	Allowed string
 }
 
-// String puts the problem in one line.
+// String formats the problem as one line.
 func (p Problem) String() string {
 	place := p.File
 	if p.Line > 0 {
@@ -43,7 +44,7 @@
 	return fmt.Sprintf("%s: %s: found %s, allowed is %s", place, p.Field, p.Found, p.Allowed)
 }
 
-// Override is a setting given as a flag; it goes before the file.
+// Override is a setting given by a command-line flag. It takes precedence over the file.
 type Override struct {
 	Field string
 	Value string
@@ -54,7 +55,7 @@
 	if path != "" {
 		read, err := os.ReadFile(path)
 		if err != nil {
-			return defaults, failure.Wrap(err, failure.SettingsInvalid, "the settings file cannot be read")
+			return defaults, failure.Wrap(err, failure.SettingsInvalid, "cannot read the settings file")
 		}
 		text = read
 	}
@@ -71,19 +72,21 @@
 
 func parse[T any](file string, text []byte, overrides []Override, defaults T, fields []field[T]) (T, []Problem) {
 	reader := reader[T]{file: file, settings: defaults, fields: fields, seen: map[string]bool{}}
-	reader.text(text)
+	reader.readText(text)
 	for _, override := range overrides {
 		reader.seen[override.Field] = false
-		reader.take("flags", 0, override.Field, override.Value)
+		reader.set("flags", 0, override.Field, override.Value)
 	}
 	for _, known := range fields {
 		if _, set := reader.seen[known.name]; known.required && !set {
-			reader.problem(file, 0, known.name, "nothing", known.allowed)
+			reader.addProblem(file, 0, known.name, "nothing", known.allowed)
 		}
 	}
 	return reader.settings, reader.problems
 }
 
+// reader collects the settings and the problems of one file and its overrides. seen has the fields that have been set;
+// an override may set a field again that the file has set.
 type reader[T any] struct {
 	file     string
 	settings T
@@ -92,28 +95,28 @@
 	problems []Problem
 }
 
-func (r *reader[T]) problem(file string, line int, field, found, allowed string) {
+func (r *reader[T]) addProblem(file string, line int, field, found, allowed string) {
 	if file == "" {
 		file = "flags"
 	}
 	r.problems = append(r.problems, Problem{File: file, Line: line, Field: field, Found: found, Allowed: allowed})
 }
 
-func (r *reader[T]) text(text []byte) {
+func (r *reader[T]) readText(text []byte) {
 	if len(text) == 0 {
 		return
 	}
 	parsed, err := parser.ParseBytes(text, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
-		r.problem(r.file, 0, "the file", "no YAML ("+strings.ReplaceAll(err.Error(), "\n", " ")+")", "a YAML mapping")
+		r.addProblem(r.file, 0, "the file", "invalid YAML ("+strings.ReplaceAll(err.Error(), "\n", " ")+")", "a YAML mapping")
 		return
 	}
 	for _, document := range parsed.Docs {
-		r.document(document.Body)
+		r.readDocument(document.Body)
 	}
 }
 
-func (r *reader[T]) document(body ast.Node) {
+func (r *reader[T]) readDocument(body ast.Node) {
 	var values []*ast.MappingValueNode
 	switch node := body.(type) {
 	case nil:
@@ -123,17 +126,17 @@
 	case *ast.MappingValueNode:
 		values = []*ast.MappingValueNode{node}
 	default:
-		r.problem(r.file, body.GetToken().Position.Line, "the file", "a "+body.Type().String(), "a YAML mapping")
+		r.addProblem(r.file, body.GetToken().Position.Line, "the file", "a "+body.Type().String(), "a YAML mapping")
 		return
 	}
 	for _, value := range values {
 		key := value.Key.String()
 		line := value.Key.GetToken().Position.Line
-		r.take(r.file, line, key, textOf(value.Value))
+		r.set(r.file, line, key, textOf(value.Value))
 	}
 }
 
-// textOf returns the plain text of a scalar, or of a list of scalars joined by commas.
+// textOf returns the plain text of a scalar, or the scalars of a list joined by commas.
 func textOf(node ast.Node) string {
 	switch node := node.(type) {
 	case *ast.StringNode:
@@ -150,25 +153,26 @@
 	return node.GetToken().Value
 }
 
-func (r *reader[T]) take(file string, line int, key, value string) {
+// set sets a field to a value, or adds a problem if the field is unknown or set twice, or if the value is not allowed.
+func (r *reader[T]) set(file string, line int, key, value string) {
 	for _, known := range r.fields {
 		if known.name != key {
 			continue
 		}
 		if r.seen[key] {
-			r.problem(file, line, key, "the field a second time", "each field once")
+			r.addProblem(file, line, key, "the field a second time", "each field once")
 			return
 		}
 		r.seen[key] = true
 		if !known.set(&r.settings, value) {
-			r.problem(file, line, key, strconv.Quote(value), known.allowed)
+			r.addProblem(file, line, key, strconv.Quote(value), known.allowed)
 		}
 		return
 	}
-	r.problem(file, line, key, "an unknown field", "one of "+strings.Join(namesOf(r.fields), ", "))
+	r.addProblem(file, line, key, "an unknown field", "one of "+strings.Join(fieldNames(r.fields), ", "))
 }
 
-func namesOf[T any](fields []field[T]) []string {
+func fieldNames[T any](fields []field[T]) []string {
 	names := make([]string, 0, len(fields))
 	for _, known := range fields {
 		names = append(names, known.name)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -17,14 +17,15 @@
 drain_timeout: 20s
 `
 
+// TestParse: a valid file has no problems, and an override takes precedence over the file.
 func TestParse(t *testing.T) {
 	loaded, problems := Parse("node.yaml", []byte(valid), []Override{{"zone", "zone-b"}})
 	if len(problems) > 0 || loaded.Zone != "zone-b" || len(loaded.Seeds) != 2 || loaded.DrainTimeout != 20*time.Second {
-		t.Errorf("settings %+v, problems %v", loaded, problems)
+		t.Errorf("got settings %+v and problems %v, want zone-b, 2 seeds, drain timeout 20s and no problems", loaded, problems)
 	}
 }
 
-// TestProblems: all are found at once, each with its place.
+// TestProblems: all problems of a file are reported at once, each with its file and line.
 func TestProblems(t *testing.T) {
 	text := strings.Replace(valid, "zone: zone-a", "zone: ''\nhalflife: 3\nhedge_share: 2\nhttp_address: nowhere", 1)
 	text = strings.Replace(text, "platform_url: http://127.0.0.1:7900\n", "", 1)
@@ -34,7 +35,7 @@
 		"node.yaml:6: http_address: found the field a second time", "node.yaml: platform_url: found nothing",
 	}
 	if len(problems) != len(want) {
-		t.Fatalf("problems %v", problems)
+		t.Fatalf("unexpected number of problems found: %v", problems)
 	}
 	for i, problem := range problems {
 		if !strings.HasPrefix(problem.String(), want[i]) {
@@ -43,13 +44,14 @@
 	}
 }
 
+// TestLoad: a missing file fails with SETTINGS_INVALID, and the settings files of the examples are valid.
 func TestLoad(t *testing.T) {
 	if _, err := Load(filepath.Join(t.TempDir(), "none.yaml"), nil); failure.CodeOf(err) != failure.SettingsInvalid {
-		t.Errorf("error %v", err)
+		t.Errorf("missing file: got error %v, want code SETTINGS_INVALID", err)
 	}
 	examples, err := filepath.Glob("../../examples/node-*.yaml")
 	if err != nil || len(examples) == 0 {
-		t.Fatalf("examples %v, error %v", examples, err)
+		t.Fatalf("found example files %v and error %v, want at least one file and no error", examples, err)
 	}
 	for _, example := range examples {
 		if _, err := Load(example, nil); err != nil {
@@ -58,7 +60,7 @@
 	}
 }
 
-// FuzzParse: whatever comes, parsing ends without a panic.
+// FuzzParse: parsing must not panic on any input.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(valid))
 	f.Add([]byte("- 1"))
