--- a/internal/decisionlog/bounds.go
+++ b/internal/decisionlog/bounds.go
@@ -7,36 +7,37 @@
 )
 
 const (
-	// requestsPerSecond is how many lines about requests are written in a second; others are left out.
-	requestsPerSecond = 200
-	// ordinarySampleEvery ordinary requests get one line.
-	ordinarySampleEvery = 20
+	// requestLinesPerSecond is the largest number of lines about requests written in a second. Further ones are not
+	// written.
+	requestLinesPerSecond = 200
+	// successSampleInterval is the number of ordinary successes of which one is written.
+	successSampleInterval = 20
 )
 
-// rate allows requestsPerSecond lines in each second.
-type rate struct {
+// rateLimiter allows requestLinesPerSecond lines in each second.
+type rateLimiter struct {
 	mutex  sync.Mutex
 	second int64
 	count  int
 }
 
-func (r *rate) allow(now time.Time) bool {
+func (r *rateLimiter) allow(now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if second := now.Unix(); second != r.second {
 		r.second, r.count = second, 0
 	}
 	r.count++
-	return r.count <= requestsPerSecond
+	return r.count <= requestLinesPerSecond
 }
 
-// ordinal picks one in ordinarySampleEvery.
-type ordinal struct{ count atomic.Uint64 }
+// sampler picks one request in successSampleInterval, the first one included.
+type sampler struct{ count atomic.Uint64 }
 
-func (o *ordinal) sampled() bool { return o.count.Add(1)%ordinarySampleEvery == 1 }
+func (s *sampler) sampled() bool { return s.count.Add(1)%successSampleInterval == 1 }
 
-// lostStore knows whether the store is lost.
-type lostStore struct{ lost atomic.Bool }
+// storeState remembers whether the last call to the store failed. Its methods report whether that has changed.
+type storeState struct{ failing atomic.Bool }
 
-func (s *lostStore) lose() bool   { return !s.lost.Swap(true) }
-func (s *lostStore) regain() bool { return s.lost.Load() && s.lost.Swap(false) }
+func (s *storeState) markFailing() bool   { return !s.failing.Swap(true) }
+func (s *storeState) markReachable() bool { return s.failing.Load() && s.failing.Swap(false) }
--- a/internal/decisionlog/kept_test.go
+++ b/internal/decisionlog/compatibility_test.go
@@ -20,17 +20,18 @@
 	"stiletrail/internal/routing"
 )
 
-// timestamp is what differs between two runs that log the same.
+// timestamp matches the field of a line that differs between runs.
 var timestamp = regexp.MustCompile(`"time":"[^"]*"`)
 
-// TestLinesOfOld: a line of each kind has the fields and the form that it has had. What reads the logs, here and at the users', goes by them.
-func TestLinesOfOld(t *testing.T) {
+// TestLogCompatibility: the lines of all events keep their fields and their format. Tools of this repository and of
+// users that read the logs depend on them.
+func TestLogCompatibility(t *testing.T) {
 	table, err := routing.Compile(routing.Configuration{Version: 21})
 	if err != nil {
 		t.Fatal(err)
 	}
-	mark := quarantine.Fingerprint{0x1a, 0x2b, 0x3c, 0x4d, 0x5e, 0x6f, 0x70, 0x81}
-	call := &gateway.Call{ID: "request-1", Caller: "10.0.0.9", Identity: quarantine.Identity{Request: mark}}
+	fingerprint := quarantine.Fingerprint{0x1a, 0x2b, 0x3c, 0x4d, 0x5e, 0x6f, 0x70, 0x81}
+	call := &gateway.Call{ID: "request-1", Caller: "10.0.0.9", Identity: quarantine.Identity{Request: fingerprint}}
 	at, later := history.At(2, 68), history.At(3, 70)
 	answered, lost, open := attempts()
 	down := failure.New(failure.StoreUnavailable, "down")
@@ -46,9 +47,9 @@
 		})
 		log.BackEndEjected(lost, lost.Outcome)
 		log.BackEndCrashed(call, lost, 12)
-		log.VerdictChanged(mark, quarantine.Quarantined, "own", 600_000)
-		log.RetrialClaimed(mark, "v2")
-		log.QuarantineNotWritten(mark, down)
+		log.VerdictChanged(fingerprint, quarantine.Quarantined, "own", 600_000)
+		log.RetrialClaimed(fingerprint, "v2")
+		log.QuarantineNotWritten(fingerprint, down)
 		log.ConfigurationApplied(table, at)
 		log.ItemRejected(&gateway.Item{Key: "key", Revision: at, Err: errors.New("unreadable")})
 		log.BackEndUpdated(replica.Entry{ID: "back-end-1", Service: "service", Zone: "zone-a"}, at)
@@ -73,10 +74,10 @@
 		log.InternalError("a fault")
 		_, _ = log.Write([]byte("of a library\n"))
 	})
-	compareKept(t, "testdata/lines.txt", timestamp.ReplaceAllString(strings.Join(lines, "\n"), `"time":""`)+"\n")
+	compareWithFile(t, "testdata/lines.txt", timestamp.ReplaceAllString(strings.Join(lines, "\n"), `"time":""`)+"\n")
 }
 
-// attempts that were answered, lost, and have not ended.
+// attempts returns an attempt that was answered, one that was lost and one that is still open.
 func attempts() (answered, lost, open *forward.Attempt) {
 	attempt := func(id string, purpose forward.Purpose, outcome forward.Outcome) *forward.Attempt {
 		return &forward.Attempt{
@@ -105,12 +106,12 @@
 	}
 }
 
-func compareKept(t *testing.T, path, got string) {
+func compareWithFile(t *testing.T, path, got string) {
 	want, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("written is\n%s\nwant as in %s\n%s", got, path, want)
+		t.Errorf("the log is\n%s\nwant as in %s\n%s", got, path, want)
 	}
 }
--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -1,8 +1,9 @@
-// Package decisionlog writes one JSON line for each decision that touches a request or changes what the process believes.
+// Package decisionlog writes the decisions of a gateway as JSON lines: one for each decision about a request, and one
+// for each change of what the node knows of the store, the back ends and the other nodes.
 //
-// It owns the names of events and fields (names.go), which explain reads, the bounds on the number of lines
-// (bounds.go), and the writer. Lines never block what they tell of: they are handed to the writer's goroutine through a
-// buffer of fixed size, and what finds it full is dropped and counted (writer.go).
+// It owns the names of events and fields (names.go), which package explain reads, the limits on the number of lines
+// (bounds.go), and the writer. Logging never blocks a caller: lines go to the writer's goroutine through a buffer of
+// fixed size, and lines for which the buffer has no room are dropped and counted (writer.go).
 package decisionlog
 
 import (
@@ -24,13 +25,13 @@
 
 // Log implements gateway.DecisionLog.
 type Log struct {
-	log     *logrus.Entry
-	rate    rate
-	lost    lostStore
-	ordinal ordinal
+	log       *logrus.Entry
+	rate      rateLimiter
+	store     storeState
+	successes sampler
 }
 
-// New returns the log of a node that writes to the given writer.
+// New returns a log that writes the lines of a node to the given writer.
 func New(writer *Writer, level logrus.Level, node string) *Log {
 	log := logrus.New()
 	log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: "2006-01-02T15:04:05.000Z07:00", DisableHTMLEscape: true})
@@ -39,26 +40,27 @@
 	return &Log{log: log.WithField(fieldNode, node)}
 }
 
-// Started writes that the node runs with some settings. Those withoutEffect were named in the file and have been removed since.
-func (l *Log) Started(settings any, withoutEffect []string) {
-	l.info(EventStart, inForce(settings, withoutEffect))
+// Started logs the start of the node with its settings. ignored has the names of removed settings that the file still
+// sets.
+func (l *Log) Started(settings any, ignored []string) {
+	l.info(EventStart, settingsFields(settings, ignored))
 }
 
-// Reloaded is Started for settings that were read again.
-func (l *Log) Reloaded(settings any, withoutEffect []string) {
-	l.info(EventReload, inForce(settings, withoutEffect))
+// Reloaded logs that changed settings are in force. ignored has the same meaning as for Started.
+func (l *Log) Reloaded(settings any, ignored []string) {
+	l.info(EventReload, settingsFields(settings, ignored))
 }
 
-// ReloadRefused writes that a settings file was read again, and why it is not in force.
+// ReloadRefused logs that a changed settings file was rejected, and the reason.
 func (l *Log) ReloadRefused(reason string) { l.info(EventReload, logrus.Fields{fieldReason: reason}) }
 
-// Stopped writes that the node stops, and why.
+// Stopped logs that the node stops, and the reason.
 func (l *Log) Stopped(reason string) { l.info(EventStop, logrus.Fields{fieldReason: reason}) }
 
-func inForce(settings any, withoutEffect []string) logrus.Fields {
+func settingsFields(settings any, ignored []string) logrus.Fields {
 	fields := logrus.Fields{fieldSettings: settings}
-	if len(withoutEffect) > 0 {
-		fields[fieldWithoutEffect] = withoutEffect
+	if len(ignored) > 0 {
+		fields[fieldIgnoredSettings] = ignored
 	}
 	return fields
 }
@@ -79,32 +81,33 @@
 	})
 }
 
-// BackEndCrashed implements gateway.DecisionLog. Lines of one mark are those of one request that came several times.
-func (l *Log) BackEndCrashed(call *gateway.Call, attempt *forward.Attempt, ran clock.Ms) {
+// BackEndCrashed implements gateway.DecisionLog. Lines with the same fingerprint are about the same request, sent
+// several times.
+func (l *Log) BackEndCrashed(call *gateway.Call, attempt *forward.Attempt, after clock.Ms) {
 	if !l.rate.allow(time.Now()) {
 		return
 	}
 	l.warn(EventBackEndCrashed, logrus.Fields{
-		fieldRequest: call.ID, fieldMark: call.Identity.Request.String(), fieldCaller: call.Caller, fieldBackEnd: attempt.Replica.ID,
-		fieldService: attempt.Service, fieldRan: ran,
+		fieldRequest: call.ID, fieldFingerprint: call.Identity.Request.String(), fieldCaller: call.Caller, fieldBackEnd: attempt.Replica.ID,
+		fieldService: attempt.Service, fieldRunTime: after,
 	})
 }
 
 // VerdictChanged implements gateway.DecisionLog.
-func (l *Log) VerdictChanged(mark quarantine.Fingerprint, verdict quarantine.Verdict, by string, left clock.Ms) {
+func (l *Log) VerdictChanged(fingerprint quarantine.Fingerprint, verdict quarantine.Verdict, source string, left clock.Ms) {
 	l.warn(EventVerdictChanged, logrus.Fields{
-		fieldMark: mark.String(), fieldOutcome: verdict.String(), fieldReason: by, fieldLeft: left,
+		fieldFingerprint: fingerprint.String(), fieldOutcome: verdict.String(), fieldReason: source, fieldRemaining: left,
 	})
 }
 
 // RetrialClaimed implements gateway.DecisionLog.
-func (l *Log) RetrialClaimed(mark quarantine.Fingerprint, version string) {
-	l.info(EventRetrialClaimed, logrus.Fields{fieldMark: mark.String(), fieldSoftware: version})
+func (l *Log) RetrialClaimed(fingerprint quarantine.Fingerprint, version string) {
+	l.info(EventRetrialClaimed, logrus.Fields{fieldFingerprint: fingerprint.String(), fieldSoftwareVersion: version})
 }
 
 // QuarantineNotWritten implements gateway.DecisionLog.
-func (l *Log) QuarantineNotWritten(mark quarantine.Fingerprint, cause *failure.Failure) {
-	l.warn(EventQuarantineNotWritten, logrus.Fields{fieldMark: mark.String(), fieldReason: cause.Error()})
+func (l *Log) QuarantineNotWritten(fingerprint quarantine.Fingerprint, cause *failure.Failure) {
+	l.warn(EventQuarantineNotWritten, logrus.Fields{fieldFingerprint: fingerprint.String(), fieldReason: cause.Error()})
 }
 
 // ConfigurationApplied implements gateway.DecisionLog.
@@ -162,8 +165,8 @@
 }
 
 // StoreRegressed implements gateway.DecisionLog.
-func (l *Log) StoreRegressed(known, told history.Revision) {
-	l.warn(EventStoreRegressed, logrus.Fields{fieldRevision: told.Number, fieldEra: told.Era, fieldKnown: known.Number, fieldKnownEra: known.Era})
+func (l *Log) StoreRegressed(known, reported history.Revision) {
+	l.warn(EventStoreRegressed, logrus.Fields{fieldRevision: reported.Number, fieldEra: reported.Era, fieldKnownRevision: known.Number, fieldKnownEra: known.Era})
 }
 
 // StoreRestored implements gateway.DecisionLog.
@@ -174,23 +177,23 @@
 // OutdatedRecordsRead implements gateway.DecisionLog.
 func (l *Log) OutdatedRecordsRead(key string, revision, known history.Revision, count int) {
 	l.info(EventOutdatedRecordsRead, logrus.Fields{
-		fieldKey: key, fieldRevision: revision.Number, fieldEra: revision.Era, fieldKnown: known.Number, fieldKnownEra: known.Era, fieldItems: count,
+		fieldKey: key, fieldRevision: revision.Number, fieldEra: revision.Era, fieldKnownRevision: known.Number, fieldKnownEra: known.Era, fieldItems: count,
 	})
 }
 
-// StoreCallFailed implements gateway.DecisionLog. Only the first failure in a row is written.
-func (l *Log) StoreCallFailed(trouble follow.FailureKind, cause *failure.Failure, contactAge time.Duration) {
-	if !l.lost.lose() {
+// StoreCallFailed implements gateway.DecisionLog. Of consecutive failures only the first is written.
+func (l *Log) StoreCallFailed(kind follow.FailureKind, cause *failure.Failure, contactAge time.Duration) {
+	if !l.store.markFailing() {
 		return
 	}
 	l.warn(EventStoreLost, logrus.Fields{
-		fieldReason: trouble.String(), fieldOutcome: cause.Error(), fieldAge: contactAge.Milliseconds(),
+		fieldReason: kind.String(), fieldOutcome: cause.Error(), fieldAge: contactAge.Milliseconds(),
 	})
 }
 
-// StoreAnswered implements gateway.DecisionLog. It writes a line where the store was lost before.
+// StoreAnswered implements gateway.DecisionLog. It writes a line only if the call before had failed.
 func (l *Log) StoreAnswered(contactAge time.Duration) {
-	if !l.lost.regain() {
+	if !l.store.markReachable() {
 		return
 	}
 	l.info(EventStoreRegained, logrus.Fields{fieldAge: contactAge.Milliseconds()})
@@ -236,7 +239,8 @@
 	l.log.WithFields(logrus.Fields{fieldEvent: EventInternalError, fieldReason: text}).Error(EventInternalError)
 }
 
-// Write implements io.Writer for what libraries log, such as net/http of a handler that failed.
+// Write implements io.Writer for the log of libraries, such as that of net/http when a handler panics. Each text is
+// logged as an internal error.
 func (l *Log) Write(text []byte) (int, error) {
 	l.InternalError(strings.TrimSpace(string(text)))
 	return len(text), nil
--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -20,18 +20,19 @@
 	"stiletrail/internal/testio"
 )
 
-// stuck blocks every write until it is released.
-type stuck struct{ release chan struct{} }
+// blockedOutput blocks every write until release is closed.
+type blockedOutput struct{ release chan struct{} }
 
 // Write implements io.Writer.
-func (s stuck) Write(data []byte) (int, error) {
+func (s blockedOutput) Write(data []byte) (int, error) {
 	<-s.release
 	return len(data), nil
 }
 
-// TestStoppedReaderBlocksNobody: with an output that takes nothing, lines are dropped and counted, and no write waits.
-func TestStoppedReaderBlocksNobody(t *testing.T) {
-	output := stuck{make(chan struct{})}
+// TestBlockedOutputDropsLines: while the output accepts nothing, writes must not block. Lines for which the buffer has
+// no room are dropped and counted.
+func TestBlockedOutputDropsLines(t *testing.T) {
+	output := blockedOutput{make(chan struct{})}
 	writer := decisionlog.NewWriter(output)
 	line := bytes.Repeat([]byte("x"), 1000)
 	const written = 1000
@@ -40,9 +41,9 @@
 			t.Fatal(err)
 		}
 	}
-	// At most two buffers of 64 KiB hold what was not dropped.
+	// The lines that are not dropped fit into two buffers of 64 KiB.
 	if dropped := writer.Dropped(); dropped < written-140 {
-		t.Errorf("%d of %d lines were dropped: the rest is kept somewhere without a bound", dropped, written)
+		t.Errorf("%d of %d lines were dropped: more lines are buffered than two buffers hold", dropped, written)
 	}
 	close(output.release)
 	writer.Close(time.Minute)
@@ -67,7 +68,8 @@
 	}
 }
 
-// TestOrdinarySuccessesAreSampled and all others written with their attempts.
+// TestOrdinarySuccessesAreSampled: one in 20 ordinary successes is logged. Requests that are partial, hedged or failed
+// are all logged, with their attempts.
 func TestOrdinarySuccessesAreSampled(t *testing.T) {
 	call := &gateway.Call{ID: "request"}
 	lines := logged(func(log *decisionlog.Log) {
@@ -76,7 +78,7 @@
 		}
 	})
 	if len(lines) != 5 {
-		t.Errorf("%d lines for 100 ordinary requests", len(lines))
+		t.Errorf("found %d lines for 100 ordinary requests, want 5", len(lines))
 	}
 	lines = logged(func(log *decisionlog.Log) {
 		log.Request(call, result(nil, 1, forward.First))
@@ -84,17 +86,17 @@
 		log.Request(call, result(failure.New(failure.OutcomeUnknown, ""), 0, forward.First))
 	})
 	if len(lines) != 3 {
-		t.Fatalf("%d lines for three requests that were partial, hedged and failed", len(lines))
+		t.Fatalf("found %d lines for a partial, a hedged and a failed request, want 3", len(lines))
 	}
 	for _, want := range []string{`"request":"request"`, `"route":"route"`, `"version":7`, `"copy_age_ms":340`, "back-end", "lost: reset", `"reason":"target_reached"`} {
 		if !strings.Contains(lines[0], want) {
-			t.Errorf("%s does not hold %s", lines[0], want)
+			t.Errorf("line %s does not contain %s", lines[0], want)
 		}
 	}
 }
 
-// TestTurnedAwayTellsByWhat: the line of a request that was turned away has what decided it.
-func TestTurnedAwayTellsByWhat(t *testing.T) {
+// TestTurnedAwayRequestLogsOverload: the line of a request that was turned away has the overload level that led to it.
+func TestTurnedAwayRequestLogsOverload(t *testing.T) {
 	lines := logged(func(log *decisionlog.Log) {
 		log.Request(&gateway.Call{ID: "request"}, &gateway.Result{
 			Answer:   forward.Answer{Failure: failure.Refused(failure.Overloaded, "", time.Second), Reason: forward.TurnedAway},
@@ -102,17 +104,18 @@
 		})
 	})
 	if len(lines) != 1 {
-		t.Fatalf("%d lines", len(lines))
+		t.Fatalf("found %d lines, want 1", len(lines))
 	}
 	for _, want := range []string{`"reason":"turned_away"`, `"lacking_percent":190`, `"shed_percent":13`, `"turned_away_percent":50`} {
 		if !strings.Contains(lines[0], want) {
-			t.Errorf("%s does not hold %s", lines[0], want)
+			t.Errorf("line %s does not contain %s", lines[0], want)
 		}
 	}
 }
 
-// TestFateOfEachShardIsTold: the line of a request tells how long it could be served, how long it lay unread, and why shards were not asked.
-func TestFateOfEachShardIsTold(t *testing.T) {
+// TestUnaskedShardsAreLogged: the line of a request has its time limit, how long the request lay unread, and why shards
+// got no attempt.
+func TestUnaskedShardsAreLogged(t *testing.T) {
 	unasked := func() []forward.UnaskedShard {
 		shards := []forward.UnaskedShard{{Service: "held"}}
 		for i := range 10 {
@@ -127,28 +130,30 @@
 		})
 	})
 	if len(lines) != 1 {
-		t.Fatalf("%d lines", len(lines))
+		t.Fatalf("found %d lines, want 1", len(lines))
 	}
 	for _, want := range []string{`"within_ms":31`, `"unread_ms":12`, `"no_turn 1: held"`, `"too_late 10: s0 s1 s2 s3 s4 s5 s6 s7"`} {
 		if !strings.Contains(lines[0], want) {
-			t.Errorf("%s does not hold %s", lines[0], want)
+			t.Errorf("line %s does not contain %s", lines[0], want)
 		}
 	}
 }
 
-// TestCopyStale: how old the copy is that nothing confirms, and that it is complete again.
+// TestCopyStale: a line is written with the age of a stale copy of the store, and another one when the copy is fresh
+// again.
 func TestCopyStale(t *testing.T) {
 	lines := logged(func(log *decisionlog.Log) {
 		log.CopyStale(2100)
 		log.CopyFresh()
 	})
 	if len(lines) != 2 || !strings.Contains(lines[0], `"age_ms":2100,"event":"copy_stale"`) || !strings.Contains(lines[1], "copy_fresh") {
-		t.Errorf("lines %q", lines)
+		t.Errorf("found lines %q, want one line for each of the two events", lines)
 	}
 }
 
-// TestStoreLostOnce: one line when the store is lost, one when it answers again.
-func TestStoreLostOnce(t *testing.T) {
+// TestStoreFailureIsLoggedOnce: one line is written for consecutive failures of the store and one when it answers
+// again.
+func TestStoreFailureIsLoggedOnce(t *testing.T) {
 	lines := logged(func(log *decisionlog.Log) {
 		for range 5 {
 			log.StoreCallFailed(follow.Unavailable, failure.New(failure.StoreUnavailable, "down"), time.Second)
@@ -158,6 +163,6 @@
 		}
 	})
 	if len(lines) != 2 || !strings.Contains(lines[0], "store_lost") || !strings.Contains(lines[1], "store_regained") {
-		t.Errorf("lines %q", lines)
+		t.Errorf("found lines %q, want one line for each of the two events", lines)
 	}
 }
--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -1,20 +1,21 @@
 package decisionlog
 
-// Fields of the lines.
+// Names of the fields of a log line. Tools and operators depend on the names, so they must not change.
 const (
 	fieldEvent    = "event"
 	fieldRequest  = "request"
 	fieldRoute    = "route"
 	fieldVersion  = "version"
 	fieldRevision = "revision"
-	// fieldEra is that of a revision of the store, fieldKnown and fieldKnownEra are of the revision that was known already.
-	fieldEra      = "era"
-	fieldKnown    = "known_revision"
-	fieldKnownEra = "known_era"
-	fieldReason   = "reason"
-	fieldOutcome  = "outcome"
-	fieldBackEnd  = "back_end"
-	// fieldStarted is the Unix millisecond at which a back end started, where it tells that.
+	// fieldEra is the era of the revision in fieldRevision. fieldKnownRevision and fieldKnownEra are the revision and
+	// the era that were known before.
+	fieldEra           = "era"
+	fieldKnownRevision = "known_revision"
+	fieldKnownEra      = "known_era"
+	fieldReason        = "reason"
+	fieldOutcome       = "outcome"
+	fieldBackEnd       = "back_end"
+	// fieldStarted is the Unix time in milliseconds at which a back end started, if the back end reports it.
 	fieldStarted  = "started_at_ms"
 	fieldService  = "service"
 	fieldZone     = "zone"
@@ -22,69 +23,75 @@
 	fieldMissing  = "missing"
 	fieldTotal    = "total"
 	fieldElapsed  = "elapsed_ms"
-	// fieldWithin is how long the request could be served from its arrival.
-	fieldWithin = "within_ms"
-	// fieldUnasked has the shards without an attempt, by reason.
+	// fieldTimeLimit is the time in which the request had to be answered, counted from its arrival.
+	fieldTimeLimit = "within_ms"
+	// fieldUnasked lists the shards that got no attempt, by reason.
 	fieldUnasked = "unasked"
-	// fieldUnread is the part of the elapsed time in which a request lay in the machine before the node read it.
-	fieldUnread  = "unread_ms"
-	fieldAge     = "age_ms"
-	fieldCopyAge = "copy_age_ms"
-	fieldNode    = "node"
-	fieldPeer    = "peer"
-	// fieldMark is the same for requests that ask the same, whoever asks; in lines of a quarantine that holds for one caller only it is a mark of
-	// its own. fieldRan is how long an attempt was at a back end, in milliseconds.
-	fieldMark   = "mark"
-	fieldCaller = "caller"
-	fieldRan    = "ran_ms"
-	// What a request was turned away by, in hundredths: shards lacking of those that may lack, attempts shed, and the
-	// share turned away.
-	fieldLacking = "lacking_percent"
-	fieldShed    = "shed_percent"
-	fieldShare   = "turned_away_percent"
-	fieldKey     = "key"
-	// fieldSettings are those in force, fieldWithoutEffect the names of removed ones that the file gives all the same.
-	fieldSettings      = "settings"
-	fieldWithoutEffect = "settings_without_effect"
-	// fieldItems counts items of the store, fieldRoutes those of a configuration, fieldAlive members that are alive,
-	// this node among them.
+	// fieldUnreadTime is the part of the elapsed time during which the request had reached the machine but the node had
+	// not read it.
+	fieldUnreadTime = "unread_ms"
+	fieldAge        = "age_ms"
+	fieldCopyAge    = "copy_age_ms"
+	fieldNode       = "node"
+	fieldPeer       = "peer"
+	// fieldFingerprint is the same for equal requests, also of different callers. In the lines of a quarantine that holds
+	// for one caller only, it is a fingerprint of the request and the caller.
+	fieldFingerprint = "mark"
+	fieldCaller      = "caller"
+	// fieldRunTime is the time between the sending of an attempt and the crash of its back end, in milliseconds.
+	fieldRunTime = "ran_ms"
+	// fieldMissingShare, fieldShedShare and fieldTurnedAwayShare say, in percent, why a request was turned away: the
+	// missing shards as a part of those that may be missing, the attempts that back ends have shed, and the share of the
+	// requests that is turned away.
+	fieldMissingShare    = "lacking_percent"
+	fieldShedShare       = "shed_percent"
+	fieldTurnedAwayShare = "turned_away_percent"
+	fieldKey             = "key"
+	// fieldSettings has the settings in force, fieldIgnoredSettings the names of removed settings that the file still
+	// sets.
+	fieldSettings        = "settings"
+	fieldIgnoredSettings = "settings_without_effect"
+	// fieldItems is a number of items of the store, fieldRoutes a number of routes of a configuration, and fieldAlive the
+	// number of live members, this node included.
 	fieldItems  = "items"
 	fieldRoutes = "routes"
 	fieldAlive  = "alive"
-	// fieldLeft is how much longer a quarantine is, fieldSoftware the version of back ends that get a request under quarantine.
-	fieldLeft     = "left_ms"
-	fieldSoftware = "software"
+	// fieldRemaining is how much longer a quarantine lasts, in milliseconds. fieldSoftwareVersion is the software
+	// version of the back ends that may get a quarantined request for a trial.
+	fieldRemaining       = "left_ms"
+	fieldSoftwareVersion = "software"
 )
 
-// Events of the lines.
+// Names of the events of log lines. Most constants are named like the method of gateway.DecisionLog that writes the
+// event. Tools and operators depend on the texts, so they must not change.
 const (
-	EventStart          = "start"
-	EventStop           = "stop"
-	EventReload         = "reload"
-	EventRequest        = "request"
-	EventBackEndEjected        = "back_end_ejected"
-	EventBackEndCrashed   = "back_end_ended"
-	EventVerdictChanged         = "request_judged"
-	EventRetrialClaimed        = "request_retrial"
+	EventStart                = "start"
+	EventStop                 = "stop"
+	EventReload               = "reload"
+	EventRequest              = "request"
+	EventBackEndEjected       = "back_end_ejected"
+	EventBackEndCrashed       = "back_end_ended"
+	EventVerdictChanged       = "request_judged"
+	EventRetrialClaimed       = "request_retrial"
 	EventQuarantineNotWritten = "quarantine_not_written"
-	EventConfigurationApplied  = "configuration_in_force"
-	EventItemRejected       = "item_rejected"
-	EventBackEndUpdated        = "back_end"
-	EventBackEndVanished       = "back_end_vanished"
-	EventZoneEvacuated      = "zone_evacuated"
-	EventZoneEvacuationEnded      = "zone_taken_back"
-	EventStoreListed         = "store_listed"
+	EventConfigurationApplied = "configuration_in_force"
+	EventItemRejected         = "item_rejected"
+	EventBackEndUpdated       = "back_end"
+	EventBackEndVanished      = "back_end_vanished"
+	EventZoneEvacuated        = "zone_evacuated"
+	EventZoneEvacuationEnded  = "zone_taken_back"
+	EventStoreListed          = "store_listed"
 	EventStoreRegressed       = "store_went_back"
-	EventStoreRestored       = "store_from_a_copy"
-	EventOutdatedRecordsRead          = "store_tells_older"
-	EventMembersChanged        = "members"
-	EventLearnedFromPeer        = "learned_from_peer"
-	EventPeerSilent     = "peer_silent"
-	EventPeerMalformed  = "peer_malformed"
-	EventInternalError          = "fault"
-	EventStoreLost      = "store_lost"
-	EventStoreRegained  = "store_regained"
-	EventCopyStale      = "copy_stale"
-	EventCopyFresh      = "copy_fresh"
-	EventMachineSuspended      = "suspended"
+	EventStoreRestored        = "store_from_a_copy"
+	EventOutdatedRecordsRead  = "store_tells_older"
+	EventMembersChanged       = "members"
+	EventLearnedFromPeer      = "learned_from_peer"
+	EventPeerSilent           = "peer_silent"
+	EventPeerMalformed        = "peer_malformed"
+	EventInternalError        = "fault"
+	EventStoreLost            = "store_lost"
+	EventStoreRegained        = "store_regained"
+	EventCopyStale            = "copy_stale"
+	EventCopyFresh            = "copy_fresh"
+	EventMachineSuspended     = "suspended"
 )
--- a/internal/decisionlog/request.go
+++ b/internal/decisionlog/request.go
@@ -14,11 +14,11 @@
 	"stiletrail/internal/gateway"
 )
 
-// Request writes the line of a request: all decisions that touched it, folded. Ordinary successes are sampled; others are
-// kept up to a rate.
+// Request writes one line with all decisions about a request. An ordinary success is a complete answer without extra
+// attempts whose caller stayed connected; of those only a sample is written. The number of lines per second is limited.
 func (l *Log) Request(call *gateway.Call, result *gateway.Result) {
-	ordinary := result.Failure == nil && result.MissingShards == 0 && !result.CallerGone && !anyExtra(result.Attempts)
-	if ordinary && !l.ordinal.sampled() {
+	ordinary := result.Failure == nil && result.MissingShards == 0 && !result.CallerGone && !hasExtraAttempt(result.Attempts)
+	if ordinary && !l.successes.sampled() {
 		return
 	}
 	if !l.rate.allow(time.Now()) {
@@ -27,28 +27,28 @@
 	fields := logrus.Fields{
 		fieldRequest: call.ID, fieldVersion: result.Version, fieldElapsed: result.Elapsed.Milliseconds(),
 		fieldReason: string(result.Reason), fieldOutcome: result.Outcome(), fieldCopyAge: result.CopyAge,
-		fieldMark: call.Identity.Request.String(), fieldCaller: call.Caller,
+		fieldFingerprint: call.Identity.Request.String(), fieldCaller: call.Caller,
 	}
 	if result.Route != nil {
 		fields[fieldRoute] = result.Route.Name
 	}
 	if unread := result.UnreadFor.Milliseconds(); unread > 0 {
-		fields[fieldUnread] = unread
+		fields[fieldUnreadTime] = unread
 	}
 	if result.TotalShards > 0 {
 		fields[fieldTotal] = result.TotalShards
 		fields[fieldMissing] = result.MissingShards
 	}
 	if result.Reason == forward.TurnedAway {
-		fields[fieldLacking] = percent(result.Overload.MissingShare)
-		fields[fieldShed] = percent(result.Overload.ShedShare)
-		fields[fieldShare] = percent(result.Overload.TurnedAwayShare)
+		fields[fieldMissingShare] = percent(result.Overload.MissingShare)
+		fields[fieldShedShare] = percent(result.Overload.ShedShare)
+		fields[fieldTurnedAwayShare] = percent(result.Overload.TurnedAwayShare)
 	}
 	if !ordinary {
 		fields[fieldAttempts] = describe(result)
 	}
 	if result.TimeLimit > 0 {
-		fields[fieldWithin] = result.TimeLimit.Milliseconds()
+		fields[fieldTimeLimit] = result.TimeLimit.Milliseconds()
 	}
 	if !ordinary && result.Unasked != nil {
 		if unasked := describeUnasked(result.Unasked()); len(unasked) > 0 {
@@ -58,10 +58,10 @@
 	l.info(EventRequest, fields)
 }
 
-// percent gives a share in whole hundredths.
+// percent returns a share as a whole percentage.
 func percent(share float64) int { return int(math.Round(100 * share)) }
 
-func anyExtra(attempts []*forward.Attempt) bool {
+func hasExtraAttempt(attempts []*forward.Attempt) bool {
 	for _, attempt := range attempts {
 		if attempt.Purpose != forward.First {
 			return true
@@ -70,7 +70,8 @@
 	return false
 }
 
-// describe lists attempts as service, back end, purpose, start and end in milliseconds from the request's arrival, outcome.
+// describe returns a text for each attempt: service, back end, purpose, start and end in milliseconds since the arrival
+// of the request, and outcome.
 func describe(result *gateway.Result) []string {
 	lines := make([]string, 0, len(result.Attempts))
 	for _, attempt := range result.Attempts {
@@ -98,22 +99,24 @@
 	return lines
 }
 
-// mostUnaskedNamed shards are named for each reason; the others are counted.
-const mostUnaskedNamed = 8
+// maximumShardsNamed is the largest number of shards that describeUnasked names for a reason. Further ones are only
+// counted.
+const maximumShardsNamed = 8
 
-// describeUnasked tells the shards without an attempt by reason: the reason, how many, and the first of them by name.
+// describeUnasked returns a text for each reason for which shards got no attempt: the reason, the number of the shards,
+// and the names of the first ones.
 func describeUnasked(unasked []forward.UnaskedShard) (lines []string) {
 	services := map[forward.DenialReason][]string{}
 	for _, shard := range unasked {
 		services[shard.Reason] = append(services[shard.Reason], shard.Service)
 	}
-	for _, why := range slices.Sorted(maps.Keys(services)) {
-		named := services[why]
-		reason := string(why)
+	for _, denial := range slices.Sorted(maps.Keys(services)) {
+		named := services[denial]
+		reason := string(denial)
 		if reason == "" {
 			reason = "no_turn"
 		}
-		lines = append(lines, fmt.Sprintf("%s %d: %s", reason, len(named), strings.Join(named[:min(len(named), mostUnaskedNamed)], " ")))
+		lines = append(lines, fmt.Sprintf("%s %d: %s", reason, len(named), strings.Join(named[:min(len(named), maximumShardsNamed)], " ")))
 	}
 	return lines
 }
--- a/internal/decisionlog/writer.go
+++ b/internal/decisionlog/writer.go
@@ -6,34 +6,38 @@
 	"time"
 )
 
-// Sizes of the buffer.
+// Limits of the buffer.
 const (
-	// bufferLimit in bytes of lines that wait to be written.
+	// bufferLimit is the largest size of the lines that wait to be written, in bytes.
 	bufferLimit = 64 << 10
-	// flushInterval is how long lines are gathered for one write.
+	// flushInterval is how long lines are collected for one write.
 	flushInterval = 200 * time.Millisecond
 )
 
-// Writer gathers lines and writes them in the background.
+// Writer collects lines in a buffer and writes them in the background.
 type Writer struct {
 	mutex   sync.Mutex
 	waiting []byte
+	// spare is the buffer of the last write, which is used again after the next one.
 	spare   []byte
 	dropped uint64
-	wake    chan struct{}
-	closed  chan struct{}
-	done    chan struct{}
-	once    sync.Once
+	// wake is signalled when the buffer gets its first line, closed is closed by Close, and done is closed when the last
+	// lines are written.
+	wake   chan struct{}
+	closed chan struct{}
+	done   chan struct{}
+	once   sync.Once
 }
 
-// NewWriter starts a writer to the given output, which may block for as long as it likes.
+// NewWriter starts a writer to the given output. Writes to the output may block for any time.
 func NewWriter(output io.Writer) *Writer {
 	w := &Writer{wake: make(chan struct{}, 1), closed: make(chan struct{}), done: make(chan struct{})}
 	go w.run(output)
 	return w
 }
 
-// Write implements io.Writer for whole lines. It never blocks and never fails.
+// Write implements io.Writer. Each call passes whole lines. It never waits for the output and never fails: lines for
+// which the buffer has no room are dropped and counted.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -52,19 +56,19 @@
 	return len(line), nil
 }
 
-// Dropped is the number of lines that found the buffer full.
+// Dropped returns the number of lines dropped because the buffer was full.
 func (w *Writer) Dropped() uint64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.dropped
 }
 
-// Close writes what waits, as far as the output takes it within the given time.
-func (w *Writer) Close(within time.Duration) {
+// Close writes the waiting lines. It returns after the given time even if the output has not accepted them all.
+func (w *Writer) Close(timeout time.Duration) {
 	w.once.Do(func() { close(w.closed) })
 	select {
 	case <-w.done:
-	case <-time.After(within):
+	case <-time.After(timeout):
 	}
 }
 
@@ -73,7 +77,7 @@
 	for {
 		select {
 		case <-w.wake:
-			w.gather()
+			w.collect()
 			w.flush(output)
 		case <-w.closed:
 			w.flush(output)
@@ -82,8 +86,8 @@
 	}
 }
 
-// gather waits for more lines to share a write with.
-func (w *Writer) gather() {
+// collect waits for the flush interval, or until the writer is closed, so that more lines go into the same write.
+func (w *Writer) collect() {
 	timer := time.NewTimer(flushInterval)
 	defer timer.Stop()
 	select {
