--- a/internal/explain/kept_test.go
+++ b/internal/explain/compatibility_test.go
@@ -9,8 +9,9 @@
 	"stiletrail/internal/explain"
 )
 
-// TestLogOfOld: a log as gateways have written it, with a prefix before some lines and lines of others between them, tells what it has told.
-func TestLogOfOld(t *testing.T) {
+// TestReportCompatibility: the report on the log in testdata stays the same. The log has lines of all events as
+// released gateways have written them, some with a prefix, and lines of other programs.
+func TestReportCompatibility(t *testing.T) {
 	log, err := os.Open("testdata/node.log")
 	if err != nil {
 		t.Fatal(err)
@@ -25,6 +26,6 @@
 		t.Fatal(err)
 	}
 	if got := strings.Join(report.Lines, "\n") + "\n"; got != string(want) {
-		t.Errorf("told\n%s\nwant\n%s", got, want)
+		t.Errorf("the report is\n%s\nwant\n%s", got, want)
 	}
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain finds in the logs of some nodes what decided the fate of one request. It reads lines that decisionlog
-// wrote, of any release, and keeps nothing.
+// Package explain reports from the logs of nodes how one request was handled: what the node of the request knew at the
+// time and what it decided. It reads the lines that package decisionlog of any release has written. It keeps no state.
 package explain
 
 import (
@@ -16,17 +16,17 @@
 	"stiletrail/internal/failure"
 )
 
-// longestLine of a log, in bytes.
-const longestLine = 1 << 20
+// maximumLineLength is the length of the longest log line that can be read, in bytes.
+const maximumLineLength = 1 << 20
 
-// line is a log line as far as it matters here.
+// line has the fields of a log line that a report may use.
 type line struct {
 	Time    string `json:"time"`
 	Event   string `json:"event"`
 	Node    string `json:"node"`
 	Request string `json:"request"`
 	Route   string `json:"route"`
-	// Version of the configuration.
+	// Version is the version of the configuration.
 	Version  uint64   `json:"version"`
 	Revision uint64   `json:"revision"`
 	Era      uint64   `json:"era"`
@@ -46,14 +46,14 @@
 	Ran      int64    `json:"ran_ms"`
 }
 
-// Report is what the logs tell of a request, in the order in which it happened.
+// Report describes how a request was handled, in the order of time.
 type Report struct {
-	// Lines are ready to be printed.
+	// Lines are the printable lines of the report.
 	Lines []string
 }
 
-// Request reads logs, one JSON line each, whatever stands before the brace, and reports on a request. It fails with
-// INVALID_ARGUMENT if no log knows the request.
+// Request reads logs and reports on a request. A log has one JSON object per line; text before the object is skipped.
+// It fails with INVALID_ARGUMENT if no log has a line about the request.
 func Request(id string, logs []io.Reader) (Report, error) {
 	var all []line
 	for _, log := range logs {
@@ -67,7 +67,7 @@
 	var report Report
 	for i := range all {
 		if all[i].Event == decisionlog.EventRequest && all[i].Request == id {
-			report.Lines = append(report.Lines, background(all[:i], &all[i])...)
+			report.Lines = append(report.Lines, priorState(all[:i], &all[i])...)
 			report.Lines = append(report.Lines, decisions(&all[i])...)
 		}
 	}
@@ -81,7 +81,7 @@
 func parse(log io.Reader) ([]line, error) {
 	var lines []line
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, longestLine)
+	scanner.Buffer(nil, maximumLineLength)
 	for scanner.Scan() {
 		text := scanner.Text()
 		brace := strings.IndexByte(text, '{')
@@ -89,107 +89,112 @@
 			continue
 		}
 		var parsed line
-		// A line that is cut off, or of another program, says nothing here.
+		// Truncated lines and lines of other programs are skipped.
 		if json.Unmarshal([]byte(text[brace:]), &parsed) == nil && parsed.Event != "" {
 			lines = append(lines, parsed)
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		return nil, failure.Wrap(err, failure.InvalidArgument, "a log cannot be read")
+		return nil, failure.Wrap(err, failure.InvalidArgument, "cannot read a log")
 	}
 	return lines, nil
 }
 
-// background is what the node of a request believed when it decided: the last line of each matter before the request.
-// What it believed in an earlier life is left out, but for how it stood with the store.
-func background(before []line, request *line) []string {
+// priorState returns what the node of a request knew when the request arrived: the last line about each topic before
+// that of the request. Lines of an earlier process of the node are left out, except the last one about the reachability
+// of the store.
+func priorState(before []line, request *line) []string {
 	last := map[string]*line{}
 	var order []string
 	for i := range before {
-		known := &before[i]
-		matter := matterOf(known, request)
-		if known.Node != request.Node || matter == "" {
+		event := &before[i]
+		topic := topicOf(event, request)
+		if event.Node != request.Node || topic == "" {
 			continue
 		}
-		if known.Event == decisionlog.EventStart {
-			order = slices.DeleteFunc(order, func(earlier string) bool { return earlier != matterStore })
-			maps.DeleteFunc(last, func(earlier string, _ *line) bool { return earlier != matterStore })
+		if event.Event == decisionlog.EventStart {
+			order = slices.DeleteFunc(order, func(earlier string) bool { return earlier != topicStore })
+			maps.DeleteFunc(last, func(earlier string, _ *line) bool { return earlier != topicStore })
 		}
-		if last[matter] == nil {
-			order = append(order, matter)
+		if last[topic] == nil {
+			order = append(order, topic)
 		}
-		last[matter] = known
+		last[topic] = event
 	}
 	sort.SliceStable(order, func(i, j int) bool { return last[order[i]].Time < last[order[j]].Time })
 	var lines []string
-	for _, matter := range order {
-		lines = append(lines, "believed  "+describe(last[matter]))
+	for _, topic := range order {
+		lines = append(lines, "believed  "+describe(last[topic]))
 	}
 	return lines
 }
 
-// matterStore is how a node stands with the store.
-const matterStore = "store"
+// topicStore is the topic of lines that say whether the store answers the node.
+const topicStore = "store"
 
-// matterCopy is that of lines on how old the copy of the store is.
-const matterCopy = "copy"
+// topicCopy is the topic of lines that say whether the node's copy of the store is stale.
+const topicCopy = "copy"
 
-// answered stands in the text of an attempt that was answered, before what the back end told of its load.
-const answered = " answered"
+// answeredOutcome is the part of the text of an attempt that says that the attempt was answered. The load that the back
+// end reported may follow.
+const answeredOutcome = " answered"
 
-// matterOf names what a line is about, where it bears on the request.
-func matterOf(known, request *line) string {
-	switch known.Event {
+// topicOf returns the topic of a line, such as the configuration or a zone. It returns "" if the line does not explain
+// the request.
+func topicOf(event, request *line) string {
+	switch event.Event {
 	case decisionlog.EventStart, decisionlog.EventStop, decisionlog.EventMembersChanged:
-		return known.Event
+		return event.Event
 	case decisionlog.EventStoreLost, decisionlog.EventStoreRegained:
-		return matterStore
+		return topicStore
 	case decisionlog.EventCopyStale, decisionlog.EventCopyFresh:
-		return matterCopy
+		return topicCopy
 	case decisionlog.EventStoreListed, decisionlog.EventStoreRestored:
-		return known.Event
+		return event.Event
 	case decisionlog.EventVerdictChanged:
-		if known.Mark != "" && known.Mark == request.Mark {
-			return known.Event
+		if event.Mark != "" && event.Mark == request.Mark {
+			return event.Event
 		}
 	case decisionlog.EventConfigurationApplied:
 		return "configuration"
 	case decisionlog.EventZoneEvacuated, decisionlog.EventZoneEvacuationEnded:
-		return "zone " + known.Zone
+		return "zone " + event.Zone
 	case decisionlog.EventBackEndUpdated, decisionlog.EventBackEndVanished, decisionlog.EventBackEndEjected, decisionlog.EventBackEndCrashed:
 		for _, attempt := range request.Attempts {
-			// What is believed of a back end that answered explains nothing.
-			if known.BackEnd != "" && strings.Contains(attempt, " "+known.BackEnd+" ") && !strings.Contains(attempt, answered) {
-				return known.Event + " " + known.BackEnd
+			// Lines about a back end that answered do not explain the request.
+			if event.BackEnd != "" && strings.Contains(attempt, " "+event.BackEnd+" ") && !strings.Contains(attempt, answeredOutcome) {
+				return event.Event + " " + event.BackEnd
 			}
 		}
 	}
 	return ""
 }
 
-func describe(known *line) string {
-	parts := []string{known.Time, known.Node, known.Event}
-	add := func(name string, value any, given bool) {
-		if given {
+// describe returns a line as text, with the fields that are set.
+func describe(event *line) string {
+	parts := []string{event.Time, event.Node, event.Event}
+	add := func(name string, value any, isSet bool) {
+		if isSet {
 			parts = append(parts, fmt.Sprintf("%s=%v", name, value))
 		}
 	}
-	add("version", known.Version, known.Version > 0)
-	add("revision", known.Revision, known.Revision > 0)
-	add("era", known.Era, known.Era > 0)
-	add("service", known.Service, known.Service != "")
-	add("zone", known.Zone, known.Zone != "")
-	add("back_end", known.BackEnd, known.BackEnd != "")
-	add("outcome", known.Outcome, known.Outcome != "")
-	add("reason", known.Reason, known.Reason != "")
-	add("items", known.Items, known.Items > 0)
-	add("age_ms", known.Age, known.Age != 0)
-	add("mark", known.Mark, known.Mark != "")
-	add("ran_ms", known.Ran, known.Ran != 0)
+	add("version", event.Version, event.Version > 0)
+	add("revision", event.Revision, event.Revision > 0)
+	add("era", event.Era, event.Era > 0)
+	add("service", event.Service, event.Service != "")
+	add("zone", event.Zone, event.Zone != "")
+	add("back_end", event.BackEnd, event.BackEnd != "")
+	add("outcome", event.Outcome, event.Outcome != "")
+	add("reason", event.Reason, event.Reason != "")
+	add("items", event.Items, event.Items > 0)
+	add("age_ms", event.Age, event.Age != 0)
+	add("mark", event.Mark, event.Mark != "")
+	add("ran_ms", event.Ran, event.Ran != 0)
 	return strings.Join(parts, " ")
 }
 
-// decisions lists what was decided about the request, its attempts in the order of their start.
+// decisions returns the lines of a report on the request itself: the request, its attempts in the order of their start,
+// and the answer.
 func decisions(request *line) []string {
 	head := fmt.Sprintf("request   %s %s route=%s version=%d", request.Time, request.Node, request.Route, request.Version)
 	if request.Mark != "" {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -8,8 +8,9 @@
 	"stiletrail/internal/explain"
 )
 
-// TestEarlierLife: what a node believed before it was started anew explains nothing, but for how it stood with the store.
-func TestEarlierLife(t *testing.T) {
+// TestEarlierProcessIsLeftOut: a report has no lines of an earlier process of the node, except the one that says
+// whether the store answered.
+func TestEarlierProcessIsLeftOut(t *testing.T) {
 	log := strings.Join([]string{
 		`{"time":"01","event":"start","node":"n"}`,
 		`{"time":"02","event":"configuration_in_force","node":"n","version":3}`,
@@ -30,12 +31,13 @@
 		"request   08 n route= version=0", "attempt   s b first 0- open", "answered  NOT_READY after 0 ms",
 	}
 	if got := strings.Join(report.Lines, "\n"); got != strings.Join(want, "\n") {
-		t.Errorf("told\n%s\nwant\n%s", got, strings.Join(want, "\n"))
+		t.Errorf("the report is\n%s\nwant\n%s", got, strings.Join(want, "\n"))
 	}
 }
 
-// TestAnsweredExplainsNothing: what is believed of a back end that answered is left out, also where it told of its load; zones that get nothing are told.
-func TestAnsweredExplainsNothing(t *testing.T) {
+// TestAnsweredBackEndIsLeftOut: a report has no lines about a back end that answered, also if its answer reports its
+// load. It has the lines about evacuated zones.
+func TestAnsweredBackEndIsLeftOut(t *testing.T) {
 	log := strings.Join([]string{
 		`{"time":"01","event":"start","node":"n"}`,
 		`{"time":"02","event":"back_end","node":"n","service":"s","back_end":"b","outcome":"ready"}`,
@@ -51,6 +53,6 @@
 		"attempt   s b first 0-12 answered load 3+0/4 x1.00", "answered  complete after 0 ms",
 	}
 	if got := strings.Join(report.Lines, "\n"); got != strings.Join(want, "\n") {
-		t.Errorf("told\n%s\nwant\n%s", got, strings.Join(want, "\n"))
+		t.Errorf("the report is\n%s\nwant\n%s", got, strings.Join(want, "\n"))
 	}
 }
