--- a/internal/overview/compatibility_test.go
+++ b/internal/overview/compatibility_test.go
@@ -8,8 +8,8 @@
 	"stiletrail/internal/overview"
 )
 
-// TestMetricsOfOld: metrics as gateways have served them tell what they have told.
-func TestMetricsOfOld(t *testing.T) {
+// TestMetricsCompatibility: metrics as released gateways have served them are still read.
+func TestMetricsCompatibility(t *testing.T) {
 	metrics, err := os.Open("testdata/metrics.txt")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/overview/overview.go
+++ b/internal/overview/overview.go
@@ -1,6 +1,6 @@
-// Package overview tells operators what some nodes believe, side by side, from their metrics: which configuration and
-// which moment of the store each goes by, and what it knows of back ends and zones. It reads metrics that telemetry
-// served; it asks nobody itself and keeps nothing.
+// Package overview compares the state of nodes for operators: which configuration and which revision of the store each
+// node has, and what it knows of back ends and zones. It reads metrics that package telemetry has served. It sends no
+// requests itself and keeps no state.
 package overview
 
 import (
@@ -17,42 +17,42 @@
 	"stiletrail/internal/failure"
 )
 
-// Node is what one node believes.
+// Node is the state of one node.
 type Node struct {
 	Address string `json:"address"`
 	Ready   bool   `json:"ready"`
-	// Version of the configuration in force, 0 without one.
+	// Version is the version of the configuration in force, 0 without one.
 	Version uint64 `json:"version"`
-	// Era and Revision of the store up to which the node knows all changes; CopyAge is how long ago its copy was last
-	// known to be complete, negative if it never was.
+	// Era and Revision are those up to which the node knows all changes of the store. CopyAge is the time since its
+	// copy of the store was last known to be complete. It is negative if the copy never was.
 	Era      uint64   `json:"era"`
 	Revision uint64   `json:"revision"`
 	CopyAge  clock.Ms `json:"copy_age_ms"`
-	// Nodes that it knows, itself included; 0 while it has not joined the others.
+	// Nodes is the number of nodes that the node knows, itself included. It is 0 until the node has joined the others.
 	Nodes int `json:"nodes"`
-	// BackEnds by state, those without any left out.
+	// BackEnds is the number of back ends in each state. States without back ends are left out.
 	BackEnds       map[string]int `json:"back_ends"`
 	EvacuatedZones int            `json:"evacuated_zones"`
 	Quarantined    int            `json:"quarantined"`
-	// Problem says why the node could not be asked; nothing else is known then.
+	// Problem says why the metrics of the node could not be read. All other fields except Address are unset then.
 	Problem string `json:"problem,omitempty"`
 }
 
-// Names of the metrics that are read.
+// Names of some of the metrics that are read.
 const (
 	metricVersion = "stiletrail_configuration_version"
 	metricBackEnd = "stiletrail_back_ends"
 )
 
-// Read reads the metrics of a node. The failure is of code MALFORMED where they cannot be read, or are of something else.
+// Read reads the metrics of a node. It fails with MALFORMED if they cannot be parsed or are not those of a gateway.
 func Read(address string, metrics io.Reader) (Node, error) {
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(metrics)
 	if err != nil {
-		return Node{}, failure.Wrap(err, failure.Malformed, "the metrics of "+address+" cannot be read")
+		return Node{}, failure.Wrap(err, failure.Malformed, "cannot parse the metrics of "+address)
 	}
 	if families[metricVersion] == nil {
-		return Node{}, failure.New(failure.Malformed, "the metrics of "+address+" are not those of a node")
+		return Node{}, failure.New(failure.Malformed, "the metrics of "+address+" are not those of a gateway")
 	}
 	value := func(name string) float64 { return valueOf(families[name]) }
 	node := Node{
@@ -71,6 +71,7 @@
 	return node, nil
 }
 
+// valueOf returns the value of the first metric of a family, or 0 without one.
 func valueOf(family *dto.MetricFamily) float64 {
 	for _, metric := range family.GetMetric() {
 		return numberOf(metric)
@@ -78,48 +79,51 @@
 	return 0
 }
 
-// numberOf is the value of a metric that has one, whatever kind it is written as.
+// numberOf returns the value of a gauge, a counter or a metric without a type.
 func numberOf(metric *dto.Metric) float64 {
 	return metric.GetUntyped().GetValue() + metric.GetGauge().GetValue() + metric.GetCounter().GetValue()
 }
 
-// Differences says in what the nodes that were asked do not agree, a line for each matter. For some seconds that is how
-// news spreads; for longer a node misses something.
+// Differences returns a line for each property in which the nodes differ, with the values and the nodes that have them.
+// Nodes with a Problem are left out. Differences of a few seconds are normal, since changes take that long to reach all
+// nodes. If one lasts longer, a node has missed a change.
 func Differences(nodes []Node) []string {
 	lines := []string{}
-	for _, matter := range []struct {
-		name string
-		of   func(Node) string
+	for _, property := range []struct {
+		name  string
+		value func(Node) string
 	}{
 		{"configuration in force", func(n Node) string { return fmt.Sprint("version ", n.Version) }},
 		{"the store", func(n Node) string { return fmt.Sprint("era ", n.Era) }},
 		{"evacuated zones", func(n Node) string { return fmt.Sprint(n.EvacuatedZones) }},
 		{"requests under quarantine", func(n Node) string { return fmt.Sprint(n.Quarantined) }},
 	} {
-		if line, differ := compare(nodes, matter.of); differ {
-			lines = append(lines, matter.name+": "+line)
+		if line, differ := compare(nodes, property.value); differ {
+			lines = append(lines, property.name+": "+line)
 		}
 	}
 	return lines
 }
 
-func compare(nodes []Node, of func(Node) string) (line string, differ bool) {
-	by := map[string][]string{}
+// compare groups the nodes by a value. It returns the values with their nodes, and whether there is more than one
+// value.
+func compare(nodes []Node, valueOf func(Node) string) (line string, differ bool) {
+	addresses := map[string][]string{}
 	var values []string
 	for _, node := range nodes {
 		if node.Problem != "" {
 			continue
 		}
-		value := of(node)
-		if by[value] == nil {
+		value := valueOf(node)
+		if addresses[value] == nil {
 			values = append(values, value)
 		}
-		by[value] = append(by[value], node.Address)
+		addresses[value] = append(addresses[value], node.Address)
 	}
 	slices.Sort(values)
 	var parts []string
 	for _, value := range values {
-		parts = append(parts, value+" on "+strings.Join(by[value], ", "))
+		parts = append(parts, value+" on "+strings.Join(addresses[value], ", "))
 	}
 	return strings.Join(parts, "; "), len(values) > 1
 }
