--- a/internal/telemetry/compatibility_test.go
+++ b/internal/telemetry/compatibility_test.go
@@ -21,28 +21,28 @@
 	"stiletrail/internal/transport"
 )
 
-// silent is a decision log that writes nothing.
-type silent struct{ gateway.DecisionLog }
+// discardingLog is a decision log that writes nothing.
+type discardingLog struct{ gateway.DecisionLog }
 
-func (silent) Request(*gateway.Call, *gateway.Result)                                      {}
-func (silent) BackEndEjected(*forward.Attempt, forward.Outcome)                            {}
-func (silent) BackEndCrashed(*gateway.Call, *forward.Attempt, clock.Ms)                    {}
-func (silent) VerdictChanged(quarantine.Fingerprint, quarantine.Verdict, string, clock.Ms) {}
-func (silent) QuarantineNotWritten(quarantine.Fingerprint, *failure.Failure)               {}
-func (silent) ItemRejected(*gateway.Item)                                                  {}
-func (silent) StoreRestored(uint64)                                                        {}
-func (silent) LearnedFromPeer(from string, records int, revision history.Revision)         {}
+func (discardingLog) Request(*gateway.Call, *gateway.Result)                                      {}
+func (discardingLog) BackEndEjected(*forward.Attempt, forward.Outcome)                            {}
+func (discardingLog) BackEndCrashed(*gateway.Call, *forward.Attempt, clock.Ms)                    {}
+func (discardingLog) VerdictChanged(quarantine.Fingerprint, quarantine.Verdict, string, clock.Ms) {}
+func (discardingLog) QuarantineNotWritten(quarantine.Fingerprint, *failure.Failure)               {}
+func (discardingLog) ItemRejected(*gateway.Item)                                                  {}
+func (discardingLog) StoreRestored(uint64)                                                        {}
+func (discardingLog) LearnedFromPeer(from string, records int, revision history.Revision)         {}
 
-// value is what stands behind the name of a metric.
-var value = regexp.MustCompile(` [^ ]*$`)
+// metricValue matches the value at the end of a line of metrics.
+var metricValue = regexp.MustCompile(` [^ ]*$`)
 
-// TestMetricsOfOld: the metrics have the names, labels and form that they have had. Dashboards and alerts go by them. Those of the process, which the
-// library adds, are left out.
-func TestMetricsOfOld(t *testing.T) {
-	measured := telemetry.New(silent{})
+// TestMetricsCompatibility: the metrics keep their names and labels. Dashboards and alerts depend on them. The metrics
+// of the process, which the library adds, are not compared.
+func TestMetricsCompatibility(t *testing.T) {
+	metrics := telemetry.New(discardingLog{})
 	count := func() int64 { return 1 }
-	measured.RegisterGauges(telemetry.GaugeSource{
-		Gateway: gateway.New(gateway.FromSettings(settings.DefaultGateway()), nil, nil, measured), BackEndConnections: count,
+	metrics.RegisterGauges(telemetry.GaugeSource{
+		Gateway: gateway.New(gateway.FromSettings(settings.DefaultGateway()), nil, nil, metrics), BackEndConnections: count,
 		BackEndConnectionsOpened: count, LogLinesDropped: func() uint64 { return 1 }, MalformedLoads: count, PeerFrames: &transport.Counters{},
 	})
 	attempts := []*forward.Attempt{}
@@ -52,25 +52,25 @@
 		})
 	}
 	lost := &forward.Attempt{Replica: &replica.Replica{}, Purpose: forward.Retry, Outcome: forward.Outcome{Kind: forward.Lost}}
-	measured.Request(&gateway.Call{}, &gateway.Result{
+	metrics.Request(&gateway.Call{}, &gateway.Result{
 		Answer: forward.Answer{MissingShards: 1, Reason: forward.TargetReached}, Attempts: append(attempts, lost), Elapsed: 30 * time.Millisecond,
 		Denied: func(*forward.Attempt) forward.DenialReason { return forward.DeniedNoBudget },
 	})
-	measured.RecordConnectTime(7 * time.Millisecond)
-	measured.BackEndEjected(lost, lost.Outcome)
-	measured.BackEndCrashed(&gateway.Call{}, lost, 12)
-	measured.VerdictChanged(quarantine.Fingerprint{}, quarantine.Quarantined, "own", 0)
-	measured.QuarantineNotWritten(quarantine.Fingerprint{}, nil)
-	measured.ItemRejected(&gateway.Item{})
-	measured.StoreRestored(3)
-	measured.LearnedFromPeer("", 1, history.Revision{})
+	metrics.RecordConnectTime(7 * time.Millisecond)
+	metrics.BackEndEjected(lost, lost.Outcome)
+	metrics.BackEndCrashed(&gateway.Call{}, lost, 12)
+	metrics.VerdictChanged(quarantine.Fingerprint{}, quarantine.Quarantined, "own", 0)
+	metrics.QuarantineNotWritten(quarantine.Fingerprint{}, nil)
+	metrics.ItemRejected(&gateway.Item{})
+	metrics.StoreRestored(3)
+	metrics.LearnedFromPeer("", 1, history.Revision{})
 	recorder := httptest.NewRecorder()
-	measured.ServeHTTP(recorder, nil)
+	metrics.ServeHTTP(recorder, nil)
 	var got []string
 	for line := range strings.Lines(recorder.Body.String()) {
 		line = strings.TrimSpace(line)
 		if strings.HasPrefix(line, "stiletrail_") || strings.HasPrefix(line, "#") {
-			got = append(got, value.ReplaceAllString(line, ""))
+			got = append(got, metricValue.ReplaceAllString(line, ""))
 		}
 	}
 	want, err := os.ReadFile("testdata/names.txt")
@@ -78,6 +78,6 @@
 		t.Fatal(err)
 	}
 	if names := strings.Split(strings.TrimSpace(string(want)), "\n"); !slices.Equal(got, names) {
-		t.Errorf("served are\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(names, "\n"))
+		t.Errorf("the metrics served are\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(names, "\n"))
 	}
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,7 +1,8 @@
-// Package telemetry counts what the gateway decides, and measures how long requests and attempts take.
+// Package telemetry serves the metrics of a gateway: counters of its decisions, histograms of the durations of requests
+// and attempts, and gauges of its state.
 //
-// It owns the metrics and their names. Metrics stands between the gateway and its log: each call is counted and passed
-// on. Gauges are read from a Source when the metrics are asked for.
+// It owns the metrics and their names. Metrics is a gateway.DecisionLog that counts each call and passes it on to the
+// next log. Gauges are read from a GaugeSource when the metrics are requested.
 package telemetry
 
 import (
@@ -20,61 +21,64 @@
 	"stiletrail/internal/transport"
 )
 
-// latencyBuckets in seconds.
+// latencyBuckets are the upper bounds of the buckets of all histograms, in seconds.
 var latencyBuckets = []float64{0.005, 0.01, 0.025, 0.05, 0.075, 0.1, 0.15, 0.2, 0.25, 0.35, 0.5, 0.75, 1, 2, 5, 15}
 
-// GaugeSource is what gauges are read from when they are asked for.
+// GaugeSource is where the values of the gauges are read from when the metrics are requested.
 type GaugeSource struct {
 	Gateway *gateway.Gateway
-	// BackEndConnections open now, and opened since the start.
+	// BackEndConnections returns the number of open connections to back ends, BackEndConnectionsOpened the number opened
+	// since the start.
 	BackEndConnections       func() int64
 	BackEndConnectionsOpened func() int64
-	LogLinesDropped          func() uint64
-	// MalformedLoads is the number of answers of back ends whose load could not be read.
+	// LogLinesDropped returns the number of log lines dropped because the buffer of the log was full.
+	LogLinesDropped func() uint64
+	// MalformedLoads returns the number of answers of back ends whose load report could not be parsed.
 	MalformedLoads func() int64
-	// PeerFrames counts frames exchanged with other nodes; nil on a node without them.
+	// PeerFrames has the counters of the frames exchanged with other nodes. It is nil if the node has no peer address.
 	PeerFrames *transport.Counters
 }
 
-// Metrics wraps a decision log and counts what it is told.
+// Metrics is a decision log that counts and measures what is logged and passes it on to another decision log.
 type Metrics struct {
 	gateway.DecisionLog
-	set      *metrics.Set
-	request  *metrics.PrometheusHistogram
-	attempts map[forward.Purpose]*metrics.PrometheusHistogram
-	queue    *metrics.PrometheusHistogram
-	connect  *metrics.PrometheusHistogram
+	set          *metrics.Set
+	requestTime  *metrics.PrometheusHistogram
+	attemptTimes map[forward.Purpose]*metrics.PrometheusHistogram
+	queueTime    *metrics.PrometheusHistogram
+	connectTime  *metrics.PrometheusHistogram
 }
 
-// New returns metrics that pass everything on to a decision log.
+// New returns metrics that pass all calls on to a decision log.
 func New(log gateway.DecisionLog) *Metrics {
-	m := &Metrics{DecisionLog: log, set: metrics.NewSet(), attempts: map[forward.Purpose]*metrics.PrometheusHistogram{}}
-	m.request = m.set.NewPrometheusHistogramExt("stiletrail_request_seconds", latencyBuckets)
-	m.queue = m.set.NewPrometheusHistogramExt("stiletrail_queue_seconds", latencyBuckets)
-	m.connect = m.set.NewPrometheusHistogramExt("stiletrail_connect_seconds", latencyBuckets)
+	m := &Metrics{DecisionLog: log, set: metrics.NewSet(), attemptTimes: map[forward.Purpose]*metrics.PrometheusHistogram{}}
+	m.requestTime = m.set.NewPrometheusHistogramExt("stiletrail_request_seconds", latencyBuckets)
+	m.queueTime = m.set.NewPrometheusHistogramExt("stiletrail_queue_seconds", latencyBuckets)
+	m.connectTime = m.set.NewPrometheusHistogramExt("stiletrail_connect_seconds", latencyBuckets)
 	for _, purpose := range []forward.Purpose{forward.First, forward.Hedge, forward.Retry} {
 		name := fmt.Sprintf(`stiletrail_attempt_seconds{purpose=%q}`, purpose)
-		m.attempts[purpose] = m.set.NewPrometheusHistogramExt(name, latencyBuckets)
+		m.attemptTimes[purpose] = m.set.NewPrometheusHistogramExt(name, latencyBuckets)
 	}
 	return m
 }
 
+// count increments the counter with the given name and label.
 func (m *Metrics) count(name, label, value string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`%s{%s=%q}`, name, label, value)).Inc()
 }
 
 // Request implements gateway.DecisionLog.
 func (m *Metrics) Request(call *gateway.Call, result *gateway.Result) {
-	m.request.Update(result.Elapsed.Seconds())
+	m.requestTime.Update(result.Elapsed.Seconds())
 	m.count("stiletrail_requests_total", "outcome", result.Outcome())
 	if result.Reason != "" {
 		m.count("stiletrail_request_ends_total", "reason", string(result.Reason))
 	}
 	m.set.GetOrCreateCounter("stiletrail_shards_missing_total").Add(result.MissingShards)
 	for _, attempt := range result.Attempts {
-		m.attempt(attempt)
+		m.recordAttempt(attempt)
 		if attempt.Purpose == forward.First {
-			m.queue.Update((attempt.StartedAt - result.Arrived).Seconds())
+			m.queueTime.Update((attempt.StartedAt - result.Arrived).Seconds())
 		}
 		if attempt.Outcome.Kind != forward.Answered && result.Denied != nil {
 			if denied := result.Denied(attempt); denied != "" {
@@ -85,16 +89,16 @@
 	m.DecisionLog.Request(call, result)
 }
 
-func (m *Metrics) attempt(attempt *forward.Attempt) {
+func (m *Metrics) recordAttempt(attempt *forward.Attempt) {
 	m.count("stiletrail_attempts_total", "purpose", string(attempt.Purpose))
 	m.count("stiletrail_attempt_ends_total", "outcome", attempt.Outcome.Kind.String())
 	if attempt.Outcome.Kind == forward.Answered {
-		m.attempts[attempt.Purpose].Update((attempt.EndedAt - attempt.StartedAt).Seconds())
+		m.attemptTimes[attempt.Purpose].Update((attempt.EndedAt - attempt.StartedAt).Seconds())
 	}
 }
 
-// RecordConnectTime takes in how long it took to open a connection to a back end.
-func (m *Metrics) RecordConnectTime(elapsed time.Duration) { m.connect.Update(elapsed.Seconds()) }
+// RecordConnectTime records how long it took to open a connection to a back end.
+func (m *Metrics) RecordConnectTime(elapsed time.Duration) { m.connectTime.Update(elapsed.Seconds()) }
 
 // BackEndEjected implements gateway.DecisionLog.
 func (m *Metrics) BackEndEjected(attempt *forward.Attempt, outcome forward.Outcome) {
@@ -103,21 +107,21 @@
 }
 
 // BackEndCrashed implements gateway.DecisionLog.
-func (m *Metrics) BackEndCrashed(call *gateway.Call, attempt *forward.Attempt, ran clock.Ms) {
+func (m *Metrics) BackEndCrashed(call *gateway.Call, attempt *forward.Attempt, after clock.Ms) {
 	m.set.GetOrCreateCounter("stiletrail_attempts_whose_back_end_ended_total").Inc()
-	m.DecisionLog.BackEndCrashed(call, attempt, ran)
+	m.DecisionLog.BackEndCrashed(call, attempt, after)
 }
 
 // VerdictChanged implements gateway.DecisionLog.
-func (m *Metrics) VerdictChanged(mark quarantine.Fingerprint, verdict quarantine.Verdict, by string, left clock.Ms) {
+func (m *Metrics) VerdictChanged(fingerprint quarantine.Fingerprint, verdict quarantine.Verdict, source string, left clock.Ms) {
 	m.count("stiletrail_verdicts_total", "verdict", verdict.String())
-	m.DecisionLog.VerdictChanged(mark, verdict, by, left)
+	m.DecisionLog.VerdictChanged(fingerprint, verdict, source, left)
 }
 
 // QuarantineNotWritten implements gateway.DecisionLog.
-func (m *Metrics) QuarantineNotWritten(mark quarantine.Fingerprint, cause *failure.Failure) {
+func (m *Metrics) QuarantineNotWritten(fingerprint quarantine.Fingerprint, cause *failure.Failure) {
 	m.set.GetOrCreateCounter("stiletrail_quarantines_not_written_total").Inc()
-	m.DecisionLog.QuarantineNotWritten(mark, cause)
+	m.DecisionLog.QuarantineNotWritten(fingerprint, cause)
 }
 
 // ItemRejected implements gateway.DecisionLog.
@@ -138,7 +142,7 @@
 	m.DecisionLog.LearnedFromPeer(from, records, revision)
 }
 
-// RegisterGauges registers gauges that are read when metrics are asked for.
+// RegisterGauges registers the gauges, whose values are read from the source when the metrics are requested.
 func (m *Metrics) RegisterGauges(source GaugeSource) {
 	gauge := func(name string, read func() float64) { m.set.NewGauge(name, read) }
 	gauge("stiletrail_ready", func() float64 { return asNumber(source.Gateway.Ready()) })
@@ -166,6 +170,7 @@
 	gauge("stiletrail_log_lines_dropped_total", func() float64 { return float64(source.LogLinesDropped()) })
 }
 
+// asNumber returns 1 for true and 0 for false.
 func asNumber(flag bool) float64 {
 	if flag {
 		return 1
@@ -173,7 +178,7 @@
 	return 0
 }
 
-// ServeHTTP implements http.Handler: the metrics as Prometheus text.
+// ServeHTTP implements http.Handler. It writes the metrics in the Prometheus text format.
 func (m *Metrics) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	m.set.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -15,23 +15,24 @@
 	"stiletrail/internal/transport"
 )
 
-// noted is a decision log that counts requests.
-type noted struct {
+// countingLog is a decision log that counts requests.
+type countingLog struct {
 	gateway.DecisionLog
 	requests int
 }
 
 // Request implements gateway.DecisionLog.
-func (n *noted) Request(*gateway.Call, *gateway.Result) { n.requests++ }
+func (l *countingLog) Request(*gateway.Call, *gateway.Result) { l.requests++ }
 
-// TestMetrics: what is told is counted, measured, passed on, and served as text with what the gateway believes.
+// TestMetrics: calls are counted, metrics and passed on to the next log, and the metrics are served with the gauges of
+// the gateway.
 func TestMetrics(t *testing.T) {
-	log := &noted{}
-	measured := telemetry.New(log)
-	node := gateway.New(gateway.FromSettings(settings.DefaultGateway()), nil, nil, measured)
+	log := &countingLog{}
+	metrics := telemetry.New(log)
+	node := gateway.New(gateway.FromSettings(settings.DefaultGateway()), nil, nil, metrics)
 	frames := &transport.Counters{}
 	frames.SentFrames.Store(5)
-	measured.RegisterGauges(telemetry.GaugeSource{
+	metrics.RegisterGauges(telemetry.GaugeSource{
 		Gateway: node, BackEndConnections: func() int64 { return 3 }, BackEndConnectionsOpened: func() int64 { return 9 },
 		LogLinesDropped: func() uint64 { return 2 }, MalformedLoads: func() int64 { return 3 }, PeerFrames: frames,
 	})
@@ -39,15 +40,15 @@
 		Replica: &replica.Replica{}, Purpose: forward.Hedge, StartedAt: time.Second, EndedAt: 1100 * time.Millisecond,
 		Outcome: forward.Outcome{Kind: forward.Answered},
 	}
-	measured.Request(&gateway.Call{}, &gateway.Result{Attempts: []*forward.Attempt{attempt}, Elapsed: 30 * time.Millisecond})
-	measured.RecordConnectTime(7 * time.Millisecond)
+	metrics.Request(&gateway.Call{}, &gateway.Result{Attempts: []*forward.Attempt{attempt}, Elapsed: 30 * time.Millisecond})
+	metrics.RecordConnectTime(7 * time.Millisecond)
 	first := &forward.Attempt{Replica: &replica.Replica{}, Purpose: forward.First, StartedAt: 40 * time.Millisecond}
-	measured.Request(&gateway.Call{}, &gateway.Result{Attempts: []*forward.Attempt{first}, Arrived: 10 * time.Millisecond})
-	measured.Request(&gateway.Call{}, &gateway.Result{Answer: forward.Answer{
+	metrics.Request(&gateway.Call{}, &gateway.Result{Attempts: []*forward.Attempt{first}, Arrived: 10 * time.Millisecond})
+	metrics.Request(&gateway.Call{}, &gateway.Result{Answer: forward.Answer{
 		Failure: failure.Refused(failure.Overloaded, "", 0), Reason: forward.AllRefused,
 	}})
 	recorder := httptest.NewRecorder()
-	measured.ServeHTTP(recorder, nil)
+	metrics.ServeHTTP(recorder, nil)
 	text := recorder.Body.String()
 	for _, want := range []string{
 		`stiletrail_requests_total{outcome="complete"} 2`, `stiletrail_requests_total{outcome="OVERLOADED"} 1`,
@@ -59,10 +60,10 @@
 		`stiletrail_back_ends{state="ready"} 0`, `process_resident_memory_bytes`,
 	} {
 		if !strings.Contains(text, want) {
-			t.Errorf("%q is missing in\n%s", want, text)
+			t.Errorf("the metrics lack %q:\n%s", want, text)
 		}
 	}
 	if log.requests != 3 {
-		t.Errorf("%d requests were passed on", log.requests)
+		t.Errorf("%d requests were passed on to the next log, want 3", log.requests)
 	}
 }
