--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -1,7 +1,7 @@
-// Package failure defines the one error type that crosses package and process boundaries.
+// Package failure defines the error type that is passed between packages and, over the wire, between processes.
 //
-// Every failure has a code, states whether the request is proved not to have run, whether it is safe to
-// repeat, and when to come back. Callers decide on these fields, never on the text.
+// Every failure has a code. It says whether it is proved that no back end ran the request, whether the request is safe
+// to repeat, and after which time to retry. Programs decide by these fields, never by the text.
 package failure
 
 import (
@@ -11,80 +11,81 @@
 	"github.com/rotisserie/eris"
 )
 
-// Code names a kind of failure. The values are part of the API and never change meaning.
+// Code is the kind of a failure. The values are part of the API and never change their meaning.
 type Code string
 
-// The codes. docs/OPERATIONS.md says what an operator does on each.
+// The codes. docs/OPERATIONS.md says what an operator does for each.
 const (
-	// InvalidArgument: the request itself is wrong; repeating it does not help.
+	// InvalidArgument means that the request itself is invalid. Repeating it does not help.
 	InvalidArgument Code = "INVALID_ARGUMENT"
-	// UnknownService: the catalog holds no such service.
+	// UnknownService means that the catalog has no such service.
 	UnknownService Code = "UNKNOWN_SERVICE"
-	// NotReady: the node has no trustworthy catalog yet.
+	// NotReady means that the node has no trustworthy catalog yet.
 	NotReady Code = "NOT_READY"
-	// Leaving: the node is stopping; ask another.
+	// Leaving means that the node is stopping. The request can be sent to another node.
 	Leaving Code = "LEAVING"
-	// Overloaded: refused before anything ran because it could not be served in time.
+	// Overloaded means that the request was refused before any back end ran it, because it could not be answered in time.
 	Overloaded Code = "OVERLOADED"
-	// NoReplica: nothing that holds the shards can be reached; nothing ran.
+	// NoReplica means that no back end that holds the shards can be reached. No back end ran the request.
 	NoReplica Code = "NO_REPLICA"
-	// CoverageTooLow: less was answered than the service's minimum coverage.
+	// CoverageTooLow means that fewer shards answered than the minimum coverage of the service requires.
 	CoverageTooLow Code = "COVERAGE_TOO_LOW"
-	// SnapshotUnavailable: the minimum version asked for is not held yet.
+	// SnapshotUnavailable means that the back ends do not have the requested minimum version yet.
 	SnapshotUnavailable Code = "SNAPSHOT_UNAVAILABLE"
-	// Quarantined: the request ends the back ends that run it, and is sent to none for some time.
+	// Quarantined means that the request crashes the back ends that run it. It is sent to none of them for some time.
 	Quarantined Code = "QUARANTINED"
-	// DeadlineExceeded: the deadline passed.
+	// DeadlineExceeded means that the deadline of the request passed before it was answered.
 	DeadlineExceeded Code = "DEADLINE_EXCEEDED"
-	// OutcomeUnknown: the request may or may not have taken effect.
+	// OutcomeUnknown means that it is not known whether the request has taken effect.
 	OutcomeUnknown Code = "OUTCOME_UNKNOWN"
-	// TicketInvalid: the ticket was not minted here, has expired or is malformed; nothing ran.
+	// TicketInvalid means that the ticket was not minted here, has expired or is malformed. No back end ran the request.
 	TicketInvalid Code = "TICKET_INVALID"
-	// Conflict: the base version of a plan is no longer the current one.
+	// Conflict means that the base version of a plan is no longer the current version.
 	Conflict Code = "CONFLICT"
-	// PlanMismatch: the digest does not name this plan, or the plan has expired.
+	// PlanMismatch means that the digest is not that of the plan, or that the plan has expired.
 	PlanMismatch Code = "PLAN_MISMATCH"
-	// StoreUnavailable: the key-value store did not take the request; nothing changed.
+	// StoreUnavailable means that the key-value store did not accept the request. Nothing was changed.
 	StoreUnavailable Code = "STORE_UNAVAILABLE"
-	// Malformed: a frame or message broke the protocol.
+	// Malformed means that a frame or a message violates the protocol.
 	Malformed Code = "MALFORMED"
-	// PeerUnreachable: the frame was not delivered.
+	// PeerUnreachable means that a frame could not be delivered to another node.
 	PeerUnreachable Code = "PEER_UNREACHABLE"
-	// SettingsInvalid: the settings file or flags were refused.
+	// SettingsInvalid means that the settings file or the flags are invalid.
 	SettingsInvalid Code = "SETTINGS_INVALID"
-	// Internal: a fault of our own.
+	// Internal means that the process itself has a fault.
 	Internal Code = "INTERNAL"
 )
 
-// Failure is the error type of the project.
+// Failure is an error with a code and with what a caller needs to decide whether and when to retry.
 type Failure struct {
-	// Code is the kind.
+	// Code is the kind of the failure.
 	Code Code
-	// Message is for people; programs use the other fields.
+	// Message is a text for people. Programs use the other fields.
 	Message string
-	// NotRun is set only with proof that no back end ran the request.
+	// NotRun is set only if it is proved that no back end ran the request.
 	NotRun bool
-	// RetryAfter is when to come back; zero where that is not known or of no use.
+	// RetryAfter is the time after which to retry. It is 0 if the time is not known or a retry is of no use.
 	RetryAfter time.Duration
-	// CurrentVersion is the version in force, with Conflict.
+	// CurrentVersion is the version in force. It is set for Conflict.
 	CurrentVersion uint64
-	// Alternative is the address of another node, with Leaving.
+	// Alternative is the address of another node. It is set for Leaving.
 	Alternative string
 
 	cause error
 }
 
-// New returns a failure of the given kind.
+// New returns a failure with a code and a message.
 func New(code Code, message string) *Failure {
 	return &Failure{Code: code, Message: message}
 }
 
-// Wrap returns a failure of the given kind with a cause, whose trace eris keeps.
+// Wrap returns a failure with a code, a message and a cause. The cause is wrapped by eris, which records the stack
+// trace.
 func Wrap(cause error, code Code, message string) *Failure {
 	return &Failure{Code: code, Message: message, cause: eris.Wrap(cause, message)}
 }
 
-// Refused returns a failure whose request is proved not to have run.
+// Refused returns a failure of a request that no back end has run, with the time after which to retry.
 func Refused(code Code, message string, retryAfter time.Duration) *Failure {
 	return &Failure{Code: code, Message: message, NotRun: true, RetryAfter: retryAfter}
 }
@@ -97,15 +98,16 @@
 	return string(f.Code) + ": " + f.Message
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.cause }
 
-// SafeToRepeat reports whether the same request may be sent again without running twice.
+// SafeToRepeat reports whether the same request may be sent again without being run twice. It is false for requests
+// that would be refused again.
 func (f *Failure) SafeToRepeat() bool {
 	return f.NotRun && f.Code != InvalidArgument && f.Code != UnknownService
 }
 
-// From returns err as a Failure; an error of another type becomes Internal.
+// From returns err as a Failure. An error that is not and does not wrap a Failure becomes one with code Internal.
 func From(err error) *Failure {
 	if err == nil {
 		return nil
@@ -117,7 +119,7 @@
 	return Wrap(err, Internal, "unexpected error")
 }
 
-// CodeOf returns the code of err, or the empty code for nil.
+// CodeOf returns the code of err as From does, or the empty code for nil.
 func CodeOf(err error) Code {
 	if err == nil {
 		return ""
