--- a/internal/overview/overview.go
+++ b/internal/overview/overview.go
@@ -49,7 +49,7 @@
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(metrics)
 	if err != nil {
-		return Node{}, failure.Wrap(err, failure.Malformed, "cannot parse the metrics of "+address)
+		return Node{}, failure.Wrap(err, failure.Malformed, "the metrics of "+address+" cannot be parsed")
 	}
 	if families[metricVersion] == nil {
 		return Node{}, failure.New(failure.Malformed, "the metrics of "+address+" are not those of a gateway")
