--- a/cmd/stiletrail-gateway/main.go
+++ b/cmd/stiletrail-gateway/main.go
@@ -1,5 +1,5 @@
-// Command stiletrail-gateway is a node of the query tier that asks back ends itself and learns the configuration and the
-// back ends from the platform's store.
+// Command stiletrail-gateway is a node of the query tier that sends requests to back ends itself and reads the
+// configuration and the entries of the back ends from the platform's store.
 package main
 
 import (
@@ -24,65 +24,66 @@
 	"stiletrail/platform"
 )
 
-// Exit codes.
+// Exit codes. exitDrainTimedOut means that requests were still in flight at the end of stop_within.
 const (
-	exitOK       = 0
-	exitFailed   = 1
-	exitSettings = 2
-	exitCutShort = 3
+	exitOK              = 0
+	exitFailed          = 1
+	exitInvalidSettings = 2
+	exitDrainTimedOut   = 3
 )
 
-// garbageTarget is the growth of the heap in percent at which garbage is collected: memory is dearer here than processor time.
-const garbageTarget = 40
+// garbageCollectionPercent is the growth of the heap, in percent, at which garbage is collected. It is below the
+// default of the Go runtime because memory is more expensive here than processor time.
+const garbageCollectionPercent = 40
 
-// logCloseTime bounds the writing of the last lines of the log.
-const logCloseTime = 100 * time.Millisecond
+// logCloseTimeout is the longest time that the last lines of the log may take to be written when the process ends.
+const logCloseTimeout = 100 * time.Millisecond
 
 func main() {
-	app := kingpin.New("stiletrail-gateway", "A node of the stiletrail query tier on a platform. SIGTERM is a planned stop, SIGHUP reads the settings again.")
+	app := kingpin.New("stiletrail-gateway", "A node of the stiletrail query tier on a platform. SIGTERM starts a planned stop, SIGHUP reloads the settings.")
 	file := app.Flag("settings", "Settings file (YAML); see docs/OPERATIONS.md.").Required().String()
-	check := app.Flag("check", "Only check the settings.").Bool()
+	check := app.Flag("check", "Check the settings and exit.").Bool()
 	if _, err := app.Parse(os.Args[1:]); err != nil {
 		fmt.Fprintf(os.Stderr, "stiletrail-gateway: %s, try --help\n", err)
-		os.Exit(exitSettings)
+		os.Exit(exitInvalidSettings)
 	}
 	loaded, err := settings.LoadGateway(*file, nil)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, failure.From(err).Message)
-		os.Exit(exitSettings)
+		os.Exit(exitInvalidSettings)
 	}
 	if *check {
 		return
 	}
-	debug.SetGCPercent(garbageTarget)
+	debug.SetGCPercent(garbageCollectionPercent)
 	os.Exit(run(*file, loaded))
 }
 
-// run joins the parts of a gateway, serves until the process is to end, and returns the exit code.
+// run starts a gateway, serves until the process is asked to stop or fails, and returns the exit code.
 func run(file string, loaded settings.Gateway) int {
 	writer := decisionlog.NewWriter(os.Stdout)
-	defer writer.Close(logCloseTime)
+	defer writer.Close(logCloseTimeout)
 	level, _ := logrus.ParseLevel(loaded.LogLevel)
 	log := decisionlog.New(writer, level, loaded.Node)
 	pool := exchange.NewPool()
-	measured := telemetry.New(log)
-	pool.OnConnected = measured.RecordConnectTime
+	metrics := telemetry.New(log)
+	pool.OnConnected = metrics.RecordConnectTime
 	store := platform.NewStoreClient(loaded.StoreAddress)
 	backEnds := platform.NewBackEnds(pool)
-	node := gateway.New(gateway.FromSettings(loaded), backEnds, store, measured)
+	node := gateway.New(gateway.FromSettings(loaded), backEnds, store, metrics)
 	addresses := serving.Addresses{Callers: loaded.CallerAddress, Ready: loaded.ReadyAddress, Metrics: loaded.MetricsAddress}
-	server, err := serving.Start(node, addresses, platform.NewIngress(node), measured, log)
+	server, err := serving.Start(node, addresses, platform.NewIngress(node), metrics, log)
 	if err != nil {
 		log.Stopped(err.Error())
 		return exitFailed
 	}
-	closePeers, frames, err := join(node, loaded)
+	closePeers, frames, err := joinPeers(node, loaded)
 	if err != nil {
 		log.Stopped(err.Error())
 		return exitFailed
 	}
 	defer closePeers()
-	measured.RegisterGauges(telemetry.GaugeSource{
+	metrics.RegisterGauges(telemetry.GaugeSource{
 		Gateway: node, BackEndConnections: pool.OpenCount.Load, BackEndConnectionsOpened: pool.OpenedTotal.Load,
 		LogLinesDropped: writer.Dropped, MalformedLoads: backEnds.MalformedLoads, PeerFrames: frames,
 	})
@@ -93,8 +94,8 @@
 	return wait(newReloader(file, loaded, node, store, log), server, log)
 }
 
-// wait handles signals until the node stops.
-func wait(settingsFile *reloader, server *serving.Server, log *decisionlog.Log) int {
+// wait reloads changed settings and handles signals until the node stops. It returns the exit code.
+func wait(settingsReloader *reloader, server *serving.Server, log *decisionlog.Log) int {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	ticker := time.NewTicker(reloadInterval)
@@ -102,18 +103,18 @@
 	for {
 		select {
 		case <-ticker.C:
-			settingsFile.look(false)
+			settingsReloader.reload(false)
 		case err := <-server.Failed():
 			log.Stopped(err.Error())
 			return exitFailed
 		case received := <-signals:
 			if received == syscall.SIGHUP {
-				settingsFile.look(true)
+				settingsReloader.reload(true)
 				continue
 			}
 			log.Stopped(received.String())
-			if !server.Stop(settingsFile.inUse.StopWithin) {
-				return exitCutShort
+			if !server.Stop(settingsReloader.inForce.StopWithin) {
+				return exitDrainTimedOut
 			}
 			return exitOK
 		}
--- a/cmd/stiletrail-gateway/peers.go
+++ b/cmd/stiletrail-gateway/peers.go
@@ -10,13 +10,13 @@
 	"stiletrail/internal/transport"
 )
 
-// peerCloseTime is for the end of connections to other nodes; a peer that does not answer must not hold up the end of
-// the process.
-const peerCloseTime = 50 * time.Millisecond
+// peerCloseTimeout is the longest time that closing the connections to other nodes may take when the process ends. A
+// peer that does not answer must not delay the end of the process.
+const peerCloseTimeout = 50 * time.Millisecond
 
-// join listens for other nodes and makes the node a member, where the settings name an address for that. It returns the
-// count of what is exchanged with them, nil where they name none.
-func join(node *gateway.Gateway, loaded settings.Gateway) (closePeers func(), frames *transport.Counters, err error) {
+// joinPeers listens for other nodes and makes the node a member of the fleet if the settings have a peer address. It
+// returns the counters of the frames exchanged with other nodes, or nil without a peer address.
+func joinPeers(node *gateway.Gateway, loaded settings.Gateway) (closePeers func(), frames *transport.Counters, err error) {
 	if loaded.PeerAddress == "" {
 		return func() {}, nil, nil
 	}
@@ -34,11 +34,11 @@
 	}
 	node.Join(self, loaded.Seeds, peers)
 	peers.Serve(node)
-	return func() { closeSoon(peers) }, &peers.Counters, nil
+	return func() { closeWithTimeout(peers) }, &peers.Counters, nil
 }
 
-// closeSoon closes the connections to other nodes, and waits for that no longer than peerCloseTime.
-func closeSoon(peers *transport.Transport) {
+// closeWithTimeout closes the connections to other nodes and returns after peerCloseTimeout at the latest.
+func closeWithTimeout(peers *transport.Transport) {
 	closed := make(chan struct{})
 	go func() {
 		peers.Close()
@@ -46,6 +46,6 @@
 	}()
 	select {
 	case <-closed:
-	case <-time.After(peerCloseTime):
+	case <-time.After(peerCloseTimeout):
 	}
 }
--- a/cmd/stiletrail-gateway/reload.go
+++ b/cmd/stiletrail-gateway/reload.go
@@ -12,30 +12,32 @@
 	"stiletrail/platform"
 )
 
-// reloadInterval is the pause between looks whether the settings file has changed without a signal.
+// reloadInterval is the pause between two checks whether the settings file has changed.
 const reloadInterval = 2 * time.Second
 
-// reloader puts a changed settings file in force.
+// reloader puts a changed settings file into force. text is the content of the file when it was last read, inForce has
+// the settings in force.
 type reloader struct {
-	file  string
-	text  []byte
-	inUse settings.Gateway
-	node  *gateway.Gateway
-	store *platform.StoreClient
-	log   *decisionlog.Log
+	file    string
+	text    []byte
+	inForce settings.Gateway
+	node    *gateway.Gateway
+	store   *platform.StoreClient
+	log     *decisionlog.Log
 }
 
 func newReloader(file string, loaded settings.Gateway, node *gateway.Gateway, store *platform.StoreClient, log *decisionlog.Log) *reloader {
 	text, _ := os.ReadFile(file)
-	return &reloader{file: file, text: text, inUse: loaded, node: node, store: store, log: log}
+	return &reloader{file: file, text: text, inForce: loaded, node: node, store: store, log: log}
 }
 
-// look reads the file and puts it in force if it has changed, or in any case if it was asked for. A file that cannot be read or
-// is not valid changes nothing. Some of what it says holds until a restart: addresses, seeds, the node's name and zone, the level of the log, the window of
-// retry budgets that there are, and the waits for news of the store that were derived at the start.
-func (r *reloader) look(asked bool) {
+// reload reads the settings file and puts it into force if it has changed, or if force is set. A file that cannot be
+// read or is invalid changes nothing. Some settings take effect only at a restart: the addresses at which the node
+// serves, the seeds, the name and the zone of the node, the log level, the window of existing retry budgets, and the
+// intervals and timeouts for changes of the store, which are derived at the start.
+func (r *reloader) reload(force bool) {
 	text, err := os.ReadFile(r.file)
-	if err != nil || (!asked && bytes.Equal(text, r.text)) {
+	if err != nil || (!force && bytes.Equal(text, r.text)) {
 		return
 	}
 	r.text = text
@@ -44,8 +46,8 @@
 		r.log.ReloadRefused(failure.From(err).Message)
 		return
 	}
-	changed.Zone = r.inUse.Zone
-	r.inUse = changed
+	changed.Zone = r.inForce.Zone
+	r.inForce = changed
 	r.store.SetAddress(changed.StoreAddress)
 	r.node.Reconfigure(gateway.FromSettings(changed))
 	r.log.Reloaded(changed, changed.IgnoredSettings())
