--- a/cmd/stiletrail/explain.go
+++ b/cmd/stiletrail/explain.go
@@ -11,10 +11,11 @@
 	"stiletrail/internal/failure"
 )
 
+// addExplain adds the command that reports from logs how a request was handled.
 func addExplain(app *kingpin.Application, commands map[string]command) {
-	explaining := app.Command("explain", "What the logs of nodes tell of a request: what was decided, and what was believed then.")
-	request := explaining.Arg("request", "The request's id.").Required().String()
-	files := explaining.Arg("files", "Log files of nodes; standard input without any.").Strings()
+	c := app.Command("explain", "Report from the logs of nodes how a request was handled: what was decided, and what the node knew at the time.")
+	request := c.Arg("request", "Id of the request.").Required().String()
+	files := c.Arg("files", "Log files of nodes; standard input if not given.").Strings()
 	commands["explain"] = func(*client) (int, error) {
 		logs, closeAll, err := openLogs(*files)
 		if err != nil {
@@ -29,6 +30,7 @@
 	}
 }
 
+// openLogs opens log files, or standard input if no file is named. closeAll closes the files.
 func openLogs(names []string) (logs []io.Reader, closeAll func(), err error) {
 	if len(names) == 0 {
 		return []io.Reader{os.Stdin}, func() {}, nil
@@ -43,7 +45,7 @@
 		file, err := os.Open(name)
 		if err != nil {
 			closeAll()
-			return nil, nil, failure.Wrap(err, failure.InvalidArgument, "a log cannot be opened")
+			return nil, nil, failure.Wrap(err, failure.InvalidArgument, "cannot open a log")
 		}
 		files = append(files, file)
 		logs = append(logs, file)
--- a/cmd/stiletrail/main.go
+++ b/cmd/stiletrail/main.go
@@ -1,4 +1,4 @@
-// Command stiletrail is the command line of callers and operators.
+// Command stiletrail is the command-line client for callers and operators of the query tier.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"stiletrail/internal/failure"
 )
 
-// Exit codes, the same for all commands.
+// Exit codes of all commands. exitHelp explains them to users.
 const (
 	exitOK       = 0
 	exitFailed   = 1
@@ -29,34 +29,37 @@
 const exitHelp = `Exit codes: 0 complete or accepted, 1 failed, 2 usage or invalid input, 3 partial answer,
 4 refused and proved not to have run, 5 outcome unknown, 6 conflict with another operator's change.`
 
-// client is what every command gets.
+// client has the flags that all commands share: the HTTP address of a node, the output format and the timeout.
 type client struct {
 	node    string
 	output  string
 	timeout time.Duration
 }
 
+// context returns a context that ends after the timeout of the command.
 func (c *client) context() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), c.timeout)
 }
 
-func (c *client) callers() stiletrailv1connect.QueryServiceClient {
+// queryService returns the client of the node's API for callers.
+func (c *client) queryService() stiletrailv1connect.QueryServiceClient {
 	return stiletrailv1connect.NewQueryServiceClient(http.DefaultClient, "http://"+c.node)
 }
 
-func (c *client) operators() stiletrailv1connect.OperatorServiceClient {
+// operatorService returns the client of the node's API for operators.
+func (c *client) operatorService() stiletrailv1connect.OperatorServiceClient {
 	return stiletrailv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+c.node)
 }
 
-// command runs and returns an exit code, or an error of which the exit code follows.
+// command runs a command and returns its exit code, or an error that determines the exit code.
 type command func(c *client) (int, error)
 
 func main() {
-	app := kingpin.New("stiletrail", "Searches, executes and the intent API of a stiletrail query tier.\n\n"+exitHelp)
+	app := kingpin.New("stiletrail", "Client for the search, execute and intent APIs of a stiletrail query tier.\n\n"+exitHelp)
 	shared := &client{}
 	app.Flag("node", "HTTP address of a node.").Default("127.0.0.1:7101").Envar("STILETRAIL_NODE").StringVar(&shared.node)
 	app.Flag("output", "human or json.").Default("human").EnumVar(&shared.output, "human", "json")
-	app.Flag("timeout", "Bound on the whole command.").Default("10s").DurationVar(&shared.timeout)
+	app.Flag("timeout", "Timeout of the whole command.").Default("10s").DurationVar(&shared.timeout)
 	commands := map[string]command{}
 	addPlan(app, commands)
 	addConfirm(app, commands)
@@ -78,7 +81,7 @@
 	os.Exit(code)
 }
 
-// exitCodeOf maps a failure to the exit code that tells what a script may do next.
+// exitCodeOf returns the exit code for a failure, by which a script decides what to do next.
 func exitCodeOf(problem *failure.Failure) int {
 	switch {
 	case problem.Code == failure.InvalidArgument || problem.Code == failure.SettingsInvalid || problem.Code == failure.TicketInvalid:
@@ -106,10 +109,10 @@
 	}
 	fmt.Fprintf(os.Stderr, "%s: %s\n", problem.Code, problem.Message)
 	if problem.NotRun {
-		fmt.Fprintln(os.Stderr, "nothing ran")
+		fmt.Fprintln(os.Stderr, "no back end ran the request")
 	}
 	if problem.RetryAfter > 0 {
-		fmt.Fprintf(os.Stderr, "come back in %s\n", problem.RetryAfter)
+		fmt.Fprintf(os.Stderr, "retry after %s\n", problem.RetryAfter)
 	}
 	if problem.CurrentVersion > 0 {
 		fmt.Fprintf(os.Stderr, "the version in force is %d\n", problem.CurrentVersion)
--- a/cmd/stiletrail/nodes.go
+++ b/cmd/stiletrail/nodes.go
@@ -15,23 +15,24 @@
 	"stiletrail/internal/overview"
 )
 
-// nodesView is what `nodes` prints as JSON.
+// nodesView is the JSON output of the nodes command.
 type nodesView struct {
 	Nodes       []overview.Node `json:"nodes"`
 	Differences []string        `json:"differences"`
 }
 
+// addNodes adds the command that compares nodes by their metrics.
 func addNodes(app *kingpin.Application, commands map[string]command) {
-	c := app.Command("nodes", "What gateways believe, side by side, from their metrics: configuration, store, back ends, "+
-		"evacuated zones. Exit 1 if one could not be asked.\n\n"+
+	c := app.Command("nodes", "Compare gateways by their metrics: configuration, store, back ends, "+
+		"evacuated zones. Exit 1 if the metrics of one cannot be read.\n\n"+
 		"Example: stiletrail nodes 10.0.0.1:7440 10.0.0.2:7440")
 	addresses := c.Arg("addresses", "Metrics addresses of the nodes.").Required().Strings()
 	commands[c.FullCommand()] = func(shared *client) (int, error) {
 		ctx, cancel := shared.context()
 		defer cancel()
-		view := nodesView{Nodes: askNodes(ctx, *addresses)}
+		view := nodesView{Nodes: fetchNodes(ctx, *addresses)}
 		view.Differences = overview.Differences(view.Nodes)
-		shared.show(view, func() { printNodes(view) })
+		shared.print(view, func() { printNodes(view) })
 		for _, node := range view.Nodes {
 			if node.Problem != "" {
 				return exitFailed, nil
@@ -41,31 +42,32 @@
 	}
 }
 
-// askNodes asks all nodes at once.
-func askNodes(ctx context.Context, addresses []string) []overview.Node {
+// fetchNodes reads the metrics of all nodes concurrently.
+func fetchNodes(ctx context.Context, addresses []string) []overview.Node {
 	nodes := make([]overview.Node, len(addresses))
-	var asked sync.WaitGroup
+	var fetches sync.WaitGroup
 	for i, address := range addresses {
-		asked.Go(func() {
-			node, err := askNode(ctx, address)
+		fetches.Go(func() {
+			node, err := fetchNode(ctx, address)
 			if err != nil {
 				node = overview.Node{Address: address, Problem: err.Error()}
 			}
 			nodes[i] = node
 		})
 	}
-	asked.Wait()
+	fetches.Wait()
 	return nodes
 }
 
-func askNode(ctx context.Context, address string) (overview.Node, error) {
+// fetchNode reads the metrics of one node.
+func fetchNode(ctx context.Context, address string) (overview.Node, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/metrics", nil)
 	if err != nil {
-		return overview.Node{}, failure.Wrap(err, failure.InvalidArgument, "not an address")
+		return overview.Node{}, failure.Wrap(err, failure.InvalidArgument, "invalid metrics address")
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return overview.Node{}, failure.Wrap(err, failure.NotReady, "the node does not answer")
+		return overview.Node{}, failure.Wrap(err, failure.NotReady, "the node did not answer")
 	}
 	defer func() { _ = response.Body.Close() }()
 	return overview.Read(address, response.Body)
@@ -88,7 +90,7 @@
 	}
 }
 
-// statesOf lists the back ends of a node by state.
+// statesOf returns the numbers of back ends of a node by state, as text.
 func statesOf(n overview.Node) string {
 	var parts []string
 	for _, state := range []string{"ready", "cold", "ejected", "doubtful", "draining", "evacuated"} {
--- a/cmd/stiletrail/operate.go
+++ b/cmd/stiletrail/operate.go
@@ -15,7 +15,7 @@
 	"stiletrail/internal/settings"
 )
 
-// failureView is a failure as JSON.
+// failureView is the JSON output for a failure.
 type failureView struct {
 	Code                   string `json:"code"`
 	Message                string `json:"message"`
@@ -26,13 +26,13 @@
 	Alternative            string `json:"alternative,omitempty"`
 }
 
-// show prints a value as the user wants it: as JSON, or by human.
-func (c *client) show(value any, human func()) {
+// print prints a value in the output format of the command: as JSON, or as text with printText.
+func (c *client) print(value any, printText func()) {
 	if c.output == "json" {
 		c.printJSON(value)
 		return
 	}
-	human()
+	printText()
 }
 
 func (c *client) printJSON(value any) {
@@ -41,14 +41,16 @@
 	_ = encoder.Encode(value)
 }
 
+// readIntent reads the file of an intent.
 func readIntent(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.InvalidArgument, "the intent cannot be read: "+err.Error())
+		return nil, failure.Wrap(err, failure.InvalidArgument, "cannot read the intent: "+err.Error())
 	}
 	return text, nil
 }
 
+// addPlan adds the command that shows what an intent would change.
 func addPlan(app *kingpin.Application, commands map[string]command) {
 	c := app.Command("plan", "Show what an intent would change. Nothing changes until the plan is confirmed.")
 	file := c.Arg("intent", "File with the intent, YAML or JSON.").Required().String()
@@ -59,11 +61,11 @@
 		}
 		ctx, cancel := shared.context()
 		defer cancel()
-		response, err := shared.operators().Plan(ctx, connect.NewRequest(&stiletrailv1.PlanRequest{Intent: text}))
+		response, err := shared.operatorService().Plan(ctx, connect.NewRequest(&stiletrailv1.PlanRequest{Intent: text}))
 		if err != nil {
 			return 0, err
 		}
-		shared.show(response.Msg, func() { printPlan(*file, response.Msg) })
+		shared.print(response.Msg, func() { printPlan(*file, response.Msg) })
 		return exitOK, nil
 	}
 }
@@ -77,11 +79,12 @@
 		fmt.Println("  warning:", warning)
 	}
 	expires := time.Unix(plan.GetExpiresUnixSeconds(), 0).UTC()
-	fmt.Printf("touches %d back ends; good until %s\n", len(plan.GetBackEnds()), expires.Format(time.RFC3339))
+	fmt.Printf("affects %d back ends; valid until %s\n", len(plan.GetBackEnds()), expires.Format(time.RFC3339))
 	fmt.Printf("confirm with: stiletrail confirm %s --base %d --digest %s --expires %d\n",
 		file, plan.GetBaseVersion(), plan.GetDigest(), plan.GetExpiresUnixSeconds())
 }
 
+// addConfirm adds the command that puts a plan into force.
 func addConfirm(app *kingpin.Application, commands map[string]command) {
 	c := app.Command("confirm", "Put a plan into force. Exit 6 if another change came first; exit 5 if the outcome is unknown: "+
 		"repeat with the same --operation.")
@@ -89,7 +92,7 @@
 	base := c.Flag("base", "Base version of the plan.").Required().Uint64()
 	digest := c.Flag("digest", "Digest of the plan.").Required().String()
 	expires := c.Flag("expires", "Expiry of the plan, as printed by plan.").Required().Int64()
-	operation := c.Flag("operation", "Id of this operation; drawn at random if not given.").String()
+	operation := c.Flag("operation", "Id of this operation; a random one if not given.").String()
 	commands[c.FullCommand()] = func(shared *client) (int, error) {
 		text, err := readIntent(*file)
 		if err != nil {
@@ -100,32 +103,33 @@
 		}
 		ctx, cancel := shared.context()
 		defer cancel()
-		response, err := shared.operators().Confirm(ctx, connect.NewRequest(&stiletrailv1.ConfirmRequest{
+		response, err := shared.operatorService().Confirm(ctx, connect.NewRequest(&stiletrailv1.ConfirmRequest{
 			Intent: text, BaseVersion: *base, Digest: *digest, ExpiresUnixSeconds: *expires, Operation: *operation,
 		}))
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "operation", *operation)
 			return 0, err
 		}
-		shared.show(response.Msg, func() {
-			fmt.Printf("accepted: %s is at version %d, held by %d more nodes in %d zones\n",
+		shared.print(response.Msg, func() {
+			fmt.Printf("accepted: %s is at version %d, replicated to %d more nodes in %d zones\n",
 				response.Msg.GetService(), response.Msg.GetVersion(), response.Msg.GetCopies(), response.Msg.GetCopyZones())
 		})
 		return exitOK, nil
 	}
 }
 
+// addStatus adds the command that shows on how many nodes each version is in force.
 func addStatus(app *kingpin.Application, commands map[string]command) {
-	c := app.Command("status", "Show how far each service's version is in force.")
+	c := app.Command("status", "Show on how many nodes the version of each service is in force.")
 	service := c.Arg("service", "Only this service.").String()
 	commands[c.FullCommand()] = func(shared *client) (int, error) {
 		ctx, cancel := shared.context()
 		defer cancel()
-		response, err := shared.operators().Status(ctx, connect.NewRequest(&stiletrailv1.StatusRequest{Service: *service}))
+		response, err := shared.operatorService().Status(ctx, connect.NewRequest(&stiletrailv1.StatusRequest{Service: *service}))
 		if err != nil {
 			return 0, err
 		}
-		shared.show(response.Msg, func() { printStatus(response.Msg) })
+		shared.print(response.Msg, func() { printStatus(response.Msg) })
 		return exitOK, nil
 	}
 }
@@ -134,9 +138,9 @@
 	fmt.Printf("node %s in %s, ready %t, %d members alive\n",
 		status.GetNode(), status.GetZone(), status.GetReady(), status.GetMembersAlive())
 	if age := status.GetConfigurationAgeMilliseconds(); age >= 0 {
-		fmt.Printf("configuration known equal to the store's %s ago\n", time.Duration(age)*time.Millisecond)
+		fmt.Printf("configuration last confirmed equal to the store's %s ago\n", time.Duration(age)*time.Millisecond)
 	} else {
-		fmt.Println("configuration never compared with the store")
+		fmt.Println("configuration not yet compared with the store")
 	}
 	for _, service := range status.GetServices() {
 		state := ""
@@ -146,7 +150,7 @@
 		fmt.Printf("  %-24s version %d%s in force on %d of %d nodes\n",
 			service.GetService(), service.GetVersion(), state, service.GetNodesInForce(), service.GetNodesAsked())
 		for _, address := range service.GetUnreachable() {
-			fmt.Println("    not reached:", address)
+			fmt.Println("    unreachable:", address)
 		}
 	}
 	for _, alarm := range status.GetAlarms() {
@@ -154,6 +158,7 @@
 	}
 }
 
+// addCheckSettings adds the command that validates a settings file.
 func addCheckSettings(app *kingpin.Application, commands map[string]command) {
 	c := app.Command("check-settings", "Check a node's settings file and list all problems.")
 	file := c.Arg("file", "Settings file.").Required().String()
@@ -162,7 +167,7 @@
 		if err != nil {
 			return 0, err
 		}
-		shared.show(loaded, func() {
+		shared.print(loaded, func() {
 			fmt.Println("the settings are valid")
 		})
 		return exitOK, nil
