--- a/cmd/stiletraild/main.go
+++ b/cmd/stiletraild/main.go
@@ -1,5 +1,5 @@
-// Command stiletraild is a node of the query tier. Every node is equal: it serves callers and operators, dispatches to back
-// ends, and reads the platform for its zone if it is the zone's relay.
+// Command stiletraild is a node of the query tier. All nodes have the same tasks: they serve callers and operators and
+// dispatch requests to back ends. Those that are relays of their zone also read the platform for it.
 package main
 
 import (
@@ -20,36 +20,37 @@
 	"stiletrail/internal/settings"
 )
 
-// Exit codes.
+// Exit codes. exitDrainTimedOut means that requests were still in flight at the end of the drain timeout.
 const (
-	exitOK        = 0
-	exitFailed    = 1
-	exitSettings  = 2
-	exitUndrained = 3
+	exitOK              = 0
+	exitFailed          = 1
+	exitInvalidSettings = 2
+	exitDrainTimedOut   = 3
 )
 
 func main() {
-	app := kingpin.New("stiletraild", "A node of the stiletrail query tier. SIGTERM is a planned stop: nothing under way is cut off.")
+	app := kingpin.New("stiletraild", "A node of the stiletrail query tier. SIGTERM starts a planned stop: requests in flight are finished.")
 	file := app.Flag("settings", "Settings file (YAML); see docs/OPERATIONS-stiletraild.md.").String()
 	flags := map[string]*string{}
 	for _, name := range settings.Names() {
-		flags[name] = app.Flag(flagName(name), "Goes before "+name+" of the settings file.").String()
+		flags[name] = app.Flag(flagName(name), "Overrides "+name+" of the settings file.").String()
 	}
 	if _, err := app.Parse(os.Args[1:]); err != nil {
 		fmt.Fprintf(os.Stderr, "stiletraild: %s, try --help\n", err)
-		os.Exit(exitSettings)
+		os.Exit(exitInvalidSettings)
 	}
 	loaded, err := settings.Load(*file, overrides(flags))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, failure.From(err).Message)
-		os.Exit(exitSettings)
+		os.Exit(exitInvalidSettings)
 	}
 	os.Exit(run(loaded))
 }
 
-// flagName is the flag of a setting.
+// flagName returns the name of the flag for a setting.
 func flagName(setting string) string { return strings.ReplaceAll(setting, "_", "-") }
 
+// overrides returns the settings that are given by flags.
 func overrides(flags map[string]*string) []settings.Override {
 	var given []settings.Override
 	for _, name := range settings.Names() {
@@ -60,6 +61,7 @@
 	return given
 }
 
+// run starts a node, serves until the process is asked to stop, and returns the exit code.
 func run(loaded settings.Settings) int {
 	log := newLog(loaded.LogLevel)
 	client := platform.NewClient(&http.Client{}, loaded.PlatformURL)
@@ -70,17 +72,18 @@
 		log.WithField("failure", failure.CodeOf(err)).Error(err.Error())
 		return exitFailed
 	}
-	asked, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	stopRequested, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	<-asked.Done()
-	bounded, cancel := context.WithTimeout(context.Background(), loaded.DrainTimeout)
+	<-stopRequested.Done()
+	drainContext, cancel := context.WithTimeout(context.Background(), loaded.DrainTimeout)
 	defer cancel()
-	if !started.Stop(bounded) {
-		return exitUndrained
+	if !started.Stop(drainContext) {
+		return exitDrainTimedOut
 	}
 	return exitOK
 }
 
+// newLog returns a log of the given level that writes JSON lines to standard error.
 func newLog(level string) *logrus.Entry {
 	log := logrus.New()
 	log.SetFormatter(&logrus.JSONFormatter{})
