--- a/cmd/stiletrail-rehearsal/experiment.go
+++ b/cmd/stiletrail-rehearsal/experiment.go
@@ -16,18 +16,19 @@
 	"stiletrail/platform/bench"
 )
 
+// addExperiment adds the command that compares variants of the gateway on the bench.
 func addExperiment(app *kingpin.Application, commands map[string]func() error) {
-	c := app.Command("experiment", "Play variants of the gateway on the users' bench, on the same days with the same seeds, and compare them. Goes on after a break where it stopped.")
-	plan := c.Arg("plan", "File that says what is played, see deploy/experiments.").Required().ExistingFile()
+	c := app.Command("experiment", "Run variants of the gateway on the users' bench, on the same days with the same seeds, and compare them. An interrupted experiment continues where it stopped.")
+	plan := c.Arg("plan", "File that describes the experiment, see deploy/experiments.").Required().ExistingFile()
 	var b bench.Bench
-	c.Flag("bench", "The bench's program.").Required().ExistingFileVar(&b.Program)
-	c.Flag("sites", "The folder in whose subfolders the files of deployments lie.").Required().ExistingDirVar(&b.Sites)
-	c.Flag("repository", "The sources.").Default(".").ExistingDirVar(&b.Repository)
+	c.Flag("bench", "Program of the bench.").Required().ExistingFileVar(&b.Program)
+	c.Flag("sites", "Folder with one subfolder of files per deployment.").Required().ExistingDirVar(&b.Sites)
+	c.Flag("repository", "Folder with the source code.").Default(".").ExistingDirVar(&b.Repository)
 	c.Flag("work", "Folder for scratch copies and results.").Required().StringVar(&b.Work)
-	c.Flag("journal", "Folder in which the bench's entries are kept, those of failed trials too.").StringVar(&b.Journal)
-	jobs := c.Flag("jobs", "Days played at a time.").Default("6").Int()
+	c.Flag("journal", "Folder for the journal entries of the bench, also those of failed trials.").StringVar(&b.Journal)
+	jobs := c.Flag("jobs", "Number of days that run at the same time.").Default("6").Int()
 	output := c.Flag("output", "text or json.").Default("text").Enum("text", "json")
-	measures := c.Flag("measure", "Only these measures; repeatable.").Strings()
+	measures := c.Flag("measure", "Print only this measure; repeatable.").Strings()
 	image := c.Flag("plot", "Write a plot of the worth to this PNG file.").String()
 	commands[c.FullCommand()] = func() error {
 		loaded, err := experiment.Load(*plan, settings.GatewayNames())
@@ -39,18 +40,19 @@
 	}
 }
 
+// runExperiment runs an experiment and prints, and if asked plots, how the variants compare.
 func runExperiment(b *bench.Bench, jobs int, output, image string, measures []string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	for _, path := range []*string{&b.Work, &b.Repository, &b.Program, &b.Sites} {
 		absolute, err := filepath.Abs(*path)
 		if err != nil {
-			return failure.Wrap(err, failure.InvalidArgument, "a folder cannot be found")
+			return failure.Wrap(err, failure.InvalidArgument, "cannot resolve the path of a folder")
 		}
 		*path = absolute
 	}
 	if err := os.MkdirAll(b.Work, 0o755); err != nil {
-		return failure.Wrap(err, failure.InvalidArgument, "the work folder cannot be made")
+		return failure.Wrap(err, failure.InvalidArgument, "cannot create the work folder")
 	}
 	results, err := experiment.Play(ctx, b.Plan, b, filepath.Join(b.Work, "results.jsonl"), jobs)
 	if err != nil {
--- a/cmd/stiletrail-rehearsal/load.go
+++ b/cmd/stiletrail-rehearsal/load.go
@@ -15,14 +15,15 @@
 	"stiletrail/internal/standin"
 )
 
+// addLoad adds the command that generates load and checks the answers.
 func addLoad(app *kingpin.Application, commands map[string]func() error) {
-	command := app.Command("load", "Send searches at a rate that does not wait for answers, and report as JSON.")
+	command := app.Command("load", "Send searches at a fixed rate, without waiting for answers, and report as JSON.")
 	nodes := command.Flag("node", "HTTP address of a node; repeatable.").Default("127.0.0.1:7101").Strings()
 	service := command.Flag("service", "Service.").Required().String()
 	rate := command.Flag("rate", "Searches per second.").Default("100").Float64()
-	duration := command.Flag("duration", "How long.").Default("5s").Duration()
-	keys := command.Flag("keys", "Documents of the stand-in's index, to check answers by; 0 for no check.").Default("0").Int()
-	total := command.Flag("shards-total", "Shards of the stand-in's index in epoch 1.").Default("0").Uint32()
+	duration := command.Flag("duration", "Duration of the load.").Default("5s").Duration()
+	keys := command.Flag("keys", "Number of documents in the stand-in index, to check answers; 0 for no check.").Default("0").Int()
+	total := command.Flag("shards-total", "Number of shards of the stand-in index in epoch 1.").Default("0").Uint32()
 	commands[command.FullCommand()] = func() error {
 		const maximumOutstanding = 4096
 		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
@@ -44,7 +45,7 @@
 			return failure.From(err)
 		}
 		if report.Wrong > 0 {
-			return failure.New(failure.Internal, "wrong answers were found")
+			return failure.New(failure.Internal, "the load got wrong answers, see wrong in the report")
 		}
 		return nil
 	}
--- a/cmd/stiletrail-rehearsal/main.go
+++ b/cmd/stiletrail-rehearsal/main.go
@@ -1,5 +1,5 @@
-// Command stiletrail-rehearsal runs stand-ins of the platform and of back ends, load, whole rehearsals, and experiments on the
-// users' bench.
+// Command stiletrail-rehearsal runs the parts of a test environment: a stand-in platform, stand-in back ends, a load
+// generator, complete rehearsals in one process, and experiments on the users' bench.
 package main
 
 import (
@@ -22,7 +22,7 @@
 )
 
 func main() {
-	app := kingpin.New("stiletrail-rehearsal", "Stand-ins of the platform and of back ends, load, and rehearsals on loopback.")
+	app := kingpin.New("stiletrail-rehearsal", "Stand-ins of the platform and of back ends, a load generator, and rehearsals on loopback.")
 	commands := map[string]func() error{}
 	addQuickstart(app, commands)
 	addPlatform(app, commands)
--- a/cmd/stiletrail-rehearsal/platform.go
+++ b/cmd/stiletrail-rehearsal/platform.go
@@ -11,11 +11,12 @@
 	"stiletrail/internal/rehearsal"
 )
 
+// addPlatform adds the command that serves a stand-in platform.
 func addPlatform(app *kingpin.Application, commands map[string]func() error) {
-	command := app.Command("platform", "Serve a stand-in of the key-value service and the machine list. POST /control?down=true|slow=2s|lose-answers=1 sets faults.")
+	command := app.Command("platform", "Serve a stand-in of the key-value service and the machine list. POST /control?down=true|slow=2s|lose-answers=1 injects faults.")
 	listen := command.Flag("listen", "IP address and port.").Default("127.0.0.1:7900").String()
-	rate := command.Flag("rate", "Requests per second; 0 for no limit.").Default("200").Float64()
-	lag := command.Flag("machine-list-lag", "Age of the machine list that is given out.").Default("5s").Duration()
+	rate := command.Flag("rate", "Largest number of requests per second; 0 for no limit.").Default("200").Float64()
+	lag := command.Flag("machine-list-lag", "Age of the machine list that is served.").Default("5s").Duration()
 	machines := command.Flag("machine", "A machine as ADDRESS,ZONE,node|backend; repeatable.").Strings()
 	commands[command.FullCommand()] = func() error {
 		started, err := rehearsal.StartPlatform(*listen, rehearsal.PlatformOptions{RequestsPerSecond: *rate, MachineListLag: *lag})
@@ -34,6 +35,7 @@
 	}
 }
 
+// parseMachines parses machines given as ADDRESS,ZONE,ROLE.
 func parseMachines(texts []string) ([]platform.Machine, error) {
 	roles := map[string]platform.Role{"node": platform.RoleNode, "backend": platform.RoleBackEnd}
 	var list []platform.Machine
--- a/cmd/stiletrail-rehearsal/quickstart.go
+++ b/cmd/stiletrail-rehearsal/quickstart.go
@@ -10,8 +10,9 @@
 	"stiletrail/internal/rehearsal"
 )
 
+// addQuickstart adds the command that runs a complete rehearsal in one process.
 func addQuickstart(app *kingpin.Application, commands map[string]func() error) {
-	command := app.Command("quickstart", "Run the main job in one process: three zones, the platform and back ends, with failures. Ends by itself within a minute.")
+	command := app.Command("quickstart", "Run nodes in three zones, a stand-in platform and back ends in one process, and inject failures. Ends by itself within a minute.")
 	verbose := command.Flag("verbose", "Write the nodes' logs to standard error.").Bool()
 	commands[command.FullCommand()] = func() error {
 		var log io.Writer = io.Discard
@@ -23,7 +24,7 @@
 			return err
 		}
 		if !summary.Ok {
-			return failure.New(failure.Internal, "the quickstart found wrong answers")
+			return failure.New(failure.Internal, "the quickstart got wrong answers")
 		}
 		return nil
 	}
