--- a/cmd/stiletraild/main.go
+++ b/cmd/stiletraild/main.go
@@ -62,7 +62,7 @@
 }
 
 // run starts a node, serves until the process is asked to stop, and returns the exit code.
-func run(loaded settings.Settings) int {
+func run(loaded settings.Node) int {
 	log := newLog(loaded.LogLevel)
 	client := platform.NewClient(&http.Client{}, loaded.PlatformURL)
 	started, err := node.Start(node.Options{
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -28,7 +28,7 @@
 }
 
 // NewBackEnds returns the connect adapter with the settings' connection limit.
-func NewBackEnds(given settings.Settings) BackEnds {
+func NewBackEnds(given settings.Node) BackEnds {
 	return backend.NewClient(given.Connections)
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,7 +31,7 @@
 
 // Options are the parts a node is wired with.
 type Options struct {
-	Settings settings.Settings
+	Settings settings.Node
 	BackEnds BackEnds
 	Store    platform.Store
 	Machines platform.MachineList
@@ -110,7 +110,7 @@
 }
 
 // engineSettings puts the settings file over the defaults.
-func engineSettings(given settings.Settings) engine.Settings {
+func engineSettings(given settings.Node) engine.Settings {
 	result := engine.DefaultSettings()
 	result.Placement.Dispatchers = given.Dispatchers
 	result.Placement.GroupSize = given.GroupSize
--- a/internal/settings/export_test.go
+++ b/internal/settings/export_test.go
@@ -1,7 +1,7 @@
 package settings
 
 // Parse reads the settings of a node from the text of a file and from overrides, and returns all problems.
-func Parse(file string, text []byte, overrides []Override) (Settings, []Problem) {
+func Parse(file string, text []byte, overrides []Override) (Node, []Problem) {
 	return parse(file, text, overrides, Default(), nodeFields)
 }
 
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Settings holds the settings of a stiletraild node.
-type Settings struct {
+// Node holds the settings of a stiletraild node.
+type Node struct {
 	// HTTPAddress is where callers, operators, metrics and health checks are served.
 	HTTPAddress string
 	// PeerAddress is where other nodes are served. AdvertisedAddress is the address at which they reach this node, if
@@ -47,38 +47,38 @@
 }
 
 // Default returns the settings of a node whose file and flags set none.
-func Default() Settings {
-	return Settings{
+func Default() Node {
+	return Node{
 		LogLevel: "info", DrainTimeout: 30 * time.Second, Dispatchers: 1, GroupSize: 64, RelaysPerZone: 2,
 		MaximumQueries: 4096, Connections: 16, Hedging: true, HedgeShare: 0.08, RetryShare: 0.1,
 		QueueWait: 50 * time.Millisecond, ProbeInterval: time.Second, StoreInterval: 5 * time.Second,
 	}
 }
 
-var nodeFields = []field[Settings]{
-	{"http_address", addressAllowed, true, address(func(s *Settings) *string { return &s.HTTPAddress })},
-	{"peer_address", addressAllowed, true, address(func(s *Settings) *string { return &s.PeerAddress })},
-	{"advertised_address", addressAllowed, false, address(func(s *Settings) *string { return &s.AdvertisedAddress })},
-	{"zone", "1 to 32 characters without blanks and slashes", true, name(func(s *Settings) *string { return &s.Zone })},
-	{"region", "1 to 32 characters without blanks and slashes", false, name(func(s *Settings) *string { return &s.Region })},
-	{"seeds", "a list of IP addresses and ports", false, addresses(func(s *Settings) *[]string { return &s.Seeds })},
+var nodeFields = []field[Node]{
+	{"http_address", addressAllowed, true, address(func(s *Node) *string { return &s.HTTPAddress })},
+	{"peer_address", addressAllowed, true, address(func(s *Node) *string { return &s.PeerAddress })},
+	{"advertised_address", addressAllowed, false, address(func(s *Node) *string { return &s.AdvertisedAddress })},
+	{"zone", "1 to 32 characters without blanks and slashes", true, name(func(s *Node) *string { return &s.Zone })},
+	{"region", "1 to 32 characters without blanks and slashes", false, name(func(s *Node) *string { return &s.Region })},
+	{"seeds", "a list of IP addresses and ports", false, addresses(func(s *Node) *[]string { return &s.Seeds })},
 	{"platform_url", "http:// with an IP address and port", true, setPlatformURL},
-	{"log_level", "debug, info, warn or error", false, logLevel(func(s *Settings) *string { return &s.LogLevel })},
-	{"drain_timeout", "1s to 10m", false, duration(time.Second, 10*time.Minute, func(s *Settings) *time.Duration { return &s.DrainTimeout })},
-	{"dispatchers_per_group", "1 to 64", false, integer(1, 64, func(s *Settings) *int { return &s.Dispatchers })},
-	{"group_size", "1 to 1024", false, integer(1, 1024, func(s *Settings) *int { return &s.GroupSize })},
-	{"relays_per_zone", "1 to 16", false, integer(1, 16, func(s *Settings) *int { return &s.RelaysPerZone })},
-	{"maximum_queries", "1 to 1000000", false, integer(1, 1000000, func(s *Settings) *int { return &s.MaximumQueries })},
-	{"connections_per_back_end", "1 to 4096", false, integer(1, 4096, func(s *Settings) *int { return &s.Connections })},
-	{"hedging", booleanAllowed, false, boolean(func(s *Settings) *bool { return &s.Hedging })},
-	{"hedge_share", "0 to 1", false, share(func(s *Settings) *float64 { return &s.HedgeShare })},
-	{"retry_share", "0 to 1", false, share(func(s *Settings) *float64 { return &s.RetryShare })},
-	{"queue_wait", "1ms to 10s", false, duration(time.Millisecond, 10*time.Second, func(s *Settings) *time.Duration { return &s.QueueWait })},
-	{"probe_interval", "50ms to 30s", false, duration(50*time.Millisecond, 30*time.Second, func(s *Settings) *time.Duration { return &s.ProbeInterval })},
-	{"store_interval", "100ms to 10m", false, duration(100*time.Millisecond, 10*time.Minute, func(s *Settings) *time.Duration { return &s.StoreInterval })},
+	{"log_level", "debug, info, warn or error", false, logLevel(func(s *Node) *string { return &s.LogLevel })},
+	{"drain_timeout", "1s to 10m", false, duration(time.Second, 10*time.Minute, func(s *Node) *time.Duration { return &s.DrainTimeout })},
+	{"dispatchers_per_group", "1 to 64", false, integer(1, 64, func(s *Node) *int { return &s.Dispatchers })},
+	{"group_size", "1 to 1024", false, integer(1, 1024, func(s *Node) *int { return &s.GroupSize })},
+	{"relays_per_zone", "1 to 16", false, integer(1, 16, func(s *Node) *int { return &s.RelaysPerZone })},
+	{"maximum_queries", "1 to 1000000", false, integer(1, 1000000, func(s *Node) *int { return &s.MaximumQueries })},
+	{"connections_per_back_end", "1 to 4096", false, integer(1, 4096, func(s *Node) *int { return &s.Connections })},
+	{"hedging", booleanAllowed, false, boolean(func(s *Node) *bool { return &s.Hedging })},
+	{"hedge_share", "0 to 1", false, share(func(s *Node) *float64 { return &s.HedgeShare })},
+	{"retry_share", "0 to 1", false, share(func(s *Node) *float64 { return &s.RetryShare })},
+	{"queue_wait", "1ms to 10s", false, duration(time.Millisecond, 10*time.Second, func(s *Node) *time.Duration { return &s.QueueWait })},
+	{"probe_interval", "50ms to 30s", false, duration(50*time.Millisecond, 30*time.Second, func(s *Node) *time.Duration { return &s.ProbeInterval })},
+	{"store_interval", "100ms to 10m", false, duration(100*time.Millisecond, 10*time.Minute, func(s *Node) *time.Duration { return &s.StoreInterval })},
 }
 
-func setPlatformURL(s *Settings, value string) bool {
+func setPlatformURL(s *Node, value string) bool {
 	s.PlatformURL = value
 	rest, ok := strings.CutPrefix(value, "http://")
 	return ok && isAddress(rest)
@@ -86,7 +86,7 @@
 
 // Load reads the settings file of a node, if a path is given, and applies the overrides. It fails with SETTINGS_INVALID
 // and lists all problems.
-func Load(path string, overrides []Override) (Settings, error) {
+func Load(path string, overrides []Override) (Node, error) {
 	return load(path, overrides, Default(), nodeFields)
 }
 
