--- a/internal/rehearsal/cluster.go
+++ b/internal/rehearsal/cluster.go
@@ -97,7 +97,7 @@
 
 // StartNode adds a node to a zone.
 func (c *Cluster) StartNode(zone string) (*node.Node, error) {
-	given := settings.Default()
+	given := settings.DefaultNode()
 	given.HTTPAddress, given.PeerAddress = loopback, loopback
 	given.Zone = zone
 	for _, other := range c.Nodes {
--- a/internal/settings/compatibility_test.go
+++ b/internal/settings/compatibility_test.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkEffects(t, "testdata/node.yaml", loaded, Default(), map[string]effect{
+	checkEffects(t, "testdata/node.yaml", loaded, DefaultNode(), map[string]effect{
 		"http_address":             {"HTTPAddress", "10.0.0.7:7101"},
 		"peer_address":             {"PeerAddress", "10.0.0.7:7201"},
 		"advertised_address":       {"AdvertisedAddress", "192.168.0.7:7201"},
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -46,8 +46,8 @@
 	StoreInterval time.Duration
 }
 
-// Default returns the settings of a node whose file and flags set none.
-func Default() Node {
+// DefaultNode returns the settings of a node whose file and flags set none.
+func DefaultNode() Node {
 	return Node{
 		LogLevel: "info", DrainTimeout: 30 * time.Second, Dispatchers: 1, GroupSize: 64, RelaysPerZone: 2,
 		MaximumQueries: 4096, Connections: 16, Hedging: true, HedgeShare: 0.08, RetryShare: 0.1,
@@ -87,7 +87,7 @@
 // Load reads the settings file of a node, if a path is given, and applies the overrides. It fails with SETTINGS_INVALID
 // and lists all problems.
 func Load(path string, overrides []Override) (Node, error) {
-	return load(path, overrides, Default(), nodeFields)
+	return load(path, overrides, DefaultNode(), nodeFields)
 }
 
 // Names returns the names of all settings of a node.
