--- a/cmd/stiletrail/operate.go
+++ b/cmd/stiletrail/operate.go
@@ -163,7 +163,7 @@
 	c := app.Command("check-settings", "Check a node's settings file and list all problems.")
 	file := c.Arg("file", "Settings file.").Required().String()
 	commands[c.FullCommand()] = func(shared *client) (int, error) {
-		loaded, err := settings.Load(*file, nil)
+		loaded, err := settings.LoadNode(*file, nil)
 		if err != nil {
 			return 0, err
 		}
--- a/cmd/stiletraild/main.go
+++ b/cmd/stiletraild/main.go
@@ -39,7 +39,7 @@
 		fmt.Fprintf(os.Stderr, "stiletraild: %s, try --help\n", err)
 		os.Exit(exitInvalidSettings)
 	}
-	loaded, err := settings.Load(*file, overrides(flags))
+	loaded, err := settings.LoadNode(*file, overrides(flags))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, failure.From(err).Message)
 		os.Exit(exitInvalidSettings)
--- a/internal/settings/compatibility_test.go
+++ b/internal/settings/compatibility_test.go
@@ -71,7 +71,7 @@
 // TestNodeFileCompatibility checks the settings file of a node as TestGatewayFileCompatibility checks that of a
 // gateway.
 func TestNodeFileCompatibility(t *testing.T) {
-	loaded, err := Load("testdata/node.yaml", nil)
+	loaded, err := LoadNode("testdata/node.yaml", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -84,9 +84,9 @@
 	return ok && isAddress(rest)
 }
 
-// Load reads the settings file of a node, if a path is given, and applies the overrides. It fails with SETTINGS_INVALID
+// LoadNode reads the settings file of a node, if a path is given, and applies the overrides. It fails with SETTINGS_INVALID
 // and lists all problems.
-func Load(path string, overrides []Override) (Node, error) {
+func LoadNode(path string, overrides []Override) (Node, error) {
 	return load(path, overrides, DefaultNode(), nodeFields)
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -46,7 +46,7 @@
 
 // TestLoad: a missing file fails with SETTINGS_INVALID, and the settings files of the examples are valid.
 func TestLoad(t *testing.T) {
-	if _, err := Load(filepath.Join(t.TempDir(), "none.yaml"), nil); failure.CodeOf(err) != failure.SettingsInvalid {
+	if _, err := LoadNode(filepath.Join(t.TempDir(), "none.yaml"), nil); failure.CodeOf(err) != failure.SettingsInvalid {
 		t.Errorf("missing file: got error %v, want code SETTINGS_INVALID", err)
 	}
 	examples, err := filepath.Glob("../../examples/node-*.yaml")
@@ -54,7 +54,7 @@
 		t.Fatalf("found example files %v and error %v, want at least one file and no error", examples, err)
 	}
 	for _, example := range examples {
-		if _, err := Load(example, nil); err != nil {
+		if _, err := LoadNode(example, nil); err != nil {
 			t.Error(err)
 		}
 	}
