--- a/cmd/stiletraild/main.go
+++ b/cmd/stiletraild/main.go
@@ -32,7 +32,7 @@
 	app := kingpin.New("stiletraild", "A node of the stiletrail query tier. SIGTERM starts a planned stop: requests in flight are finished.")
 	file := app.Flag("settings", "Settings file (YAML); see docs/OPERATIONS-stiletraild.md.").String()
 	flags := map[string]*string{}
-	for _, name := range settings.Names() {
+	for _, name := range settings.NodeNames() {
 		flags[name] = app.Flag(flagName(name), "Overrides "+name+" of the settings file.").String()
 	}
 	if _, err := app.Parse(os.Args[1:]); err != nil {
@@ -53,7 +53,7 @@
 // overrides returns the settings that are given by flags.
 func overrides(flags map[string]*string) []settings.Override {
 	var given []settings.Override
-	for _, name := range settings.Names() {
+	for _, name := range settings.NodeNames() {
 		if *flags[name] != "" {
 			given = append(given, settings.Override{Field: name, Value: *flags[name]})
 		}
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -90,5 +90,5 @@
 	return load(path, overrides, DefaultNode(), nodeFields)
 }
 
-// Names returns the names of all settings of a node.
-func Names() []string { return fieldNames(nodeFields) }
+// NodeNames returns the names of all settings of a node.
+func NodeNames() []string { return fieldNames(nodeFields) }
