--- a/internal/decisionlog/names.go
+++ b/internal/decisionlog/names.go
@@ -41,8 +41,8 @@
 	// fieldRunTime is the time between the sending of an attempt and the crash of its back end, in milliseconds.
 	fieldRunTime = "ran_ms"
 	// fieldMissingShare, fieldShedShare and fieldTurnedAwayShare say, in percent, why a request was turned away: the
-	// missing shards as a part of those that may be missing, the attempts that back ends have shed, and the share of the
-	// requests that is turned away.
+	// missing shards as a part of those that may be missing, the share of attempts that back ends have shed, and the
+	// share of requests that is turned away.
 	fieldMissingShare    = "lacking_percent"
 	fieldShedShare       = "shed_percent"
 	fieldTurnedAwayShare = "turned_away_percent"
--- a/internal/decisionlog/writer.go
+++ b/internal/decisionlog/writer.go
@@ -18,7 +18,7 @@
 type Writer struct {
 	mutex   sync.Mutex
 	waiting []byte
-	// spare is the buffer of the last write, which is used again after the next one.
+	// spare is the buffer of the last write. It collects the lines that arrive during the next write.
 	spare   []byte
 	dropped uint64
 	// wake is signalled when the buffer gets its first line, closed is closed by Close, and done is closed when the last
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -27,23 +27,23 @@
 	Request string `json:"request"`
 	Route   string `json:"route"`
 	// Version is the version of the configuration.
-	Version  uint64   `json:"version"`
-	Revision uint64   `json:"revision"`
-	Era      uint64   `json:"era"`
-	Outcome  string   `json:"outcome"`
-	Reason   string   `json:"reason"`
-	BackEnd  string   `json:"back_end"`
-	Service  string   `json:"service"`
-	Zone     string   `json:"zone"`
-	Attempts []string `json:"attempts"`
-	Missing  int      `json:"missing"`
-	Total    int      `json:"total"`
-	Elapsed  int64    `json:"elapsed_ms"`
-	Age      int64    `json:"age_ms"`
-	Items    int      `json:"items"`
-	Mark     string   `json:"mark"`
-	Caller   string   `json:"caller"`
-	Ran      int64    `json:"ran_ms"`
+	Version     uint64   `json:"version"`
+	Revision    uint64   `json:"revision"`
+	Era         uint64   `json:"era"`
+	Outcome     string   `json:"outcome"`
+	Reason      string   `json:"reason"`
+	BackEnd     string   `json:"back_end"`
+	Service     string   `json:"service"`
+	Zone        string   `json:"zone"`
+	Attempts    []string `json:"attempts"`
+	Missing     int      `json:"missing"`
+	Total       int      `json:"total"`
+	Elapsed     int64    `json:"elapsed_ms"`
+	Age         int64    `json:"age_ms"`
+	Items       int      `json:"items"`
+	Fingerprint string   `json:"mark"`
+	Caller      string   `json:"caller"`
+	RunTime     int64    `json:"ran_ms"`
 }
 
 // Report describes how a request was handled, in the order of time.
@@ -152,7 +152,7 @@
 	case decisionlog.EventStoreListed, decisionlog.EventStoreRestored:
 		return event.Event
 	case decisionlog.EventVerdictChanged:
-		if event.Mark != "" && event.Mark == request.Mark {
+		if event.Fingerprint != "" && event.Fingerprint == request.Fingerprint {
 			return event.Event
 		}
 	case decisionlog.EventConfigurationApplied:
@@ -188,8 +188,8 @@
 	add("reason", event.Reason, event.Reason != "")
 	add("items", event.Items, event.Items > 0)
 	add("age_ms", event.Age, event.Age != 0)
-	add("mark", event.Mark, event.Mark != "")
-	add("ran_ms", event.Ran, event.Ran != 0)
+	add("mark", event.Fingerprint, event.Fingerprint != "")
+	add("ran_ms", event.RunTime, event.RunTime != 0)
 	return strings.Join(parts, " ")
 }
 
@@ -197,8 +197,8 @@
 // and the answer.
 func decisions(request *line) []string {
 	head := fmt.Sprintf("request   %s %s route=%s version=%d", request.Time, request.Node, request.Route, request.Version)
-	if request.Mark != "" {
-		head += fmt.Sprintf(" mark=%s caller=%s", request.Mark, request.Caller)
+	if request.Fingerprint != "" {
+		head += fmt.Sprintf(" mark=%s caller=%s", request.Fingerprint, request.Caller)
 	}
 	lines := []string{head}
 	for _, attempt := range request.Attempts {
--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -38,7 +38,8 @@
 	DeadlineExceeded Code = "DEADLINE_EXCEEDED"
 	// OutcomeUnknown means that it is not known whether the request has taken effect.
 	OutcomeUnknown Code = "OUTCOME_UNKNOWN"
-	// TicketInvalid means that the ticket was not minted here, has expired or is malformed. No back end ran the request.
+	// TicketInvalid means that the ticket was not signed by the node that it names, has expired or is malformed. No
+	// back end ran the request.
 	TicketInvalid Code = "TICKET_INVALID"
 	// Conflict means that the base version of a plan is no longer the current version.
 	Conflict Code = "CONFLICT"
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -76,10 +76,10 @@
 	Ejection bool
 	// Doubt makes the node use a back end for a while longer if its entry disappeared while the store was failing.
 	Doubt bool
-	// StoreTurns makes the nodes poll the store one after the other.
+	// StoreTurns makes the watchers of the store poll it one after the other.
 	StoreTurns bool
-	// Watchers is the number of nodes in each region that watch the store and announce its changes to the other nodes.
-	// With 0 every node watches.
+	// Watchers is the number of nodes in each region that watch the store and announce its changes to the other nodes of
+	// the region. With 0 every node watches.
 	Watchers int
 	// PeerCopies lets nodes send each other what they have learned of the store.
 	PeerCopies bool
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -84,8 +84,8 @@
 	return ok && isAddress(rest)
 }
 
-// LoadNode reads the settings file of a node, if a path is given, and applies the overrides. It fails with SETTINGS_INVALID
-// and lists all problems.
+// LoadNode reads the settings file of a node, if a path is given, and applies the overrides. It fails with
+// SETTINGS_INVALID and lists all problems.
 func LoadNode(path string, overrides []Override) (Node, error) {
 	return load(path, overrides, DefaultNode(), nodeFields)
 }
