--- a/cmd/stiletrail-rehearsal/load.go
+++ b/cmd/stiletrail-rehearsal/load.go
@@ -45,7 +45,7 @@
 			return failure.From(err)
 		}
 		if report.Wrong > 0 {
-			return failure.New(failure.Internal, "the load got wrong answers, see wrong in the report")
+			return failure.New(failure.Internal, "the load got wrong answers; the field wrong of the report has their number")
 		}
 		return nil
 	}
--- a/cmd/stiletrail-rehearsal/quickstart.go
+++ b/cmd/stiletrail-rehearsal/quickstart.go
@@ -24,7 +24,7 @@
 			return err
 		}
 		if !summary.Ok {
-			return failure.New(failure.Internal, "the quickstart got wrong answers")
+			return failure.New(failure.Internal, "the quickstart got wrong answers or no complete answer")
 		}
 		return nil
 	}
