--- a/internal/gateway/disconnected_test.go
+++ b/internal/gateway/disconnected_test.go
@@ -59,7 +59,7 @@
 func TestServesAgainAfterAPause(t *testing.T) {
 	withGateway(t, func(t *testing.T, s *fixture) {
 		const callerTimeout = 2 * time.Second
-		request := func() gateway.Result {
+		sendSearch := func() gateway.Result {
 			return s.gateway.Serve(context.Background(), &gateway.Call{ID: "id", Host: "h", Path: "/all/x", Deadline: time.Now().Add(callerTimeout)})
 		}
 		// When the node resumes, the answers have arrived and the time of the requests is over.
@@ -70,14 +70,14 @@
 		var callers sync.WaitGroup
 		for range 8 {
 			// More requests than one back end of each shard has capacity for.
-			callers.Go(func() { request() })
+			callers.Go(func() { sendSearch() })
 		}
 		callers.Wait()
 		time.Sleep(200 * time.Millisecond)
 		s.backEnds.setHandler(answerAfter(20 * time.Millisecond))
 		refused := 0
 		for range 40 {
-			if result := request(); result.Failure != nil {
+			if result := sendSearch(); result.Failure != nil {
 				refused++
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -85,7 +85,7 @@
 		if maximumRefused := 21; refused > maximumRefused {
 			t.Errorf("%d of 40 requests in four seconds were refused, at most %d were expected", refused, maximumRefused)
 		}
-		if result := request(); result.Failure != nil {
+		if result := sendSearch(); result.Failure != nil {
 			t.Errorf("a request after the recovery was refused: %+v", result.Failure)
 		}
 	})
