--- a/internal/gateway/crashing_fleet_test.go
+++ b/internal/gateway/crashing_fleet_test.go
@@ -234,8 +234,8 @@
 	f.start(number)
 }
 
-// readyNode returns the first node, from the given number on, that reports that it is ready. Load balancers choose so
-// too.
+// readyNode returns the first node, from the given number on, that reports that it is ready. Callers are sent to
+// ready nodes in the same way.
 func (f *crashFleet) readyNode(number int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/crashing_test.go
+++ b/internal/gateway/crashing_test.go
@@ -10,7 +10,7 @@
 	"stiletrail/internal/gateway"
 )
 
-// Failure seen in production: thirty back ends of ten shards crash within a second, are back three seconds later, and
+// Failure, as recorded: thirty back ends of ten shards crash within a second, are back three seconds later, and
 // crash again, eleven times in seventy seconds. Three in four of all searches are served meanwhile. One request
 // crashed 121 back ends, and nodes sent it to further ones long after.
 //
@@ -27,10 +27,10 @@
 // crashes two of three back ends of each shard, the second try the last ones. The record itself shows that one
 // request crashed the back ends and that they did not crash by themselves.
 
-// TestRequestThatCrashesBackEnds guards against a request that crashes every back end it reaches. Its caller retries
-// it again and again, at any node. The request must crash few back ends, and reach hardly any once the nodes had time
-// to tell each other; harmless searches are served all the while. That also holds while all nodes restart, while the
-// store is unavailable, and while the regions cannot reach each other.
+// TestRequestThatCrashesBackEnds guards against a request that crashes every back end it reaches and that its caller
+// retries again and again, at any node. The request must crash few back ends, and reach hardly any once the nodes had
+// time to tell each other. Harmless searches are served all the while. That also holds while all nodes restart, while
+// the store is unavailable, and while the regions cannot reach each other.
 func TestRequestThatCrashesBackEnds(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -98,16 +98,16 @@
 }
 
 // TestCrashingRequestVariants guards against crashing requests that escape the quarantine because they differ from
-// try to try. The limits must hold where each try comes from another caller address, and where the request crashes
-// back ends for one caller only while another caller sends the same request and gets answers. A request that differs
-// in each try, from the same place or the same caller, crashes at most one back end per try once the pattern is
-// known.
+// try to try. The limits must hold if each try comes from another caller address. They must hold if the request
+// crashes back ends for one caller only, while another caller sends the same request and gets answers. A request that
+// differs in each try, to the same resource or from the same caller, may crash at most one back end per try once the
+// nodes know that.
 func TestCrashingRequestVariants(t *testing.T) {
 	const (
 		tries = int(crashingTime/crashingInterval) + 1
-		// A caller that sends the same request at the same moment waits until it is known that the request alone does
-		// not cause the crashes. That takes a little more than two seconds of 23.
-		servedWhileCausesUnknown = 0.88
+		// A caller that sends the same request at the same moment waits until the nodes know that the request alone
+		// does not cause the crashes. That takes a little more than two seconds of 23.
+		servedWhileCauseUnknown = 0.88
 		// With one crash per 0.6 s, four back ends of thirty are down at any time.
 		servedWithSomeDown = 0.95
 	)
@@ -123,7 +123,7 @@
 		served float64
 	}{
 		{"another caller address in each try", func(f *crashFleet, node, number int) { f.requestAs(node, fmt.Sprint("caller-", number), "/all/!", "") }, fleetMaximumCrashes, true, 0, minimumServed},
-		{"crashes for one caller only", func(f *crashFleet, node, number int) { f.requestAs(node, "bad", "/all/same", "") }, fleetMaximumCrashes, true, 0, servedWhileCausesUnknown},
+		{"crashes for one caller only", func(f *crashFleet, node, number int) { f.requestAs(node, "bad", "/all/same", "") }, fleetMaximumCrashes, true, 0, servedWhileCauseUnknown},
 		{"crashes for one caller only, the other one begins later", func(f *crashFleet, node, number int) { f.requestAs(node, "bad", "/all/same", "") }, fleetMaximumCrashes, true, 4 * time.Second, minimumServed},
 		{"other details in each try", func(f *crashFleet, node, number int) {
 			f.requestAs(node, fmt.Sprint("caller-", number), "/all/!", fmt.Sprint(number))
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -238,8 +238,8 @@
 // its peers know.
 func TestRestartDuringStoreOutage(t *testing.T) {
 	withCluster(t, 4, func(t *testing.T, c *cluster) {
-		for _, path := range c.stores {
-			path.disconnected.Store(true)
+		for _, store := range c.stores {
+			store.disconnected.Store(true)
 		}
 		time.Sleep(10 * time.Second)
 		c.contexts[2]()
--- a/internal/gateway/simulation_backend_test.go
+++ b/internal/gateway/simulation_backend_test.go
@@ -17,14 +17,15 @@
 type modelBackEnd struct {
 	entry replica.Entry
 	// slowness is the factor by which its work takes longer. pausedUntil, shedding, unreachable and losingAnswers are
-	// faults that pass.
+	// further faults that pass after some time.
 	slowness      int
 	pausedUntil   time.Time
 	coldUntil     time.Time
 	shedding      bool
 	unreachable   bool
 	losingAnswers bool
-	// atConnectionLimit: it still counts the connections of stopped nodes and rejects most new connections.
+	// atConnectionLimit says whether the back end still counts the connections of stopped nodes and therefore rejects
+	// most new connections.
 	atConnectionLimit bool
 	// crashed is closed when the back end crashes.
 	crashed chan struct{}
--- a/internal/gateway/simulation_copies_test.go
+++ b/internal/gateway/simulation_copies_test.go
@@ -12,8 +12,8 @@
 
 // Frequencies and limits of runs with a store that is restored from backups.
 const (
-	// backupOneIn and restoreOneIn: a backup is taken, and the store is restored from the last backup, once in so
-	// many steps of ten milliseconds on average.
+	// backupOneIn and restoreOneIn are frequencies. A backup is taken, and the store is restored from the last
+	// backup, once in so many steps of ten milliseconds on average.
 	backupOneIn, restoreOneIn = 300, 700
 	// maximumOutage is the longest time for which the store is unavailable before it is restored. rewrittenLimit is
 	// the longest time after that until all lost records have been written again.
@@ -27,7 +27,8 @@
 type restorePlan struct {
 	random *rand.Rand
 	backup storeBackup
-	// incomplete: the store is unavailable or lacks confirmed records, since incompleteSince.
+	// incomplete says whether the store is unavailable or lacks confirmed records. incompleteSince is when that
+	// began.
 	incomplete      bool
 	incompleteSince time.Time
 	// confirmed maps each version to the moment at which the store confirmed it.
--- a/internal/gateway/simulation_crashes_test.go
+++ b/internal/gateway/simulation_crashes_test.go
@@ -54,10 +54,10 @@
 
 // crashRandomly crashes a back end now and then, and rarely all back ends of a zone.
 func (s *simulation) crashRandomly() {
-	switch drawn := s.crashRandom.IntN(1000); {
-	case drawn < 5:
+	switch draw := s.crashRandom.IntN(1000); {
+	case draw < 5:
 		s.crash(s.randomBackEnd())
-	case drawn < 6:
+	case draw < 6:
 		s.mutex.Lock()
 		zone := fmt.Sprint("zone-", s.crashRandom.IntN(simulatedReplicas))
 		var all []*modelBackEnd
--- a/internal/gateway/simulation_faults_test.go
+++ b/internal/gateway/simulation_faults_test.go
@@ -13,8 +13,8 @@
 func (s *simulation) injectFault() {
 	b := s.randomBackEnd()
 	length := time.Duration(500+s.random.IntN(5000)) * time.Millisecond
-	pathNumber := s.random.IntN(simulatedNodes)
-	path := s.cluster.stores[pathNumber]
+	nodeNumber := s.random.IntN(simulatedNodes)
+	store := s.cluster.stores[nodeNumber]
 	during := func(begin, finish func()) {
 		s.withLock(begin)
 		time.AfterFunc(length, func() { s.withLock(finish) })
@@ -46,15 +46,15 @@
 	case 5:
 		s.putNextVersion()
 	case 6:
-		during(func() { path.disconnected.Store(true) }, func() { path.disconnected.Store(false) })
+		during(func() { store.disconnected.Store(true) }, func() { store.disconnected.Store(false) })
 	case 7:
 		s.outages = append(s.outages, span{time.Now(), time.Now().Add(length + settleTime)})
 		s.cluster.store.update(func(store *fakeStore) { store.err = errUnavailable })
 		time.AfterFunc(length, func() { s.cluster.store.update(func(store *fakeStore) { store.err = nil }) })
 	case 8:
-		s.cluster.contexts[pathNumber]()
-		s.cluster.gateways[pathNumber].Leave()
-		s.startNode(pathNumber)
+		s.cluster.contexts[nodeNumber]()
+		s.cluster.gateways[nodeNumber].Leave()
+		s.startNode(nodeNumber)
 	case 9:
 		s.replaceBackEnd(b)
 	case 10:
@@ -76,13 +76,13 @@
 // before still give the same run.
 func (s *simulation) stallConnections() {
 	const ofNode, ofAll = 10, 1
-	switch drawn := s.stallRandom.IntN(2000); {
-	case drawn < ofNode:
+	switch draw := s.stallRandom.IntN(2000); {
+	case draw < ofNode:
 		s.cluster.stores[s.stallRandom.IntN(simulatedNodes)].stalls.Add(1)
-	case drawn < ofNode+ofAll:
+	case draw < ofNode+ofAll:
 		s.stalledAt = append(s.stalledAt, time.Now())
-		for _, path := range s.cluster.stores {
-			path.stalls.Add(1)
+		for _, store := range s.cluster.stores {
+			store.stalls.Add(1)
 		}
 		s.cluster.network.dropAllFor(reconnectTime)
 	}
@@ -91,15 +91,15 @@
 // restartAllNodes stops all nodes and starts them again. For some time the back ends still count the connections of
 // the stopped processes.
 func (s *simulation) restartAllNodes(length time.Duration) {
-	setConnectionLimit := func(reached bool) {
+	setAtConnectionLimit := func(atLimit bool) {
 		s.withLock(func() {
 			for _, b := range s.backEnds {
-				b.atConnectionLimit = reached
+				b.atConnectionLimit = atLimit
 			}
 		})
 	}
-	setConnectionLimit(true)
-	time.AfterFunc(length, func() { setConnectionLimit(false) })
+	setAtConnectionLimit(true)
+	time.AfterFunc(length, func() { setAtConnectionLimit(false) })
 	for number := range simulatedNodes {
 		s.cluster.contexts[number]()
 		s.cluster.gateways[number].Leave()
--- a/internal/gateway/simulation_test.go
+++ b/internal/gateway/simulation_test.go
@@ -41,7 +41,7 @@
 	queueLength    = 12
 	// burstFactor is how many times the usual number of requests arrives in a burst.
 	burstFactor = 4
-	// overloadSeeds is the number of seeds from which on at least one request must have been turned away.
+	// overloadSeeds is the smallest number of seeds at which some request must have been turned away.
 	overloadSeeds = 40
 	// callerTimeout is how long callers wait in runs with bursts.
 	callerTimeout = 4 * time.Second
@@ -59,7 +59,7 @@
 	id      string
 	backEnd *modelBackEnd
 	ran     bool
-	// cold: the back end was still warming up.
+	// cold says whether the back end was still warming up.
 	cold bool
 }
 
@@ -80,29 +80,29 @@
 	version      uint64
 	// versions holds the latest version that each process of a node has had in force.
 	versions map[*gateway.Gateway]uint64
-	// hasBursts: this run has bursts of requests. bursting: a burst is going on now.
+	// hasBursts says whether this run has bursts of requests, and bursting whether a burst is going on now.
 	hasBursts bool
 	bursting  bool
-	// hasCrashes: back ends crash in this run, by themselves and by a request. crashRandom is the random source for
-	// that.
+	// hasCrashes says whether back ends crash in this run, by themselves and by a request. crashRandom is the random
+	// source for that.
 	hasCrashes  bool
 	crashRandom *rand.Rand
-	// hasPlacement: restricted routes, evacuated zones and cold back ends limit where requests go in this run.
-	// placementRandom is the random source for that. evacuations holds the evacuations of each zone.
+	// hasPlacement says whether restricted routes, evacuated zones and cold back ends limit where requests go in this
+	// run. placementRandom is the random source for that. evacuations holds the evacuations of each zone.
 	hasPlacement    bool
 	placementRandom *rand.Rand
 	evacuations     map[string][]span
 	// crashTimes are the moments at which the crashing request crashed a back end. reachTimes are the moments at
 	// which it reached one.
 	crashTimes, reachTimes []time.Time
-	// slack of the retry budget, for the settings of the nodes and for the checker.
+	// slack is the slack of the retry budget, for the settings of the nodes and for the checker.
 	slack float64
-	// outages of the store. Each includes the time after it in which a missing entry does not prove that its back end
-	// is gone.
+	// outages are the outages of the store. Each includes the time after it in which a missing entry does not prove
+	// that its back end is gone.
 	outages []span
 	// stalledAt are the moments at which all connections stalled.
 	stalledAt []time.Time
-	// restores: the store is restored from backups in this run; nil if it is not.
+	// restores is set if the store is restored from backups in this run, and nil otherwise.
 	restores *restorePlan
 }
 
@@ -149,8 +149,8 @@
 }
 
 // TestRandomCrashes runs every other seed with back ends that crash: by themselves, a zone at a time, or by a request
-// that is sent again and again. Nodes do not restart and the store stays available to some nodes.
-// TestRequestThatCrashesBackEnds proves what holds in those cases.
+// that is sent again and again. No node restarts here, and the store is never unavailable to all nodes.
+// TestRequestThatCrashesBackEnds covers those two cases.
 func TestRandomCrashes(t *testing.T) {
 	for _, seed := range seeds() {
 		if seed%2 == 0 && len(seeds()) > 1 {
@@ -249,7 +249,7 @@
 	loaded.Zone = fmt.Sprint("zone-", number%simulatedReplicas)
 	loaded.Regions = map[string]string{"zone-0": "r0", "zone-1": "r1", "zone-2": "r2"}
 	if s.seed%2 == 0 && !s.hasPlacement {
-		// In these seeds one node watches the store for all.
+		// With these seeds one node watches the store for all.
 		loaded.Watchers = 1
 		loaded.Regions = map[string]string{"zone-0": "r0", "zone-1": "r0", "zone-2": "r0"}
 	}
--- a/internal/gateway/store_waits_test.go
+++ b/internal/gateway/store_waits_test.go
@@ -7,7 +7,7 @@
 	"stiletrail/internal/gateway"
 )
 
-// Longest times that pass in addition to the propagation times.
+// These times pass in addition to the propagation times. Each is the longest that is expected.
 const (
 	// callTime is a call to the store or a peer with its answer, over a new connection to another region.
 	callTime = 200 * clock.Ms(1)
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -12,7 +12,7 @@
 )
 
 // Failure: a machine may be suspended for seconds, and the monotonic clock, which all timers and ages of Go use,
-// stands still meanwhile. This has not been seen in production.
+// stands still meanwhile. This has not been seen yet.
 //
 // What follows: a node that resumes treats its copy of the store as fresh as it was before, goes on with requests
 // whose callers have long disconnected, reports ages to other nodes that are too small by the time of the suspension,
--- a/internal/gateway/unread_test.go
+++ b/internal/gateway/unread_test.go
@@ -28,7 +28,8 @@
 	})
 }
 
-// TestRouteTimeoutIncludesUnreadTime checks that the timeout of the route counts from the arrival of the request too.
+// TestRouteTimeoutIncludesUnreadTime checks that the timeout of a request's route also counts from its arrival at the
+// machine, not from the moment at which the node read it.
 func TestRouteTimeoutIncludesUnreadTime(t *testing.T) {
 	const unread = 900 * time.Millisecond
 	withGateway(t, func(t *testing.T, s *fixture) {
--- a/internal/gateway/watchers_test.go
+++ b/internal/gateway/watchers_test.go
@@ -71,7 +71,7 @@
 			c.store.put(configuration(version))
 			time.Sleep(6 * time.Second)
 		}
-		// That is a minute of polls 0.9 s apart, and three calls for each of ten changes.
+		// The bound allows a minute of store polls 0.9 s apart, three calls for each of ten changes, and ten more.
 		if calls := c.store.callCount() - before; calls > 67+3*10+10 {
 			t.Errorf("%d store calls in a minute with ten changes, more than allowed", calls)
 		}
