--- a/internal/engine/execute.go
+++ b/internal/engine/execute.go
@@ -117,7 +117,7 @@
 func (e *Engine) runFresh(w waiter, sequence uint64, request ExecuteRequest) {
 	if refusal := e.admit(request.Service); refusal != nil {
 		// The refusal is final for the ticket. A duplicate of the request that arrives later must not run.
-		e.tickets.Finish(sequence, ticket.Outcome{Failure: refusal})
+		e.tickets.RecordOutcome(sequence, ticket.Outcome{Failure: refusal})
 		e.answerExecute(w, ticket.Outcome{Failure: refusal})
 		return
 	}
@@ -255,7 +255,7 @@
 	if outcome.Failure != nil && outcome.Failure.Code == failure.OutcomeUnknown {
 		e.Counters.UnknownOutcomes++
 	}
-	e.tickets.Finish(x.ticketSequence, outcome)
+	e.tickets.RecordOutcome(x.ticketSequence, outcome)
 	for _, w := range x.waiters {
 		e.answerExecute(w, outcome)
 	}
