--- a/internal/rehearsal/keyvalue.go
+++ b/internal/rehearsal/keyvalue.go
@@ -15,11 +15,11 @@
 	return &stiletrailv1.Entry{Key: entry.Key, Version: entry.Version, Era: entry.Era, Value: entry.Value}
 }
 
-// Get implements the key-value service.
+// Get implements the key-value service. The response has the store's era also for an absent key.
 func (p *Platform) Get(
 	ctx context.Context, request *connect.Request[stiletrailv1.GetRequest],
 ) (*connect.Response[stiletrailv1.GetResponse], error) {
-	if err := p.enter(ctx); err != nil {
+	if err := p.applyFaults(ctx); err != nil {
 		return nil, err
 	}
 	p.mutex.Lock()
@@ -35,7 +35,7 @@
 func (p *Platform) List(
 	ctx context.Context, request *connect.Request[stiletrailv1.ListRequest],
 ) (*connect.Response[stiletrailv1.ListResponse], error) {
-	if err := p.enter(ctx); err != nil {
+	if err := p.applyFaults(ctx); err != nil {
 		return nil, err
 	}
 	p.mutex.Lock()
@@ -50,11 +50,11 @@
 	return connect.NewResponse(response), nil
 }
 
-// CompareAndSwap implements the key-value service.
+// CompareAndSwap implements the key-value service. Where a fault demands it, the write takes effect and its answer is lost.
 func (p *Platform) CompareAndSwap(
 	ctx context.Context, request *connect.Request[stiletrailv1.CompareAndSwapRequest],
 ) (*connect.Response[stiletrailv1.CompareAndSwapResponse], error) {
-	if err := p.enter(ctx); err != nil {
+	if err := p.applyFaults(ctx); err != nil {
 		return nil, err
 	}
 	p.mutex.Lock()
@@ -67,15 +67,15 @@
 		}
 		p.notify(entry)
 	}
-	if swapped && p.faults.LoseAnswers > 0 {
-		p.faults.LoseAnswers--
+	if swapped && p.faults.AnswersToLose > 0 {
+		p.faults.AnswersToLose--
 		return nil, connect.NewError(connect.CodeUnavailable, failure.New(failure.OutcomeUnknown, "the answer was lost"))
 	}
 	return connect.NewResponse(&stiletrailv1.CompareAndSwapResponse{Swapped: swapped, Entry: toProto(entry)}), nil
 }
 
 func (p *Platform) notify(entry platform.Entry) {
-	if p.faults.LoseEvents {
+	if p.faults.DropEvents {
 		return
 	}
 	for watcher, prefix := range p.watchers {
@@ -89,11 +89,11 @@
 	}
 }
 
-// Watch implements the key-value service.
+// Watch implements the key-value service. A watcher whose queue of 256 events is full misses events.
 func (p *Platform) Watch(
 	ctx context.Context, request *connect.Request[stiletrailv1.WatchRequest], stream *connect.ServerStream[stiletrailv1.WatchResponse],
 ) error {
-	if err := p.enter(ctx); err != nil {
+	if err := p.applyFaults(ctx); err != nil {
 		return err
 	}
 	const queueLength = 256
