--- a/internal/rehearsal/contract_test.go
+++ b/internal/rehearsal/contract_test.go
@@ -235,7 +235,7 @@
 	client := platform.NewClient(&http.Client{}, started.URL())
 	key := platform.ServicePrefix + "lookup"
 	var kept map[string]platform.Entry
-	started.Store(func(s *standin.Store) { kept = s.Copy() })
+	started.Store(func(s *standin.Store) { kept = s.Backup() })
 	lost, _, err := client.CompareAndSwap(ctx, key, platform.Stamp{}, []byte("lost"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulation/copies_test.go
+++ b/internal/simulation/copies_test.go
@@ -13,7 +13,7 @@
 // from a copy without the first. What was confirmed last is in force everywhere once the regions reach each other.
 func TestTwoHistories(t *testing.T) {
 	w := proofWorld(t, 1, 5, 90*time.Second)
-	old := w.store.Copy()
+	old := w.store.Backup()
 	const cutOff = "zone-c"
 	there := func(in bool) *simNode {
 		at := slices.IndexFunc(w.live, func(address string) bool { return (w.nodes[address].zone.Name == cutOff) == in })
@@ -54,7 +54,7 @@
 
 func restoredFromOldCopy(t *testing.T, restore func(*standin.Store, map[string]platform.Entry)) {
 	w := proofWorld(t, 1, 5, 60*time.Second)
-	old := w.store.Copy()
+	old := w.store.Backup()
 	wanted := w.IntentFor(w.services["lookup"])
 	wanted.DeadlineMilliseconds++
 	w.Change(w.liveNode(), wanted, "newer-than-copy")
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -54,8 +54,8 @@
 // Delete removes a key, as when its lease lapses.
 func (s *Store) Delete(key string) { delete(s.entries, key) }
 
-// Copy returns a copy of what is stored, for a later Restore.
-func (s *Store) Copy() map[string]platform.Entry {
+// Backup returns a copy of what is stored, for a later Restore.
+func (s *Store) Backup() map[string]platform.Entry {
 	copied := make(map[string]platform.Entry, len(s.entries))
 	for key, entry := range s.entries {
 		copied[key] = entry
