--- a/internal/rehearsal/contract_test.go
+++ b/internal/rehearsal/contract_test.go
@@ -240,7 +240,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	started.Store(func(s *standin.Store) { s.RestoreAgain(kept) })
+	started.Store(func(s *standin.Store) { s.RestoreReusingVersions(kept) })
 	if _, swapped, err := client.CompareAndSwap(ctx, key, platform.Stamp{}, []byte("read before")); swapped || err != nil {
 		t.Errorf("an absent key of the earlier era is a base: %t, %v", swapped, err)
 	}
--- a/internal/simulation/copies_test.go
+++ b/internal/simulation/copies_test.go
@@ -25,7 +25,7 @@
 	wanted.DeadlineMilliseconds++
 	w.Change(there(false), wanted, "lost-with-the-copy")
 	w.Run(5 * time.Second)
-	w.store.RestoreAgain(old)
+	w.store.RestoreReusingVersions(old)
 	delete(w.isolated, cutOff)
 	w.Run(5 * time.Second)
 	wanted.DeadlineMilliseconds++
@@ -46,7 +46,7 @@
 // versions go on rising or are given out again.
 func TestStoreRestoredFromOldCopy(t *testing.T) {
 	for name, restore := range map[string]func(*standin.Store, map[string]platform.Entry){
-		"versions go on rising": (*standin.Store).Restore, "versions are given out again": (*standin.Store).RestoreAgain,
+		"versions go on rising": (*standin.Store).Restore, "versions are given out again": (*standin.Store).RestoreReusingVersions,
 	} {
 		t.Run(name, func(t *testing.T) { restoredFromOldCopy(t, restore) })
 	}
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -63,8 +63,8 @@
 	return copied
 }
 
-// RestoreAgain puts an older copy in place whose versions are given out again from there on, in another era.
-func (s *Store) RestoreAgain(copied map[string]platform.Entry) {
+// RestoreReusingVersions puts an older copy in place whose versions are given out again from there on, in another era.
+func (s *Store) RestoreReusingVersions(copied map[string]platform.Entry) {
 	s.entries, s.version = map[string]platform.Entry{}, 0
 	s.era++
 	for key, entry := range copied {
