--- a/internal/rehearsal/load.go
+++ b/internal/rehearsal/load.go
@@ -70,7 +70,7 @@
 		return
 	}
 	answer := toAnswer(response.Msg)
-	answer.Asked = []byte(body)
+	answer.Query = []byte(body)
 	fault := standin.FaultNone
 	if options.Index != nil {
 		fault = options.Index.Check(answer, options.Totals)
--- a/internal/simulation/callers_test.go
+++ b/internal/simulation/callers_test.go
@@ -226,7 +226,7 @@
 
 // toAnswer returns a search's answer in the checker's terms.
 func toAnswer(body string, answer engine.SearchAnswer) standin.Answer {
-	result := standin.Answer{Asked: []byte(body), Snapshot: answer.Snapshot, Coverage: answer.Coverage}
+	result := standin.Answer{Query: []byte(body), Snapshot: answer.Snapshot, Coverage: answer.Coverage}
 	for _, shard := range answer.Documents {
 		result.Documents = slices.Concat(result.Documents, shard.Documents)
 	}
--- a/internal/standin/index.go
+++ b/internal/standin/index.go
@@ -59,8 +59,8 @@
 
 // Answer is what a caller was told.
 type Answer struct {
-	// Asked is the query it answers.
-	Asked     []byte
+	// Query is the query it answers.
+	Query     []byte
 	Snapshot  query.Snapshot
 	Coverage  query.Coverage
 	Documents []query.Document
@@ -107,7 +107,7 @@
 		if missing[query.ShardOf(document.Key, total)] {
 			return FaultForeign
 		}
-		if !bytes.Equal(document.Body, i.Body(document.Key, answer.Snapshot.Version, answer.Asked)) {
+		if !bytes.Equal(document.Body, i.Body(document.Key, answer.Snapshot.Version, answer.Query)) {
 			return FaultMixed
 		}
 	}
