--- a/internal/rehearsal/backend.go
+++ b/internal/rehearsal/backend.go
@@ -78,7 +78,7 @@
 		case "state":
 			b.model.State = states[value]
 		case "lie":
-			b.model.LieState = states[value]
+			b.model.ReportedState = states[value]
 		case "version":
 			version, _ := strconv.ParseUint(value, 10, 64)
 			b.model.Publish(version)
--- a/internal/simulation/backends_test.go
+++ b/internal/simulation/backends_test.go
@@ -105,7 +105,7 @@
 	w.note("revive back end", b.model.Address)
 	b.dead, b.hung, b.leaving = false, false, false
 	b.model.State = query.StateCold
-	b.model.LieState = query.StateUnknown
+	b.model.ReportedState = query.StateUnknown
 	b.drainedAt = 0
 	b.model.Publish(b.service.version)
 	w.publishMachines()
@@ -116,7 +116,7 @@
 	w.note("drain", b.model.Address, lies)
 	b.model.State = query.StateDraining
 	if lies {
-		b.model.LieState = query.StateServing
+		b.model.ReportedState = query.StateServing
 	}
 	b.leaving = true
 	b.drainedAt = w.now
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -91,7 +91,7 @@
 // held against it.
 func (c *Checker) drainedWork(a *simAttempt) {
 	b := a.backEnd
-	unheard := b.model.LieState != query.StateUnknown || a.node.describedAt[b.model.Address] < b.drainedAt
+	unheard := b.model.ReportedState != query.StateUnknown || a.node.describedAt[b.model.Address] < b.drainedAt
 	blind := unheard && a.node.machinesAt < b.drainedAt+c.world.options.MachineListLag
 	told := a.node.drainsTold[b.model.Address] > b.drainedAt
 	if blind && !told {
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -51,8 +51,8 @@
 	Latency Latency
 	// State it is truly in.
 	State query.State
-	// LieState, where set, is what its health claims instead.
-	LieState query.State
+	// ReportedState, where set, is what its health claims instead.
+	ReportedState query.State
 	// Epoch, Total and Shards say which part of the index it holds.
 	Epoch  uint64
 	Total  uint32
@@ -103,8 +103,8 @@
 	if state == query.StateCold && b.warmed >= coldRequests {
 		state = query.StateServing
 	}
-	if b.LieState != query.StateUnknown {
-		state = b.LieState
+	if b.ReportedState != query.StateUnknown {
+		state = b.ReportedState
 	}
 	return query.Holding{
 		State: state, Epoch: b.Epoch, ShardsTotal: b.Total, Shards: slices.Clone(b.Shards), OldestVersion: b.Oldest, NewestVersion: b.Newest,
