--- a/internal/simulation/stops_test.go
+++ b/internal/simulation/stops_test.go
@@ -38,7 +38,7 @@
 			w.drain(b, lies)
 			w.Run(16 * time.Second)
 			noViolations(t, w)
-			t.Logf("work that came while leaving: %d", b.model.DrainedWork)
+			t.Logf("work that came while leaving: %d", b.model.RequestsWhileDraining)
 			if w.Check.BlindDrains > 0 || w.Check.Complete != w.Check.Searches {
 				t.Errorf("blind %d, complete %d of %d", w.Check.BlindDrains, w.Check.Complete, w.Check.Searches)
 			}
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -68,8 +68,8 @@
 	warmed int
 	// Ran counts the executions of each body of a request that is not repeatable.
 	Ran map[string]int
-	// DrainedWork counts the requests that came while draining.
-	DrainedWork int
+	// RequestsWhileDraining counts the requests that came while draining.
+	RequestsWhileDraining int
 }
 
 // NewBackEnd returns a back end that holds version 1 of the given shards.
@@ -140,7 +140,7 @@
 func (b *BackEnd) refusal(attempt query.Attempt, remaining time.Duration) query.Status {
 	switch {
 	case b.State == query.StateDraining:
-		b.DrainedWork++
+		b.RequestsWhileDraining++
 		return query.StatusDraining
 	case remaining <= 0:
 		return query.StatusExpired
