--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -54,11 +54,11 @@
 	// ReportedState, where set, is what its health claims instead.
 	ReportedState query.State
 	// Epoch, Total and Shards say which part of the index it holds.
-	Epoch  uint64
-	Total  uint32
-	Shards []uint32
-	Newest uint64
-	Oldest uint64
+	Epoch         uint64
+	Total         uint32
+	Shards        []uint32
+	NewestVersion uint64
+	Oldest        uint64
 	// Corrupt makes the chance of an answer that is broken in some way.
 	Corrupt float64
 
@@ -78,22 +78,22 @@
 ) *BackEnd {
 	return &BackEnd{
 		Index: index, Address: address, Slots: slots, Latency: latency, State: query.StateServing, Epoch: 1, Total: total,
-		Shards: shards, Newest: 1, Oldest: 1, random: random, keys: index.Split(total), Ran: map[string]int{},
+		Shards: shards, NewestVersion: 1, Oldest: 1, random: random, keys: index.Split(total), Ran: map[string]int{},
 	}
 }
 
 // Publish makes a version the newest; older ones beyond those kept go.
 func (b *BackEnd) Publish(version uint64) {
-	b.Newest = max(b.Newest, version)
-	if b.Newest >= versionsKept {
-		b.Oldest = max(b.Oldest, b.Newest-versionsKept+1)
+	b.NewestVersion = max(b.NewestVersion, version)
+	if b.NewestVersion >= versionsKept {
+		b.Oldest = max(b.Oldest, b.NewestVersion-versionsKept+1)
 	}
 }
 
 // Repartition gives the back end other shards in a new epoch. It holds only the newest version in it.
 func (b *BackEnd) Repartition(epoch uint64, total uint32, shards []uint32) {
 	b.Epoch, b.Total, b.Shards = epoch, total, shards
-	b.Oldest = b.Newest
+	b.Oldest = b.NewestVersion
 	b.keys = b.Index.Split(total)
 }
 
@@ -107,7 +107,7 @@
 		state = b.ReportedState
 	}
 	return query.Holding{
-		State: state, Epoch: b.Epoch, ShardsTotal: b.Total, Shards: slices.Clone(b.Shards), OldestVersion: b.Oldest, NewestVersion: b.Newest,
+		State: state, Epoch: b.Epoch, ShardsTotal: b.Total, Shards: slices.Clone(b.Shards), OldestVersion: b.Oldest, NewestVersion: b.NewestVersion,
 	}
 }
 
@@ -146,7 +146,7 @@
 		return query.StatusExpired
 	case attempt.Snapshot.Epoch != b.Epoch:
 		return query.StatusVersionUnavailable
-	case !attempt.Execute && (attempt.Snapshot.Version < b.Oldest || attempt.Snapshot.Version > b.Newest):
+	case !attempt.Execute && (attempt.Snapshot.Version < b.Oldest || attempt.Snapshot.Version > b.NewestVersion):
 		return query.StatusVersionUnavailable
 	}
 	for _, shard := range attempt.Shards {
