--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -85,8 +85,8 @@
 		b.straggles = func([]byte) bool { return true }
 		w.after(f.Length, func() { b.straggles = nil })
 	case CorruptBackEnd:
-		b.model.Corrupt = 0.3
-		w.after(f.Length, func() { b.model.Corrupt = 0 })
+		b.model.CorruptionChance = 0.3
+		w.after(f.Length, func() { b.model.CorruptionChance = 0 })
 	case ReviveBackEnd:
 		if b.dead {
 			w.reviveBackEnd(b)
@@ -131,7 +131,7 @@
 		for _, b := range w.services[service.Name].backEnds {
 			b.hung = false
 			b.straggles = nil
-			b.model.Corrupt = 0
+			b.model.CorruptionChance = 0
 		}
 	}
 }
--- a/internal/simulation/searches_test.go
+++ b/internal/simulation/searches_test.go
@@ -96,7 +96,7 @@
 		for _, service := range w.services {
 			for i, b := range service.backEnds {
 				if i%2 == 0 {
-					b.model.Corrupt = 0.5
+					b.model.CorruptionChance = 0.5
 				}
 			}
 		}
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -59,8 +59,8 @@
 	Shards        []uint32
 	NewestVersion uint64
 	OldestVersion uint64
-	// Corrupt makes the chance of an answer that is broken in some way.
-	Corrupt float64
+	// CorruptionChance makes the chance of an answer that is broken in some way.
+	CorruptionChance float64
 
 	random *rand.Rand
 	keys   Keyspace
@@ -171,7 +171,7 @@
 		}
 		result.Results = append(result.Results, b.Index.Shard(b.keys, shard, attempt.Snapshot.Version, attempt.Body))
 	}
-	if b.Corrupt > 0 && b.random.Float64() < b.Corrupt {
+	if b.CorruptionChance > 0 && b.random.Float64() < b.CorruptionChance {
 		b.corrupt(result)
 	}
 }
