--- a/internal/rehearsal/quickstart.go
+++ b/internal/rehearsal/quickstart.go
@@ -189,7 +189,7 @@
 	}
 	ran := 0
 	for _, b := range q.cluster.BackEnds[service] {
-		b.Model(func(m *standin.BackEnd) { ran += m.Ran[body] })
+		b.Model(func(m *standin.BackEnd) { ran += m.ExecutionCounts[body] })
 	}
 	if ran != 1 {
 		q.summary.Wrong++
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -66,8 +66,8 @@
 	keys   Keyspace
 	busy   int
 	warmed int
-	// Ran counts the executions of each body of a request that is not repeatable.
-	Ran map[string]int
+	// ExecutionCounts counts the executions of each body of a request that is not repeatable.
+	ExecutionCounts map[string]int
 	// RequestsWhileDraining counts the requests that came while draining.
 	RequestsWhileDraining int
 }
@@ -78,7 +78,7 @@
 ) *BackEnd {
 	return &BackEnd{
 		Index: index, Address: address, Slots: slots, Latency: latency, State: query.StateServing, Epoch: 1, Total: total,
-		Shards: shards, NewestVersion: 1, OldestVersion: 1, random: random, keys: index.Split(total), Ran: map[string]int{},
+		Shards: shards, NewestVersion: 1, OldestVersion: 1, random: random, keys: index.Split(total), ExecutionCounts: map[string]int{},
 	}
 }
 
@@ -164,7 +164,7 @@
 	result.Status = query.StatusOK
 	for _, shard := range attempt.Shards {
 		if attempt.Execute {
-			b.Ran[string(attempt.Body)]++
+			b.ExecutionCounts[string(attempt.Body)]++
 			done := query.Document{Key: "done", Body: attempt.Body}
 			result.Results = append(result.Results, query.ShardDocuments{Shard: shard, Documents: []query.Document{done}})
 			continue
