--- a/internal/standin/index.go
+++ b/internal/standin/index.go
@@ -72,7 +72,7 @@
 // The faults.
 const (
 	FaultNone      Fault = ""
-	FaultMixed     Fault = "documents of another snapshot or query"
+	FaultWrongContent     Fault = "documents of another snapshot or query"
 	FaultDoubled   Fault = "a document twice"
 	FaultLost      Fault = "a document of an answered shard is missing"
 	FaultForeign   Fault = "a document that is not in the answered shards"
@@ -108,7 +108,7 @@
 			return FaultForeign
 		}
 		if !bytes.Equal(document.Body, i.Body(document.Key, answer.Snapshot.Version, answer.Query)) {
-			return FaultMixed
+			return FaultWrongContent
 		}
 	}
 	expected := 0
