--- a/internal/standin/index.go
+++ b/internal/standin/index.go
@@ -73,7 +73,7 @@
 const (
 	FaultNone      Fault = ""
 	FaultWrongContent     Fault = "documents of another snapshot or query"
-	FaultDoubled   Fault = "a document twice"
+	FaultDuplicate   Fault = "a document twice"
 	FaultLost      Fault = "a document of an answered shard is missing"
 	FaultForeign   Fault = "a document that is not in the answered shards"
 	FaultCoverage  Fault = "answered and missing shards are not all shards"
@@ -101,7 +101,7 @@
 	seen := make(map[string]bool, len(answer.Documents))
 	for _, document := range answer.Documents {
 		if seen[document.Key] {
-			return FaultDoubled
+			return FaultDuplicate
 		}
 		seen[document.Key] = true
 		if missing[query.ShardOf(document.Key, total)] {
