--- a/internal/standin/index.go
+++ b/internal/standin/index.go
@@ -74,7 +74,7 @@
 	FaultNone      Fault = ""
 	FaultWrongContent     Fault = "documents of another snapshot or query"
 	FaultDuplicate   Fault = "a document twice"
-	FaultLost      Fault = "a document of an answered shard is missing"
+	FaultMissingDocument      Fault = "a document of an answered shard is missing"
 	FaultForeign   Fault = "a document that is not in the answered shards"
 	FaultCoverage  Fault = "answered and missing shards are not all shards"
 	FaultShardsOff Fault = "the number of shards is not that of the epoch"
@@ -119,7 +119,7 @@
 		}
 		expected++
 		if !seen[key] {
-			return FaultLost
+			return FaultMissingDocument
 		}
 	}
 	if expected != len(seen) {
