--- a/internal/standin/index.go
+++ b/internal/standin/index.go
@@ -75,7 +75,7 @@
 	FaultWrongContent     Fault = "documents of another snapshot or query"
 	FaultDuplicate   Fault = "a document twice"
 	FaultMissingDocument      Fault = "a document of an answered shard is missing"
-	FaultForeign   Fault = "a document that is not in the answered shards"
+	FaultUnexpectedDocument   Fault = "a document that is not in the answered shards"
 	FaultCoverage  Fault = "answered and missing shards are not all shards"
 	FaultShardsOff Fault = "the number of shards is not that of the epoch"
 )
@@ -105,7 +105,7 @@
 		}
 		seen[document.Key] = true
 		if missing[query.ShardOf(document.Key, total)] {
-			return FaultForeign
+			return FaultUnexpectedDocument
 		}
 		if !bytes.Equal(document.Body, i.Body(document.Key, answer.Snapshot.Version, answer.Query)) {
 			return FaultWrongContent
@@ -123,7 +123,7 @@
 		}
 	}
 	if expected != len(seen) {
-		return FaultForeign
+		return FaultUnexpectedDocument
 	}
 	return FaultNone
 }
