--- a/internal/standin/index.go
+++ b/internal/standin/index.go
@@ -77,14 +77,14 @@
 	FaultMissingDocument      Fault = "a document of an answered shard is missing"
 	FaultUnexpectedDocument   Fault = "a document that is not in the answered shards"
 	FaultCoverage  Fault = "answered and missing shards are not all shards"
-	FaultShardsOff Fault = "the number of shards is not that of the epoch"
+	FaultShardCount Fault = "the number of shards is not that of the epoch"
 )
 
 // Check returns what is untrue in an answer; totals gives the number of shards of each epoch.
 func (i Index) Check(answer Answer, totals map[uint64]uint32) Fault {
 	coverage := answer.Coverage
 	if coverage.Total != totals[answer.Snapshot.Epoch] {
-		return FaultShardsOff
+		return FaultShardCount
 	}
 	missing := make(map[uint32]bool, len(coverage.Missing))
 	for _, shard := range coverage.Missing {
