--- a/internal/rehearsal/backend.go
+++ b/internal/rehearsal/backend.go
@@ -59,8 +59,8 @@
 // Close stops serving at once.
 func (b *BackEnd) Close() { b.server.close() }
 
-// Model gives access to the model.
-func (b *BackEnd) Model(use func(*standin.BackEnd)) {
+// WithModel gives access to the model.
+func (b *BackEnd) WithModel(use func(*standin.BackEnd)) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	use(b.model)
@@ -131,7 +131,7 @@
 	b.mutex.Unlock()
 	if works {
 		err := wait(ctx, serviceTime)
-		b.Model(func(model *standin.BackEnd) { model.Finish() })
+		b.WithModel(func(model *standin.BackEnd) { model.Finish() })
 		if err != nil {
 			return nil, err
 		}
--- a/internal/rehearsal/quickstart.go
+++ b/internal/rehearsal/quickstart.go
@@ -117,11 +117,11 @@
 		{"healthy", "lookup-1", nil},
 		{"healthy", "archive", nil},
 		{"a back end straggles, 20 times slower", "archive", func(_ *quickstart, b *BackEnd) {
-			b.Model(func(m *standin.BackEnd) { m.Latency.Median *= 20 })
+			b.WithModel(func(m *standin.BackEnd) { m.Latency.Median *= 20 })
 		}},
 		{"a back end is lost", "account", func(_ *quickstart, b *BackEnd) { b.Close() }},
 		{"a back end drains", "trade-1", func(_ *quickstart, b *BackEnd) {
-			b.Model(func(m *standin.BackEnd) { m.State = query.StateDraining })
+			b.WithModel(func(m *standin.BackEnd) { m.State = query.StateDraining })
 		}},
 		{"the index version changes", "lookup-2", func(q *quickstart, _ *BackEnd) { q.publish("lookup-2") }},
 		{"the store is down", "lookup-3", func(q *quickstart, _ *BackEnd) { q.cluster.Platform.SetFaults(Faults{Down: true}) }},
@@ -134,7 +134,7 @@
 	for range versions {
 		q.version++
 		for _, b := range q.cluster.BackEnds[service] {
-			b.Model(func(m *standin.BackEnd) { m.Publish(q.version) })
+			b.WithModel(func(m *standin.BackEnd) { m.Publish(q.version) })
 			time.Sleep(quickstartPhase / versions / 8)
 		}
 	}
@@ -189,7 +189,7 @@
 	}
 	ran := 0
 	for _, b := range q.cluster.BackEnds[service] {
-		b.Model(func(m *standin.BackEnd) { ran += m.ExecutionCounts[body] })
+		b.WithModel(func(m *standin.BackEnd) { ran += m.ExecutionCounts[body] })
 	}
 	if ran != 1 {
 		q.summary.Wrong++
