--- a/internal/rehearsal/contract_test.go
+++ b/internal/rehearsal/contract_test.go
@@ -235,12 +235,12 @@
 	client := platform.NewClient(&http.Client{}, started.URL())
 	key := platform.ServicePrefix + "lookup"
 	var kept map[string]platform.Entry
-	started.Store(func(s *standin.Store) { kept = s.Backup() })
+	started.WithStore(func(s *standin.Store) { kept = s.Backup() })
 	lost, _, err := client.CompareAndSwap(ctx, key, platform.Stamp{}, []byte("lost"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	started.Store(func(s *standin.Store) { s.RestoreReusingVersions(kept) })
+	started.WithStore(func(s *standin.Store) { s.RestoreReusingVersions(kept) })
 	if _, swapped, err := client.CompareAndSwap(ctx, key, platform.Stamp{}, []byte("read before")); swapped || err != nil {
 		t.Errorf("an absent key of the earlier era is a base: %t, %v", swapped, err)
 	}
--- a/internal/rehearsal/platform.go
+++ b/internal/rehearsal/platform.go
@@ -90,8 +90,8 @@
 	p.faults = faults
 }
 
-// Store gives access to what is stored, for tests.
-func (p *Platform) Store(use func(*standin.Store)) {
+// WithStore gives access to what is stored, for tests.
+func (p *Platform) WithStore(use func(*standin.Store)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	use(p.store)
