--- a/internal/rehearsal/cluster.go
+++ b/internal/rehearsal/cluster.go
@@ -132,8 +132,8 @@
 	c.client.CloseIdleConnections()
 }
 
-// Callers returns a client of the query service at a node.
-func (c *Cluster) Callers(n *node.Node) stiletrailv1connect.QueryServiceClient {
+// QueryClient returns a client of the query service at a node.
+func (c *Cluster) QueryClient(n *node.Node) stiletrailv1connect.QueryServiceClient {
 	return stiletrailv1connect.NewQueryServiceClient(c.client, "http://"+n.HTTPAddress())
 }
 
--- a/internal/rehearsal/contract_test.go
+++ b/internal/rehearsal/contract_test.go
@@ -194,7 +194,7 @@
 	if _, err := cluster.Apply(ctx, cluster.Nodes[0], cluster.Intent(shape), "create"); err != nil {
 		t.Fatal(err)
 	}
-	callers := cluster.Callers(cluster.Nodes[0])
+	callers := cluster.QueryClient(cluster.Nodes[0])
 	search := func(request *stiletrailv1.SearchRequest) error {
 		_, err := callers.Search(ctx, connect.NewRequest(request))
 		return err
--- a/internal/rehearsal/quickstart.go
+++ b/internal/rehearsal/quickstart.go
@@ -143,7 +143,7 @@
 func (q *quickstart) clients() []stiletrailv1connect.QueryServiceClient {
 	var clients []stiletrailv1connect.QueryServiceClient
 	for _, n := range q.cluster.Nodes {
-		clients = append(clients, q.cluster.Callers(n))
+		clients = append(clients, q.cluster.QueryClient(n))
 	}
 	return clients
 }
@@ -175,7 +175,7 @@
 // execute runs a request that is not repeatable, resends it through another node, and counts how often it ran.
 func (q *quickstart) execute(ctx context.Context) error {
 	const service, key, body = "trade-2", "trade-2/00001", "honour-1"
-	minted, err := q.cluster.Callers(q.cluster.Nodes[0]).MintTicket(ctx, connect.NewRequest(&stiletrailv1.MintTicketRequest{}))
+	minted, err := q.cluster.QueryClient(q.cluster.Nodes[0]).MintTicket(ctx, connect.NewRequest(&stiletrailv1.MintTicketRequest{}))
 	if err != nil {
 		return failure.From(err)
 	}
@@ -183,7 +183,7 @@
 		Service: service, Key: key, Body: []byte(body), Ticket: minted.Msg.GetTicket(), DeadlineMilliseconds: 1000,
 	}
 	for _, n := range q.cluster.Nodes[:3] {
-		if _, err := q.cluster.Callers(n).Execute(ctx, connect.NewRequest(request)); err != nil {
+		if _, err := q.cluster.QueryClient(n).Execute(ctx, connect.NewRequest(request)); err != nil {
 			return failure.From(err)
 		}
 	}
