--- a/internal/rehearsal/cluster.go
+++ b/internal/rehearsal/cluster.go
@@ -137,8 +137,8 @@
 	return stiletrailv1connect.NewQueryServiceClient(c.client, "http://"+n.HTTPAddress())
 }
 
-// Operators returns a client of the intent API at a node.
-func (c *Cluster) Operators(n *node.Node) stiletrailv1connect.OperatorServiceClient {
+// OperatorClient returns a client of the intent API at a node.
+func (c *Cluster) OperatorClient(n *node.Node) stiletrailv1connect.OperatorServiceClient {
 	return stiletrailv1connect.NewOperatorServiceClient(c.client, "http://"+n.HTTPAddress())
 }
 
@@ -157,7 +157,7 @@
 
 // Apply plans and confirms an intent at a node.
 func (c *Cluster) Apply(ctx context.Context, n *node.Node, text, operation string) (*stiletrailv1.ConfirmResponse, error) {
-	operators := c.Operators(n)
+	operators := c.OperatorClient(n)
 	plan, err := operators.Plan(ctx, connect.NewRequest(&stiletrailv1.PlanRequest{Intent: []byte(text)}))
 	if err != nil {
 		return nil, err
--- a/internal/rehearsal/contract_test.go
+++ b/internal/rehearsal/contract_test.go
@@ -141,7 +141,7 @@
 func TestOperatorContract(t *testing.T) {
 	cluster, shape := startSmall(t)
 	ctx := context.Background()
-	operators := cluster.Operators(cluster.Nodes[0])
+	operators := cluster.OperatorClient(cluster.Nodes[0])
 	text := cluster.Intent(shape)
 	plan := func(text string) (*stiletrailv1.PlanResponse, error) {
 		response, err := operators.Plan(ctx, connect.NewRequest(&stiletrailv1.PlanRequest{Intent: []byte(text)}))
