--- a/internal/rehearsal/cluster.go
+++ b/internal/rehearsal/cluster.go
@@ -75,7 +75,7 @@
 }
 
 // startBackEnds starts a ring: back end i holds shards i and i+1, so that each shard has two replicas.
-func (c *Cluster) startBackEnds(shape ServiceShape) error {
+func (c *Cluster) startBackEnds(shape ServiceOptions) error {
 	total := uint32(shape.BackEnds)
 	c.Totals[shape.Name] = total
 	for i := range total {
@@ -143,7 +143,7 @@
 }
 
 // Intent returns the intent for a service of the deployment, as an operator would write it.
-func (c *Cluster) Intent(shape ServiceShape) string {
+func (c *Cluster) Intent(shape ServiceOptions) string {
 	deadline := c.options.Deadline.Milliseconds()
 	text := fmt.Sprintf("service: %s\npreference: latency\nminimum_coverage: 0.5\n"+
 		"deadline_milliseconds: %d\ntail_budget_milliseconds: %d\nback_ends:\n", shape.Name, deadline, deadline*3/4)
--- a/internal/rehearsal/contract_test.go
+++ b/internal/rehearsal/contract_test.go
@@ -118,11 +118,11 @@
 	}
 }
 
-func startSmall(t *testing.T) (*Cluster, ServiceShape) {
+func startSmall(t *testing.T) (*Cluster, ServiceOptions) {
 	t.Helper()
-	shape := ServiceShape{Name: "lookup", BackEnds: 4, Slots: 5, Connections: 75, Latency: lookupLatency}
+	shape := ServiceOptions{Name: "lookup", BackEnds: 4, Slots: 5, Connections: 75, Latency: lookupLatency}
 	cluster, err := StartCluster(ClusterOptions{
-		Deployment: Deployment{Zones: []string{"zone-a"}, Services: []ServiceShape{shape}}, NodesPerZone: 2,
+		Deployment: Deployment{Zones: []string{"zone-a"}, Services: []ServiceOptions{shape}}, NodesPerZone: 2,
 		Log: io.Discard, Deadline: 2 * time.Second,
 	})
 	if err != nil {
--- a/internal/rehearsal/deployment.go
+++ b/internal/rehearsal/deployment.go
@@ -10,11 +10,11 @@
 // Deployment is a set of services with zones.
 type Deployment struct {
 	Zones    []string
-	Services []ServiceShape
+	Services []ServiceOptions
 }
 
-// ServiceShape describes a service of a rehearsal.
-type ServiceShape struct {
+// ServiceOptions describes a service of a rehearsal.
+type ServiceOptions struct {
 	Name     string
 	BackEnds int
 	// Slots and Connections are those of each back end.
@@ -31,20 +31,20 @@
 
 // quickstartDeployment has small services, and two whose searches go over many shards.
 func quickstartDeployment() Deployment {
-	small := ServiceShape{BackEnds: 4, Slots: 5, Connections: 75, Latency: lookupLatency}
+	small := ServiceOptions{BackEnds: 4, Slots: 5, Connections: 75, Latency: lookupLatency}
 	services := append(named("lookup", 4, small), named("trade", 6, small)...)
 	return Deployment{
 		Zones: []string{"zone-a", "zone-b", "zone-c"},
 		Services: append(services,
-			ServiceShape{Name: "archive", BackEnds: 25, Slots: 3, Connections: 110, Latency: searchLatency},
-			ServiceShape{Name: "account", BackEnds: 13, Slots: 3, Connections: 110, Latency: searchLatency},
+			ServiceOptions{Name: "archive", BackEnds: 25, Slots: 3, Connections: 110, Latency: searchLatency},
+			ServiceOptions{Name: "account", BackEnds: 13, Slots: 3, Connections: 110, Latency: searchLatency},
 		),
 	}
 }
 
 // named returns so many services of one shape: NAME-1, NAME-2 and so on.
-func named(name string, count int, shape ServiceShape) []ServiceShape {
-	shapes := make([]ServiceShape, count)
+func named(name string, count int, shape ServiceOptions) []ServiceOptions {
+	shapes := make([]ServiceOptions, count)
 	for i := range shapes {
 		shapes[i] = shape
 		shapes[i].Name = fmt.Sprintf("%s-%d", name, i+1)
