--- a/internal/rehearsal/platform.go
+++ b/internal/rehearsal/platform.go
@@ -24,8 +24,8 @@
 type Faults struct {
 	// Down refuses every request.
 	Down bool
-	// Slow delays every request.
-	Slow time.Duration
+	// Delay delays every request.
+	Delay time.Duration
 	// LoseAnswers of so many writes that took effect.
 	LoseAnswers int
 	// LoseEvents drops all events of watches.
@@ -101,7 +101,7 @@
 func (p *Platform) control(w http.ResponseWriter, r *http.Request) {
 	values := r.URL.Query()
 	slow, _ := time.ParseDuration(values.Get("slow"))
-	faults := Faults{Down: values.Get("down") == "true", Slow: slow, LoseEvents: values.Get("lose-events") == "true"}
+	faults := Faults{Down: values.Get("down") == "true", Delay: slow, LoseEvents: values.Get("lose-events") == "true"}
 	if values.Get("lose-answers") != "" {
 		faults.LoseAnswers = 1
 	}
@@ -123,7 +123,7 @@
 		return connect.NewError(connect.CodeResourceExhausted, failure.New(failure.Overloaded, "over the rate limit"))
 	}
 	select {
-	case <-time.After(faults.Slow):
+	case <-time.After(faults.Delay):
 	case <-ctx.Done():
 		return connect.NewError(connect.CodeCanceled, ctx.Err())
 	}
