--- a/internal/rehearsal/contract_test.go
+++ b/internal/rehearsal/contract_test.go
@@ -45,7 +45,7 @@
 		t.Errorf("list %v, error %v", listed, err)
 	}
 
-	started.SetFaults(Faults{LoseAnswers: 1})
+	started.SetFaults(Faults{AnswersToLose: 1})
 	if _, _, err := client.CompareAndSwap(ctx, key, first.Stamp, []byte("two")); failure.CodeOf(err) != failure.OutcomeUnknown {
 		t.Errorf("answer lost after the write: %v", err)
 	}
--- a/internal/rehearsal/keyvalue.go
+++ b/internal/rehearsal/keyvalue.go
@@ -67,8 +67,8 @@
 		}
 		p.notify(entry)
 	}
-	if swapped && p.faults.LoseAnswers > 0 {
-		p.faults.LoseAnswers--
+	if swapped && p.faults.AnswersToLose > 0 {
+		p.faults.AnswersToLose--
 		return nil, connect.NewError(connect.CodeUnavailable, failure.New(failure.OutcomeUnknown, "the answer was lost"))
 	}
 	return connect.NewResponse(&stiletrailv1.CompareAndSwapResponse{Swapped: swapped, Entry: toProto(entry)}), nil
--- a/internal/rehearsal/platform.go
+++ b/internal/rehearsal/platform.go
@@ -26,8 +26,8 @@
 	Down bool
 	// Delay delays every request.
 	Delay time.Duration
-	// LoseAnswers of so many writes that took effect.
-	LoseAnswers int
+	// AnswersToLose of so many writes that took effect.
+	AnswersToLose int
 	// LoseEvents drops all events of watches.
 	LoseEvents bool
 }
@@ -103,7 +103,7 @@
 	slow, _ := time.ParseDuration(values.Get("slow"))
 	faults := Faults{Down: values.Get("down") == "true", Delay: slow, LoseEvents: values.Get("lose-events") == "true"}
 	if values.Get("lose-answers") != "" {
-		faults.LoseAnswers = 1
+		faults.AnswersToLose = 1
 	}
 	p.SetFaults(faults)
 	w.WriteHeader(http.StatusOK)
