--- a/internal/rehearsal/keyvalue.go
+++ b/internal/rehearsal/keyvalue.go
@@ -75,7 +75,7 @@
 }
 
 func (p *Platform) notify(entry platform.Entry) {
-	if p.faults.LoseEvents {
+	if p.faults.DropEvents {
 		return
 	}
 	for watcher, prefix := range p.watchers {
--- a/internal/rehearsal/platform.go
+++ b/internal/rehearsal/platform.go
@@ -28,8 +28,8 @@
 	Delay time.Duration
 	// AnswersToLose of so many writes that took effect.
 	AnswersToLose int
-	// LoseEvents drops all events of watches.
-	LoseEvents bool
+	// DropEvents drops all events of watches.
+	DropEvents bool
 }
 
 // PlatformOptions of a platform stand-in.
@@ -101,7 +101,7 @@
 func (p *Platform) control(w http.ResponseWriter, r *http.Request) {
 	values := r.URL.Query()
 	slow, _ := time.ParseDuration(values.Get("slow"))
-	faults := Faults{Down: values.Get("down") == "true", Delay: slow, LoseEvents: values.Get("lose-events") == "true"}
+	faults := Faults{Down: values.Get("down") == "true", Delay: slow, DropEvents: values.Get("lose-events") == "true"}
 	if values.Get("lose-answers") != "" {
 		faults.AnswersToLose = 1
 	}
