--- a/cmd/stiletrail-rehearsal/experiment.go
+++ b/cmd/stiletrail-rehearsal/experiment.go
@@ -54,7 +54,7 @@
 	if err := os.MkdirAll(b.Work, 0o755); err != nil {
 		return failure.Wrap(err, failure.InvalidArgument, "cannot create the work folder")
 	}
-	results, err := experiment.Play(ctx, b.Plan, b, filepath.Join(b.Work, "results.jsonl"), jobs)
+	results, err := experiment.RunAll(ctx, b.Plan, b, filepath.Join(b.Work, "results.jsonl"), jobs)
 	if err != nil {
 		return err
 	}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -91,7 +91,7 @@
 	}
 	path := filepath.Join(t.TempDir(), "results.jsonl")
 	first := &fakePlayer{fail: 3}
-	if _, err := experiment.Play(context.Background(), plan, first, path, 1); err == nil {
+	if _, err := experiment.RunAll(context.Background(), plan, first, path, 1); err == nil {
 		t.Fatal("the failure of a run is passed over")
 	}
 	text, _ := os.ReadFile(path)
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	second := &fakePlayer{fail: -1}
-	results, err := experiment.Play(context.Background(), plan, second, path, 2)
+	results, err := experiment.RunAll(context.Background(), plan, second, path, 2)
 	if err != nil || len(results) != 8 || len(second.played) != 6 {
 		t.Errorf("%d results, %d played again, %v", len(results), len(second.played), err)
 	}
@@ -111,7 +111,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	results, err := experiment.Play(context.Background(), plan, &fakePlayer{fail: -1}, filepath.Join(t.TempDir(), "r"), 1)
+	results, err := experiment.RunAll(context.Background(), plan, &fakePlayer{fail: -1}, filepath.Join(t.TempDir(), "r"), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -30,9 +30,9 @@
 	Play(ctx context.Context, run Run) (Result, error)
 }
 
-// Play plays all runs of a plan that the file of results does not hold yet, some at a time, and returns all results. Each result
+// RunAll plays all runs of a plan that the file of results does not hold yet, some at a time, and returns all results. Each result
 // is in the file as soon as it is there, so that a break costs only what was under way.
-func Play(ctx context.Context, plan Plan, player Player, path string, jobs int) ([]Result, error) {
+func RunAll(ctx context.Context, plan Plan, player Player, path string, jobs int) ([]Result, error) {
 	results, err := readResults(path)
 	if err != nil {
 		return nil, err
