--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -25,14 +25,14 @@
 	Entry string `json:"entry"`
 }
 
-// Player plays a day.
-type Player interface {
+// Runner plays a day.
+type Runner interface {
 	Play(ctx context.Context, run Run) (Result, error)
 }
 
 // RunAll plays all runs of a plan that the file of results does not hold yet, some at a time, and returns all results. Each result
 // is in the file as soon as it is there, so that a break costs only what was under way.
-func RunAll(ctx context.Context, plan Plan, player Player, path string, jobs int) ([]Result, error) {
+func RunAll(ctx context.Context, plan Plan, player Runner, path string, jobs int) ([]Result, error) {
 	results, err := readResults(path)
 	if err != nil {
 		return nil, err
