--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -68,8 +68,8 @@
 	fail   int
 }
 
-// Play implements experiment.Player.
-func (p *fakePlayer) Play(_ context.Context, run experiment.Run) (experiment.Result, error) {
+// Run implements experiment.Player.
+func (p *fakePlayer) Run(_ context.Context, run experiment.Run) (experiment.Result, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.played) == p.fail {
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -27,7 +27,7 @@
 
 // Runner plays a day.
 type Runner interface {
-	Play(ctx context.Context, run Run) (Result, error)
+	Run(ctx context.Context, run Run) (Result, error)
 }
 
 // RunAll plays all runs of a plan that the file of results does not hold yet, some at a time, and returns all results. Each result
@@ -57,7 +57,7 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			result, err := player.Play(ctx, run)
+			result, err := player.Run(ctx, run)
 			if err != nil {
 				return err
 			}
