--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -44,8 +44,8 @@
 	Name string `yaml:"name"`
 	// Site that it is made of.
 	Site string `yaml:"site"`
-	// Times multiplies fields of its file.
-	Times map[string]float64 `yaml:"times"`
+	// Factors multiplies fields of its file.
+	Factors map[string]float64 `yaml:"times"`
 }
 
 // Run is one day to be played.
@@ -95,7 +95,7 @@
 		if a.Name == "" || a.Site == "" || a.Name == a.Site {
 			add("altered site %d: it needs a name of its own and the site that it is made of", i+1)
 		}
-		for field, factor := range a.Times {
+		for field, factor := range a.Factors {
 			if factor <= 0 {
 				add("altered site %q: %s is multiplied by %v, allowed is more than 0", a.Name, field, factor)
 			}
