--- a/internal/simulation/attempts_test.go
+++ b/internal/simulation/attempts_test.go
@@ -14,27 +14,27 @@
 	backEnd *simBackEnd
 	ended   bool
 	// arrived at the back end and holds a slot.
-	working bool
-	gone    bool
+	holdsSlot bool
+	disconnected    bool
 }
 
 // beginAttempt hands a request to the model of the client library: a frozen process writes it when it runs again.
 func (w *World) beginAttempt(n *simNode, attempt query.Attempt) {
 	a := &simAttempt{Attempt: attempt, node: n, backEnd: w.backEnds[attempt.BackEnd]}
 	n.attempts[attempt.Number] = a
-	w.note("attempt", n.address, attempt.BackEnd, attempt.Number, attempt.Shards)
-	w.after(handoverDelay, func() { w.inNode(n, func() { w.writeAttempt(a) }) })
+	w.record("attempt", n.address, attempt.BackEnd, attempt.Number, attempt.Shards)
+	w.schedule(handoverDelay, func() { w.runInProcess(n, func() { w.writeAttempt(a) }) })
 }
 
 // endAttempt reports the outcome to the node, once.
 func (w *World) endAttempt(a *simAttempt, result query.AttemptResult) {
-	w.inNode(a.node, func() {
+	w.runInProcess(a.node, func() {
 		if a.ended {
 			return
 		}
 		a.ended = true
 		if result.Status == query.StatusDraining {
-			a.node.drainsTold[a.backEnd.model.Address] = w.now
+			a.node.drainRefusedAt[a.backEnd.model.Address] = w.now
 		}
 		delete(a.node.attempts, a.Number)
 		result.Attempt = a.Number
@@ -52,31 +52,31 @@
 		return
 	}
 	// The client library gives up at the deadline, whatever happens.
-	w.after(remaining, func() { w.giveUp(a) })
+	w.schedule(remaining, func() { w.abandonAttempt(a) })
 	b := a.backEnd
 	path := w.distance(a.node.zone.Name, b.zone)
 	if b.dead && w.reachable(a.node.zone.Name, b.zone) {
-		w.after(2*path, func() { w.endAttempt(a, query.AttemptResult{Status: query.StatusNotSent}) })
+		w.schedule(2*path, func() { w.endAttempt(a, query.AttemptResult{Status: query.StatusNotSent}) })
 		return
 	}
 	if b.dead || b.hung || !w.reachable(a.node.zone.Name, b.zone) {
 		return
 	}
 	delay := w.jitter(path)
-	if a.node.pool[b.model.Address] > 0 {
-		a.node.pool[b.model.Address]--
+	if a.node.idleConnections[b.model.Address] > 0 {
+		a.node.idleConnections[b.model.Address]--
 	} else {
 		delay += w.options.Distances.Connect
 	}
-	w.after(delay, func() { w.arrive(a, remaining-delay) })
+	w.schedule(delay, func() { w.arrive(a, remaining-delay) })
 }
 
-// giveUp ends an attempt that got no answer; closing its connection cancels the work.
-func (w *World) giveUp(a *simAttempt) {
+// abandonAttempt ends an attempt that got no answer; closing its connection cancels the work.
+func (w *World) abandonAttempt(a *simAttempt) {
 	if a.ended {
 		return
 	}
-	w.inNode(a.node, func() {
+	w.runInProcess(a.node, func() {
 		if a.ended {
 			return
 		}
@@ -87,24 +87,24 @@
 
 func (w *World) cancelAttempt(n *simNode, number uint64) {
 	if a := n.attempts[number]; a != nil {
-		w.giveUp(a)
+		w.abandonAttempt(a)
 	}
 }
 
 func (w *World) closeAfter(a *simAttempt) {
-	w.after(w.distance(a.node.zone.Name, a.backEnd.zone), func() { w.connectionClosed(a) })
+	w.schedule(w.distance(a.node.zone.Name, a.backEnd.zone), func() { w.connectionClosed(a) })
 }
 
 // connectionClosed is what the back end sees when a caller is gone: it stops working.
 func (w *World) connectionClosed(a *simAttempt) {
-	a.gone = true
+	a.disconnected = true
 	w.release(a)
 }
 
 func (w *World) release(a *simAttempt) {
-	if a.working {
-		a.working = false
-		delete(a.backEnd.working, a)
+	if a.holdsSlot {
+		a.holdsSlot = false
+		delete(a.backEnd.attempts, a)
 		a.backEnd.model.Finish()
 	}
 }
@@ -115,22 +115,22 @@
 		w.endAttempt(a, query.AttemptResult{Status: query.StatusLost})
 		return
 	}
-	if a.gone || b.hung {
+	if a.disconnected || b.hung {
 		return
 	}
 	result, serviceTime, works := b.model.Arrive(a.Attempt, remaining)
-	w.Check.arrived(a, works)
+	w.Checker.requestArrived(a, works)
 	if !works {
 		w.respond(a, result)
 		return
 	}
-	if b.straggles != nil && b.straggles(a.Body) {
+	if b.isSlowFor != nil && b.isSlowFor(a.Body) {
 		serviceTime = time.Duration(float64(serviceTime) * b.model.Latency.StragglerFactor)
 	}
-	a.working = true
-	b.working[a] = true
-	w.after(serviceTime, func() {
-		if a.working && !b.hung {
+	a.holdsSlot = true
+	b.attempts[a] = true
+	w.schedule(serviceTime, func() {
+		if a.holdsSlot && !b.hung {
 			w.release(a)
 			w.respond(a, result)
 		}
@@ -142,9 +142,9 @@
 	if !w.reachable(a.node.zone.Name, a.backEnd.zone) {
 		return
 	}
-	w.after(w.jitter(w.distance(a.node.zone.Name, a.backEnd.zone)), func() {
-		if !a.ended && !a.gone {
-			a.node.pool[a.backEnd.model.Address]++
+	w.schedule(w.jitter(w.distance(a.node.zone.Name, a.backEnd.zone)), func() {
+		if !a.ended && !a.disconnected {
+			a.node.idleConnections[a.backEnd.model.Address]++
 			w.endAttempt(a, result)
 		}
 	})
--- a/internal/simulation/backends_test.go
+++ b/internal/simulation/backends_test.go
@@ -22,10 +22,10 @@
 	// hung: takes connections and never answers.
 	hung    bool
 	leaving bool
-	// straggles says for which queries the back end straggles.
-	straggles func(body []byte) bool
+	// isSlowFor says for which queries the back end isSlowFor.
+	isSlowFor func(body []byte) bool
 	drainedAt time.Duration
-	working   map[*simAttempt]bool
+	attempts   map[*simAttempt]bool
 }
 
 func sortedNumbers[Key cmp.Ordered, Value any](m map[Key]Value) []Key {
@@ -47,7 +47,7 @@
 		address := fmt.Sprintf("10.%d.0.%d:7800", 100+len(w.services), i+1)
 		random := rand.New(rand.NewPCG(w.random.Uint64(), w.random.Uint64()))
 		model := standin.NewBackEnd(s.index, address, service.Slots, service.Latency, total, ringShards(i, total), random)
-		b := &simBackEnd{model: model, service: s, zone: w.options.Zones[int(i)%len(w.options.Zones)].Name, working: map[*simAttempt]bool{}}
+		b := &simBackEnd{model: model, service: s, zone: w.options.Zones[int(i)%len(w.options.Zones)].Name, attempts: map[*simAttempt]bool{}}
 		s.backEnds = append(s.backEnds, b)
 		w.backEnds[address] = b
 	}
@@ -64,7 +64,7 @@
 	b := w.backEnds[address]
 	path := w.distance(n.zone.Name, b.zone)
 	done := func(delay time.Duration, ok bool) {
-		w.after(delay, func() {
+		w.schedule(delay, func() {
 			var holding query.Holding
 			if ok {
 				holding = b.model.Holding()
@@ -85,10 +85,10 @@
 
 // killBackEnd loses a back end without a word; connections break.
 func (w *World) killBackEnd(b *simBackEnd) {
-	w.note("kill back end", b.model.Address)
+	w.record("kill back end", b.model.Address)
 	b.dead = true
 	var broken []*simAttempt
-	for a := range b.working {
+	for a := range b.attempts {
 		broken = append(broken, a)
 	}
 	slices.SortFunc(broken, func(x, y *simAttempt) int {
@@ -96,13 +96,13 @@
 	})
 	for _, a := range broken {
 		w.release(a)
-		w.after(w.distance(a.node.zone.Name, b.zone), func() { w.endAttempt(a, query.AttemptResult{Status: query.StatusLost}) })
+		w.schedule(w.distance(a.node.zone.Name, b.zone), func() { w.endAttempt(a, query.AttemptResult{Status: query.StatusLost}) })
 	}
 }
 
 // reviveBackEnd brings a back end back, cold, with the shards and version of now.
 func (w *World) reviveBackEnd(b *simBackEnd) {
-	w.note("revive back end", b.model.Address)
+	w.record("revive back end", b.model.Address)
 	b.dead, b.hung, b.leaving = false, false, false
 	b.model.State = query.StateCold
 	b.model.ReportedState = query.StateUnknown
@@ -113,7 +113,7 @@
 
 // drain makes a back end leave; where it lies, its health goes on to claim that it serves.
 func (w *World) drain(b *simBackEnd, lies bool) {
-	w.note("drain", b.model.Address, lies)
+	w.record("drain", b.model.Address, lies)
 	b.model.State = query.StateDraining
 	if lies {
 		b.model.ReportedState = query.StateServing
@@ -128,7 +128,7 @@
 	s.version++
 	version := s.version
 	for _, b := range s.backEnds {
-		w.after(time.Duration(w.random.Int64N(int64(spread)+1)), func() { b.model.Publish(version) })
+		w.schedule(time.Duration(w.random.Int64N(int64(spread)+1)), func() { b.model.Publish(version) })
 	}
 }
 
@@ -137,7 +137,7 @@
 	s.epoch++
 	epoch := s.epoch
 	s.totals[epoch] = total
-	w.note("repartition", s.Name, epoch, total)
+	w.record("repartition", s.Name, epoch, total)
 	for i, b := range s.backEnds {
 		var shards []uint32
 		for shard := range total {
@@ -146,7 +146,7 @@
 				shards = append(shards, shard)
 			}
 		}
-		w.after(time.Duration(w.random.Int64N(int64(spread)+1)), func() {
+		w.schedule(time.Duration(w.random.Int64N(int64(spread)+1)), func() {
 			if s.epoch == epoch {
 				b.model.Publish(s.version)
 				b.model.Repartition(epoch, total, shards)
--- a/internal/simulation/callers_test.go
+++ b/internal/simulation/callers_test.go
@@ -74,7 +74,7 @@
 	for range 20 {
 		n := w.liveNode()
 		// During planned stops callers are sent by readiness; otherwise also to nodes that are not ready.
-		if n != nil && !n.leaving && (n.engine.Ready() || !w.Check.PlannedStopsOnly) {
+		if n != nil && !n.leaving && (n.engine.Ready() || !w.Checker.PlannedStopsOnly) {
 			return n
 		}
 	}
@@ -85,8 +85,8 @@
 func (w *World) Search(n *simNode, service string, body string) {
 	s := w.services[service]
 	caller := w.addCall(&call{node: n, service: s, body: body, search: true})
-	w.after(w.jitter(w.options.Distances.Client), func() {
-		if !w.reach(n, caller) {
+	w.schedule(w.jitter(w.options.Distances.Client), func() {
+		if !w.arriveAtNode(n, caller) {
 			return
 		}
 		w.step(n, func() engine.Output {
@@ -95,8 +95,8 @@
 	})
 }
 
-// reach notes that a request is at its node; false where the node is gone and the caller cannot connect.
-func (w *World) reach(n *simNode, caller engine.Caller) bool {
+// arriveAtNode notes that a request is at its node; false where the node is gone and the caller cannot connect.
+func (w *World) arriveAtNode(n *simNode, caller engine.Caller) bool {
 	c := w.callers[caller]
 	if n.dead || c == nil {
 		delete(w.callers, caller)
@@ -117,10 +117,10 @@
 		return
 	}
 	x := &execution{body: fmt.Sprintf("execute-%d", number), key: fmt.Sprintf("%s/%05d", service, w.random.IntN(8)), ticket: ticket}
-	w.Check.executions[x.body] = x
+	w.Checker.executions[x.body] = x
 	w.sendExecution(service, x)
 	for range w.random.IntN(3) {
-		w.after(time.Duration(w.random.Int64N(int64(2*time.Second))), func() { w.sendExecution(service, x) })
+		w.schedule(time.Duration(w.random.Int64N(int64(2*time.Second))), func() { w.sendExecution(service, x) })
 	}
 }
 
@@ -132,10 +132,10 @@
 	x.sends++
 	x.open++
 	// What was refused before may run for this send.
-	delete(w.Check.refused, x.body)
+	delete(w.Checker.refusedAsNotRun, x.body)
 	caller := w.addCall(&call{node: n, service: w.services[service], body: x.body, execute: x})
-	w.after(w.jitter(w.options.Distances.Client), func() {
-		if !w.reach(n, caller) {
+	w.schedule(w.jitter(w.options.Distances.Client), func() {
+		if !w.arriveAtNode(n, caller) {
 			return
 		}
 		w.step(n, func() engine.Output {
@@ -177,7 +177,7 @@
 }
 
 func (w *World) confirm(n *simNode, c *change) {
-	w.Check.changeSent(c)
+	w.Checker.changeSent(c)
 	caller := w.addCall(&call{node: n, change: c})
 	w.step(n, func() engine.Output {
 		return n.engine.Confirm(w.now, caller, engine.ConfirmRequest{Intent: c.intent, BaseVersion: c.base, Operation: c.operation})
@@ -188,25 +188,25 @@
 func (w *World) answerCallers(n *simNode, output engine.Output) {
 	for _, answer := range output.SearchAnswers {
 		c := w.takeCall(n, answer.Caller)
-		w.note("answer", n.address, answer.Caller, answer.Coverage.Answered, answer.Failure != nil)
-		w.Check.searchAnswered(c, answer)
-		if w.Answered != nil {
-			w.Answered(SearchOutcome{
+		w.record("answer", n.address, answer.Caller, answer.Coverage.Answered, answer.Failure != nil)
+		w.Checker.searchAnswered(c, answer)
+		if w.OnSearchAnswered != nil {
+			w.OnSearchAnswered(SearchOutcome{
 				StartedAt: c.startedAt, Elapsed: w.now - c.startedAt + w.options.Distances.Client,
 				Coverage: answer.Coverage, Failure: answer.Failure, Attempts: answer.ShardAttempts,
 			})
 		}
 	}
 	for _, answer := range output.ExecuteAnswers {
-		w.Check.executeAnswered(w.takeCall(n, answer.Caller), answer)
+		w.Checker.executeAnswered(w.takeCall(n, answer.Caller), answer)
 	}
 	for _, answer := range output.ConfirmAnswers {
 		c := w.takeCall(n, answer.Caller)
-		w.note("confirm", c.change.operation, answer.Version, answer.Failure != nil)
-		w.Check.changeAnswered(c.change, answer)
+		w.record("confirm", c.change.operation, answer.Version, answer.Failure != nil)
+		w.Checker.changeAnswered(c.change, answer)
 		if answer.Failure != nil && answer.Failure.Code == failure.OutcomeUnknown && c.change.resends < 30 {
 			c.change.resends++
-			w.after(time.Second, func() {
+			w.schedule(time.Second, func() {
 				if again := w.liveNode(); again != nil {
 					w.confirm(again, c.change)
 				}
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -32,14 +32,14 @@
 	// Violations in the order they were found.
 	Violations []string
 
-	// ran holds the bodies that took a slot at a back end; refused those reported as not run.
-	ran        map[string]int
-	refused    map[string]bool
+	// runCounts holds the bodies that took a slot at a back end; refused those reported as not run.
+	runCounts        map[string]int
+	refusedAsNotRun    map[string]bool
 	executions map[string]*execution
 	accepted   []acceptedChange
 	// operations of changes by what operators were told of them.
 	acceptedOperations map[string]uint64
-	deniedOperations   map[string]failure.Code
+	rejectedOperations   map[string]failure.Code
 	writtenOperations  map[string]bool
 	baseWinners        map[string]string
 	// PlannedStopsOnly: nothing but planned stops goes on, so nothing may be missing.
@@ -47,66 +47,66 @@
 
 	Searches, Complete, Partial, Refusals, Failures int
 	Executions, Unknown, Accepted, Conflicts        int
-	// BlindDrains counts work sent to a leaving back end by a node that had no way to know.
-	BlindDrains int
+	// UninformedSends counts work sent to a leaving back end by a node that had no way to know.
+	UninformedSends int
 	// Reasons counts the missing shards by reason.
 	Reasons map[query.Reason]int
 }
 
 func newChecker(w *World) *Checker {
 	return &Checker{
-		world: w, ran: map[string]int{}, refused: map[string]bool{}, executions: map[string]*execution{},
-		acceptedOperations: map[string]uint64{}, deniedOperations: map[string]failure.Code{},
+		world: w, runCounts: map[string]int{}, refusedAsNotRun: map[string]bool{}, executions: map[string]*execution{},
+		acceptedOperations: map[string]uint64{}, rejectedOperations: map[string]failure.Code{},
 		Reasons: map[query.Reason]int{}, writtenOperations: map[string]bool{}, baseWinners: map[string]string{},
 	}
 }
 
 func (c *Checker) violation(format string, values ...any) {
 	text := fmt.Sprintf("%s: ", c.world.now) + fmt.Sprintf(format, values...)
-	c.world.note("violation", text)
+	c.world.record("violation", text)
 	c.Violations = append(c.Violations, text)
 }
 
-// arrived sees each request at a back end.
-func (c *Checker) arrived(a *simAttempt, works bool) {
+// requestArrived sees each request at a back end.
+func (c *Checker) requestArrived(a *simAttempt, works bool) {
 	b := a.backEnd
 	if b.drainedAt > 0 && c.world.now-b.drainedAt > drainBound {
-		c.drainedWork(a)
+		c.workWhileDraining(a)
 	}
 	if !works {
 		return
 	}
 	body := string(a.Body)
-	c.ran[body]++
-	if c.refused[body] {
+	c.runCounts[body]++
+	if c.refusedAsNotRun[body] {
 		c.violation("%s ran after it was refused as not run", body)
 	}
-	if a.Execute && c.ran[body] > 1 {
-		c.violation("%s ran %d times", body, c.ran[body])
+	if a.Execute && c.runCounts[body] > 1 {
+		c.violation("%s ran %d times", body, c.runCounts[body])
 	}
 }
 
-// drainedWork sees work at a back end that left some time ago. A node that could not read the machine list since, while the
+// workWhileDraining sees work at a back end that left some time ago. A node that could not read the machine list since, while the
 // back end's health lies or cannot be reached, has no signal but the refusal itself; such first tries are counted and not
 // held against it.
-func (c *Checker) drainedWork(a *simAttempt) {
+func (c *Checker) workWhileDraining(a *simAttempt) {
 	b := a.backEnd
 	unheard := b.model.ReportedState != query.StateUnknown || a.node.describedAt[b.model.Address] < b.drainedAt
 	blind := unheard && a.node.machinesAt < b.drainedAt+c.world.options.MachineListLag
-	told := a.node.drainsTold[b.model.Address] > b.drainedAt
+	told := a.node.drainRefusedAt[b.model.Address] > b.drainedAt
 	if blind && !told {
-		c.BlindDrains++
+		c.UninformedSends++
 		return
 	}
 	c.violation("back end %s got work from %s %s after it started to leave", b.model.Address, a.node.address, c.world.now-b.drainedAt)
 }
 
-// notRun sees a refusal as not run.
-func (c *Checker) notRun(body string) {
-	if c.ran[body] > 0 {
+// searchRefused sees a refusal as not run.
+func (c *Checker) searchRefused(body string) {
+	if c.runCounts[body] > 0 {
 		c.violation("%s was refused as not run, and ran", body)
 	}
-	c.refused[body] = true
+	c.refusedAsNotRun[body] = true
 }
 
 // searchAnswered sees each answer to a search.
@@ -144,7 +144,7 @@
 func (c *Checker) searchFailed(call *call, answer engine.SearchAnswer) {
 	if answer.Failure.NotRun {
 		c.Refusals++
-		c.notRun(call.body)
+		c.searchRefused(call.body)
 	} else {
 		c.Failures++
 	}
@@ -161,19 +161,19 @@
 	problem := answer.Outcome.Failure
 	switch {
 	case problem == nil:
-		if c.ran[x.body] != 1 {
-			c.violation("%s was reported as done, and ran %d times", x.body, c.ran[x.body])
+		if c.runCounts[x.body] != 1 {
+			c.violation("%s was reported as done, and ran %d times", x.body, c.runCounts[x.body])
 		}
 		if string(answer.Outcome.Result) != x.body {
 			c.violation("%s got the result of %s", x.body, answer.Outcome.Result)
 		}
 	case problem.NotRun:
-		if c.ran[x.body] > 0 {
+		if c.runCounts[x.body] > 0 {
 			c.violation("%s was refused as not run, and ran", x.body)
 		}
 		// Final until the caller sends it again, if no other send of it is open.
 		if x.open == 0 {
-			c.refused[x.body] = true
+			c.refusedAsNotRun[x.body] = true
 		}
 	case problem.Code == failure.OutcomeUnknown:
 		c.Unknown++
@@ -184,11 +184,11 @@
 	}
 }
 
-// written sees each document that the store took.
-func (c *Checker) written(document catalog.Document) {
+// documentWritten sees each document that the store took.
+func (c *Checker) documentWritten(document catalog.Document) {
 	operation := document.Operations[len(document.Operations)-1]
 	c.writtenOperations[operation] = true
-	if code, denied := c.deniedOperations[operation]; denied {
+	if code, denied := c.rejectedOperations[operation]; denied {
 		c.violation("operation %s took effect after it was answered with %s", operation, code)
 	}
 	base := fmt.Sprintf("%s/%d", document.Service, document.Version-1)
@@ -200,7 +200,7 @@
 
 func (c *Checker) changeSent(sent *change) {
 	// A resend settles what was unknown; a denial of an earlier send would be final.
-	if _, denied := c.deniedOperations[sent.operation]; denied {
+	if _, denied := c.rejectedOperations[sent.operation]; denied {
 		c.violation("operation %s was sent again after its final answer", sent.operation)
 	}
 }
@@ -223,22 +223,22 @@
 		if c.writtenOperations[sent.operation] {
 			c.violation("operation %s was answered with %s, and took effect", sent.operation, problem.Code)
 		}
-		c.deniedOperations[sent.operation] = problem.Code
+		c.rejectedOperations[sent.operation] = problem.Code
 	}
 }
 
-// node sees each node after each of its steps: what is in force never reverts.
-func (c *Checker) node(n *simNode) {
+// nodeStepped sees each nodeStepped after each of its steps: what is in force never reverts.
+func (c *Checker) nodeStepped(n *simNode) {
 	for _, change := range c.accepted {
 		version := n.engine.Catalog().Version(change.service)
-		if version < n.versions[change.service] {
-			c.violation("node %s went back from version %d to %d of %s", n.address, n.versions[change.service], version, change.service)
+		if version < n.highestVersions[change.service] {
+			c.violation("node %s went back from version %d to %d of %s", n.address, n.highestVersions[change.service], version, change.service)
 		}
-		n.versions[change.service] = version
+		n.highestVersions[change.service] = version
 	}
 }
 
-func (c *Checker) nodeGone(n *simNode) {
+func (c *Checker) nodeKilled(n *simNode) {
 	// What the node was asked gets no answer; callers see a broken connection.
 	for _, caller := range sortedNumbers(c.world.callers) {
 		call := c.world.callers[caller]
@@ -252,8 +252,8 @@
 	}
 }
 
-// stopped sees the end of a planned stop: nothing may be under way.
-func (c *Checker) stopped(n *simNode, late bool) {
+// nodeStopped sees the end of a planned stop: nothing may be under way.
+func (c *Checker) nodeStopped(n *simNode, late bool) {
 	if late {
 		c.violation("node %s was not drained in time", n.address)
 	}
--- a/internal/simulation/copies_test.go
+++ b/internal/simulation/copies_test.go
@@ -12,14 +12,14 @@
 // TestTwoHistories: a region that has missed a change, since it reached nobody, makes another one after the store has come back
 // from a copy without the first. What was confirmed last is in force everywhere once the regions reach each other.
 func TestTwoHistories(t *testing.T) {
-	w := proofWorld(t, 1, 5, 90*time.Second)
+	w := newConfiguredWorld(t, 1, 5, 90*time.Second)
 	old := w.store.Backup()
 	const cutOff = "zone-c"
 	there := func(in bool) *simNode {
 		at := slices.IndexFunc(w.live, func(address string) bool { return (w.nodes[address].zone.Name == cutOff) == in })
 		return w.nodes[w.live[at]]
 	}
-	w.isolated[cutOff], w.apart = true, true
+	w.isolated[cutOff], w.regionsPartitioned = true, true
 	w.Run(time.Second)
 	wanted := w.IntentFor(w.services["lookup"])
 	wanted.DeadlineMilliseconds++
@@ -31,7 +31,7 @@
 	wanted.DeadlineMilliseconds++
 	w.Change(there(true), wanted, "after-the-copy")
 	w.Run(5 * time.Second)
-	w.apart = false
+	w.regionsPartitioned = false
 	w.Run(20 * time.Second)
 	for _, address := range w.live {
 		held, _ := w.nodes[address].engine.Catalog().Get("lookup")
@@ -39,7 +39,7 @@
 			t.Errorf("%s has version %d with %v in force", address, held.Version, held.Operations)
 		}
 	}
-	noViolations(t, w)
+	checkNoViolations(t, w)
 }
 
 // TestStoreRestoredFromOldCopy: nodes keep what is in force, raise an alarm, and the next plan repairs the store, whether its
@@ -53,7 +53,7 @@
 }
 
 func restoredFromOldCopy(t *testing.T, restore func(*standin.Store, map[string]platform.Entry)) {
-	w := proofWorld(t, 1, 5, 60*time.Second)
+	w := newConfiguredWorld(t, 1, 5, 60*time.Second)
 	old := w.store.Backup()
 	wanted := w.IntentFor(w.services["lookup"])
 	wanted.DeadlineMilliseconds++
@@ -61,7 +61,7 @@
 	w.Run(5 * time.Second)
 	restore(w.store, old)
 	w.Run(15 * time.Second)
-	if !w.everywhere("lookup", 2) {
+	if !w.inForceEverywhere("lookup", 2) {
 		t.Error("a node went back to the old copy")
 	}
 	alarms := 0
@@ -79,8 +79,8 @@
 			t.Errorf("alarms after the repair: %v", left)
 		}
 	}
-	if !w.everywhere("lookup", 3) {
+	if !w.inForceEverywhere("lookup", 3) {
 		t.Error("the repair is not in force")
 	}
-	noViolations(t, w)
+	checkNoViolations(t, w)
 }
--- a/internal/simulation/events_test.go
+++ b/internal/simulation/events_test.go
@@ -6,7 +6,7 @@
 
 type event struct {
 	at    time.Duration
-	order uint64
+	number uint64
 	run   func()
 }
 
@@ -18,7 +18,7 @@
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
-	return h[i].order < h[j].order
+	return h[i].number < h[j].number
 }
 
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -7,56 +7,56 @@
 	"stiletrail/internal/query"
 )
 
-// strike puts a fault in.
-func (w *World) strike(f Fault) {
-	w.note("fault", f.Kind, f.Pick, f.Length)
+// injectFault puts a fault in.
+func (w *World) injectFault(f Fault) {
+	w.record("fault", f.Kind, f.Selector, f.Length)
 	w.Faults++
 	switch f.Kind {
 	case KillNode, ReplaceNode, FreezeNode, LeaveNode:
-		w.strikeNode(f)
-	case KillBackEnd, HangBackEnd, DrainBackEnd, LieBackEnd, StraggleBackEnd, CorruptBackEnd, ReviveBackEnd:
-		w.strikeBackEnd(f)
+		w.injectNodeFault(f)
+	case KillBackEnd, HangBackEnd, DrainBackEnd, MisreportBackEnd, StraggleBackEnd, CorruptBackEnd, ReviveBackEnd:
+		w.injectBackEndFault(f)
 	case IsolateZone:
-		zone := w.options.Zones[f.Pick%len(w.options.Zones)].Name
+		zone := w.options.Zones[f.Selector%len(w.options.Zones)].Name
 		w.isolated[zone] = true
-		w.after(f.Length, func() { delete(w.isolated, zone) })
-	case PartRegions:
-		w.apart = true
-		w.after(f.Length, func() { w.apart = false })
+		w.schedule(f.Length, func() { delete(w.isolated, zone) })
+	case PartitionRegions:
+		w.regionsPartitioned = true
+		w.schedule(f.Length, func() { w.regionsPartitioned = false })
 	case StoreDown:
 		w.storeDown = true
-		w.after(f.Length, func() { w.storeDown = false })
+		w.schedule(f.Length, func() { w.storeDown = false })
 	case StoreSlow:
 		w.storeSlow = f.Length / 4
-		w.after(f.Length, func() { w.storeSlow = 0 })
+		w.schedule(f.Length, func() { w.storeSlow = 0 })
 	case PublishVersion, Repartition, RaceOperators, Execute:
-		w.strikeService(f)
+		w.injectServiceFault(f)
 	}
 }
 
 // minimumNodes keeps some nodes running, so that there is something to check.
 const minimumNodes = 3
 
-func (w *World) strikeNode(f Fault) {
+func (w *World) injectNodeFault(f Fault) {
 	if len(w.live) == 0 {
 		return
 	}
-	n := w.nodes[w.live[f.Pick%len(w.live)]]
+	n := w.nodes[w.live[f.Selector%len(w.live)]]
 	switch f.Kind {
 	case FreezeNode:
-		w.freeze(n, f.Length)
+		w.freezeNode(n, f.Length)
 	case LeaveNode:
 		if len(w.live) > minimumNodes {
-			w.leave(n)
+			w.stopNode(n)
 		}
 	case KillNode:
 		if len(w.live) > minimumNodes {
-			w.kill(n)
+			w.killNode(n)
 		}
 	case ReplaceNode:
-		w.kill(n)
-		w.after(f.Length/20, func() {
-			if f.Pick%2 == 0 && w.nodes[n.address].dead {
+		w.killNode(n)
+		w.schedule(f.Length/20, func() {
+			if f.Selector%2 == 0 && w.nodes[n.address].dead {
 				w.startNodeAt(n.zone, n.address)
 			} else {
 				w.startNode(n.zone)
@@ -66,9 +66,9 @@
 	}
 }
 
-func (w *World) strikeBackEnd(f Fault) {
-	service := w.services[w.options.Services[f.Pick%len(w.options.Services)].Name]
-	b := service.backEnds[f.Pick/7%len(service.backEnds)]
+func (w *World) injectBackEndFault(f Fault) {
+	service := w.services[w.options.Services[f.Selector%len(w.options.Services)].Name]
+	b := service.backEnds[f.Selector/7%len(service.backEnds)]
 	switch f.Kind {
 	case KillBackEnd:
 		if !b.dead {
@@ -76,17 +76,17 @@
 		}
 	case HangBackEnd:
 		b.hung = true
-		w.after(f.Length, func() { b.hung = false })
-	case DrainBackEnd, LieBackEnd:
+		w.schedule(f.Length, func() { b.hung = false })
+	case DrainBackEnd, MisreportBackEnd:
 		if b.model.State == query.StateServing {
-			w.drain(b, f.Kind == LieBackEnd)
+			w.drain(b, f.Kind == MisreportBackEnd)
 		}
 	case StraggleBackEnd:
-		b.straggles = func([]byte) bool { return true }
-		w.after(f.Length, func() { b.straggles = nil })
+		b.isSlowFor = func([]byte) bool { return true }
+		w.schedule(f.Length, func() { b.isSlowFor = nil })
 	case CorruptBackEnd:
 		b.model.CorruptionChance = 0.3
-		w.after(f.Length, func() { b.model.CorruptionChance = 0 })
+		w.schedule(f.Length, func() { b.model.CorruptionChance = 0 })
 	case ReviveBackEnd:
 		if b.dead {
 			w.reviveBackEnd(b)
@@ -94,43 +94,43 @@
 	}
 }
 
-func (w *World) strikeService(f Fault) {
-	service := w.services[w.options.Services[f.Pick%len(w.options.Services)].Name]
+func (w *World) injectServiceFault(f Fault) {
+	service := w.services[w.options.Services[f.Selector%len(w.options.Services)].Name]
 	switch f.Kind {
 	case PublishVersion:
-		for i := range 1 + f.Pick%5 {
-			w.after(time.Duration(i)*f.Length/10, func() { w.publishVersion(service, f.Length/10) })
+		for i := range 1 + f.Selector%5 {
+			w.schedule(time.Duration(i)*f.Length/10, func() { w.publishVersion(service, f.Length/10) })
 		}
 	case Repartition:
-		w.repartition(service, uint32(len(service.backEnds)+f.Pick%4), f.Length/4)
+		w.repartition(service, uint32(len(service.backEnds)+f.Selector%4), f.Length/4)
 	case RaceOperators:
-		for i := range 2 + f.Pick%2 {
+		for i := range 2 + f.Selector%2 {
 			wanted := w.IntentFor(service)
 			wanted.MinimumCoverage = service.MinimumCoverage
 			wanted.DeadlineMilliseconds += i
-			operation := fmt.Sprintf("race-%d-%d-%d", w.now, f.Pick, i)
-			w.after(time.Duration(w.random.Int64N(int64(10*time.Millisecond))), func() { w.Change(w.liveNode(), wanted, operation) })
+			operation := fmt.Sprintf("race-%d-%d-%d", w.now, f.Selector, i)
+			w.schedule(time.Duration(w.random.Int64N(int64(10*time.Millisecond))), func() { w.Change(w.liveNode(), wanted, operation) })
 		}
 	case Execute:
 		for i := range 5 {
 			number := w.Steps*10 + i
-			w.after(time.Duration(i)*f.Length/10, func() { w.startExecution(service.Name, number) })
+			w.schedule(time.Duration(i)*f.Length/10, func() { w.startExecution(service.Name, number) })
 		}
 	}
 }
 
-// mend ends all faults.
-func (w *World) mend() {
-	w.note("mend")
-	w.Chances = Chances{}
+// clearFaults ends all faults.
+func (w *World) clearFaults() {
+	w.record("mend")
+	w.FaultProbabilities = FaultProbabilities{}
 	clear(w.isolated)
-	w.apart = false
+	w.regionsPartitioned = false
 	w.storeDown = false
 	w.storeSlow = 0
 	for _, service := range w.options.Services {
 		for _, b := range w.services[service.Name].backEnds {
 			b.hung = false
-			b.straggles = nil
+			b.isSlowFor = nil
 			b.model.CorruptionChance = 0
 		}
 	}
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// proofWorld is a configured small world with searches going on.
-func proofWorld(t *testing.T, seed uint64, searches float64, length time.Duration, change ...func(*Options)) *World {
+// newConfiguredWorld is a configured small world with searches going on.
+func newConfiguredWorld(t *testing.T, seed uint64, searches float64, length time.Duration, change ...func(*Options)) *World {
 	t.Helper()
 	options := SmallOptions(seed)
 	for _, apply := range change {
@@ -19,21 +19,21 @@
 	return w
 }
 
-func noViolations(t *testing.T, w *World) {
+func checkNoViolations(t *testing.T, w *World) {
 	t.Helper()
-	w.Check.Unanswered(6 * time.Second)
-	for i, violation := range w.Check.Violations {
+	w.Checker.Unanswered(6 * time.Second)
+	for i, violation := range w.Checker.Violations {
 		if i == 3 {
-			t.Errorf("and %d more", len(w.Check.Violations)-i)
+			t.Errorf("and %d more", len(w.Checker.Violations)-i)
 			break
 		}
 		t.Error(violation)
 	}
-	t.Logf("steps %d, searches %d, complete %d, partial %d, refused %d, failed %d, missing %v", w.Steps, w.Check.Searches,
-		w.Check.Complete, w.Check.Partial, w.Check.Refusals, w.Check.Failures, w.Check.Reasons)
+	t.Logf("steps %d, searches %d, complete %d, partial %d, refused %d, failed %d, missing %v", w.Steps, w.Checker.Searches,
+		w.Checker.Complete, w.Checker.Partial, w.Checker.Refusals, w.Checker.Failures, w.Checker.Reasons)
 }
 
-func forSeeds(t *testing.T, count uint64, run func(t *testing.T, seed uint64)) {
+func runForSeeds(t *testing.T, count uint64, run func(t *testing.T, seed uint64)) {
 	t.Helper()
 	for seed := range count {
 		t.Run(fmt.Sprint(seed+1), func(t *testing.T) {
@@ -43,7 +43,7 @@
 	}
 }
 
-func (w *World) zoneNode(zone string) *simNode {
+func (w *World) nodeInZone(zone string) *simNode {
 	for _, address := range w.live {
 		if n := w.nodes[address]; n.zone.Name == zone {
 			return n
@@ -52,7 +52,7 @@
 	return nil
 }
 
-func (w *World) everywhere(service string, version uint64) bool {
+func (w *World) inForceEverywhere(service string, version uint64) bool {
 	for _, address := range w.live {
 		if w.nodes[address].engine.Catalog().Version(service) < version {
 			return false
--- a/internal/simulation/machines_test.go
+++ b/internal/simulation/machines_test.go
@@ -7,7 +7,7 @@
 	"stiletrail/internal/platform"
 )
 
-type machinesAt struct {
+type machineListVersion struct {
 	at       time.Duration
 	machines []platform.Machine
 }
@@ -24,7 +24,7 @@
 			machines = append(machines, platform.Machine{Address: b.model.Address, Zone: b.zone, Role: platform.RoleBackEnd, Leaving: b.leaving})
 		}
 	}
-	w.machines = append(w.machines, machinesAt{at: w.now, machines: machines})
+	w.machines = append(w.machines, machineListVersion{at: w.now, machines: machines})
 }
 
 // machineList is the newest list that is as old as the lag.
@@ -42,7 +42,7 @@
 	if n.dead {
 		return
 	}
-	w.after(machineListPeriod, func() { w.readMachines(n) })
+	w.schedule(machineListPeriod, func() { w.readMachines(n) })
 	if !w.storeDown && w.reachable(n.zone.Name, "") {
 		w.step(n, func() engine.Output {
 			n.machinesAt = w.now
--- a/internal/simulation/network_test.go
+++ b/internal/simulation/network_test.go
@@ -25,7 +25,7 @@
 	if w.isolated[a] || w.isolated[b] {
 		return false
 	}
-	return !w.apart || w.zoneOf(a).Region == w.zoneOf(b).Region || a == "" || b == ""
+	return !w.regionsPartitioned || w.zoneOf(a).Region == w.zoneOf(b).Region || a == "" || b == ""
 }
 
 func (w *World) distance(a, b string) time.Duration {
@@ -45,7 +45,7 @@
 
 // sendPeer carries a message to another node through the model of TCP: on a path that is cut it is undelivered.
 func (w *World) sendPeer(n *simNode, to string, m message.Message) {
-	w.note("send", n.address, to, m.Kind())
+	w.record("send", n.address, to, m.Kind())
 	// The message is encoded and decoded as on a real connection.
 	frame := message.Encode(m)
 	target := w.nodes[to]
@@ -54,21 +54,21 @@
 		return
 	}
 	delay := w.jitter(w.distance(n.zone.Name, target.zone.Name))
-	if w.chance(w.Chances.Lost) {
+	if w.chance(w.FaultProbabilities.MessageLost) {
 		w.Faults++
 		if w.random.IntN(2) == 0 {
-			w.after(delay*2, func() {
+			w.schedule(delay*2, func() {
 				w.step(n, func() engine.Output { return n.engine.Undelivered(w.now, to, m, true) })
 			})
 		}
 		return
 	}
-	if w.chance(w.Chances.Late) {
+	if w.chance(w.FaultProbabilities.MessageDelayed) {
 		w.Faults++
-		delay += time.Duration(w.random.Int64N(int64(w.Chances.LateBy)))
+		delay += time.Duration(w.random.Int64N(int64(w.FaultProbabilities.MaximumDelay)))
 	}
 	w.deliver(n, target, frame, delay)
-	if w.chance(w.Chances.Doubled) {
+	if w.chance(w.FaultProbabilities.MessageDuplicated) {
 		w.Faults++
 		w.deliver(n, target, frame, delay+time.Duration(w.random.Int64N(int64(100*time.Millisecond))))
 	}
@@ -76,7 +76,7 @@
 
 func (w *World) deliver(n, target *simNode, frame []byte, delay time.Duration) {
 	from := n.address
-	w.after(delay, func() {
+	w.schedule(delay, func() {
 		header, err := message.DecodeHeader(frame)
 		if err != nil {
 			panic("simulation: frame does not decode: " + err.Error())
@@ -97,7 +97,7 @@
 		delay = 2 * w.distance(n.zone.Name, target.zone.Name)
 	}
 	written := delay == dialTimeout
-	w.after(delay, func() {
+	w.schedule(delay, func() {
 		w.step(n, func() engine.Output { return n.engine.Undelivered(w.now, to, m, written) })
 	})
 }
--- a/internal/simulation/nodes_test.go
+++ b/internal/simulation/nodes_test.go
@@ -30,18 +30,18 @@
 	dead        bool
 	leaving     bool
 	frozen      bool
-	// held is what waits for the process to run again.
-	held     []func()
-	wakeAt   time.Duration
-	attempts map[uint64]*simAttempt
-	pool     map[string]int
+	// pendingWork is what waits for the process to run again.
+	pendingWork     []func()
+	wakeAt          time.Duration
+	attempts        map[uint64]*simAttempt
+	idleConnections map[string]int
 	// machinesAt is when the node last read the machine list; drainsTold when a back end refused its work as leaving.
-	machinesAt time.Duration
-	drainsTold map[string]time.Duration
+	machinesAt     time.Duration
+	drainRefusedAt map[string]time.Duration
 	// describedAt is when a back end last described itself to the node.
 	describedAt map[string]time.Duration
-	// versions is the highest version in force seen per service, by the checker.
-	versions map[string]uint64
+	// highestVersions is the highest version in force seen per service, by the checker.
+	highestVersions map[string]uint64
 }
 
 // startNode starts a node in a zone at a new address.
@@ -56,7 +56,7 @@
 	n := &simNode{
 		address: address, zone: zone, startedAt: w.now, generation: w.random.Uint64(),
 		incarnation: uint64(w.now.Milliseconds()) + 1,
-		attempts:    map[uint64]*simAttempt{}, pool: map[string]int{}, versions: map[string]uint64{}, drainsTold: map[string]time.Duration{}, describedAt: map[string]time.Duration{},
+		attempts:    map[uint64]*simAttempt{}, idleConnections: map[string]int{}, highestVersions: map[string]uint64{}, drainRefusedAt: map[string]time.Duration{}, describedAt: map[string]time.Duration{},
 	}
 	var seeds []string
 	for _, other := range w.live {
@@ -71,18 +71,18 @@
 	n.engine = engine.New(w.now, identity, w.options.Engine, rand.New(rand.NewPCG(w.random.Uint64(), w.random.Uint64())))
 	w.nodes[address] = n
 	w.live = append(w.live, address)
-	w.note("start", address, zone.Name)
+	w.record("start", address, zone.Name)
 	w.wakeNode(n, 0)
 	w.readMachines(n)
 	return n
 }
 
-// inNode runs something in the process of a node: at once, when it thaws, or never once it is dead.
-func (w *World) inNode(n *simNode, run func()) {
+// runInProcess runs something in the process of a node: at once, when it thaws, or never once it is dead.
+func (w *World) runInProcess(n *simNode, run func()) {
 	switch {
 	case n.dead:
 	case n.frozen:
-		n.held = append(n.held, run)
+		n.pendingWork = append(n.pendingWork, run)
 	default:
 		run()
 	}
@@ -90,9 +90,9 @@
 
 // step runs one call of a node's engine and carries out its output.
 func (w *World) step(n *simNode, call func() engine.Output) {
-	w.inNode(n, func() {
-		w.perform(n, call())
-		w.Check.node(n)
+	w.runInProcess(n, func() {
+		w.carryOut(n, call())
+		w.Checker.nodeStepped(n)
 		w.scheduleWake(n)
 	})
 }
@@ -108,7 +108,7 @@
 func (w *World) wakeNode(n *simNode, delay time.Duration) {
 	n.wakeAt = w.now + delay
 	due := n.wakeAt
-	w.after(delay, func() {
+	w.schedule(delay, func() {
 		if n.wakeAt == due {
 			n.wakeAt = 0
 			w.step(n, func() engine.Output { return n.engine.Tick(w.now) })
@@ -116,7 +116,7 @@
 	})
 }
 
-func (w *World) perform(n *simNode, output engine.Output) {
+func (w *World) carryOut(n *simNode, output engine.Output) {
 	for _, envelope := range output.Sends {
 		w.sendPeer(n, envelope.To, envelope.Message)
 	}
@@ -141,9 +141,9 @@
 	w.answerCallers(n, output)
 }
 
-// kill ends a node's process without a word. Peers notice broken connections if they can.
-func (w *World) kill(n *simNode) {
-	w.note("kill", n.address)
+// killNode ends a node's process without a word. Peers notice broken connections if they can.
+func (w *World) killNode(n *simNode) {
+	w.record("kill", n.address)
 	n.dead = true
 	w.live = slices.DeleteFunc(w.live, func(address string) bool { return address == n.address })
 	for _, number := range sortedNumbers(n.attempts) {
@@ -153,43 +153,43 @@
 	for _, address := range w.live {
 		peer := w.nodes[address]
 		if w.reachable(peer.zone.Name, n.zone.Name) {
-			w.after(w.jitter(w.distance(peer.zone.Name, n.zone.Name)), func() {
+			w.schedule(w.jitter(w.distance(peer.zone.Name, n.zone.Name)), func() {
 				w.step(peer, func() engine.Output { return peer.engine.PeerDisconnected(w.now, n.address) })
 			})
 		}
 	}
-	w.Check.nodeGone(n)
+	w.Checker.nodeKilled(n)
 	w.publishMachines()
 }
 
-// freeze stops a node's process for a while.
-func (w *World) freeze(n *simNode, length time.Duration) {
+// freezeNode stops a node's process for a while.
+func (w *World) freezeNode(n *simNode, length time.Duration) {
 	if n.frozen || n.dead {
 		return
 	}
-	w.note("freeze", n.address, length)
+	w.record("freeze", n.address, length)
 	n.frozen = true
-	w.after(length, func() {
+	w.schedule(length, func() {
 		if n.dead {
 			return
 		}
-		w.note("thaw", n.address)
+		w.record("thaw", n.address)
 		n.frozen = false
-		held := n.held
-		n.held = nil
+		held := n.pendingWork
+		n.pendingWork = nil
 		w.step(n, func() engine.Output { return n.engine.Tick(w.now) })
 		for _, run := range held {
-			w.inNode(n, run)
+			w.runInProcess(n, run)
 		}
 	})
 }
 
-// leave starts the planned stop of a node; its process ends once it is drained.
-func (w *World) leave(n *simNode) {
+// stopNode starts the planned stop of a node; its process ends once it is drained.
+func (w *World) stopNode(n *simNode) {
 	if n.leaving || n.dead {
 		return
 	}
-	w.note("leave", n.address)
+	w.record("leave", n.address)
 	n.leaving = true
 	w.publishMachines()
 	w.step(n, func() engine.Output { return n.engine.Leave(w.now) })
@@ -198,12 +198,12 @@
 
 func (w *World) awaitDrained(n *simNode, limit time.Duration) {
 	const poll = 10 * time.Millisecond
-	w.after(poll, func() {
+	w.schedule(poll, func() {
 		switch {
 		case n.dead:
 		case !n.frozen && (n.engine.Drained(w.now) || w.now > limit):
-			w.Check.stopped(n, w.now > limit)
-			w.kill(n)
+			w.Checker.nodeStopped(n, w.now > limit)
+			w.killNode(n)
 		default:
 			w.awaitDrained(n, limit)
 		}
--- a/internal/simulation/options_test.go
+++ b/internal/simulation/options_test.go
@@ -58,19 +58,19 @@
 	MachineListLag time.Duration
 }
 
-// Chances of faults of single messages, from 0 to 1.
-type Chances struct {
-	// Lost frames break their connection without a word; Doubled ones come twice; Late ones are delayed by up to LateBy.
-	Lost    float64
-	Doubled float64
-	Late    float64
-	LateBy  time.Duration
+// FaultProbabilities of faults of single messages, from 0 to 1.
+type FaultProbabilities struct {
+	// MessageLost frames break their connection without a word; Doubled ones come twice; Late ones are delayed by up to LateBy.
+	MessageLost    float64
+	MessageDuplicated float64
+	MessageDelayed    float64
+	MaximumDelay  time.Duration
 	// StoreAnswerLost: a write took effect, its answer did not come.
 	StoreAnswerLost float64
-	// StoreLate delays a write and its answer beyond the client's patience.
-	StoreLate float64
-	// EventLost of a watch.
-	EventLost float64
+	// StoreWriteDelayed delays a write and its answer beyond the client's patience.
+	StoreWriteDelayed float64
+	// WatchEventLost of a watch.
+	WatchEventLost float64
 }
 
 // SmallOptions is the world of random schedules: two regions, three zones, six nodes, three services.
--- a/internal/simulation/schedule_test.go
+++ b/internal/simulation/schedule_test.go
@@ -17,12 +17,12 @@
 	KillBackEnd
 	HangBackEnd
 	DrainBackEnd
-	LieBackEnd
+	MisreportBackEnd
 	StraggleBackEnd
 	CorruptBackEnd
 	ReviveBackEnd
 	IsolateZone
-	PartRegions
+	PartitionRegions
 	StoreDown
 	StoreSlow
 	PublishVersion
@@ -54,21 +54,21 @@
 type Fault struct {
 	At   time.Duration
 	Kind Kind
-	// Pick chooses among what the fault can strike; Length is how long it lasts.
-	Pick   int
+	// Selector chooses among what the fault can strike; Length is how long it lasts.
+	Selector   int
 	Length time.Duration
 }
 
 // String shows the fault in a failing schedule.
 func (f Fault) String() string {
-	return fmt.Sprintf("%s %s pick=%d for %s", f.At, f.Kind, f.Pick, f.Length)
+	return fmt.Sprintf("%s %s pick=%d for %s", f.At, f.Kind, f.Selector, f.Length)
 }
 
 // Schedule is what happens in a run.
 type Schedule struct {
 	Seed    uint64
 	Faults  []Fault
-	Chances Chances
+	FaultProbabilities FaultProbabilities
 	// Searches per second.
 	Searches float64
 	Length   time.Duration
@@ -82,16 +82,16 @@
 	w := New(Options{Seed: seed ^ 0x9e3779b97f4a7c15})
 	schedule := Schedule{Seed: seed, Length: 25 * time.Second, Searches: 20}
 	if w.random.IntN(2) == 0 {
-		schedule.Chances = Chances{
-			Lost: 0.01, Doubled: 0.02, Late: 0.02, LateBy: 400 * time.Millisecond,
-			StoreAnswerLost: 0.3, StoreLate: 0.2, EventLost: 0.5,
+		schedule.FaultProbabilities = FaultProbabilities{
+			MessageLost: 0.01, MessageDuplicated: 0.02, MessageDelayed: 0.02, MaximumDelay: 400 * time.Millisecond,
+			StoreAnswerLost: 0.3, StoreWriteDelayed: 0.2, WatchEventLost: 0.5,
 		}
 	}
 	for range 5 + w.random.IntN(25) {
 		schedule.Faults = append(schedule.Faults, Fault{
 			At:     5*time.Second + time.Duration(w.random.Int64N(int64(schedule.Length-5*time.Second))),
 			Kind:   Kind(w.random.IntN(int(kinds))),
-			Pick:   w.random.IntN(1000),
+			Selector:   w.random.IntN(1000),
 			Length: time.Duration(w.random.Int64N(int64(8*time.Second))) + 100*time.Millisecond,
 		})
 	}
@@ -111,17 +111,17 @@
 func RunSchedule(schedule Schedule) Result {
 	w := New(SmallOptions(schedule.Seed))
 	w.configureAll()
-	w.Chances = schedule.Chances
+	w.FaultProbabilities = schedule.FaultProbabilities
 	for _, fault := range schedule.Faults {
-		w.after(fault.At-w.now, func() { w.strike(fault) })
+		w.schedule(fault.At-w.now, func() { w.injectFault(fault) })
 	}
 	w.startSearches(schedule.Searches, schedule.Length+settleTime)
 	w.Run(schedule.Length - w.now)
-	w.mend()
+	w.clearFaults()
 	w.Run(settleTime)
-	w.Check.InForce()
-	w.Check.Unanswered(6 * time.Second)
-	return Result{Seed: schedule.Seed, Trace: w.Trace(), Steps: w.Steps, Faults: w.Faults, Checker: w.Check}
+	w.Checker.InForce()
+	w.Checker.Unanswered(6 * time.Second)
+	return Result{Seed: schedule.Seed, Trace: w.Trace(), Steps: w.Steps, Faults: w.Faults, Checker: w.Checker}
 }
 
 // configureAll lets the nodes meet and puts an intent for each service into force.
@@ -147,7 +147,7 @@
 			w.Search(n, service.Name, fmt.Sprintf("search-%d", number))
 		}
 		number++
-		w.after(time.Duration(w.random.ExpFloat64()/rate*float64(time.Second)), next)
+		w.schedule(time.Duration(w.random.ExpFloat64()/rate*float64(time.Second)), next)
 	}
 	next()
 }
--- a/internal/simulation/searches_test.go
+++ b/internal/simulation/searches_test.go
@@ -10,33 +10,33 @@
 
 // TestOneSnapshot: versions change and shards move while searches run.
 func TestOneSnapshot(t *testing.T) {
-	forSeeds(t, 4, func(t *testing.T, seed uint64) {
-		w := proofWorld(t, seed, 100, 20*time.Second)
+	runForSeeds(t, 4, func(t *testing.T, seed uint64) {
+		w := newConfiguredWorld(t, seed, 100, 20*time.Second)
 		for i := range 60 {
-			w.after(time.Duration(i)*300*time.Millisecond, func() { w.publishVersion(w.services["lookup"], 250*time.Millisecond) })
-			w.after(time.Duration(i)*300*time.Millisecond, func() { w.publishVersion(w.services["archive"], 250*time.Millisecond) })
+			w.schedule(time.Duration(i)*300*time.Millisecond, func() { w.publishVersion(w.services["lookup"], 250*time.Millisecond) })
+			w.schedule(time.Duration(i)*300*time.Millisecond, func() { w.publishVersion(w.services["archive"], 250*time.Millisecond) })
 		}
 		for i := range 4 {
-			w.after(time.Duration(2+4*i)*time.Second, func() { w.repartition(w.services["archive"], uint32(9+i), time.Second) })
+			w.schedule(time.Duration(2+4*i)*time.Second, func() { w.repartition(w.services["archive"], uint32(9+i), time.Second) })
 		}
 		w.Run(22 * time.Second)
-		noViolations(t, w)
-		if w.Check.Complete < w.Check.Searches*7/10 {
-			t.Errorf("only %d of %d searches were complete", w.Check.Complete, w.Check.Searches)
+		checkNoViolations(t, w)
+		if w.Checker.Complete < w.Checker.Searches*7/10 {
+			t.Errorf("only %d of %d searches were complete", w.Checker.Complete, w.Checker.Searches)
 		}
 	})
 }
 
 // TestCoverageIsTrue: all holders of a shard are lost; the answers say so, for as long as nobody holds it.
 func TestCoverageIsTrue(t *testing.T) {
-	forSeeds(t, 4, func(t *testing.T, seed uint64) {
-		w := proofWorld(t, seed, 60, 10*time.Second)
+	runForSeeds(t, 4, func(t *testing.T, seed uint64) {
+		w := newConfiguredWorld(t, seed, 60, 10*time.Second)
 		backEnds := w.services["archive"].backEnds
 		w.killBackEnd(backEnds[2])
 		w.killBackEnd(backEnds[3])
 		lost := uint32(3)
 		missing := 0
-		w.Answered = func(outcome SearchOutcome) {
+		w.OnSearchAnswered = func(outcome SearchOutcome) {
 			if outcome.Coverage.Total != 8 || outcome.Failure != nil {
 				return
 			}
@@ -50,10 +50,10 @@
 		w.Run(time.Second)
 		// Fresh nodes must not forget the shard either.
 		n := w.nodes[w.live[0]]
-		w.kill(n)
+		w.killNode(n)
 		w.startNode(n.zone)
 		w.Run(10 * time.Second)
-		noViolations(t, w)
+		checkNoViolations(t, w)
 		if missing == 0 {
 			t.Error("no answer named the lost shard")
 		}
@@ -62,8 +62,8 @@
 
 // TestStragglersAndHedges: hedges and originals both answer; nothing is doubled, and coverage is kept.
 func TestStragglersAndHedges(t *testing.T) {
-	forSeeds(t, 4, func(t *testing.T, seed uint64) {
-		w := proofWorld(t, seed, 60, 15*time.Second)
+	runForSeeds(t, 4, func(t *testing.T, seed uint64) {
+		w := newConfiguredWorld(t, seed, 60, 15*time.Second)
 		for _, service := range w.services {
 			for _, b := range service.backEnds {
 				b.model.Latency.StragglerChance = 0.05
@@ -71,16 +71,16 @@
 			}
 		}
 		w.Run(16 * time.Second)
-		noViolations(t, w)
-		hedges, won := w.hedges()
+		checkNoViolations(t, w)
+		hedges, won := w.hedgeCounts()
 		t.Logf("hedges %d, won %d", hedges, won)
-		if won == 0 || w.Check.Complete < w.Check.Searches*98/100 {
-			t.Errorf("hedges won %d, complete %d of %d", won, w.Check.Complete, w.Check.Searches)
+		if won == 0 || w.Checker.Complete < w.Checker.Searches*98/100 {
+			t.Errorf("hedges won %d, complete %d of %d", won, w.Checker.Complete, w.Checker.Searches)
 		}
 	})
 }
 
-func (w *World) hedges() (sent, won uint64) {
+func (w *World) hedgeCounts() (sent, won uint64) {
 	for _, address := range w.live {
 		counters := w.nodes[address].engine.DispatchCounters()
 		sent += counters.Hedges
@@ -91,8 +91,8 @@
 
 // TestBrokenAnswersAreDropped: answers at another snapshot, with missing or crossed shards.
 func TestBrokenAnswersAreDropped(t *testing.T) {
-	forSeeds(t, 4, func(t *testing.T, seed uint64) {
-		w := proofWorld(t, seed, 60, 10*time.Second)
+	runForSeeds(t, 4, func(t *testing.T, seed uint64) {
+		w := newConfiguredWorld(t, seed, 60, 10*time.Second)
 		for _, service := range w.services {
 			for i, b := range service.backEnds {
 				if i%2 == 0 {
@@ -101,7 +101,7 @@
 			}
 		}
 		w.Run(11 * time.Second)
-		noViolations(t, w)
+		checkNoViolations(t, w)
 		var invalid uint64
 		for _, address := range w.live {
 			counters := w.nodes[address].engine.DispatchCounters()
@@ -115,15 +115,15 @@
 
 // TestNotRunIsTrue: overload, freezes and lost frames; what is refused as not run never runs.
 func TestNotRunIsTrue(t *testing.T) {
-	forSeeds(t, 6, func(t *testing.T, seed uint64) {
-		w := proofWorld(t, seed, 1500, 6*time.Second)
-		w.Chances = Chances{Lost: 0.01, Doubled: 0.05, Late: 0.05, LateBy: 300 * time.Millisecond}
+	runForSeeds(t, 6, func(t *testing.T, seed uint64) {
+		w := newConfiguredWorld(t, seed, 1500, 6*time.Second)
+		w.FaultProbabilities = FaultProbabilities{MessageLost: 0.01, MessageDuplicated: 0.05, MessageDelayed: 0.05, MaximumDelay: 300 * time.Millisecond}
 		for i := range 6 {
-			w.after(time.Duration(i)*time.Second, func() { w.freeze(w.liveNode(), 700*time.Millisecond) })
+			w.schedule(time.Duration(i)*time.Second, func() { w.freezeNode(w.liveNode(), 700*time.Millisecond) })
 		}
 		w.Run(8 * time.Second)
-		noViolations(t, w)
-		if w.Check.Refusals == 0 {
+		checkNoViolations(t, w)
+		if w.Checker.Refusals == 0 {
 			t.Error("nothing was refused")
 		}
 	})
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -38,7 +38,7 @@
 			schedule := DrawSchedule(seed)
 			result := RunSchedule(schedule)
 			checker := result.Checker
-			t.Logf("missing by reason %v, blind drains %d", checker.Reasons, checker.BlindDrains)
+			t.Logf("missing by reason %v, blind drains %d", checker.Reasons, checker.UninformedSends)
 			t.Logf("steps %d, faults %d, searches %d (%d complete, %d partial, %d refused, %d failed), executions %d (%d unknown), accepted %d, conflicts %d",
 				result.Steps, result.Faults, checker.Searches, checker.Complete, checker.Partial, checker.Refusals, checker.Failures,
 				checker.Executions, checker.Unknown, checker.Accepted, checker.Conflicts)
@@ -73,7 +73,7 @@
 			schedule := Schedule{Seed: 7, Length: 25 * time.Second, Searches: 50}
 			for i := range 3 {
 				at := time.Duration(6+6*i) * time.Second
-				schedule.Faults = append(schedule.Faults, Fault{At: at, Kind: kind, Pick: 13 * i, Length: 4 * time.Second})
+				schedule.Faults = append(schedule.Faults, Fault{At: at, Kind: kind, Selector: 13 * i, Length: 4 * time.Second})
 			}
 			checker := RunSchedule(schedule).Checker
 			t.Log(kind, checker.Searches, checker.Complete, checker.Partial, checker.Refusals, checker.Failures, checker.Reasons)
--- a/internal/simulation/storecalls_test.go
+++ b/internal/simulation/storecalls_test.go
@@ -19,21 +19,21 @@
 func (w *World) readStore(n *simNode, read engine.StoreRead) {
 	delay, reached := w.storeDelay(n)
 	if !reached || delay > storeTimeout {
-		w.after(w.failDelay(), func() {
+		w.schedule(w.failureDelay(), func() {
 			w.step(n, func() engine.Output {
 				return n.engine.StoreReadDone(w.now, read.Operation, rollout.Refused, platform.Entry{})
 			})
 		})
 		return
 	}
-	w.after(delay, func() {
+	w.schedule(delay, func() {
 		entry, _ := w.store.Get(platform.ServicePrefix + read.Service)
 		w.step(n, func() engine.Output { return n.engine.StoreReadDone(w.now, read.Operation, rollout.Done, entry) })
 	})
 }
 
-// failDelay is how long a failing request to the store takes: refused at once, or a timeout.
-func (w *World) failDelay() time.Duration {
+// failureDelay is how long a failing request to the store takes: refused at once, or a timeout.
+func (w *World) failureDelay() time.Duration {
 	if w.random.IntN(2) == 0 {
 		return storeLatency
 	}
@@ -43,15 +43,15 @@
 func (w *World) writeStore(n *simNode, write engine.StoreWrite) {
 	delay, reached := w.storeDelay(n)
 	done := func(after time.Duration, outcome rollout.Outcome, swapped bool) {
-		w.after(after, func() {
+		w.schedule(after, func() {
 			w.step(n, func() engine.Output { return n.engine.StoreWriteDone(w.now, write.Operation, outcome, swapped) })
 		})
 	}
 	if !reached {
-		done(w.failDelay(), rollout.Unknown, false)
+		done(w.failureDelay(), rollout.Unknown, false)
 		return
 	}
-	late := w.chance(w.Chances.StoreLate)
+	late := w.chance(w.FaultProbabilities.StoreWriteDelayed)
 	if late {
 		w.Faults++
 		delay += storeTimeout + time.Duration(w.random.Int64N(int64(3*time.Second)))
@@ -59,8 +59,8 @@
 	if delay > storeTimeout {
 		done(storeTimeout, rollout.Unknown, false)
 	}
-	lost := w.chance(w.Chances.StoreAnswerLost)
-	w.after(delay, func() {
+	lost := w.chance(w.FaultProbabilities.StoreAnswerLost)
+	w.schedule(delay, func() {
 		swapped := w.swap(write)
 		switch {
 		case delay > storeTimeout:
@@ -76,17 +76,17 @@
 // swap carries out a write and tells the watchers.
 func (w *World) swap(write engine.StoreWrite) bool {
 	entry, swapped := w.store.CompareAndSwap(platform.ServicePrefix+write.Document.Service, write.Base, write.Document.Encode())
-	w.note("swap", write.Document.Service, write.Document.Version, swapped)
+	w.record("swap", write.Document.Service, write.Document.Version, swapped)
 	if !swapped {
 		return false
 	}
-	w.Check.written(write.Document)
+	w.Checker.documentWritten(write.Document)
 	for _, address := range w.live {
 		n := w.nodes[address]
-		if !n.engine.IsRelay() || w.chance(w.Chances.EventLost) || !w.reachable(n.zone.Name, "") {
+		if !n.engine.IsRelay() || w.chance(w.FaultProbabilities.WatchEventLost) || !w.reachable(n.zone.Name, "") {
 			continue
 		}
-		w.after(w.jitter(storeLatency), func() {
+		w.schedule(w.jitter(storeLatency), func() {
 			w.step(n, func() engine.Output { return n.engine.StoreChanged(w.now, entry) })
 		})
 	}
@@ -96,17 +96,17 @@
 func (w *World) listStore(n *simNode) {
 	delay, reached := w.storeDelay(n)
 	if !reached || delay > storeTimeout {
-		w.after(w.failDelay(), func() {
+		w.schedule(w.failureDelay(), func() {
 			w.step(n, func() engine.Output { return n.engine.StoreListDone(w.now, nil, false) })
 		})
 		return
 	}
-	w.after(delay/2, func() {
+	w.schedule(delay/2, func() {
 		entries := w.store.List(platform.ServicePrefix)
 		for i := range entries {
 			entries[i].Value = nil
 		}
-		w.after(delay/2, func() {
+		w.schedule(delay/2, func() {
 			w.step(n, func() engine.Output { return n.engine.StoreListDone(w.now, entries, true) })
 		})
 	})
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -23,14 +23,14 @@
 	options Options
 	random  *rand.Rand
 	now     time.Duration
-	order   uint64
+	lastEventNumber   uint64
 	events  eventHeap
 	trace   *xxhash.Digest
 	// Steps counts the events that ran, Faults those put in.
 	Steps  int
 	Faults int
 
-	Chances  Chances
+	FaultProbabilities  FaultProbabilities
 	nodes    map[string]*simNode
 	live     []string
 	nextNode int
@@ -38,18 +38,18 @@
 	services map[string]*simService
 	// isolated zones reach nobody outside; apart regions do not reach each other.
 	isolated map[string]bool
-	apart    bool
+	regionsPartitioned    bool
 
 	store     *standin.Store
 	storeDown bool
 	storeSlow time.Duration
-	machines  []machinesAt
+	machines  []machineListVersion
 	callers   map[engine.Caller]*call
 	nextCall  engine.Caller
-	// Check is the independent checker.
-	Check *Checker
-	// Answered is told each search's outcome, for measurements.
-	Answered func(SearchOutcome)
+	// Checker is the independent checker.
+	Checker *Checker
+	// OnSearchAnswered is told each search's outcome, for measurements.
+	OnSearchAnswered func(SearchOutcome)
 }
 
 // simService is a service with its back ends.
@@ -69,7 +69,7 @@
 		nodes: map[string]*simNode{}, backEnds: map[string]*simBackEnd{}, services: map[string]*simService{},
 		isolated: map[string]bool{}, store: standin.NewStore(), callers: map[engine.Caller]*call{},
 	}
-	w.Check = newChecker(w)
+	w.Checker = newChecker(w)
 	for _, service := range options.Services {
 		w.addService(service)
 	}
@@ -82,10 +82,10 @@
 	return w
 }
 
-// after runs something later.
-func (w *World) after(delay time.Duration, run func()) {
-	w.order++
-	heap.Push(&w.events, event{at: w.now + max(delay, 0), order: w.order, run: run})
+// schedule runs something later.
+func (w *World) schedule(delay time.Duration, run func()) {
+	w.lastEventNumber++
+	heap.Push(&w.events, event{at: w.now + max(delay, 0), number: w.lastEventNumber, run: run})
 }
 
 // Run advances the world by a length of time.
@@ -100,8 +100,8 @@
 	w.now = until
 }
 
-// note adds to the trace.
-func (w *World) note(kind string, values ...any) {
+// record adds to the trace.
+func (w *World) record(kind string, values ...any) {
 	_, _ = fmt.Fprintf(w.trace, "%d %s %v\n", w.now, kind, values)
 }
 
