--- a/internal/simulation/attempts_test.go
+++ b/internal/simulation/attempts_test.go
@@ -7,18 +7,18 @@
 	"stiletrail/internal/query"
 )
 
-// simAttempt is a request on its way to a back end.
+// simAttempt is an attempt in flight from a node to a back end.
 type simAttempt struct {
 	query.Attempt
 	node    *simNode
 	backEnd *simBackEnd
 	ended   bool
-	// arrived at the back end and holds a slot.
-	holdsSlot bool
-	disconnected    bool
+	// holdsSlot says that the attempt has arrived at the back end and occupies a slot.
+	holdsSlot    bool
+	disconnected bool
 }
 
-// beginAttempt hands a request to the model of the client library: a frozen process writes it when it runs again.
+// beginAttempt passes an attempt to the model of the client library. A frozen process sends it after the freeze.
 func (w *World) beginAttempt(n *simNode, attempt query.Attempt) {
 	a := &simAttempt{Attempt: attempt, node: n, backEnd: w.backEnds[attempt.BackEnd]}
 	n.attempts[attempt.Number] = a
@@ -26,7 +26,7 @@
 	w.schedule(handoverDelay, func() { w.runInProcess(n, func() { w.writeAttempt(a) }) })
 }
 
-// endAttempt reports the outcome to the node, once.
+// endAttempt reports the outcome of an attempt to its node. Later outcomes of the same attempt are ignored.
 func (w *World) endAttempt(a *simAttempt, result query.AttemptResult) {
 	w.runInProcess(a.node, func() {
 		if a.ended {
@@ -51,7 +51,7 @@
 		w.endAttempt(a, query.AttemptResult{Status: query.StatusNotSent})
 		return
 	}
-	// The client library gives up at the deadline, whatever happens.
+	// The client library abandons the request at its deadline in any case.
 	w.schedule(remaining, func() { w.abandonAttempt(a) })
 	b := a.backEnd
 	path := w.distance(a.node.zone.Name, b.zone)
@@ -71,7 +71,7 @@
 	w.schedule(delay, func() { w.arrive(a, remaining-delay) })
 }
 
-// abandonAttempt ends an attempt that got no answer; closing its connection cancels the work.
+// abandonAttempt ends an attempt without an answer. Its connection is closed, which cancels the work at the back end.
 func (w *World) abandonAttempt(a *simAttempt) {
 	if a.ended {
 		return
@@ -95,7 +95,7 @@
 	w.schedule(w.distance(a.node.zone.Name, a.backEnd.zone), func() { w.connectionClosed(a) })
 }
 
-// connectionClosed is what the back end sees when a caller is gone: it stops working.
+// connectionClosed tells the back end that the connection of an attempt is closed. It stops working on the request.
 func (w *World) connectionClosed(a *simAttempt) {
 	a.disconnected = true
 	w.release(a)
@@ -137,7 +137,7 @@
 	})
 }
 
-// respond carries an answer back; the connection then serves the next attempt.
+// respond delivers an answer to the node. The connection is idle afterwards and is used for a later attempt.
 func (w *World) respond(a *simAttempt, result query.AttemptResult) {
 	if !w.reachable(a.node.zone.Name, a.backEnd.zone) {
 		return
--- a/internal/simulation/backends_test.go
+++ b/internal/simulation/backends_test.go
@@ -13,19 +13,19 @@
 	"stiletrail/internal/standin"
 )
 
-// simBackEnd is a back end in a zone.
+// simBackEnd is a simulated back end: the model of its answers, its zone and its faults.
 type simBackEnd struct {
 	model   *standin.BackEnd
 	service *simService
 	zone    string
 	dead    bool
-	// hung: takes connections and never answers.
+	// hung says that the back end accepts connections and never answers.
 	hung    bool
 	leaving bool
-	// isSlowFor says for which queries the back end isSlowFor.
+	// isSlowFor says which requests the back end serves slowly, by their body. Nil means none.
 	isSlowFor func(body []byte) bool
 	drainedAt time.Duration
-	attempts   map[*simAttempt]bool
+	attempts  map[*simAttempt]bool
 }
 
 func sortedNumbers[Key cmp.Ordered, Value any](m map[Key]Value) []Key {
@@ -83,7 +83,7 @@
 	}
 }
 
-// killBackEnd loses a back end without a word; connections break.
+// killBackEnd stops a back end without a drain. The requests in flight lose their connections.
 func (w *World) killBackEnd(b *simBackEnd) {
 	w.record("kill back end", b.model.Address)
 	b.dead = true
@@ -100,7 +100,7 @@
 	}
 }
 
-// reviveBackEnd brings a back end back, cold, with the shards and version of now.
+// reviveBackEnd restarts a back end. It starts cold, with its shards and the service's current index version.
 func (w *World) reviveBackEnd(b *simBackEnd) {
 	w.record("revive back end", b.model.Address)
 	b.dead, b.hung, b.leaving = false, false, false
@@ -111,7 +111,7 @@
 	w.publishMachines()
 }
 
-// drain makes a back end leave; where it lies, its health goes on to claim that it serves.
+// drain makes a back end drain. Where lies is true, its description still reports that it is serving.
 func (w *World) drain(b *simBackEnd, lies bool) {
 	w.record("drain", b.model.Address, lies)
 	b.model.State = query.StateDraining
@@ -123,7 +123,7 @@
 	w.publishMachines()
 }
 
-// publishVersion gives the back ends of a service a new version, each a little later than the one before.
+// publishVersion publishes a new index version to the back ends of a service, to each after a random delay of up to spread.
 func (w *World) publishVersion(s *simService, spread time.Duration) {
 	s.version++
 	version := s.version
@@ -132,7 +132,7 @@
 	}
 }
 
-// repartition moves all shards to a new epoch with another number of them, back end by back end.
+// repartition starts a new epoch with another number of shards. Each back end changes over after a random delay of up to spread.
 func (w *World) repartition(s *simService, total uint32, spread time.Duration) {
 	s.epoch++
 	epoch := s.epoch
--- a/internal/simulation/callers_test.go
+++ b/internal/simulation/callers_test.go
@@ -13,30 +13,30 @@
 	"stiletrail/internal/standin"
 )
 
-// call is a caller's or operator's request under way.
+// call is a request in flight from a caller or an operator.
 type call struct {
 	node      *simNode
 	service   *simService
 	body      string
 	startedAt time.Duration
-	// arrived: the request is at the node.
+	// arrived says that the request has reached the node.
 	arrived bool
 	search  bool
 	execute *execution
 	change  *change
 }
 
-// execution is a request that is not repeatable, with its resends.
+// execution is a request that is not repeatable. All its sends carry the same ticket.
 type execution struct {
 	body   string
 	key    string
 	ticket []byte
-	// sends counts the requests made with the ticket; open those without an answer.
+	// sends counts the requests sent with the ticket. open counts those that have no answer yet.
 	sends int
 	open  int
 }
 
-// change is an operator's confirmation.
+// change is an operator's confirmation of a planned intent, with the number of times it was sent again.
 type change struct {
 	operation string
 	service   string
@@ -45,7 +45,7 @@
 	resends   int
 }
 
-// SearchOutcome is told for each search that ended.
+// SearchOutcome is the result of one search, as passed to World.OnSearchAnswered.
 type SearchOutcome struct {
 	StartedAt time.Duration
 	Elapsed   time.Duration
@@ -69,11 +69,11 @@
 	return w.nodes[w.live[w.random.IntN(len(w.live))]]
 }
 
-// callerNode returns a random node that callers are sent to: one that is not known to be leaving.
+// callerNode returns a random node to which a load balancer would send callers: one that is not leaving, if there is one.
 func (w *World) callerNode() *simNode {
 	for range 20 {
 		n := w.liveNode()
-		// During planned stops callers are sent by readiness; otherwise also to nodes that are not ready.
+		// During planned stops callers go to ready nodes only; otherwise also to nodes that are not ready.
 		if n != nil && !n.leaving && (n.engine.Ready() || !w.Checker.PlannedStopsOnly) {
 			return n
 		}
@@ -81,7 +81,7 @@
 	return w.liveNode()
 }
 
-// Search sends a caller's search to a node.
+// Search sends a search from a caller to a node.
 func (w *World) Search(n *simNode, service string, body string) {
 	s := w.services[service]
 	caller := w.addCall(&call{node: n, service: s, body: body, search: true})
@@ -95,7 +95,7 @@
 	})
 }
 
-// arriveAtNode notes that a request is at its node; false where the node is gone and the caller cannot connect.
+// arriveAtNode marks a request as arrived at its node. It returns false if the node is dead, so that the caller cannot connect.
 func (w *World) arriveAtNode(n *simNode, caller engine.Caller) bool {
 	c := w.callers[caller]
 	if n.dead || c == nil {
@@ -106,7 +106,8 @@
 	return true
 }
 
-// startExecution mints a ticket at one node and sends the request, and now and then a resend through another.
+// startExecution mints a ticket at one node, sends the request and resends it up to two times within 2 s, usually through
+// other nodes.
 func (w *World) startExecution(service string, number int) {
 	minting := w.callerNode()
 	if minting == nil || minting.frozen {
@@ -131,7 +132,7 @@
 	}
 	x.sends++
 	x.open++
-	// What was refused before may run for this send.
+	// The request may run for this send, even if an earlier send was refused.
 	delete(w.Checker.refusedAsNotRun, x.body)
 	caller := w.addCall(&call{node: n, service: w.services[service], body: x.body, execute: x})
 	w.schedule(w.jitter(w.options.Distances.Client), func() {
@@ -146,7 +147,7 @@
 	})
 }
 
-// IntentFor returns the intent that describes a service as it is.
+// IntentFor returns an intent that describes the service with its current back ends.
 func (w *World) IntentFor(s *simService) intent.Intent {
 	preference := catalog.LatencyFirst
 	if s.CoverageFirst {
@@ -164,7 +165,7 @@
 	return wanted
 }
 
-// Change plans an intent at a node and confirms it at once.
+// Change plans an intent at a node and immediately confirms the plan there.
 func (w *World) Change(n *simNode, wanted intent.Intent, operation string) {
 	if n == nil || n.frozen || n.dead {
 		return
@@ -184,7 +185,7 @@
 	})
 }
 
-// answerCallers takes a node's answers to its callers.
+// answerCallers passes a node's answers to the checker. A confirmation with an unknown outcome is sent again up to 30 times.
 func (w *World) answerCallers(n *simNode, output engine.Output) {
 	for _, answer := range output.SearchAnswers {
 		c := w.takeCall(n, answer.Caller)
@@ -218,13 +219,13 @@
 func (w *World) takeCall(n *simNode, caller engine.Caller) *call {
 	c := w.callers[caller]
 	if c == nil || c.node != n {
-		panic(fmt.Sprintf("simulation: node %s answered caller %d twice, or another's", n.address, caller))
+		panic(fmt.Sprintf("simulation: node %s answered caller %d, which is not waiting for it", n.address, caller))
 	}
 	delete(w.callers, caller)
 	return c
 }
 
-// toAnswer returns a search's answer in the checker's terms.
+// toAnswer converts the answer to a search into the form that standin.Index.Check takes.
 func toAnswer(body string, answer engine.SearchAnswer) standin.Answer {
 	result := standin.Answer{Query: []byte(body), Snapshot: answer.Snapshot, Coverage: answer.Coverage}
 	for _, shard := range answer.Documents {
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -11,45 +11,47 @@
 	"stiletrail/internal/standin"
 )
 
-// Bounds the checker holds the system to.
+// Bounds that the checker enforces.
 const (
-	// drainBound is how long after it started to leave a back end may still be sent new work.
+	// drainBound is how long after the start of its drain a back end may still get new work.
 	drainBound = 6 * time.Second
-	// InForceBound is how soon an accepted change is in force on every node that can be reached.
+	// InForceBound is the time within which an accepted change must be in force on every reachable node.
 	InForceBound = 10 * time.Second
 )
 
-// acceptedChange is a change that an operator was told is accepted.
+// acceptedChange is a change whose confirmation was answered as accepted.
 type acceptedChange struct {
 	service string
 	version uint64
 	at      time.Duration
 }
 
-// Checker looks at everything that happens from outside the nodes and collects what must not be.
+// Checker observes the simulation from outside the nodes and collects violations of the invariants.
 type Checker struct {
 	world *World
-	// Violations in the order they were found.
+	// Violations in the order in which they were found.
 	Violations []string
 
-	// runCounts holds the bodies that took a slot at a back end; refused those reported as not run.
-	runCounts        map[string]int
-	refusedAsNotRun    map[string]bool
-	executions map[string]*execution
-	accepted   []acceptedChange
-	// operations of changes by what operators were told of them.
+	// runCounts counts, for each request body, how often it took a slot at a back end. refusedAsNotRun holds the bodies that
+	// were refused as not run.
+	runCounts       map[string]int
+	refusedAsNotRun map[string]bool
+	executions      map[string]*execution
+	accepted        []acceptedChange
+	// These hold operations of changes by their answer: acceptedOperations with the version, rejectedOperations with the failure's code.
+	// writtenOperations are in the store. baseWinners holds the operation that was written on each base ("service/version").
 	acceptedOperations map[string]uint64
-	rejectedOperations   map[string]failure.Code
+	rejectedOperations map[string]failure.Code
 	writtenOperations  map[string]bool
 	baseWinners        map[string]string
-	// PlannedStopsOnly: nothing but planned stops goes on, so nothing may be missing.
+	// PlannedStopsOnly says that the run has no faults other than planned stops, so that no shard may be missing.
 	PlannedStopsOnly bool
 
 	Searches, Complete, Partial, Refusals, Failures int
 	Executions, Unknown, Accepted, Conflicts        int
-	// UninformedSends counts work sent to a leaving back end by a node that had no way to know.
+	// UninformedSends counts requests to a draining back end from nodes that had no signal of the drain.
 	UninformedSends int
-	// Reasons counts the missing shards by reason.
+	// Reasons counts missing shards by reason.
 	Reasons map[query.Reason]int
 }
 
@@ -67,7 +69,7 @@
 	c.Violations = append(c.Violations, text)
 }
 
-// requestArrived sees each request at a back end.
+// requestArrived checks each request that arrives at a back end. works says that it takes a slot and runs.
 func (c *Checker) requestArrived(a *simAttempt, works bool) {
 	b := a.backEnd
 	if b.drainedAt > 0 && c.world.now-b.drainedAt > drainBound {
@@ -79,16 +81,16 @@
 	body := string(a.Body)
 	c.runCounts[body]++
 	if c.refusedAsNotRun[body] {
-		c.violation("%s ran after it was refused as not run", body)
+		c.violation("request %s ran after it was refused as not run", body)
 	}
 	if a.Execute && c.runCounts[body] > 1 {
-		c.violation("%s ran %d times", body, c.runCounts[body])
+		c.violation("request %s ran %d times, want once at most", body, c.runCounts[body])
 	}
 }
 
-// workWhileDraining sees work at a back end that left some time ago. A node that could not read the machine list since, while the
-// back end's health lies or cannot be reached, has no signal but the refusal itself; such first tries are counted and not
-// held against it.
+// workWhileDraining checks a request to a back end that started to drain more than drainBound ago. A node has no signal of the
+// drain but the refusal itself if it could not read the machine list since, and the back end's description is wrong or could not
+// be read. The first request of such a node is counted and is no violation.
 func (c *Checker) workWhileDraining(a *simAttempt) {
 	b := a.backEnd
 	unheard := b.model.ReportedState != query.StateUnknown || a.node.describedAt[b.model.Address] < b.drainedAt
@@ -98,18 +100,18 @@
 		c.UninformedSends++
 		return
 	}
-	c.violation("back end %s got work from %s %s after it started to leave", b.model.Address, a.node.address, c.world.now-b.drainedAt)
+	c.violation("back end %s got a request from node %s %s after it started to drain", b.model.Address, a.node.address, c.world.now-b.drainedAt)
 }
 
-// searchRefused sees a refusal as not run.
+// searchRefused checks a search that was refused as not run.
 func (c *Checker) searchRefused(body string) {
 	if c.runCounts[body] > 0 {
-		c.violation("%s was refused as not run, and ran", body)
+		c.violation("request %s was refused as not run, but had run", body)
 	}
 	c.refusedAsNotRun[body] = true
 }
 
-// searchAnswered sees each answer to a search.
+// searchAnswered checks each answer to a search.
 func (c *Checker) searchAnswered(call *call, answer engine.SearchAnswer) {
 	c.Searches++
 	if answer.Failure != nil {
@@ -123,7 +125,7 @@
 		c.violation("search %s is at version %d, which does not exist", call.body, answer.Snapshot.Version)
 	}
 	if share := answer.Coverage.Ratio(); share < call.service.MinimumCoverage {
-		c.violation("search %s was answered with coverage %.3f", call.body, share)
+		c.violation("search %s was answered with coverage %.3f, which is below the minimum", call.body, share)
 	}
 	if answer.Coverage.Complete() {
 		c.Complete++
@@ -153,7 +155,7 @@
 	}
 }
 
-// executeAnswered sees each answer to a request that is not repeatable.
+// executeAnswered checks each answer to a request that is not repeatable.
 func (c *Checker) executeAnswered(call *call, answer engine.ExecuteAnswer) {
 	c.Executions++
 	x := call.execute
@@ -162,29 +164,29 @@
 	switch {
 	case problem == nil:
 		if c.runCounts[x.body] != 1 {
-			c.violation("%s was reported as done, and ran %d times", x.body, c.runCounts[x.body])
+			c.violation("request %s was reported as done, but ran %d times", x.body, c.runCounts[x.body])
 		}
 		if string(answer.Outcome.Result) != x.body {
-			c.violation("%s got the result of %s", x.body, answer.Outcome.Result)
+			c.violation("request %s got the result of request %s", x.body, answer.Outcome.Result)
 		}
 	case problem.NotRun:
 		if c.runCounts[x.body] > 0 {
-			c.violation("%s was refused as not run, and ran", x.body)
+			c.violation("request %s was refused as not run, but had run", x.body)
 		}
-		// Final until the caller sends it again, if no other send of it is open.
+		// Without another open send, the request must not run until the caller sends it again.
 		if x.open == 0 {
 			c.refusedAsNotRun[x.body] = true
 		}
 	case problem.Code == failure.OutcomeUnknown:
 		c.Unknown++
-		// A resend may come when the node that minted the ticket is gone; a first send may not.
+		// A resend may have an unknown outcome, since the node that minted the ticket may have stopped. A first send may not.
 		if c.PlannedStopsOnly && x.sends == 1 {
-			c.violation("%s has an unknown outcome during a planned stop", x.body)
+			c.violation("request %s has an unknown outcome during a planned stop", x.body)
 		}
 	}
 }
 
-// documentWritten sees each document that the store took.
+// documentWritten checks each document that was written to the store.
 func (c *Checker) documentWritten(document catalog.Document) {
 	operation := document.Operations[len(document.Operations)-1]
 	c.writtenOperations[operation] = true
@@ -199,20 +201,20 @@
 }
 
 func (c *Checker) changeSent(sent *change) {
-	// A resend settles what was unknown; a denial of an earlier send would be final.
+	// Only changes with an unknown outcome are sent again. A rejection is final.
 	if _, denied := c.rejectedOperations[sent.operation]; denied {
 		c.violation("operation %s was sent again after its final answer", sent.operation)
 	}
 }
 
-// changeAnswered sees each answer to an operator.
+// changeAnswered checks each answer to a confirmation.
 func (c *Checker) changeAnswered(sent *change, answer engine.ConfirmAnswer) {
 	problem := answer.Failure
 	switch {
 	case problem == nil:
 		c.Accepted++
 		if !c.writtenOperations[sent.operation] {
-			c.violation("operation %s was accepted, and is not in the store", sent.operation)
+			c.violation("operation %s was accepted, but is not in the store", sent.operation)
 		}
 		c.acceptedOperations[sent.operation] = answer.Version
 		c.accepted = append(c.accepted, acceptedChange{service: sent.service, version: answer.Version, at: c.world.now})
@@ -221,25 +223,25 @@
 			c.Conflicts++
 		}
 		if c.writtenOperations[sent.operation] {
-			c.violation("operation %s was answered with %s, and took effect", sent.operation, problem.Code)
+			c.violation("operation %s was answered with %s, but took effect", sent.operation, problem.Code)
 		}
 		c.rejectedOperations[sent.operation] = problem.Code
 	}
 }
 
-// nodeStepped sees each nodeStepped after each of its steps: what is in force never reverts.
+// nodeStepped checks a node after each of its steps: no version in force may be replaced by an earlier one.
 func (c *Checker) nodeStepped(n *simNode) {
 	for _, change := range c.accepted {
 		version := n.engine.Catalog().Version(change.service)
 		if version < n.highestVersions[change.service] {
-			c.violation("node %s went back from version %d to %d of %s", n.address, n.highestVersions[change.service], version, change.service)
+			c.violation("node %s reverted from version %d to %d of %s", n.address, n.highestVersions[change.service], version, change.service)
 		}
 		n.highestVersions[change.service] = version
 	}
 }
 
 func (c *Checker) nodeKilled(n *simNode) {
-	// What the node was asked gets no answer; callers see a broken connection.
+	// Requests in flight at the node get no answer: their callers see a closed connection.
 	for _, caller := range sortedNumbers(c.world.callers) {
 		call := c.world.callers[caller]
 		if call.node != n {
@@ -252,7 +254,7 @@
 	}
 }
 
-// nodeStopped sees the end of a planned stop: nothing may be under way.
+// nodeStopped checks the end of a planned stop: no request may be in flight at the node.
 func (c *Checker) nodeStopped(n *simNode, late bool) {
 	if late {
 		c.violation("node %s was not drained in time", n.address)
@@ -264,8 +266,8 @@
 	}
 }
 
-// InForce checks that every accepted change older than the bound is in force on all nodes; call it when all of them can
-// reach each other and have for a while.
+// InForce checks that every change accepted more than InForceBound ago is in force on all nodes. It may be called only when all
+// nodes have been able to reach each other for at least that time.
 func (c *Checker) InForce() {
 	for _, change := range c.accepted {
 		if c.world.now-change.at < InForceBound {
@@ -280,7 +282,7 @@
 	}
 }
 
-// Unanswered checks that no request is older than the bound without an answer.
+// Unanswered checks that no request has been waiting for an answer for longer than the bound.
 func (c *Checker) Unanswered(bound time.Duration) {
 	for _, caller := range sortedNumbers(c.world.callers) {
 		call := c.world.callers[caller]
--- a/internal/simulation/copies_test.go
+++ b/internal/simulation/copies_test.go
@@ -9,8 +9,9 @@
 	"stiletrail/internal/standin"
 )
 
-// TestTwoHistories: a region that has missed a change, since it reached nobody, makes another one after the store has come back
-// from a copy without the first. What was confirmed last is in force everywhere once the regions reach each other.
+// TestTwoHistories checks which of two changes with the same version number is in force. An isolated region misses a change, the
+// store is restored from a backup without it, and the region makes another change. The one confirmed last must be in force on
+// every node once the regions can communicate again.
 func TestTwoHistories(t *testing.T) {
 	w := newConfiguredWorld(t, 1, 5, 90*time.Second)
 	old := w.store.Backup()
@@ -36,17 +37,17 @@
 	for _, address := range w.live {
 		held, _ := w.nodes[address].engine.Catalog().Get("lookup")
 		if held.Specification.DeadlineMilliseconds != wanted.DeadlineMilliseconds {
-			t.Errorf("%s has version %d with %v in force", address, held.Version, held.Operations)
+			t.Errorf("node %s has version %d with operations %v in force, want the change confirmed last", address, held.Version, held.Operations)
 		}
 	}
 	checkNoViolations(t, w)
 }
 
-// TestStoreRestoredFromOldCopy: nodes keep what is in force, raise an alarm, and the next plan repairs the store, whether its
-// versions go on rising or are given out again.
+// TestStoreRestoredFromOldCopy checks a restore of the store from an old backup: nodes keep the configuration in force and raise
+// an alarm, and the next change repairs the store. Versions continue to rise in one case and are reused in the other.
 func TestStoreRestoredFromOldCopy(t *testing.T) {
 	for name, restore := range map[string]func(*standin.Store, map[string]platform.Entry){
-		"versions go on rising": (*standin.Store).Restore, "versions are given out again": (*standin.Store).RestoreReusingVersions,
+		"versions continue to rise": (*standin.Store).Restore, "versions are reused": (*standin.Store).RestoreReusingVersions,
 	} {
 		t.Run(name, func(t *testing.T) { restoredFromOldCopy(t, restore) })
 	}
@@ -62,25 +63,25 @@
 	restore(w.store, old)
 	w.Run(15 * time.Second)
 	if !w.inForceEverywhere("lookup", 2) {
-		t.Error("a node went back to the old copy")
+		t.Error("a node reverted to the version of the old backup")
 	}
 	alarms := 0
 	for _, address := range w.live {
 		alarms += len(w.nodes[address].engine.Alarms())
 	}
 	if alarms == 0 {
-		t.Error("no alarm was raised")
+		t.Error("no node raised an alarm about the restored store")
 	}
 	wanted.DeadlineMilliseconds++
 	w.Change(w.liveNode(), wanted, "repair")
 	w.Run(15 * time.Second)
 	for _, address := range w.live {
 		if left := w.nodes[address].engine.Alarms(); len(left) > 0 {
-			t.Errorf("alarms after the repair: %v", left)
+			t.Errorf("node %s still has alarms after the repair: %v", address, left)
 		}
 	}
 	if !w.inForceEverywhere("lookup", 3) {
-		t.Error("the repair is not in force")
+		t.Error("the repairing change is not in force on every node")
 	}
 	checkNoViolations(t, w)
 }
--- a/internal/simulation/events_test.go
+++ b/internal/simulation/events_test.go
@@ -5,9 +5,9 @@
 )
 
 type event struct {
-	at    time.Duration
+	at     time.Duration
 	number uint64
-	run   func()
+	run    func()
 }
 
 type eventHeap []event
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -7,7 +7,7 @@
 	"stiletrail/internal/query"
 )
 
-// injectFault puts a fault in.
+// injectFault starts a fault and, where the fault has a duration, schedules its end.
 func (w *World) injectFault(f Fault) {
 	w.record("fault", f.Kind, f.Selector, f.Length)
 	w.Faults++
@@ -34,7 +34,7 @@
 	}
 }
 
-// minimumNodes keeps some nodes running, so that there is something to check.
+// minimumNodes is the number of nodes that faults leave running, so that requests are still served and can be checked.
 const minimumNodes = 3
 
 func (w *World) injectNodeFault(f Fault) {
@@ -119,7 +119,7 @@
 	}
 }
 
-// clearFaults ends all faults.
+// clearFaults ends all faults. Dead nodes and back ends stay dead.
 func (w *World) clearFaults() {
 	w.record("mend")
 	w.FaultProbabilities = FaultProbabilities{}
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// newConfiguredWorld is a configured small world with searches going on.
+// newConfiguredWorld returns a small world with all services configured, in which searches are sent at the given rate (a second)
+// for the given duration.
 func newConfiguredWorld(t *testing.T, seed uint64, searches float64, length time.Duration, change ...func(*Options)) *World {
 	t.Helper()
 	options := SmallOptions(seed)
@@ -24,7 +25,7 @@
 	w.Checker.Unanswered(6 * time.Second)
 	for i, violation := range w.Checker.Violations {
 		if i == 3 {
-			t.Errorf("and %d more", len(w.Checker.Violations)-i)
+			t.Errorf("and %d more violations", len(w.Checker.Violations)-i)
 			break
 		}
 		t.Error(violation)
--- a/internal/simulation/machines_test.go
+++ b/internal/simulation/machines_test.go
@@ -12,7 +12,7 @@
 	machines []platform.Machine
 }
 
-// publishMachines puts what is true now into the machine list; it shows after the lag.
+// publishMachines adds the current state of all machines to the machine list. Readers see it after MachineListLag.
 func (w *World) publishMachines() {
 	var machines []platform.Machine
 	for _, address := range w.live {
@@ -27,7 +27,7 @@
 	w.machines = append(w.machines, machineListVersion{at: w.now, machines: machines})
 }
 
-// machineList is the newest list that is as old as the lag.
+// machineList returns the newest published list that is at least MachineListLag old, or the first list if none is.
 func (w *World) machineList() []platform.Machine {
 	var shown []platform.Machine
 	for _, list := range w.machines {
--- a/internal/simulation/network_test.go
+++ b/internal/simulation/network_test.go
@@ -17,7 +17,7 @@
 	return Zone{}
 }
 
-// reachable reports whether two zones reach each other now. The platform is in the zone without a name.
+// reachable reports whether two zones can communicate now. The empty name stands for the platform.
 func (w *World) reachable(a, b string) bool {
 	if a == b {
 		return true
@@ -38,12 +38,13 @@
 	return w.options.Distances.OtherRegion
 }
 
-// jitter spreads a latency by a tenth.
+// jitter adds up to a tenth to a latency, at random.
 func (w *World) jitter(latency time.Duration) time.Duration {
 	return latency + time.Duration(w.random.Int64N(int64(latency)/10+1))
 }
 
-// sendPeer carries a message to another node through the model of TCP: on a path that is cut it is undelivered.
+// sendPeer delivers a message to another node, as over a TCP connection. Where the node is dead or unreachable, the sender is told
+// that the message was not delivered.
 func (w *World) sendPeer(n *simNode, to string, m message.Message) {
 	w.record("send", n.address, to, m.Kind())
 	// The message is encoded and decoded as on a real connection.
@@ -89,7 +90,8 @@
 	})
 }
 
-// undelivered reports a message to a peer that is gone or cut off: a connection refused at once, or a timeout.
+// undelivered tells the sender that a message was not delivered: after one round trip where the peer's machine refuses the
+// connection, otherwise after the dial time-out.
 func (w *World) undelivered(n *simNode, to string, m message.Message) {
 	delay := dialTimeout
 	target := w.nodes[to]
--- a/internal/simulation/nodes_test.go
+++ b/internal/simulation/nodes_test.go
@@ -10,7 +10,7 @@
 	"stiletrail/internal/engine"
 )
 
-// Times of the models around a node.
+// Time-outs, delays and intervals of the simulated environment of a node.
 const (
 	dialTimeout       = time.Second
 	storeTimeout      = 2 * time.Second
@@ -19,7 +19,7 @@
 	handoverDelay     = 50 * time.Microsecond
 )
 
-// simNode is a node: an engine with a model of its driver.
+// simNode is a simulated node: an engine and the state that its process would keep around it.
 type simNode struct {
 	address     string
 	zone        Zone
@@ -30,21 +30,22 @@
 	dead        bool
 	leaving     bool
 	frozen      bool
-	// pendingWork is what waits for the process to run again.
+	// pendingWork holds the calls that arrived while the process was frozen.
 	pendingWork     []func()
 	wakeAt          time.Duration
 	attempts        map[uint64]*simAttempt
 	idleConnections map[string]int
-	// machinesAt is when the node last read the machine list; drainsTold when a back end refused its work as leaving.
+	// machinesAt is the time of the node's last read of the machine list. drainRefusedAt holds, for each back end, the time when
+	// it last refused a request of this node because it was draining.
 	machinesAt     time.Duration
 	drainRefusedAt map[string]time.Duration
-	// describedAt is when a back end last described itself to the node.
+	// describedAt holds, for each back end, the time when its description was last received by this node.
 	describedAt map[string]time.Duration
-	// highestVersions is the highest version in force seen per service, by the checker.
+	// highestVersions holds the highest version in force on this node for each service. The checker keeps it.
 	highestVersions map[string]uint64
 }
 
-// startNode starts a node in a zone at a new address.
+// startNode starts a node in a zone, at an address that was not used before.
 func (w *World) startNode(zone Zone) *simNode {
 	w.nextNode++
 	return w.startNodeAt(zone, fmt.Sprintf("10.0.%d.%d:7200", w.nextNode/250, w.nextNode%250+1))
@@ -77,7 +78,7 @@
 	return n
 }
 
-// runInProcess runs something in the process of a node: at once, when it thaws, or never once it is dead.
+// runInProcess runs a function in the process of a node: immediately, after a freeze has ended, or never if the node is dead.
 func (w *World) runInProcess(n *simNode, run func()) {
 	switch {
 	case n.dead:
@@ -88,7 +89,7 @@
 	}
 }
 
-// step runs one call of a node's engine and carries out its output.
+// step calls a node's engine once and carries out its output.
 func (w *World) step(n *simNode, call func() engine.Output) {
 	w.runInProcess(n, func() {
 		w.carryOut(n, call())
@@ -141,7 +142,7 @@
 	w.answerCallers(n, output)
 }
 
-// killNode ends a node's process without a word. Peers notice broken connections if they can.
+// killNode ends a node's process without a drain. Peers that can reach its zone see their connections break.
 func (w *World) killNode(n *simNode) {
 	w.record("kill", n.address)
 	n.dead = true
@@ -162,7 +163,7 @@
 	w.publishMachines()
 }
 
-// freezeNode stops a node's process for a while.
+// freezeNode suspends a node's process for the given duration. Calls that arrive meanwhile run afterwards.
 func (w *World) freezeNode(n *simNode, length time.Duration) {
 	if n.frozen || n.dead {
 		return
@@ -184,7 +185,7 @@
 	})
 }
 
-// stopNode starts the planned stop of a node; its process ends once it is drained.
+// stopNode starts the planned stop of a node. Its process ends when the node is drained, at the latest after a minute.
 func (w *World) stopNode(n *simNode) {
 	if n.leaving || n.dead {
 		return
--- a/internal/simulation/options_test.go
+++ b/internal/simulation/options_test.go
@@ -7,29 +7,29 @@
 	"stiletrail/internal/standin"
 )
 
-// Zone is a place; zones of one region are near each other.
+// Zone is an availability zone. Latency between zones of one region is lower than between regions.
 type Zone struct {
 	Name   string
 	Region string
 }
 
-// Service is an index with back ends.
+// Service describes a simulated service: its back ends and the values of its intent.
 type Service struct {
 	Name        string
 	BackEnds    int
 	Slots       int
 	Connections int
 	Latency     standin.Latency
-	// MinimumCoverage and the rest go into its intent.
+	// MinimumCoverage, CoverageFirst, Deadline and TailBudget are values of the service's intent.
 	MinimumCoverage float64
 	CoverageFirst   bool
 	Deadline        time.Duration
 	TailBudget      time.Duration
-	// Keys per shard on average; zero takes three.
+	// KeysPerShard is the average number of documents in a shard. Zero means three.
 	KeysPerShard int
 }
 
-// Distances are one-way latencies.
+// Distances are one-way network latencies. Connect is the additional time to open a connection.
 type Distances struct {
 	SameZone    time.Duration
 	OtherZone   time.Duration
@@ -38,7 +38,8 @@
 	Connect     time.Duration
 }
 
-// DefaultDistances are those to design for: about 1 ms between zones, 12 ms between regions, 3 ms to clients, 1 ms to connect.
+// DefaultDistances returns the latencies that the system is designed for: about 1 ms between zones, 12 ms between regions,
+// 3 ms to clients, 1 ms to connect.
 func DefaultDistances() Distances {
 	return Distances{
 		SameZone: 200 * time.Microsecond, OtherZone: time.Millisecond, OtherRegion: 12 * time.Millisecond,
@@ -46,7 +47,7 @@
 	}
 }
 
-// Options of a world.
+// Options configure a simulated world.
 type Options struct {
 	Seed         uint64
 	Zones        []Zone
@@ -54,26 +55,27 @@
 	Services     []Service
 	Distances    Distances
 	Engine       engine.Settings
-	// MachineListLag is how late the machine list shows a change.
+	// MachineListLag is the delay after which the machine list shows a change.
 	MachineListLag time.Duration
 }
 
-// FaultProbabilities of faults of single messages, from 0 to 1.
+// FaultProbabilities are the probabilities, from 0 to 1, of faults of single messages, store calls and watch events.
 type FaultProbabilities struct {
-	// MessageLost frames break their connection without a word; Doubled ones come twice; Late ones are delayed by up to LateBy.
-	MessageLost    float64
+	// MessageLost is the probability that a message between nodes is lost; the sender is told in half of the cases.
+	// MessageDuplicated: it arrives twice. MessageDelayed: it is delayed by up to MaximumDelay.
+	MessageLost       float64
 	MessageDuplicated float64
 	MessageDelayed    float64
-	MaximumDelay  time.Duration
-	// StoreAnswerLost: a write took effect, its answer did not come.
+	MaximumDelay      time.Duration
+	// StoreAnswerLost is the probability that a store write takes effect and its answer is lost.
 	StoreAnswerLost float64
-	// StoreWriteDelayed delays a write and its answer beyond the client's patience.
+	// StoreWriteDelayed is the probability that a store write takes effect only after the client's time-out.
 	StoreWriteDelayed float64
-	// WatchEventLost of a watch.
+	// WatchEventLost is the probability that a watcher does not receive an event.
 	WatchEventLost float64
 }
 
-// SmallOptions is the world of random schedules: two regions, three zones, six nodes, three services.
+// SmallOptions returns the options of the world of random schedules: two regions, three zones, six nodes, two services.
 func SmallOptions(seed uint64) Options {
 	latency := standin.Latency{Median: 4 * time.Millisecond, Sigma: 0.4, PerShard: 0.15, StragglerFactor: 20}
 	settings := engine.DefaultSettings()
--- a/internal/simulation/schedule_test.go
+++ b/internal/simulation/schedule_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Kind of fault that a schedule may draw.
+// Kind is a kind of fault. A random schedule draws from all kinds.
 type Kind uint8
 
-// The kinds of fault.
+// Kinds of faults of nodes, back ends, the network, the store and of changes and requests during a run.
 const (
 	KillNode Kind = iota
 	ReplaceNode
@@ -38,10 +38,10 @@
 	"store-slow", "publish-version", "repartition", "race-operators", "execute",
 }
 
-// String names the kind.
+// String returns the name of the kind. The names are part of the trace hashes in testdata.
 func (k Kind) String() string { return kindNames[k] }
 
-// Kinds returns all kinds.
+// Kinds returns all kinds of fault.
 func Kinds() []Kind {
 	all := make([]Kind, kinds)
 	for i := range all {
@@ -50,34 +50,34 @@
 	return all
 }
 
-// Fault is one entry of a schedule.
+// Fault is one fault of a schedule.
 type Fault struct {
 	At   time.Duration
 	Kind Kind
-	// Selector chooses among what the fault can strike; Length is how long it lasts.
-	Selector   int
-	Length time.Duration
+	// Selector chooses the node, back end, zone or service. Length is the duration of the fault.
+	Selector int
+	Length   time.Duration
 }
 
-// String shows the fault in a failing schedule.
+// String describes the fault in the output of a failing schedule.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s %s pick=%d for %s", f.At, f.Kind, f.Selector, f.Length)
 }
 
-// Schedule is what happens in a run.
+// Schedule describes one simulation run: its faults and its load.
 type Schedule struct {
-	Seed    uint64
-	Faults  []Fault
+	Seed               uint64
+	Faults             []Fault
 	FaultProbabilities FaultProbabilities
-	// Searches per second.
+	// Searches is the rate of searches per second.
 	Searches float64
 	Length   time.Duration
 }
 
-// settleTime is given after the last fault is mended, before what must hold in the end is checked.
+// settleTime passes between the end of all faults and the final checks, so that the nodes can recover.
 const settleTime = 25 * time.Second
 
-// DrawSchedule draws a schedule from a seed.
+// DrawSchedule returns the random schedule of a seed.
 func DrawSchedule(seed uint64) Schedule {
 	w := New(Options{Seed: seed ^ 0x9e3779b97f4a7c15})
 	schedule := Schedule{Seed: seed, Length: 25 * time.Second, Searches: 20}
@@ -89,16 +89,16 @@
 	}
 	for range 5 + w.random.IntN(25) {
 		schedule.Faults = append(schedule.Faults, Fault{
-			At:     5*time.Second + time.Duration(w.random.Int64N(int64(schedule.Length-5*time.Second))),
-			Kind:   Kind(w.random.IntN(int(kinds))),
-			Selector:   w.random.IntN(1000),
-			Length: time.Duration(w.random.Int64N(int64(8*time.Second))) + 100*time.Millisecond,
+			At:       5*time.Second + time.Duration(w.random.Int64N(int64(schedule.Length-5*time.Second))),
+			Kind:     Kind(w.random.IntN(int(kinds))),
+			Selector: w.random.IntN(1000),
+			Length:   time.Duration(w.random.Int64N(int64(8*time.Second))) + 100*time.Millisecond,
 		})
 	}
 	return schedule
 }
 
-// Result of a run.
+// Result is the outcome of a simulation run.
 type Result struct {
 	Seed    uint64
 	Trace   uint64
@@ -107,7 +107,7 @@
 	Checker *Checker
 }
 
-// RunSchedule runs a schedule in the small world and checks it.
+// RunSchedule runs a schedule in the world of SmallOptions and makes the final checks.
 func RunSchedule(schedule Schedule) Result {
 	w := New(SmallOptions(schedule.Seed))
 	w.configureAll()
@@ -124,7 +124,7 @@
 	return Result{Seed: schedule.Seed, Trace: w.Trace(), Steps: w.Steps, Faults: w.Faults, Checker: w.Checker}
 }
 
-// configureAll lets the nodes meet and puts an intent for each service into force.
+// configureAll waits until the nodes have discovered each other and puts an intent for each service into force.
 func (w *World) configureAll() {
 	w.Run(3 * time.Second)
 	for _, service := range w.options.Services {
@@ -134,7 +134,7 @@
 	w.Run(time.Second)
 }
 
-// startSearches sends searches at a rate until a time, to random nodes and services.
+// startSearches sends searches to random nodes and services at a rate (a second) until the given time.
 func (w *World) startSearches(rate float64, until time.Duration) {
 	number := 0
 	var next func()
--- a/internal/simulation/searches_test.go
+++ b/internal/simulation/searches_test.go
@@ -8,7 +8,8 @@
 	"stiletrail/internal/query"
 )
 
-// TestOneSnapshot: versions change and shards move while searches run.
+// TestOneSnapshot checks that the documents of one answer are all of one snapshot, while index versions change and shards are
+// repartitioned during the searches.
 func TestOneSnapshot(t *testing.T) {
 	runForSeeds(t, 4, func(t *testing.T, seed uint64) {
 		w := newConfiguredWorld(t, seed, 100, 20*time.Second)
@@ -22,12 +23,12 @@
 		w.Run(22 * time.Second)
 		checkNoViolations(t, w)
 		if w.Checker.Complete < w.Checker.Searches*7/10 {
-			t.Errorf("only %d of %d searches were complete", w.Checker.Complete, w.Checker.Searches)
+			t.Errorf("%d of %d searches were complete, want 70 %%", w.Checker.Complete, w.Checker.Searches)
 		}
 	})
 }
 
-// TestCoverageIsTrue: all holders of a shard are lost; the answers say so, for as long as nobody holds it.
+// TestCoverageIsTrue checks that answers report a shard as missing for as long as all back ends that hold it are lost.
 func TestCoverageIsTrue(t *testing.T) {
 	runForSeeds(t, 4, func(t *testing.T, seed uint64) {
 		w := newConfiguredWorld(t, seed, 60, 10*time.Second)
@@ -41,26 +42,27 @@
 				return
 			}
 			if outcome.Coverage.Complete() {
-				t.Errorf("a search was complete without shard %d", lost)
+				t.Errorf("a search was reported as complete without shard %d", lost)
 			}
 			if slices.ContainsFunc(outcome.Coverage.Missing, func(m query.Missing) bool { return m.Shard == lost }) {
 				missing++
 			}
 		}
 		w.Run(time.Second)
-		// Fresh nodes must not forget the shard either.
+		// A node that starts after the loss must report the shard as missing, too.
 		n := w.nodes[w.live[0]]
 		w.killNode(n)
 		w.startNode(n.zone)
 		w.Run(10 * time.Second)
 		checkNoViolations(t, w)
 		if missing == 0 {
-			t.Error("no answer named the lost shard")
+			t.Errorf("no answer reported shard %d as missing", lost)
 		}
 	})
 }
 
-// TestStragglersAndHedges: hedges and originals both answer; nothing is doubled, and coverage is kept.
+// TestStragglersAndHedges checks that no document is returned twice and coverage is kept when a slow attempt and its hedge both
+// answer.
 func TestStragglersAndHedges(t *testing.T) {
 	runForSeeds(t, 4, func(t *testing.T, seed uint64) {
 		w := newConfiguredWorld(t, seed, 60, 15*time.Second)
@@ -75,7 +77,7 @@
 		hedges, won := w.hedgeCounts()
 		t.Logf("hedges %d, won %d", hedges, won)
 		if won == 0 || w.Checker.Complete < w.Checker.Searches*98/100 {
-			t.Errorf("hedges won %d, complete %d of %d", won, w.Checker.Complete, w.Checker.Searches)
+			t.Errorf("%d hedges won, want at least 1; %d of %d searches were complete, want 98 %%", won, w.Checker.Complete, w.Checker.Searches)
 		}
 	})
 }
@@ -89,7 +91,7 @@
 	return sent, won
 }
 
-// TestBrokenAnswersAreDropped: answers at another snapshot, with missing or crossed shards.
+// TestBrokenAnswersAreDropped checks that answers with another snapshot, a missing shard or a wrong shard number are discarded.
 func TestBrokenAnswersAreDropped(t *testing.T) {
 	runForSeeds(t, 4, func(t *testing.T, seed uint64) {
 		w := newConfiguredWorld(t, seed, 60, 10*time.Second)
@@ -108,12 +110,12 @@
 			invalid += counters.InvalidAnswers + counters.WrongSnapshot
 		}
 		if invalid == 0 {
-			t.Error("no broken answer was noticed")
+			t.Error("no corrupt answer was detected, although half of the back ends send them")
 		}
 	})
 }
 
-// TestNotRunIsTrue: overload, freezes and lost frames; what is refused as not run never runs.
+// TestNotRunIsTrue checks under overload, frozen nodes and lost messages that a request that was refused as not run never runs.
 func TestNotRunIsTrue(t *testing.T) {
 	runForSeeds(t, 6, func(t *testing.T, seed uint64) {
 		w := newConfiguredWorld(t, seed, 1500, 6*time.Second)
@@ -124,7 +126,7 @@
 		w.Run(8 * time.Second)
 		checkNoViolations(t, w)
 		if w.Checker.Refusals == 0 {
-			t.Error("nothing was refused")
+			t.Error("no search was refused, although the nodes are overloaded")
 		}
 	})
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// seedsInCI is how many random schedules every run of the tests covers; make simulate runs more.
+// seedsInCI is the number of random fault schedules that one run of the tests covers. "make simulate" covers more.
 const seedsInCI = 40
 
 func seeds(t *testing.T) (first, count uint64) {
@@ -29,7 +29,8 @@
 	return 1, seedsInCI
 }
 
-// TestRandomSchedules runs many nodes through random faults and checks everything that must always hold.
+// TestRandomSchedules runs a cluster under random fault schedules and checks every invariant of the Checker.
+// A failing seed is replayed with SEED=n.
 func TestRandomSchedules(t *testing.T) {
 	first, count := seeds(t)
 	for seed := first; seed < first+count; seed++ {
@@ -38,7 +39,7 @@
 			schedule := DrawSchedule(seed)
 			result := RunSchedule(schedule)
 			checker := result.Checker
-			t.Logf("missing by reason %v, blind drains %d", checker.Reasons, checker.UninformedSends)
+			t.Logf("missing shards by reason %v, sends to draining back ends without a drain signal %d", checker.Reasons, checker.UninformedSends)
 			t.Logf("steps %d, faults %d, searches %d (%d complete, %d partial, %d refused, %d failed), executions %d (%d unknown), accepted %d, conflicts %d",
 				result.Steps, result.Faults, checker.Searches, checker.Complete, checker.Partial, checker.Refusals, checker.Failures,
 				checker.Executions, checker.Unknown, checker.Accepted, checker.Conflicts)
@@ -55,17 +56,17 @@
 	}
 }
 
-// TestQuietWorld: with nothing wrong every search is complete.
-func TestQuietWorld(t *testing.T) {
+// TestNoFaults checks that every search is complete while no fault occurs.
+func TestNoFaults(t *testing.T) {
 	result := RunSchedule(Schedule{Seed: 1, Length: 25 * time.Second, Searches: 50})
 	checker := result.Checker
 	t.Log(checker.Searches, checker.Complete, checker.Partial, checker.Refusals, checker.Failures, checker.Reasons)
 	if checker.Complete != checker.Searches || len(checker.Violations) > 0 {
-		t.Errorf("%d of %d searches complete, violations %v", checker.Complete, checker.Searches, checker.Violations)
+		t.Errorf("without faults %d of %d searches are complete, want all; violations %v", checker.Complete, checker.Searches, checker.Violations)
 	}
 }
 
-// TestSingleFaults strikes with one kind of fault at a time.
+// TestSingleFaults injects three faults of one kind into each run, for every kind of fault.
 func TestSingleFaults(t *testing.T) {
 	for _, kind := range Kinds() {
 		t.Run(kind.String(), func(t *testing.T) {
@@ -84,21 +85,23 @@
 	}
 }
 
-// TestSameSeedSameTrace: a seed decides everything.
+// TestSameSeedSameTrace checks that a run is deterministic: two runs with one seed have the same events. Without that, a failing
+// seed could not be replayed.
 func TestSameSeedSameTrace(t *testing.T) {
 	for _, seed := range []uint64{3, 17} {
 		first, second := RunSchedule(DrawSchedule(seed)), RunSchedule(DrawSchedule(seed))
 		if first.Trace != second.Trace || first.Steps != second.Steps {
-			t.Errorf("seed %d: traces %x and %x, steps %d and %d", seed, first.Trace, second.Trace, first.Steps, second.Steps)
+			t.Errorf("seed %d: two runs differ: traces %x and %x, steps %d and %d", seed, first.Trace, second.Trace, first.Steps, second.Steps)
 		}
 	}
 }
 
-// TestTimeNeverGoesBack: an engine refuses a time that goes back, which would break every bound.
+// TestTimeNeverGoesBack checks that an engine panics when it is called with an earlier time than before. Time-outs and bounds
+// rely on a monotonic clock.
 func TestTimeNeverGoesBack(t *testing.T) {
 	defer func() {
 		if recover() == nil {
-			t.Error("a time that goes back was taken")
+			t.Error("the engine accepted an earlier time than before, want a panic")
 		}
 	}()
 	w := New(SmallOptions(1))
--- a/internal/simulation/stops_test.go
+++ b/internal/simulation/stops_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestAtMostOnce: requests that are not repeatable, resent by callers, with nodes and back ends lost and frozen in between.
+// TestAtMostOnce checks that a request that is not repeatable runs at most once although callers resend it and nodes and a back
+// end are lost or frozen meanwhile.
 func TestAtMostOnce(t *testing.T) {
 	runForSeeds(t, 8, func(t *testing.T, seed uint64) {
 		w := newConfiguredWorld(t, seed, 20, 20*time.Second)
@@ -24,12 +25,13 @@
 		checkNoViolations(t, w)
 		t.Logf("executions answered %d, unknown %d", w.Checker.Executions, w.Checker.Unknown)
 		if w.Checker.Executions < 300 {
-			t.Errorf("only %d executions were answered", w.Checker.Executions)
+			t.Errorf("%d executions were answered, want at least 300", w.Checker.Executions)
 		}
 	})
 }
 
-// TestDrainingBackEnd gets no new work, whether its health says so, lies, or the machine list lags.
+// TestDrainingBackEnd checks that a draining back end gets no new work, whether its description says so or still reports that it
+// is serving while the machine list lags.
 func TestDrainingBackEnd(t *testing.T) {
 	for _, lies := range []bool{false, true} {
 		runForSeeds(t, 3, func(t *testing.T, seed uint64) {
@@ -38,15 +40,16 @@
 			w.drain(b, lies)
 			w.Run(16 * time.Second)
 			checkNoViolations(t, w)
-			t.Logf("work that came while leaving: %d", b.model.RequestsWhileDraining)
+			t.Logf("requests received while draining: %d", b.model.RequestsWhileDraining)
 			if w.Checker.UninformedSends > 0 || w.Checker.Complete != w.Checker.Searches {
-				t.Errorf("blind %d, complete %d of %d", w.Checker.UninformedSends, w.Checker.Complete, w.Checker.Searches)
+				t.Errorf("%d sends without a drain signal, want none; %d of %d searches were complete, want all", w.Checker.UninformedSends, w.Checker.Complete, w.Checker.Searches)
 			}
 		})
 	}
 }
 
-// TestPlannedStops: all first nodes of the zones stop, two at once, while new ones come; nothing in flight is cut.
+// TestPlannedStops replaces all original nodes, two at a time, by planned stops. No request in flight may fail and no search may
+// lose coverage.
 func TestPlannedStops(t *testing.T) {
 	runForSeeds(t, 8, func(t *testing.T, seed uint64) {
 		w := newConfiguredWorld(t, seed, 150, 30*time.Second)
--- a/internal/simulation/store_test.go
+++ b/internal/simulation/store_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestOperatorsRace: of the plans on one base exactly one wins.
+// TestOperatorsRace confirms concurrent plans on the same base version while store answers are lost. Exactly one plan of each
+// base may be accepted.
 func TestOperatorsRace(t *testing.T) {
 	runForSeeds(t, 6, func(t *testing.T, seed uint64) {
 		w := newConfiguredWorld(t, seed, 5, 10*time.Second)
@@ -19,12 +20,12 @@
 		checkNoViolations(t, w)
 		t.Logf("accepted %d, conflicts %d", w.Checker.Accepted, w.Checker.Conflicts)
 		if w.Checker.Conflicts == 0 || w.Checker.Accepted < 10 {
-			t.Errorf("accepted %d, conflicts %d", w.Checker.Accepted, w.Checker.Conflicts)
+			t.Errorf("accepted %d changes, want at least 10; conflicts %d, want at least 1", w.Checker.Accepted, w.Checker.Conflicts)
 		}
 	})
 }
 
-// TestStoreDownForAnHour: nodes serve, restart and join without the store, and nothing reverts.
+// TestStoreDownForAnHour checks that nodes serve, restart and join without the store, and that no configuration is reverted.
 func TestStoreDownForAnHour(t *testing.T) {
 	w := newConfiguredWorld(t, 1, 1, time.Hour)
 	w.storeDown = true
@@ -35,7 +36,7 @@
 	for _, address := range w.live {
 		n := w.nodes[address]
 		if age, known := n.engine.ConfigurationAge(w.now); !n.engine.Ready() || (known && age < 50*time.Minute) {
-			t.Errorf("node %s: ready %t, configuration age %s", address, n.engine.Ready(), age)
+			t.Errorf("node %s without the store: ready %t, want true; configuration age %s, want at least 50 min", address, n.engine.Ready(), age)
 		}
 	}
 	w.storeDown = false
@@ -44,15 +45,16 @@
 	checkNoViolations(t, w)
 	for _, address := range w.live {
 		if age, known := w.nodes[address].engine.ConfigurationAge(w.now); !known || age > 15*time.Second {
-			t.Errorf("node %s: configuration age %s after the store came back", address, age)
+			t.Errorf("node %s: configuration age %s after the store is back, want at most 15 s", address, age)
 		}
 	}
 	if w.Checker.Complete < w.Checker.Searches*99/100 {
-		t.Errorf("complete %d of %d", w.Checker.Complete, w.Checker.Searches)
+		t.Errorf("%d of %d searches were complete, want 99 %%", w.Checker.Complete, w.Checker.Searches)
 	}
 }
 
-// TestZoneIsolatedForAnHour keeps serving what it reaches, and has what was accepted elsewhere soon after it rejoins.
+// TestZoneIsolatedForAnHour checks that an isolated zone serves from the back ends that it can reach, and that a change accepted
+// elsewhere is in force there within InForceBound after the zone is reconnected.
 func TestZoneIsolatedForAnHour(t *testing.T) {
 	w := newConfiguredWorld(t, 2, 2, time.Hour)
 	w.isolated["zone-c"] = true
@@ -70,7 +72,7 @@
 	w.Change(outside, wanted, "while-isolated")
 	w.Run(30 * time.Minute)
 	if version := w.nodeInZone("zone-c").engine.Catalog().Version("lookup"); version != 1 {
-		t.Errorf("the isolated zone has version %d", version)
+		t.Errorf("the isolated zone has version %d in force, want 1", version)
 	}
 	clear(w.isolated)
 	rejoined := w.now
@@ -79,16 +81,17 @@
 	}
 	t.Logf("in force everywhere %s after rejoining; answered %d of %d", w.now-rejoined, insideAnswered, inside)
 	if !w.inForceEverywhere("lookup", 2) {
-		t.Error("the change is not in force everywhere")
+		t.Error("the change made during the isolation is not in force on every node")
 	}
 	w.Run(10 * time.Second)
 	checkNoViolations(t, w)
 	if insideAnswered < inside*6/10 {
-		t.Errorf("answered %d of %d", insideAnswered, inside)
+		t.Errorf("%d of %d searches were answered, want 60 %%", insideAnswered, inside)
 	}
 }
 
-// TestAcceptedOutlivesNodeAndStore: right after an acceptance the node and the store are lost, and watches had lost the event.
+// TestAcceptedOutlivesNodeAndStore checks that an accepted change reaches all nodes although the accepting node and the store are
+// lost right after the acceptance and the watch events of the change were lost.
 func TestAcceptedOutlivesNodeAndStore(t *testing.T) {
 	runForSeeds(t, 8, func(t *testing.T, seed uint64) {
 		w := newConfiguredWorld(t, seed, 5, 30*time.Second)
@@ -107,12 +110,13 @@
 		w.Checker.InForce()
 		checkNoViolations(t, w)
 		if !w.inForceEverywhere("lookup", 2) {
-			t.Error("an accepted change is out of force")
+			t.Error("an accepted change is not in force on every node")
 		}
 	})
 }
 
-// TestFreshNodeDuringOutage joins from peers and is ready with the newest versions.
+// TestFreshNodeDuringOutage checks that a node that starts while the store is down reads the configuration from its peers and
+// becomes ready only with the newest version.
 func TestFreshNodeDuringOutage(t *testing.T) {
 	runForSeeds(t, 4, func(t *testing.T, seed uint64) {
 		w := newConfiguredWorld(t, seed, 5, 30*time.Second)
@@ -125,20 +129,21 @@
 		started := w.now
 		for !fresh.engine.Ready() && w.now-started < 20*time.Second {
 			if version := fresh.engine.Catalog().Version("lookup"); fresh.engine.Ready() && version != 2 {
-				t.Errorf("ready with version %d", version)
+				t.Errorf("the new node is ready with version %d, want 2", version)
 			}
 			w.Run(10 * time.Millisecond)
 		}
 		t.Logf("ready after %s", w.now-started)
 		if !fresh.engine.Ready() || fresh.engine.Catalog().Version("lookup") != 2 {
-			t.Errorf("ready %t with version %d", fresh.engine.Ready(), fresh.engine.Catalog().Version("lookup"))
+			t.Errorf("the new node: ready %t, want true; version %d, want 2", fresh.engine.Ready(), fresh.engine.Catalog().Version("lookup"))
 		}
 		w.Run(10 * time.Second)
 		checkNoViolations(t, w)
 	})
 }
 
-// TestWatchesLoseEvents and relays freeze: changes are in force in time all the same.
+// TestWatchesLoseEvents checks that changes are in force in time although every watch event is lost and nodes do not forward
+// changes to each other.
 func TestWatchesLoseEvents(t *testing.T) {
 	runForSeeds(t, 4, func(t *testing.T, seed uint64) {
 		w := newConfiguredWorld(t, seed, 5, 60*time.Second, func(o *Options) { o.Engine.Gossip.Fanout = 0 })
--- a/internal/simulation/storecalls_test.go
+++ b/internal/simulation/storecalls_test.go
@@ -8,7 +8,7 @@
 	"stiletrail/internal/rollout"
 )
 
-// storeDelay is the time of a request to the store; false where it does not get there.
+// storeDelay returns the round-trip time of a request to the store, and false if the store cannot be reached.
 func (w *World) storeDelay(n *simNode) (time.Duration, bool) {
 	if w.storeDown || !w.reachable(n.zone.Name, "") {
 		return 0, false
@@ -32,7 +32,7 @@
 	})
 }
 
-// failureDelay is how long a failing request to the store takes: refused at once, or a timeout.
+// failureDelay returns how long a failing request to the store takes: a refused connection or a time-out, at random.
 func (w *World) failureDelay() time.Duration {
 	if w.random.IntN(2) == 0 {
 		return storeLatency
@@ -73,7 +73,7 @@
 	})
 }
 
-// swap carries out a write and tells the watchers.
+// swap carries out a write and sends the event to the watching nodes.
 func (w *World) swap(write engine.StoreWrite) bool {
 	entry, swapped := w.store.CompareAndSwap(platform.ServicePrefix+write.Document.Service, write.Base, write.Document.Encode())
 	w.record("swap", write.Document.Service, write.Document.Version, swapped)
--- a/internal/simulation/traces_test.go
+++ b/internal/simulation/traces_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// tracesFile has a line for each schedule: its seed, the steps and the hash of all that happened.
+// tracesFile has a line for each recorded schedule: its seed, the number of steps and the hash of its events.
 const tracesFile = "testdata/traces.txt"
 
-// TestTracesAreKept: the nodes do the same in the same world. A change that only moves or renames code leaves the traces as they
-// are; one that changes what the nodes do, or what happens to them, writes them anew and says why.
+// TestTracesAreKept compares the traces of some schedules with recorded ones. A change that only moves or renames code leaves
+// the traces as they are. A change of the nodes' behaviour or of the simulation records them again and says why.
 func TestTracesAreKept(t *testing.T) {
 	file, err := os.Open(tracesFile)
 	if err != nil {
@@ -31,11 +31,11 @@
 			t.Parallel()
 			result := RunSchedule(DrawSchedule(seed))
 			if result.Trace != trace || int(result.Steps) != steps {
-				t.Errorf("%d steps with trace %x, kept are %d with %x", result.Steps, result.Trace, steps, trace)
+				t.Errorf("got %d steps with trace %x, recorded are %d steps with trace %x", result.Steps, result.Trace, steps, trace)
 			}
 		})
 	}
 	if kept == 0 {
-		t.Error("no trace is kept")
+		t.Errorf("%s contains no trace", tracesFile)
 	}
 }
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -1,9 +1,8 @@
-// Package simulation tests the own interface's nodes as a whole: it runs many of them, the very engines that stiletraild runs, in
-// a virtual world under faults, and an independent checker looks at every step. It holds test files alone.
+// Package simulation is a deterministic simulation test of whole clusters. It runs many nodes with the engines of stiletraild in
+// virtual time, injects faults, and checks every step with an independent checker. It contains test files only.
 //
-// World owns the virtual clock, the event queue and one seeded source of randomness that decides everything: the same seed gives
-// the same trace. Around the engines stand models of the network, back ends, store and machine list. There is no I/O, no lock and
-// no goroutine.
+// World owns the virtual clock, the event queue and the only source of randomness, which is seeded: the same seed gives the same
+// trace. The network, the back ends, the store and the machine list are models. The package uses no I/O, locks or goroutines.
 package simulation
 
 import (
@@ -18,27 +17,28 @@
 	"stiletrail/internal/standin"
 )
 
-// World is everything there is.
+// World is one simulated deployment: virtual time, nodes, callers, back ends, store, machine list and network.
 type World struct {
-	options Options
-	random  *rand.Rand
-	now     time.Duration
-	lastEventNumber   uint64
-	events  eventHeap
-	trace   *xxhash.Digest
-	// Steps counts the events that ran, Faults those put in.
+	options         Options
+	random          *rand.Rand
+	now             time.Duration
+	lastEventNumber uint64
+	events          eventHeap
+	trace           *xxhash.Digest
+	// Steps counts the events that ran. Faults counts the faults that were injected.
 	Steps  int
 	Faults int
 
-	FaultProbabilities  FaultProbabilities
-	nodes    map[string]*simNode
-	live     []string
-	nextNode int
-	backEnds map[string]*simBackEnd
-	services map[string]*simService
-	// isolated zones reach nobody outside; apart regions do not reach each other.
-	isolated map[string]bool
-	regionsPartitioned    bool
+	FaultProbabilities FaultProbabilities
+	nodes              map[string]*simNode
+	live               []string
+	nextNode           int
+	backEnds           map[string]*simBackEnd
+	services           map[string]*simService
+	// isolated holds the zones that cannot communicate with any other zone or with the platform.
+	// regionsPartitioned says that the regions cannot reach each other.
+	isolated           map[string]bool
+	regionsPartitioned bool
 
 	store     *standin.Store
 	storeDown bool
@@ -46,13 +46,14 @@
 	machines  []machineListVersion
 	callers   map[engine.Caller]*call
 	nextCall  engine.Caller
-	// Checker is the independent checker.
+	// Checker verifies the invariants from outside the nodes.
 	Checker *Checker
-	// OnSearchAnswered is told each search's outcome, for measurements.
+	// OnSearchAnswered, where set, is called with the outcome of each search.
 	OnSearchAnswered func(SearchOutcome)
 }
 
-// simService is a service with its back ends.
+// simService is a simulated service with its back ends, its newest index version and its current epoch. totals holds the number
+// of shards of each epoch.
 type simService struct {
 	Service
 	index    standin.Index
@@ -62,7 +63,7 @@
 	epoch    uint64
 }
 
-// New builds a world in which the nodes have just started and no service is configured.
+// New returns a world whose nodes have just started. No service is configured yet.
 func New(options Options) *World {
 	w := &World{
 		options: options, random: rand.New(rand.NewPCG(options.Seed, 0x5711e)), trace: xxhash.New(),
@@ -82,13 +83,13 @@
 	return w
 }
 
-// schedule runs something later.
+// schedule runs a function after a delay. A negative delay counts as zero.
 func (w *World) schedule(delay time.Duration, run func()) {
 	w.lastEventNumber++
 	heap.Push(&w.events, event{at: w.now + max(delay, 0), number: w.lastEventNumber, run: run})
 }
 
-// Run advances the world by a length of time.
+// Run advances the virtual time by the given duration and runs every event that is due.
 func (w *World) Run(length time.Duration) {
 	until := w.now + length
 	for len(w.events) > 0 && w.events[0].at <= until {
@@ -100,12 +101,12 @@
 	w.now = until
 }
 
-// record adds to the trace.
+// record adds an event to the trace. The texts are part of the trace hashes in testdata and must stay as they are.
 func (w *World) record(kind string, values ...any) {
 	_, _ = fmt.Fprintf(w.trace, "%d %s %v\n", w.now, kind, values)
 }
 
-// Trace is a hash of everything that happened.
+// Trace returns a hash of all recorded events.
 func (w *World) Trace() uint64 { return w.trace.Sum64() }
 
 func (w *World) chance(probability float64) bool {
