--- a/internal/rehearsal/backend.go
+++ b/internal/rehearsal/backend.go
@@ -17,7 +17,8 @@
 	"stiletrail/internal/standin"
 )
 
-// BackEndOptions of a back-end stand-in.
+// BackEndOptions configure a back-end stand-in. Keys is the number of documents of the service, Total its number of shards, and
+// Shards are those that this back end holds.
 type BackEndOptions struct {
 	Service     string
 	Keys        int
@@ -28,14 +29,14 @@
 	Latency     standin.Latency
 }
 
-// BackEnd serves a model of a back end.
+// BackEnd serves a model of a back end over HTTP.
 type BackEnd struct {
 	server *server
 	mutex  sync.Mutex
 	model  *standin.BackEnd
 }
 
-// StartBackEnd serves on the address.
+// StartBackEnd starts a back end that listens on the address.
 func StartBackEnd(address string, options BackEndOptions) (*BackEnd, error) {
 	index := standin.Index{Service: options.Service, Keys: options.Keys}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
@@ -53,21 +54,21 @@
 	return b, nil
 }
 
-// Address is where the back end is served.
+// Address returns the address on which the back end listens.
 func (b *BackEnd) Address() string { return b.server.address }
 
-// Close stops serving at once.
+// Close closes the listener and all connections immediately.
 func (b *BackEnd) Close() { b.server.close() }
 
-// WithModel gives access to the model.
+// WithModel calls a function with the model, under the mutex.
 func (b *BackEnd) WithModel(use func(*standin.BackEnd)) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	use(b.model)
 }
 
-// control changes the back end over HTTP: state=draining|serving|cold, lie=serving, version=7, straggler-factor=20,
-// straggler-chance=0.1, epoch=2&total=8&shards=0,1.
+// control changes the back end by the parameters of an HTTP request: state=draining|serving|cold, lie=serving (the state that
+// its description reports), version=7, straggler-factor=20, straggler-chance=0.1, epoch=2&total=8&shards=0,1.
 func (b *BackEnd) control(w http.ResponseWriter, r *http.Request) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -95,7 +96,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// ParseShards reads a list of shard numbers as in "0,1,2".
+// ParseShards parses a list of shard numbers such as "0,1,2". Parts that are not numbers are ignored.
 func ParseShards(text string) []uint32 {
 	var shards []uint32
 	for _, part := range strings.Split(text, ",") {
@@ -115,7 +116,7 @@
 	query.StatusExpired:            stiletrailv1.QueryStatus_QUERY_STATUS_EXPIRED,
 }
 
-// Query implements the back-end service.
+// Query implements the back-end service: the model decides the answer and the service time.
 func (b *BackEnd) Query(
 	ctx context.Context, request *connect.Request[stiletrailv1.QueryRequest],
 ) (*connect.Response[stiletrailv1.QueryResponse], error) {
@@ -178,7 +179,7 @@
 	}
 }
 
-// Describe implements the back-end service.
+// Describe implements the back-end service: it returns the state, shards and versions that the model reports.
 func (b *BackEnd) Describe(
 	_ context.Context, _ *connect.Request[stiletrailv1.DescribeRequest],
 ) (*connect.Response[stiletrailv1.DescribeResponse], error) {
--- a/internal/rehearsal/cluster.go
+++ b/internal/rehearsal/cluster.go
@@ -22,32 +22,32 @@
 
 const loopback = "127.0.0.1:0"
 
-// ClusterOptions of a rehearsal cluster in one process.
+// ClusterOptions configure a cluster that runs in this process.
 type ClusterOptions struct {
 	Deployment   Deployment
 	NodesPerZone int
 	Log          io.Writer
-	// Deadline of searches.
+	// Deadline of searches, for the services' intents.
 	Deadline time.Duration
 	Platform PlatformOptions
 }
 
-// Cluster is nodes, back ends and the platform in one process, talking over loopback.
+// Cluster runs nodes, back ends and the platform in this process. They communicate over loopback.
 type Cluster struct {
 	options  ClusterOptions
 	Platform *Platform
 	Nodes    []*node.Node
-	// BackEnds by service.
+	// BackEnds and Totals hold the back ends and the number of shards of each service, by its name.
 	BackEnds map[string][]*BackEnd
 	Totals   map[string]uint32
 	client   *http.Client
 	log      *logrus.Entry
 }
 
-// keysPerShard is how many documents a shard of a rehearsal holds on average.
+// keysPerShard is the average number of documents in a shard.
 const keysPerShard = 6
 
-// StartCluster starts everything; the services are not configured yet.
+// StartCluster starts the platform, the back ends and the nodes. The services are not configured yet.
 func StartCluster(options ClusterOptions) (*Cluster, error) {
 	log := logrus.New()
 	log.SetFormatter(&logrus.JSONFormatter{})
@@ -74,7 +74,7 @@
 	return c, nil
 }
 
-// startBackEnds starts a ring: back end i holds shards i and i+1, so that each shard has two replicas.
+// startBackEnds starts the back ends of a service. Back end i holds shards i and i+1, so that each shard has two replicas.
 func (c *Cluster) startBackEnds(shape ServiceOptions) error {
 	total := uint32(shape.BackEnds)
 	c.Totals[shape.Name] = total
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// StartNode adds a node to a zone.
+// StartNode starts a node in a zone. Its seeds are all nodes started before.
 func (c *Cluster) StartNode(zone string) (*node.Node, error) {
 	given := settings.DefaultNode()
 	given.HTTPAddress, given.PeerAddress = loopback, loopback
@@ -113,7 +113,7 @@
 	return started, err
 }
 
-// Close stops everything at once.
+// Close stops all nodes, back ends and the platform immediately, without a drain.
 func (c *Cluster) Close() {
 	var group errgroup.Group
 	for _, n := range c.Nodes {
@@ -142,7 +142,7 @@
 	return stiletrailv1connect.NewOperatorServiceClient(c.client, "http://"+n.HTTPAddress())
 }
 
-// Intent returns the intent for a service of the deployment, as an operator would write it.
+// Intent returns the intent of a service of the deployment as YAML text.
 func (c *Cluster) Intent(shape ServiceOptions) string {
 	deadline := c.options.Deadline.Milliseconds()
 	text := fmt.Sprintf("service: %s\npreference: latency\nminimum_coverage: 0.5\n"+
@@ -155,7 +155,7 @@
 	return text
 }
 
-// Apply plans and confirms an intent at a node.
+// Apply plans an intent at a node and confirms the plan there.
 func (c *Cluster) Apply(ctx context.Context, n *node.Node, text, operation string) (*stiletrailv1.ConfirmResponse, error) {
 	operators := c.OperatorClient(n)
 	plan, err := operators.Plan(ctx, connect.NewRequest(&stiletrailv1.PlanRequest{Intent: []byte(text)}))
@@ -172,7 +172,7 @@
 	return confirmed.Msg, nil
 }
 
-// WaitFor polls until a condition holds on every node or the context ends.
+// WaitFor polls every 5 ms until a condition holds on every node. It fails with DEADLINE_EXCEEDED when the context ends first.
 func (c *Cluster) WaitFor(ctx context.Context, what string, holds func(*engine.Engine) bool) error {
 	const poll = 5 * time.Millisecond
 	for {
@@ -191,14 +191,14 @@
 	}
 }
 
-// WaitReady waits until all nodes know each other and take work.
+// WaitReady waits until every node is ready and knows all other nodes.
 func (c *Cluster) WaitReady(ctx context.Context) error {
 	return c.WaitFor(ctx, "all nodes are ready", func(e *engine.Engine) bool {
 		return e.Ready() && len(e.Members()) >= len(c.Nodes)
 	})
 }
 
-// WaitVersion waits until all nodes have a version of a service in force.
+// WaitVersion waits until every node has this version of a service, or a later one, in force.
 func (c *Cluster) WaitVersion(ctx context.Context, service string, version uint64) error {
 	return c.WaitFor(ctx, service+" is in force", func(e *engine.Engine) bool { return e.Catalog().Version(service) >= version })
 }
--- a/internal/rehearsal/contract_test.go
+++ b/internal/rehearsal/contract_test.go
@@ -17,10 +17,11 @@
 	"stiletrail/internal/standin"
 )
 
-// patience bounds what a test waits for; nothing depends on its length.
+// patience bounds every wait of a test. It is far longer than any of them takes.
 const patience = time.Minute
 
-// TestPlatformContract: what the platform does, and what the adapter says of it.
+// TestPlatformContract checks the platform stand-in through the client of package platform: reads, writes, listings, and the
+// failure codes of a lost answer and of a platform that is down.
 func TestPlatformContract(t *testing.T) {
 	ctx := context.Background()
 	started, err := StartPlatform(loopback, PlatformOptions{})
@@ -32,40 +33,40 @@
 	key := platform.ServicePrefix + "lookup"
 
 	if _, found, err := client.Get(ctx, key); found || err != nil {
-		t.Errorf("absent key: found %t, error %v", found, err)
+		t.Errorf("read of an absent key: found %t, want false; error %v", found, err)
 	}
 	first, swapped, err := client.CompareAndSwap(ctx, key, platform.Stamp{}, []byte("one"))
 	if !swapped || err != nil {
-		t.Fatalf("first write: swapped %t, error %v", swapped, err)
+		t.Fatalf("first write of a key: swapped %t, want true; error %v", swapped, err)
 	}
 	if present, swapped, err := client.CompareAndSwap(ctx, key, platform.Stamp{}, []byte("two")); swapped || err != nil || present.Stamp != first.Stamp {
-		t.Errorf("write on an old base: swapped %t, present %v, error %v", swapped, present, err)
+		t.Errorf("write on an outdated base: swapped %t, want false; present entry %v, error %v", swapped, present, err)
 	}
 	if listed, err := client.List(ctx, platform.ServicePrefix); err != nil || len(listed) != 1 || len(listed[0].Value) != 0 || listed[0].Stamp != first.Stamp {
-		t.Errorf("list %v, error %v", listed, err)
+		t.Errorf("listing %v, want one entry without its value; error %v", listed, err)
 	}
 
 	started.SetFaults(Faults{AnswersToLose: 1})
 	if _, _, err := client.CompareAndSwap(ctx, key, first.Stamp, []byte("two")); failure.CodeOf(err) != failure.OutcomeUnknown {
-		t.Errorf("answer lost after the write: %v", err)
+		t.Errorf("write whose answer is lost: error %v, want OUTCOME_UNKNOWN", err)
 	}
 	if entry, _, err := client.Get(ctx, key); err != nil || string(entry.Value) != "two" {
-		t.Errorf("the write whose answer was lost: %s, error %v", entry.Value, err)
+		t.Errorf("read after a write whose answer was lost: value %q, want \"two\"; error %v", entry.Value, err)
 	}
 
 	started.SetFaults(Faults{Down: true})
 	if _, _, err := client.Get(ctx, key); failure.CodeOf(err) != failure.StoreUnavailable {
-		t.Errorf("read while down: %v", err)
+		t.Errorf("read while the platform is down: error %v, want STORE_UNAVAILABLE", err)
 	}
 	if _, _, err := client.CompareAndSwap(ctx, key, platform.Stamp{Version: 1}, nil); failure.CodeOf(err) != failure.OutcomeUnknown {
-		t.Errorf("write while down: %v", err)
+		t.Errorf("write while the platform is down: error %v, want OUTCOME_UNKNOWN", err)
 	}
 	if _, err := client.Machines(ctx); failure.CodeOf(err) != failure.StoreUnavailable {
-		t.Errorf("machine list while down: %v", err)
+		t.Errorf("machine list while the platform is down: error %v, want STORE_UNAVAILABLE", err)
 	}
 }
 
-// TestRateLimit: a write the store refused for its rate limit certainly did nothing.
+// TestRateLimit checks the code of a write over the store's rate limit. STORE_UNAVAILABLE says that the write had no effect.
 func TestRateLimit(t *testing.T) {
 	started, err := StartPlatform(loopback, PlatformOptions{RequestsPerSecond: 0.001})
 	if err != nil {
@@ -77,11 +78,11 @@
 		t.Fatal(err)
 	}
 	if _, _, err := client.CompareAndSwap(context.Background(), "k", platform.Stamp{}, nil); failure.CodeOf(err) != failure.StoreUnavailable {
-		t.Errorf("write over the limit: %v", err)
+		t.Errorf("write over the rate limit: error %v, want STORE_UNAVAILABLE", err)
 	}
 }
 
-// TestWatch tells of writes until it is ended.
+// TestWatch checks that a watch reports a write and fails with STORE_UNAVAILABLE when its context ends.
 func TestWatch(t *testing.T) {
 	started, err := StartPlatform(loopback, PlatformOptions{})
 	if err != nil {
@@ -101,7 +102,7 @@
 			}
 		})
 	}()
-	// The watch may not be registered yet: write until it tells.
+	// The watch may not be registered yet. Write until it reports an event.
 	for base := (platform.Stamp{}); len(seen) == 0 && ctx.Err() == nil; time.Sleep(time.Millisecond) {
 		written, _, err := client.CompareAndSwap(ctx, platform.ServicePrefix+"lookup", base, []byte("v"))
 		if err != nil {
@@ -110,11 +111,11 @@
 		base = written.Stamp
 	}
 	if entry := <-seen; string(entry.Value) != "v" {
-		t.Errorf("event %v", entry)
+		t.Errorf("watch event %v, want the value \"v\"", entry)
 	}
 	cancel()
 	if err := <-ended; failure.CodeOf(err) != failure.StoreUnavailable {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the watch ended with %v, want STORE_UNAVAILABLE", err)
 	}
 }
 
@@ -137,7 +138,7 @@
 	return cluster, shape
 }
 
-// TestOperatorContract: what operators send, and the typed answer they get.
+// TestOperatorContract checks the failure code of each wrong request of an operator, and that each of them is refused as not run.
 func TestOperatorContract(t *testing.T) {
 	cluster, shape := startSmall(t)
 	ctx := context.Background()
@@ -169,12 +170,12 @@
 		code failure.Code
 	}{
 		{"unknown field", unknownField, failure.InvalidArgument},
-		{"oversized", oversized, failure.InvalidArgument},
-		{"another intent than planned", confirm(changed, first, "a"), failure.PlanMismatch},
-		{"no operation", confirm(text, first, ""), failure.InvalidArgument},
+		{"intent over the size limit", oversized, failure.InvalidArgument},
+		{"confirmed intent differs from the plan", confirm(changed, first, "a"), failure.PlanMismatch},
+		{"no operation id", confirm(text, first, ""), failure.InvalidArgument},
 		{"as planned", confirm(text, first, "b"), ""},
 		{"the same operation again", confirm(text, first, "b"), ""},
-		{"another operation on the same base", confirm(text, first, "c"), failure.Conflict},
+		{"second operation on the same base", confirm(text, first, "c"), failure.Conflict},
 	}
 	for _, c := range cases {
 		if c.err == nil && c.code == "" {
@@ -187,7 +188,8 @@
 	}
 }
 
-// TestCallerContract: what callers send, and the typed answer they get.
+// TestCallerContract checks the failure code of each wrong request of a caller. Only a ticket of an unknown node may leave the
+// outcome unknown.
 func TestCallerContract(t *testing.T) {
 	cluster, shape := startSmall(t)
 	ctx := context.Background()
@@ -209,10 +211,10 @@
 		code failure.Code
 	}{
 		{"unknown service", search(&stiletrailv1.SearchRequest{Service: "nothing"}), failure.UnknownService},
-		{"a version that is not held yet", search(&stiletrailv1.SearchRequest{Service: shape.Name, MinimumVersion: 99}), failure.SnapshotUnavailable},
+		{"minimum version that no back end holds", search(&stiletrailv1.SearchRequest{Service: shape.Name, MinimumVersion: 99}), failure.SnapshotUnavailable},
 		{"oversized query", search(&stiletrailv1.SearchRequest{Service: shape.Name, Query: make([]byte, 2<<20)}), failure.InvalidArgument},
 		{"no ticket", execute(nil), failure.TicketInvalid},
-		{"a ticket of nobody", execute(make([]byte, 60)), failure.OutcomeUnknown},
+		{"ticket of an unknown node", execute(make([]byte, 60)), failure.OutcomeUnknown},
 	}
 	for _, c := range cases {
 		problem, _ := api.FromError(c.err)
@@ -222,8 +224,8 @@
 	}
 }
 
-// TestBaseOfAnotherEra: nothing is written over an entry that was read before the store came back from a copy, though its version
-// is given out again.
+// TestBaseOfAnotherEra checks that a write fails if its base was read before the store was restored from a backup, although the
+// restored store reuses the version number.
 func TestBaseOfAnotherEra(t *testing.T) {
 	started, err := StartPlatform("127.0.0.1:0", PlatformOptions{})
 	if err != nil {
@@ -242,17 +244,17 @@
 	}
 	started.WithStore(func(s *standin.Store) { s.RestoreReusingVersions(kept) })
 	if _, swapped, err := client.CompareAndSwap(ctx, key, platform.Stamp{}, []byte("read before")); swapped || err != nil {
-		t.Errorf("an absent key of the earlier era is a base: %t, %v", swapped, err)
+		t.Errorf("write on an absent key of the earlier era as base: swapped %t, want false; error %v", swapped, err)
 	}
 	absent, found, err := client.Get(ctx, key)
 	if found || err != nil || absent.Era != 1 {
-		t.Errorf("read %+v, %t, %v", absent, found, err)
+		t.Errorf("read of an absent key: %+v, found %t, error %v, want era 1 and not found", absent, found, err)
 	}
 	again, swapped, err := client.CompareAndSwap(ctx, key, absent.Stamp, []byte("again"))
 	if !swapped || err != nil || again.Version != lost.Version {
-		t.Fatalf("written %+v, %t, %v", again, swapped, err)
+		t.Fatalf("write in the new era: %+v, swapped %t, error %v, want the version number of the lost write", again, swapped, err)
 	}
 	if _, swapped, err := client.CompareAndSwap(ctx, key, lost.Stamp, []byte("over it")); swapped || err != nil {
-		t.Errorf("a version of the earlier era is a base: %t, %v", swapped, err)
+		t.Errorf("write on a version of the earlier era as base: swapped %t, want false; error %v", swapped, err)
 	}
 }
--- a/internal/rehearsal/deployment.go
+++ b/internal/rehearsal/deployment.go
@@ -7,29 +7,30 @@
 	"stiletrail/internal/standin"
 )
 
-// Deployment is a set of services with zones.
+// Deployment lists the zones and services of a cluster.
 type Deployment struct {
 	Zones    []string
 	Services []ServiceOptions
 }
 
-// ServiceOptions describes a service of a rehearsal.
+// ServiceOptions configure a service and its back ends.
 type ServiceOptions struct {
 	Name     string
 	BackEnds int
-	// Slots and Connections are those of each back end.
+	// Slots and Connections are the limits of each back end.
 	Slots       int
 	Connections int
 	Latency     standin.Latency
 }
 
-// Service times of the stand-ins: small look-ups and wider searches.
+// Service times of the back-end stand-ins: lookupLatency for look-ups in small services, searchLatency for searches over many
+// shards.
 var (
 	lookupLatency = standin.Latency{Median: 4 * time.Millisecond, Sigma: 0.35, PerShard: 0.15, StragglerFactor: 20}
 	searchLatency = standin.Latency{Median: 8 * time.Millisecond, Sigma: 0.4, PerShard: 0.15, StragglerFactor: 20}
 )
 
-// quickstartDeployment has small services, and two whose searches go over many shards.
+// quickstartDeployment returns small services, and two services whose searches cover many shards.
 func quickstartDeployment() Deployment {
 	small := ServiceOptions{BackEnds: 4, Slots: 5, Connections: 75, Latency: lookupLatency}
 	services := append(named("lookup", 4, small), named("trade", 6, small)...)
@@ -42,7 +43,7 @@
 	}
 }
 
-// named returns so many services of one shape: NAME-1, NAME-2 and so on.
+// named returns count services with the same options, named NAME-1, NAME-2 and so on.
 func named(name string, count int, shape ServiceOptions) []ServiceOptions {
 	shapes := make([]ServiceOptions, count)
 	for i := range shapes {
--- a/internal/rehearsal/keyvalue.go
+++ b/internal/rehearsal/keyvalue.go
@@ -15,7 +15,7 @@
 	return &stiletrailv1.Entry{Key: entry.Key, Version: entry.Version, Era: entry.Era, Value: entry.Value}
 }
 
-// Get implements the key-value service.
+// Get implements the key-value service. The response has the store's era also for an absent key.
 func (p *Platform) Get(
 	ctx context.Context, request *connect.Request[stiletrailv1.GetRequest],
 ) (*connect.Response[stiletrailv1.GetResponse], error) {
@@ -50,7 +50,7 @@
 	return connect.NewResponse(response), nil
 }
 
-// CompareAndSwap implements the key-value service.
+// CompareAndSwap implements the key-value service. Where a fault demands it, the write takes effect and its answer is lost.
 func (p *Platform) CompareAndSwap(
 	ctx context.Context, request *connect.Request[stiletrailv1.CompareAndSwapRequest],
 ) (*connect.Response[stiletrailv1.CompareAndSwapResponse], error) {
@@ -89,7 +89,7 @@
 	}
 }
 
-// Watch implements the key-value service.
+// Watch implements the key-value service. A watcher whose queue of 256 events is full misses events.
 func (p *Platform) Watch(
 	ctx context.Context, request *connect.Request[stiletrailv1.WatchRequest], stream *connect.ServerStream[stiletrailv1.WatchResponse],
 ) error {
--- a/internal/rehearsal/leases.go
+++ b/internal/rehearsal/leases.go
@@ -10,12 +10,12 @@
 )
 
 type lease struct {
-	expires time.Time
-	life    time.Duration
-	keys    []string
+	expires    time.Time
+	timeToLive time.Duration
+	keys       []string
 }
 
-// GrantLease implements the key-value service.
+// GrantLease implements the key-value service. Keys written under a lease are deleted when it expires.
 func (p *Platform) GrantLease(
 	ctx context.Context, request *connect.Request[stiletrailv1.GrantLeaseRequest],
 ) (*connect.Response[stiletrailv1.GrantLeaseResponse], error) {
@@ -26,11 +26,11 @@
 	defer p.mutex.Unlock()
 	p.nextID++
 	life := time.Duration(request.Msg.GetTimeToLiveMilliseconds()) * time.Millisecond
-	p.leases[p.nextID] = &lease{expires: time.Now().Add(life), life: life}
+	p.leases[p.nextID] = &lease{expires: time.Now().Add(life), timeToLive: life}
 	return connect.NewResponse(&stiletrailv1.GrantLeaseResponse{Lease: p.nextID}), nil
 }
 
-// KeepAlive implements the key-value service.
+// KeepAlive implements the key-value service. It renews a lease for its full time to live.
 func (p *Platform) KeepAlive(
 	ctx context.Context, request *connect.Request[stiletrailv1.KeepAliveRequest],
 ) (*connect.Response[stiletrailv1.KeepAliveResponse], error) {
@@ -41,7 +41,7 @@
 	defer p.mutex.Unlock()
 	held := p.leases[request.Msg.GetLease()]
 	if held != nil {
-		held.expires = time.Now().Add(held.life)
+		held.expires = time.Now().Add(held.timeToLive)
 	}
 	return connect.NewResponse(&stiletrailv1.KeepAliveResponse{Alive: held != nil}), nil
 }
--- a/internal/rehearsal/load.go
+++ b/internal/rehearsal/load.go
@@ -16,21 +16,22 @@
 	"stiletrail/internal/standin"
 )
 
-// LoadOptions of an open-loop load.
+// LoadOptions configure an open-loop load: searches are sent at their scheduled times, whether earlier ones were answered or not.
 type LoadOptions struct {
 	Service string
-	// Rate of searches per second, with exponential gaps; the schedule does not wait for answers.
+	// Rate of searches per second. The gaps between them are exponentially distributed.
 	Rate     float64
 	Duration time.Duration
-	// Index and Totals, where set, let every answer be checked.
+	// Index and Totals, where set, are what every answer is checked against. Totals holds the number of shards of each epoch.
 	Index  *standin.Index
 	Totals map[uint64]uint32
-	// MaximumOutstanding bounds the load's own memory; searches over it are counted as not sent.
+	// MaximumOutstanding limits the searches in flight and so the memory of the load generator. Searches over the limit are not
+	// sent; the report counts them.
 	MaximumOutstanding int
 	Seed               uint64
 }
 
-// RunLoad sends searches to the nodes in turn and reports.
+// RunLoad sends searches to the nodes in turn and returns a report when all of them are answered.
 func RunLoad(ctx context.Context, nodes []stiletrailv1connect.QueryServiceClient, options LoadOptions) Report {
 	recorder := newRecorder()
 	random := rand.New(rand.NewPCG(options.Seed, options.Seed))
@@ -78,7 +79,7 @@
 	recorder.answered(elapsed, answer.Coverage, fault)
 }
 
-// toAnswer returns a response in the checker's terms.
+// toAnswer converts a response into the form that standin.Index.Check takes.
 func toAnswer(response *stiletrailv1.SearchResponse) standin.Answer {
 	coverage := response.GetCoverage()
 	answer := standin.Answer{
--- a/internal/rehearsal/machines.go
+++ b/internal/rehearsal/machines.go
@@ -15,14 +15,14 @@
 	machines []platform.Machine
 }
 
-// SetMachines changes the machine list; it shows after its lag.
+// SetMachines changes the machine list. Readers see the change after MachineListLag.
 func (p *Platform) SetMachines(machines []platform.Machine) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.lists = append(p.lists, machineListAt{at: time.Now(), machines: machines})
 }
 
-// ListMachines implements the machine list: the newest list that is as old as the lag.
+// ListMachines implements the machine list service. It returns the newest list that is at least MachineListLag old.
 func (p *Platform) ListMachines(
 	ctx context.Context, _ *connect.Request[stiletrailv1.ListMachinesRequest],
 ) (*connect.Response[stiletrailv1.ListMachinesResponse], error) {
--- a/internal/rehearsal/platform.go
+++ b/internal/rehearsal/platform.go
@@ -1,8 +1,9 @@
-// Package rehearsal runs the own interface on loopback: servers of the models in package standin, clusters of nodes in this
-// process, load that checks every answer, and the quickstart, which joins them.
+// Package rehearsal runs stiletrail's own interface on loopback. It serves the models of package standin over HTTP, starts
+// clusters of nodes in this process, generates load whose answers are all checked, and contains the quickstart, which uses all of
+// these.
 //
-// A Platform and a BackEnd each own a port, a model and the mutex around it; a Cluster owns its nodes, back ends and platform.
-// Time is the machine's.
+// A Platform and a BackEnd each own a port, a model and the mutex that guards it. A Cluster owns its nodes, back ends and
+// platform. The package runs in real time.
 package rehearsal
 
 import (
@@ -20,27 +21,27 @@
 	"stiletrail/internal/standin"
 )
 
-// Faults are what is wrong with the platform now.
+// Faults are the faults that the platform stand-in injects.
 type Faults struct {
 	// Down refuses every request.
 	Down bool
-	// Delay delays every request.
+	// Delay is added to every request.
 	Delay time.Duration
-	// AnswersToLose of so many writes that took effect.
+	// AnswersToLose is the number of writes that will take effect and whose answers will be lost.
 	AnswersToLose int
-	// DropEvents drops all events of watches.
+	// DropEvents says that no watcher receives any event.
 	DropEvents bool
 }
 
-// PlatformOptions of a platform stand-in.
+// PlatformOptions configure a platform stand-in.
 type PlatformOptions struct {
-	// RequestsPerSecond is the rate limit; zero for none.
+	// RequestsPerSecond is the rate limit. Zero means no limit.
 	RequestsPerSecond float64
-	// MachineListLag is how old the machine list is that is given out.
+	// MachineListLag is the minimum age of the machine list that is returned.
 	MachineListLag time.Duration
 }
 
-// Platform serves the key-value service and the machine list.
+// Platform serves the key-value service and the machine list over HTTP.
 type Platform struct {
 	options PlatformOptions
 	limiter *rate.Limiter
@@ -55,7 +56,7 @@
 	nextID   uint64
 }
 
-// StartPlatform serves on the address.
+// StartPlatform starts a platform that listens on the address.
 func StartPlatform(address string, options PlatformOptions) (*Platform, error) {
 	limit := rate.Inf
 	if options.RequestsPerSecond > 0 {
@@ -77,27 +78,27 @@
 	return p, nil
 }
 
-// URL is where the platform is served.
+// URL returns the base URL of the platform.
 func (p *Platform) URL() string { return "http://" + p.server.address }
 
-// Close stops serving.
+// Close closes the listener and all connections immediately and ends the watches.
 func (p *Platform) Close() { p.server.close() }
 
-// SetFaults changes what is wrong with the platform.
+// SetFaults replaces the injected faults.
 func (p *Platform) SetFaults(faults Faults) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.faults = faults
 }
 
-// WithStore gives access to what is stored, for tests.
+// WithStore calls a function with the stored entries, under the mutex. Tests use it.
 func (p *Platform) WithStore(use func(*standin.Store)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	use(p.store)
 }
 
-// control sets faults over HTTP: down=true, slow=2s, lose-answers=1, lose-events=true.
+// control replaces the faults by the parameters of an HTTP request: down=true, slow=2s, lose-answers=1, lose-events=true.
 func (p *Platform) control(w http.ResponseWriter, r *http.Request) {
 	values := r.URL.Query()
 	slow, _ := time.ParseDuration(values.Get("slow"))
@@ -109,15 +110,15 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-var errDown = failure.New(failure.StoreUnavailable, "the platform stand-in is down")
+var errPlatformDown = failure.New(failure.StoreUnavailable, "the platform stand-in is down")
 
-// enter applies the faults and the rate limit to a request.
+// enter applies the faults and the rate limit to a request. It also expires leases, so that the request does not see their keys.
 func (p *Platform) enter(ctx context.Context) error {
 	p.mutex.Lock()
 	faults := p.faults
 	p.mutex.Unlock()
 	if faults.Down {
-		return connect.NewError(connect.CodeUnavailable, errDown)
+		return connect.NewError(connect.CodeUnavailable, errPlatformDown)
 	}
 	if !p.limiter.Allow() {
 		return connect.NewError(connect.CodeResourceExhausted, failure.New(failure.Overloaded, "over the rate limit"))
--- a/internal/rehearsal/quickstart.go
+++ b/internal/rehearsal/quickstart.go
@@ -18,7 +18,7 @@
 	"stiletrail/internal/standin"
 )
 
-// Summary is the last line of the quickstart.
+// Summary is the result of the quickstart. It is printed as JSON in the last line of the output.
 type Summary struct {
 	Searches         int     `json:"searches"`
 	Complete         int     `json:"complete"`
@@ -40,14 +40,14 @@
 	quickstartTimeout  = 50 * time.Second
 )
 
-// phase is a part of the quickstart with something going on.
+// phase is a part of the quickstart in which a service is under load while a fault or a change happens.
 type phase struct {
 	name    string
 	service string
-	during  func(*quickstart, *BackEnd)
+	event   func(*quickstart, *BackEnd)
 }
 
-// quickstart is one run of the main job.
+// quickstart is the state of one run.
 type quickstart struct {
 	cluster *Cluster
 	out     io.Writer
@@ -56,7 +56,8 @@
 	version uint64
 }
 
-// Quickstart runs the main job on embedded stand-ins and writes a table and a JSON line. Errors are of this project's type.
+// Quickstart starts a cluster with embedded stand-ins, puts load on it under several faults, and writes a table and a JSON line.
+// Errors are of type *failure.Failure.
 func Quickstart(out, log io.Writer) (Summary, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), quickstartTimeout)
 	defer cancel()
@@ -90,7 +91,7 @@
 	return q.summary, nil
 }
 
-// configure plans and confirms an intent for each service and waits until it is in force on every node.
+// configure plans and confirms an intent for each service. It waits until each is in force on every node.
 func (q *quickstart) configure(ctx context.Context) error {
 	if err := q.cluster.WaitReady(ctx); err != nil {
 		return err
@@ -128,7 +129,7 @@
 	}
 }
 
-// publish gives the back ends of a service new versions, one after the other.
+// publish publishes 20 new index versions, each to one back end of the service after the other.
 func (q *quickstart) publish(service string) {
 	const versions = 20
 	for range versions {
@@ -149,10 +150,10 @@
 }
 
 func (q *quickstart) run(ctx context.Context, p phase) {
-	if p.during != nil {
+	if p.event != nil {
 		go func() {
 			time.Sleep(quickstartPhase / 4)
-			p.during(q, q.cluster.BackEnds[p.service][0])
+			p.event(q, q.cluster.BackEnds[p.service][0])
 		}()
 	}
 	index := standin.Index{Service: p.service, Keys: keysPerShard * len(q.cluster.BackEnds[p.service])}
@@ -172,7 +173,7 @@
 	q.summary.P99 = max(q.summary.P99, report.P99)
 }
 
-// execute runs a request that is not repeatable, resends it through another node, and counts how often it ran.
+// execute sends a request that is not repeatable through three nodes with the same ticket and counts how often it ran.
 func (q *quickstart) execute(ctx context.Context) error {
 	const service, key, body = "trade-2", "trade-2/00001", "honour-1"
 	minted, err := q.cluster.QueryClient(q.cluster.Nodes[0]).MintTicket(ctx, connect.NewRequest(&stiletrailv1.MintTicketRequest{}))
--- a/internal/rehearsal/report.go
+++ b/internal/rehearsal/report.go
@@ -11,32 +11,33 @@
 	"stiletrail/internal/standin"
 )
 
-// Report is the outcome of a load. Latencies run from the time a search was due, so they are corrected for coordinated
-// omission.
+// Report is the result of a load. Latencies are in milliseconds and count from the scheduled time of a search, which avoids
+// coordinated omission.
 type Report struct {
 	Searches int `json:"searches"`
 	Complete int `json:"complete"`
 	Partial  int `json:"partial"`
-	// Refused as not run, Failed otherwise, NotSent by the load itself.
+	// Refused counts searches refused as not run, Failed all other failures. NotSent counts searches that the load generator did
+	// not send, because too many were in flight.
 	Refused  int                  `json:"refused"`
 	Failed   int                  `json:"failed"`
 	NotSent  int                  `json:"not_sent"`
 	Wrong    int                  `json:"wrong"`
 	Failures map[failure.Code]int `json:"failures,omitempty"`
-	// WrongAnswers says what was wrong.
+	// WrongAnswers counts the wrong answers by what was wrong.
 	WrongAnswers map[standin.Fault]int `json:"wrong_answers,omitempty"`
-	// MeanCoverage over all searches that got an answer.
+	// MeanCoverage is the mean coverage of all answered searches, from 0 to 1.
 	MeanCoverage float64 `json:"mean_coverage"`
 	P50          float64 `json:"p50_ms"`
 	P99          float64 `json:"p99_ms"`
 	P999         float64 `json:"p999_ms"`
-	// RefusedP99 is how long refusals took.
+	// RefusedP99 is the 99th percentile of the time until a refusal, in milliseconds.
 	RefusedP99 float64 `json:"refused_p99_ms"`
-	// Goodput is answered searches per second.
+	// Goodput is the number of answered searches per second.
 	Goodput float64 `json:"goodput"`
 }
 
-// recorder collects outcomes from many goroutines.
+// recorder collects the outcomes of searches. It may be used by many goroutines.
 type recorder struct {
 	mutex    sync.Mutex
 	report   Report
@@ -90,7 +91,7 @@
 	return float64(histogram.ValueAtQuantile(quantile)) / 1000
 }
 
-// finish returns the report of all that was recorded over the duration.
+// finish computes the report of all recorded searches over the duration of the load.
 func (r *recorder) finish(duration time.Duration) Report {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/rehearsal/server.go
+++ b/internal/rehearsal/server.go
@@ -11,7 +11,7 @@
 	"stiletrail/internal/failure"
 )
 
-// server is an HTTP server on a port of its own.
+// server is an HTTP server with its own listener.
 type server struct {
 	address string
 	http    *http.Server
@@ -19,11 +19,11 @@
 	once    sync.Once
 }
 
-// startServer serves a handler; connections bounds the connections taken, zero for no bound.
+// startServer starts to serve a handler on the address. connections limits the open connections; zero means no limit.
 func startServer(address string, handler http.Handler, connections int) (*server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.SettingsInvalid, "the address cannot be listened on")
+		return nil, failure.Wrap(err, failure.SettingsInvalid, "cannot listen on the address of the HTTP server")
 	}
 	const readHeaderTimeout = 5 * time.Second
 	s := &server{
