--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -34,48 +34,48 @@
 seeds: [1, 2]
 `
 
-// TestLoad: a plan is read with its settings as text; one that is not valid tells all its problems at once.
+// TestLoad checks that settings of a plan are read as text, and that the failure of an invalid plan lists all problems.
 func TestLoad(t *testing.T) {
 	plan, err := experiment.Load(write(t, valid), []string{"hedge_share"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := plan.Variants[1].Settings["hedge_share"]; got != "0" {
-		t.Errorf("hedge_share is %q", got)
+		t.Errorf("hedge_share is %q, want \"0\"", got)
 	}
 	if got := len(plan.Runs()); got != 8 {
-		t.Errorf("%d runs", got)
+		t.Errorf("the plan has %d runs, want 8", got)
 	}
 	bad := strings.NewReplacer("baseline: now", "baseline: then", "name: no-hedges", "name: now", "sites: [s]", "sites: []").Replace(valid) + "altered: [{name: t, site: s, times: {slots: 0}}]\n"
 	_, err = experiment.Load(write(t, bad), nil)
 	if failure.CodeOf(err) != failure.SettingsInvalid {
-		t.Fatalf("error %v", err)
+		t.Fatalf("invalid plan: error %v, want SETTINGS_INVALID", err)
 	}
-	for _, want := range []string{"there twice", `"hedge_share" is no setting`, `baseline "then"`, "no sites", "multiplied by 0"} {
+	for _, want := range []string{"used twice", `"hedge_share" is not a setting`, `baseline "then"`, "no sites", "the factor of slots is 0"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("%q is missing in %v", want, err)
+			t.Errorf("the failure of an invalid plan does not contain %q: %v", want, err)
 		}
 	}
 	if _, err := experiment.Load(write(t, valid+"surprise: 1\n"), []string{"hedge_share"}); err == nil {
-		t.Error("an unknown field is taken")
+		t.Error("a plan with an unknown field was accepted")
 	}
 }
 
-// fakePlayer gives each run a worth and fails after some runs.
-type fakePlayer struct {
-	mu     sync.Mutex
-	played []experiment.Run
-	fail   int
+// fakeRunner computes a measure for each run. It fails after the number of runs in fail, or never if that is negative.
+type fakeRunner struct {
+	mu   sync.Mutex
+	runs []experiment.Run
+	fail int
 }
 
-// Run implements experiment.Player.
-func (p *fakePlayer) Run(_ context.Context, run experiment.Run) (experiment.Result, error) {
+// Run implements experiment.Runner.
+func (p *fakeRunner) Run(_ context.Context, run experiment.Run) (experiment.Result, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.played) == p.fail {
+	if len(p.runs) == p.fail {
 		return experiment.Result{}, failure.New(failure.Internal, "stopped")
 	}
-	p.played = append(p.played, run)
+	p.runs = append(p.runs, run)
 	worth := 0.5 + 0.01*float64(run.Seed)
 	if run.Variant != "now" {
 		worth += 0.1 * float64(run.Seed)
@@ -83,35 +83,37 @@
 	return experiment.Result{Run: run, Measures: map[string]float64{"worth": worth}}, nil
 }
 
-// TestPlayGoesOn: after a break only what is missing is played, and a last line that was cut short is played again.
-func TestPlayGoesOn(t *testing.T) {
+// TestRunAllResumes checks that after an interruption only missing runs are made, including the one whose line in the file of
+// results was cut short.
+func TestRunAllResumes(t *testing.T) {
 	plan, err := experiment.Load(write(t, valid), []string{"hedge_share"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "results.jsonl")
-	first := &fakePlayer{fail: 3}
+	first := &fakeRunner{fail: 3}
 	if _, err := experiment.RunAll(context.Background(), plan, first, path, 1); err == nil {
-		t.Fatal("the failure of a run is passed over")
+		t.Fatal("RunAll returned no error although a run failed")
 	}
 	text, _ := os.ReadFile(path)
 	if err := os.WriteFile(path, text[:len(text)-5], 0o644); err != nil {
 		t.Fatal(err)
 	}
-	second := &fakePlayer{fail: -1}
+	second := &fakeRunner{fail: -1}
 	results, err := experiment.RunAll(context.Background(), plan, second, path, 2)
-	if err != nil || len(results) != 8 || len(second.played) != 6 {
-		t.Errorf("%d results, %d played again, %v", len(results), len(second.played), err)
+	if err != nil || len(results) != 8 || len(second.runs) != 6 {
+		t.Errorf("%d results, want 8; %d runs made after the interruption, want 6; error %v", len(results), len(second.runs), err)
 	}
 }
 
-// TestCompare: differences are of pairs of the same day and seed, and those under two standard errors are said to be none.
+// TestCompare checks that differences are computed over pairs of the same day and seed, that their standard error is right, and
+// that the table names runs that violated a rule.
 func TestCompare(t *testing.T) {
 	plan, err := experiment.Load(write(t, valid), []string{"hedge_share"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	results, err := experiment.RunAll(context.Background(), plan, &fakePlayer{fail: -1}, filepath.Join(t.TempDir(), "r"), 1)
+	results, err := experiment.RunAll(context.Background(), plan, &fakeRunner{fail: -1}, filepath.Join(t.TempDir(), "r"), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,13 +126,13 @@
 		}
 	}
 	if all.Runs != 4 || math.Abs(all.Difference-0.15) > 1e-9 || math.Abs(all.Error-math.Sqrt(0.0025*4/3)/2) > 1e-9 || all.WithinSpread {
-		t.Errorf("row %+v", all)
+		t.Errorf("row over all days %+v, want 4 runs with a significant difference of 0.15", all)
 	}
 	var text bytes.Buffer
 	experiment.Print(&text, rows, "worth")
 	for _, want := range []string{"no-hedges", "+0.1500", "1 broke a rule"} {
 		if !strings.Contains(text.String(), want) {
-			t.Errorf("%q is missing in\n%s", want, text.String())
+			t.Errorf("the table does not contain %q:\n%s", want, text.String())
 		}
 	}
 	image := filepath.Join(t.TempDir(), "plot.png")
@@ -138,6 +140,6 @@
 		t.Error(err)
 	}
 	if drawn, _ := os.ReadFile(image); !bytes.HasPrefix(drawn, []byte("\x89PNG")) {
-		t.Error("no PNG was written")
+		t.Error("Plot did not write a PNG file")
 	}
 }
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -1,7 +1,8 @@
-// Package experiment plays variants of a system on the same days with the same seeds, and says what their differences are worth.
+// Package experiment compares variants of a system. It runs all variants on the same simulated days with the same seeds and
+// computes the differences of their measures and whether these are significant.
 //
-// It owns the plan, the file of results and their comparison; what plays a day is a Player, of which it knows nothing. Play may
-// have several days under way at a time; Compare, Print and Plot only compute and write.
+// The package owns the plan, the file of results and the comparison. A Runner, supplied by the caller, runs one day. RunAll may
+// have several runs in flight at a time. Compare, Print and Plot only compute and write output.
 package experiment
 
 import (
@@ -15,40 +16,40 @@
 	"stiletrail/internal/failure"
 )
 
-// Variant of the system.
+// Variant is one variant of the system.
 type Variant struct {
 	Name string `yaml:"name"`
-	// Revision of the sources; empty for those at hand.
+	// Revision of the sources. Empty means the present working tree.
 	Revision string `yaml:"revision"`
-	// Settings laid over those of the gateway, by field.
+	// Settings override those of the gateway, by field.
 	Settings map[string]string `yaml:"settings"`
 }
 
-// Plan says what is played. Every variant is played on every day of every site with every seed.
+// Plan lists what is run. Every variant is run on every day of every site with every seed.
 type Plan struct {
-	// Baseline is the variant that others are compared with.
+	// Baseline is the variant with which the others are compared.
 	Baseline string    `yaml:"baseline"`
 	Variants []Variant `yaml:"variants"`
-	// Sites are names of deployments, or of altered ones.
+	// Sites are names of deployments or of entries of Altered.
 	Sites   []string      `yaml:"sites"`
 	Altered []AlteredSite `yaml:"altered"`
 	Days    []string      `yaml:"days"`
-	// Seeds of the days; 0 is a day's own.
+	// Seeds of the days. 0 stands for the seed that a day has by itself.
 	Seeds []uint64 `yaml:"seeds"`
-	// ChargeProcessor counts processor time, which differs from run to run.
+	// ChargeProcessor includes processor time in the measures. Processor time differs between runs with the same seed.
 	ChargeProcessor bool `yaml:"charge_processor"`
 }
 
-// AlteredSite is a deployment with other figures.
+// AlteredSite is a deployment in which some numbers are multiplied.
 type AlteredSite struct {
 	Name string `yaml:"name"`
-	// Site that it is made of.
+	// Site is the deployment that is altered.
 	Site string `yaml:"site"`
-	// Factors multiplies fields of its file.
+	// Factors multiply numeric fields of the deployment's file, by field.
 	Factors map[string]float64 `yaml:"times"`
 }
 
-// Run is one day to be played.
+// Run identifies one run: a variant on a day of a site with a seed.
 type Run struct {
 	Variant string `json:"variant"`
 	Site    string `json:"site"`
@@ -56,15 +57,16 @@
 	Seed    uint64 `json:"seed"`
 }
 
-// Load reads a plan. The failure, of code SETTINGS_INVALID, lists all problems; known are the fields that a variant may set.
+// Load reads and checks a plan. known are the fields that a variant may set. The failure, of code SETTINGS_INVALID, lists all
+// problems of the plan.
 func Load(path string, known []string) (Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Plan{}, failure.Wrap(err, failure.SettingsInvalid, "the plan cannot be read")
+		return Plan{}, failure.Wrap(err, failure.SettingsInvalid, "cannot read the experiment plan")
 	}
 	var plan Plan
 	if err := yaml.UnmarshalWithOptions(text, &plan, yaml.Strict()); err != nil {
-		return Plan{}, failure.Wrap(err, failure.SettingsInvalid, "the plan cannot be read")
+		return Plan{}, failure.Wrap(err, failure.SettingsInvalid, "cannot parse the experiment plan")
 	}
 	if problems := plan.Problems(known); len(problems) > 0 {
 		return Plan{}, failure.New(failure.SettingsInvalid, "the plan is not valid:\n  "+strings.Join(problems, "\n  "))
@@ -72,37 +74,37 @@
 	return plan, nil
 }
 
-// Problems of a plan, all of them. Known are the fields that a variant may set.
+// Problems returns all problems of a plan. known are the fields that a variant may set.
 func (p *Plan) Problems(known []string) []string {
 	var problems []string
 	add := func(format string, values ...any) { problems = append(problems, fmt.Sprintf(format, values...)) }
 	names := map[string]bool{}
 	for i, v := range p.Variants {
 		if v.Name == "" || strings.ContainsAny(v.Name, "/ ") {
-			add("variant %d: the name %q is empty or has a blank or slash", i+1, v.Name)
+			add("variant %d: the name %q is empty or contains a space or a slash", i+1, v.Name)
 		}
 		if names[v.Name] {
-			add("variant %d: the name %q is there twice", i+1, v.Name)
+			add("variant %d: the name %q is used twice", i+1, v.Name)
 		}
 		names[v.Name] = true
 		for field := range v.Settings {
 			if !slices.Contains(known, field) {
-				add("variant %q: %q is no setting", v.Name, field)
+				add("variant %q: %q is not a setting", v.Name, field)
 			}
 		}
 	}
 	for i, a := range p.Altered {
 		if a.Name == "" || a.Site == "" || a.Name == a.Site {
-			add("altered site %d: it needs a name of its own and the site that it is made of", i+1)
+			add("altered site %d: it needs a site and a name that differs from the site's", i+1)
 		}
 		for field, factor := range a.Factors {
 			if factor <= 0 {
-				add("altered site %q: %s is multiplied by %v, allowed is more than 0", a.Name, field, factor)
+				add("altered site %q: the factor of %s is %v, must be greater than 0", a.Name, field, factor)
 			}
 		}
 	}
 	if !names[p.Baseline] {
-		add("the baseline %q is no variant", p.Baseline)
+		add("the baseline %q is not one of the variants", p.Baseline)
 	}
 	counts := map[string]int{"variants": len(p.Variants), "sites": len(p.Sites), "days": len(p.Days), "seeds": len(p.Seeds)}
 	for name, count := range counts {
@@ -113,7 +115,8 @@
 	return problems
 }
 
-// Runs of the plan, those of one day and seed next to each other, so that a break leaves whole pairs.
+// Runs returns all runs of the plan. The runs of one day and seed follow each other, so that an interrupted experiment has run as
+// many complete pairs as possible.
 func (p *Plan) Runs() []Run {
 	var runs []Run
 	for _, site := range p.Sites {
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -14,24 +14,24 @@
 	"stiletrail/internal/failure"
 )
 
-// Result of a run.
+// Result is the result of a run.
 type Result struct {
 	Run
-	// Measures by name: worth, its parts, prices, shares.
+	// Measures holds the measured values by name.
 	Measures map[string]float64 `json:"measures"`
-	// Broken names the rules that the run broke, and faults of the day.
+	// Broken names the rules that were violated in the run and the faults of the day.
 	Broken []string `json:"broken,omitempty"`
-	// Entry names the record of the run.
+	// Entry names the record of the run in the journal.
 	Entry string `json:"entry"`
 }
 
-// Runner plays a day.
+// Runner runs a variant on a day and returns its measures.
 type Runner interface {
 	Run(ctx context.Context, run Run) (Result, error)
 }
 
-// RunAll plays all runs of a plan that the file of results does not hold yet, some at a time, and returns all results. Each result
-// is in the file as soon as it is there, so that a break costs only what was under way.
+// RunAll makes all runs of a plan that are not in the file of results yet, up to jobs at a time, and returns all results. Each
+// result is written to the file as soon as its run ends, so that an interruption loses only the runs in flight.
 func RunAll(ctx context.Context, plan Plan, player Runner, path string, jobs int) ([]Result, error) {
 	results, err := readResults(path)
 	if err != nil {
@@ -43,7 +43,7 @@
 	}
 	file, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "the results cannot be written")
+		return nil, failure.Wrap(err, failure.Internal, "cannot open the file of results for writing")
 	}
 	defer func() { _ = file.Close() }()
 	var mu sync.Mutex
@@ -76,19 +76,20 @@
 		_, err = file.Write(append(line, '\n'))
 	}
 	if err != nil {
-		return failure.Wrap(err, failure.Internal, "the results cannot be written")
+		return failure.Wrap(err, failure.Internal, "cannot write a result to the file of results")
 	}
 	return nil
 }
 
-// readResults reads a file of results. A last line that was cut short by a break is left out.
+// readResults reads a file of results. A line that is not valid JSON, such as a last line cut short by an interruption, is
+// ignored, so that its run is made again.
 func readResults(path string) ([]Result, error) {
 	file, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "the results cannot be read")
+		return nil, failure.Wrap(err, failure.Internal, "cannot read the file of results")
 	}
 	defer func() { _ = file.Close() }()
 	var results []Result
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -8,7 +8,7 @@
 	"stiletrail/internal/failure"
 )
 
-// Sizes of a plot.
+// Dimensions of a plot.
 const (
 	plotWidth    = 22 * vg.Centimeter
 	heightPerBar = 0.55 * vg.Centimeter
@@ -16,8 +16,8 @@
 	barThickness = 8 * vg.Length(1)
 )
 
-// Plot draws the differences of one measure over all days, a bar for each variant and site with its standard errors, as PNG. The
-// baseline, which differs from nothing, is left out.
+// Plot draws the differences of one measure over all days as an image: one bar for each variant and site, with an error bar of
+// two standard errors. The baseline is left out, since its difference is zero.
 func Plot(path string, rows []Row, measure string) error {
 	p := plot.New()
 	p.Title.Text = measure + ": difference to the baseline, with two standard errors"
@@ -29,12 +29,12 @@
 			continue
 		}
 		ends.XYs = append(ends.XYs, plotter.XY{X: r.Difference, Y: float64(len(bars))})
-		ends.XErrors = append(ends.XErrors, struct{ Low, High float64 }{errorsToTell * r.Error, errorsToTell * r.Error})
+		ends.XErrors = append(ends.XErrors, struct{ Low, High float64 }{significantErrors * r.Error, significantErrors * r.Error})
 		bars = append(bars, r.Difference)
 		labels = append(labels, r.Variant+", "+r.Site)
 	}
 	if len(bars) == 0 {
-		return failure.New(failure.InvalidArgument, "there is nothing to plot of "+measure)
+		return failure.New(failure.InvalidArgument, "no results to plot for the measure "+measure)
 	}
 	chart, err := plotter.NewBarChart(bars, barThickness)
 	if err != nil {
@@ -48,7 +48,7 @@
 	p.Add(plotter.NewGrid(), chart, whiskers)
 	p.NominalY(labels...)
 	if err := p.Save(plotWidth, plotMargin+heightPerBar*vg.Length(len(bars)), path); err != nil {
-		return failure.Wrap(err, failure.Internal, "the plot cannot be written")
+		return failure.Wrap(err, failure.Internal, "cannot write the file of the plot")
 	}
 	return nil
 }
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -9,29 +9,30 @@
 	"text/tabwriter"
 )
 
-// Row compares a variant with the baseline on a day, or on all days of a site, by one measure.
+// Row compares a variant with the baseline by one measure, on one day or on all days of a site.
 type Row struct {
 	Site string `json:"site"`
-	// Day is empty for all days.
+	// Day is empty if the row covers all days.
 	Day     string `json:"day,omitempty"`
 	Variant string `json:"variant"`
 	Measure string `json:"measure"`
-	// Runs counts those whose pair was played too.
+	// Runs counts the runs for which the baseline's run of the same day and seed exists.
 	Runs int     `json:"runs"`
 	Mean float64 `json:"mean"`
-	// Difference to the baseline in the mean of pairs of the same day and seed, and its standard error.
+	// Difference is the mean difference to the baseline over pairs of the same day and seed. Error is its standard error.
 	Difference float64 `json:"difference"`
 	Error      float64 `json:"error"`
-	// WithinSpread: the difference is under two standard errors, which is no result.
+	// WithinSpread says that the difference is less than two standard errors or comes from one run, and is not significant.
 	WithinSpread bool `json:"within_spread"`
-	// Broken counts runs that broke a rule.
+	// Broken counts the runs that violated a rule.
 	Broken int `json:"broken"`
 }
 
-// errorsToTell is how many standard errors a difference must have.
-const errorsToTell = 2
+// significantErrors is the number of standard errors from which a difference counts as significant.
+const significantErrors = 2
 
-// Compare makes the rows of a plan's results: by site, day, variant and measure, then by site over all days.
+// Compare computes the rows for the results of a plan: for each site, one for each day, variant and measure, and then one for
+// each variant and measure over all days.
 func Compare(plan Plan, results []Result) []Row {
 	byRun := map[Run]Result{}
 	measures := map[string]bool{}
@@ -63,7 +64,7 @@
 	return rows
 }
 
-// pair is a run of a variant beside the baseline's.
+// pair is the result of a variant and that of the baseline on the same day with the same seed.
 type pair struct{ variant, baseline Result }
 
 func (p *Plan) pairs(byRun map[Run]Result, site, day, variant string) []pair {
@@ -103,11 +104,11 @@
 	}
 	row.Mean /= float64(row.Runs)
 	row.Difference, row.Error = meanAndError(differences)
-	row.WithinSpread = math.Abs(row.Difference) < errorsToTell*row.Error || row.Runs < 2
+	row.WithinSpread = math.Abs(row.Difference) < significantErrors*row.Error || row.Runs < 2
 	return row, true
 }
 
-// meanAndError returns the mean and its standard error.
+// meanAndError returns the mean of the values and its standard error, which is 0 for a single value.
 func meanAndError(values []float64) (mean, standardError float64) {
 	for _, v := range values {
 		mean += v
@@ -124,10 +125,10 @@
 	return mean, math.Sqrt(squares / (n - 1) / n)
 }
 
-// columns of the table; the last one holds remarks.
+// columns are the headings of the table. The last column holds remarks and has no heading.
 var columns = []string{"site", "day", "variant", "measure", "runs", "mean", "difference", "error", ""}
 
-// Print writes the rows of some measures as a table, or of all if none is named.
+// Print writes the rows of the given measures as a table, or of all measures if none is given.
 func Print(w io.Writer, rows []Row, measures ...string) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, strings.Join(columns, "\t"))
