--- a/internal/networktest/conn.go
+++ b/internal/networktest/conn.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// conn is one end of a connection.
+// conn is one end of a connection. It reads from one stream and writes to the other.
 type conn struct {
 	in, out       *stream
 	local, remote addr
@@ -20,7 +20,8 @@
 	deadline time.Time
 }
 
-// Silence has one connection of a Network carry nothing any more, as Network.Silence does with all.
+// Silence makes one connection of a Network drop all data in both directions, without telling either end. Connections of another
+// type are ignored.
 func Silence(connection net.Conn) {
 	if c, ok := connection.(*conn); ok {
 		c.in.change(func() { c.in.silent = true })
@@ -38,7 +39,7 @@
 		if !deadline.IsZero() && !time.Now().Before(deadline) {
 			return 0, os.ErrDeadlineExceeded
 		}
-		n, next, changed, err := c.in.take(data)
+		n, next, changed, err := c.in.read(data)
 		if n > 0 || err != nil || len(data) == 0 {
 			return n, err
 		}
@@ -53,7 +54,7 @@
 	return a
 }
 
-// wait waits for a change, for the end to be closed, or for a moment if that is not zero.
+// wait returns when the stream changes, when this end is closed, or at the given time. A zero time means no time limit.
 func (c *conn) wait(until time.Time, changed <-chan struct{}) {
 	if until.IsZero() {
 		select {
@@ -95,12 +96,12 @@
 func (c *conn) peerClosed() bool {
 	c.in.mu.Lock()
 	defer c.in.mu.Unlock()
-	return c.in.ended && !c.in.silent && len(c.in.pieces) == 0
+	return c.in.ended && !c.in.silent && len(c.in.segments) == 0
 }
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
-	err := errors.New("closed twice")
+	err := errors.New("the connection is already closed")
 	c.once.Do(func() {
 		err = nil
 		close(c.closed)
@@ -121,7 +122,7 @@
 	return c.deadline
 }
 
-// SetDeadline implements net.Conn. Writes never wait, so it bounds reads only.
+// SetDeadline implements net.Conn. It applies to reads only, since writes never block.
 func (c *conn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
 // SetReadDeadline implements net.Conn.
@@ -133,5 +134,5 @@
 	return nil
 }
 
-// SetWriteDeadline implements net.Conn.
+// SetWriteDeadline implements net.Conn. It has no effect, since writes never block.
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/networktest/network.go
+++ b/internal/networktest/network.go
@@ -1,8 +1,8 @@
-// Package networktest is a network in memory for tests: connections with a delay and, if asked, a rate, which can fall silent as
-// when a path is lost. Only tests import it.
+// Package networktest provides an in-memory network for tests. Its connections have a latency and optionally a limited bandwidth,
+// and can start to drop all data, as when a network path is lost. Only tests import it.
 //
-// It owns its listeners and connections, each under a mutex, starts no goroutine, and takes its time from the standard library,
-// so that it runs on the virtual clock of testing/synctest.
+// A Network owns its listeners and connections and guards them with mutexes. The package starts no goroutines. It uses the clock
+// of package time, so that it works with the virtual time of testing/synctest.
 package networktest
 
 import (
@@ -15,31 +15,32 @@
 	"stiletrail/internal/clock"
 )
 
-// Network is a network in memory: connections deliver what is written after a delay, and never hold a writer up.
+// Network is an in-memory network. Its connections deliver written data after a delay. Writes never block.
 type Network struct {
 	delay clock.Ms
-	// rate of a connection in bytes a second; 0 for no limit.
+	// rate is the bandwidth of a connection in one direction, in bytes per second. 0 means no limit.
 	rate int
 
 	mu        sync.Mutex
 	listeners map[string]*listener
-	open      []*stream
+	streams   []*stream
 	dialled   int
 }
 
-// New returns a network without listeners. Delay is the way of a byte.
+// New returns a network without listeners. delay is the one-way latency of its connections.
 func New(delay clock.Ms) *Network {
 	return &Network{delay: delay, listeners: map[string]*listener{}}
 }
 
-// WithRate returns a network like this one, without listeners, whose connections carry so many bytes a second.
+// WithRate returns a new network without listeners. It has the same latency, and its connections carry rate bytes per second in
+// each direction.
 func (n *Network) WithRate(rate int) *Network {
 	limited := New(n.delay)
 	limited.rate = rate
 	return limited
 }
 
-// Listen takes connections to an address, which must be free.
+// Listen returns a listener on the address. The error is EADDRINUSE if the address has a listener already.
 func (n *Network) Listen(address string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -51,10 +52,11 @@
 	return l, nil
 }
 
-// backlog is how many connections wait to be accepted at most.
+// backlog is the maximum number of connections that wait to be accepted. Dial fails with ETIMEDOUT when it is full.
 const backlog = 1024
 
-// Dial opens a connection. The error is ECONNREFUSED where nobody listens, or the context's.
+// Dial opens a connection after one round trip. The error is ECONNREFUSED if the address has no listener, ETIMEDOUT if too many
+// connections wait to be accepted, or the context's error.
 func (n *Network) Dial(ctx context.Context, address string) (net.Conn, error) {
 	select {
 	case <-time.After(2 * n.delay.Duration()):
@@ -73,30 +75,30 @@
 	default:
 		return nil, &net.OpError{Op: "dial", Net: "memory", Addr: addr(address), Err: syscall.ETIMEDOUT}
 	}
-	n.open = append(n.open, there, back)
+	n.streams = append(n.streams, there, back)
 	n.dialled++
 	return &conn{in: back, out: there, local: "dialler", remote: addr(address), closed: make(chan struct{})}, nil
 }
 
-// Dialled counts the connections opened so far.
+// Dialled returns the number of connections opened so far.
 func (n *Network) Dialled() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.dialled
 }
 
-// Silence has all connections that are open carry nothing any more, in both directions and for good. Neither end is told: writes
-// succeed, reads wait. Connections opened later are sound.
+// Silence makes all open connections drop all data from now on, in both directions. Neither end is told: writes succeed and reads
+// block. Connections opened later are not affected.
 func (n *Network) Silence() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, s := range n.open {
+	for _, s := range n.streams {
 		s.change(func() { s.silent = true })
 	}
-	n.open = nil
+	n.streams = nil
 }
 
-func (n *Network) forget(address string) {
+func (n *Network) removeListener(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.listeners, address)
@@ -132,7 +134,7 @@
 // Close implements net.Listener.
 func (l *listener) Close() error {
 	l.once.Do(func() {
-		l.network.forget(l.address)
+		l.network.removeListener(l.address)
 		close(l.closed)
 	})
 	return nil
--- a/internal/networktest/network_test.go
+++ b/internal/networktest/network_test.go
@@ -13,7 +13,7 @@
 	"stiletrail/internal/networktest"
 )
 
-// dial opens a connection on a network and returns both ends.
+// dial opens a connection to a listener and returns the dialling end (near) and the accepted end (far).
 func dial(t *testing.T, n *networktest.Network, l net.Listener) (near, far net.Conn) {
 	t.Helper()
 	near, err := n.Dial(context.Background(), l.Addr().String())
@@ -26,8 +26,8 @@
 	return near, far
 }
 
-// TestNetwork: bytes arrive after the delay and in order, the end of a connection after them; a connection that has fallen silent
-// carries neither, and one opened later does.
+// TestNetwork checks that bytes arrive in order after the delay, followed by the end of the connection, that a silenced
+// connection delivers neither, and that a connection opened later works.
 func TestNetwork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := networktest.New(10)
@@ -44,24 +44,24 @@
 		}
 		_ = near.Close()
 		if text, err := io.ReadAll(far); string(text) != "one two" || err != nil || time.Since(began) != 10*time.Millisecond {
-			t.Errorf("read %q, %v, after %v", text, err, time.Since(began))
+			t.Errorf("read %q, error %v, after %v, want \"one two\" after 10 ms", text, err, time.Since(began))
 		}
 		near, far = dial(t, n, l)
 		n.Silence()
 		if _, err := near.Write([]byte("lost")); err != nil {
-			t.Errorf("a write on a silent connection: %v", err)
+			t.Errorf("write on a silenced connection: error %v, want none", err)
 		}
 		_ = near.Close()
 		_ = far.SetReadDeadline(time.Now().Add(time.Hour))
 		if _, err := far.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("a silent connection is read: %v", err)
+			t.Errorf("read on a silenced connection: error %v, want the deadline to pass", err)
 		}
 		near, far = dial(t, n, l)
 		if _, err := near.Write([]byte("x")); err != nil {
 			t.Error(err)
 		}
 		if count, err := far.Read(make([]byte, 8)); count != 1 || err != nil {
-			t.Errorf("read %d bytes, %v", count, err)
+			t.Errorf("read on a connection opened after Silence: %d bytes, want 1; error %v", count, err)
 		}
 	})
 }
--- a/internal/networktest/stream.go
+++ b/internal/networktest/stream.go
@@ -13,21 +13,22 @@
 	delay clock.Ms
 	rate  int
 
-	mu     sync.Mutex
-	pieces []piece
-	// ended: the writer has closed, after all pieces. silent: nothing arrives any more, the end neither.
+	mu       sync.Mutex
+	segments []segment
+	// ended says that the writer has closed its end; the reader sees that after all segments. silent says that nothing arrives any
+	// more, not even the end.
 	ended  bool
 	silent bool
-	// free is when the last byte written so far has left.
-	free time.Time
-	// changed is closed and replaced at each change.
+	// sentUntil is the time at which the last byte written so far is sent. With a limited rate this is later than the write.
+	sentUntil time.Time
+	// changed is closed and replaced at each change, to wake waiting readers.
 	changed chan struct{}
 }
 
-// piece is what one write has sent, to be read from a moment on.
-type piece struct {
-	at   time.Time
-	data []byte
+// segment is the data of one write. It can be read from arrivesAt on.
+type segment struct {
+	arrivesAt time.Time
+	data      []byte
 }
 
 func newStream(n *Network) *stream {
@@ -47,36 +48,37 @@
 		if s.silent {
 			return
 		}
-		if now := time.Now(); s.free.Before(now) {
-			s.free = now
+		if now := time.Now(); s.sentUntil.Before(now) {
+			s.sentUntil = now
 		}
 		if s.rate > 0 {
-			s.free = s.free.Add(time.Duration(len(data)) * time.Second / time.Duration(s.rate))
+			s.sentUntil = s.sentUntil.Add(time.Duration(len(data)) * time.Second / time.Duration(s.rate))
 		}
-		s.pieces = append(s.pieces, piece{s.free.Add(s.delay.Duration()), append([]byte(nil), data...)})
+		s.segments = append(s.segments, segment{s.sentUntil.Add(s.delay.Duration()), append([]byte(nil), data...)})
 	})
 }
 
-// take reads what has arrived. With nothing there it returns when to look again, if that is known, and what to wait for.
-func (s *stream) take(data []byte) (n int, next time.Time, changed <-chan struct{}, err error) {
+// read reads data that has arrived. If there is none yet, it returns a channel that is closed at the next change and, if known,
+// the time at which the next data arrives.
+func (s *stream) read(data []byte) (n int, next time.Time, changed <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.silent {
 		return 0, time.Time{}, s.changed, nil
 	}
-	if len(s.pieces) == 0 {
+	if len(s.segments) == 0 {
 		if s.ended {
 			return 0, time.Time{}, nil, io.EOF
 		}
 		return 0, time.Time{}, s.changed, nil
 	}
-	first := &s.pieces[0]
-	if time.Now().Before(first.at) {
-		return 0, first.at, s.changed, nil
+	first := &s.segments[0]
+	if time.Now().Before(first.arrivesAt) {
+		return 0, first.arrivesAt, s.changed, nil
 	}
 	n = copy(data, first.data)
 	if first.data = first.data[n:]; len(first.data) == 0 {
-		s.pieces = s.pieces[1:]
+		s.segments = s.segments[1:]
 	}
 	return n, time.Time{}, nil, nil
 }
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -9,19 +9,19 @@
 	"stiletrail/internal/query"
 )
 
-// Latency is a log-normal distribution of service times.
+// Latency is a log-normal distribution of service times, with occasional slow requests (stragglers).
 type Latency struct {
 	Median time.Duration
-	// Sigma is the standard deviation of the logarithm.
+	// Sigma is the standard deviation of the natural logarithm of the service time.
 	Sigma float64
-	// StragglerChance of a request to take StragglerFactor times as long.
+	// StragglerChance is the probability that a request takes StragglerFactor times as long.
 	StragglerChance float64
 	StragglerFactor float64
-	// PerShard is the part of a request's time that each shard after the first adds.
+	// PerShard is the fraction of the service time that each shard after the first adds.
 	PerShard float64
 }
 
-// Draw returns a service time for a request over so many shards.
+// Draw returns a random service time for a request over the given number of shards.
 func (l Latency) Draw(random *rand.Rand, shards int) time.Duration {
 	drawn := float64(l.Median) * math.Exp(l.Sigma*random.NormFloat64())
 	drawn *= 1 + l.PerShard*float64(max(shards-1, 0))
@@ -31,48 +31,49 @@
 	return time.Duration(drawn)
 }
 
-// versionsKept is how many versions of its index a back end holds.
-const versionsKept = 4
+// retainedVersions is the number of versions of its index that a back end holds.
+const retainedVersions = 4
 
-// coldRequests is how many requests it takes to warm up a cold back end, which works at a third of its speed until then.
+// coldRequests is the number of requests after which a cold back end is warm. Until then its service times are multiplied by
+// coldFactor: it works at a third of its speed.
 const (
 	coldRequests = 30
 	coldFactor   = 3
 )
 
-// shedRetryAfter is what a back end without a free slot tells.
+// shedRetryAfter is the retry delay that a back end without a free slot returns.
 const shedRetryAfter = 5 * time.Millisecond
 
-// BackEnd is a model of one back end of one service.
+// BackEnd is a model of a back end of one service.
 type BackEnd struct {
 	Index   Index
 	Address string
 	Slots   int
 	Latency Latency
-	// State it is truly in.
+	// State is the actual state.
 	State query.State
-	// ReportedState, where set, is what its health claims instead.
+	// ReportedState, where set, is the state that the back end reports instead of the actual one.
 	ReportedState query.State
-	// Epoch, Total and Shards say which part of the index it holds.
+	// Epoch, Total (the number of shards) and Shards say which part of the index the back end holds.
 	Epoch         uint64
 	Total         uint32
 	Shards        []uint32
 	NewestVersion uint64
 	OldestVersion uint64
-	// CorruptionChance makes the chance of an answer that is broken in some way.
+	// CorruptionChance is the probability that an answer is corrupted.
 	CorruptionChance float64
 
-	random *rand.Rand
-	keys   Keyspace
-	busy   int
-	warmed int
-	// ExecutionCounts counts the executions of each body of a request that is not repeatable.
+	random         *rand.Rand
+	keys           Keyspace
+	slotsInUse     int
+	requestsServed int
+	// ExecutionCounts holds how often each request that is not repeatable was executed, by its body.
 	ExecutionCounts map[string]int
-	// RequestsWhileDraining counts the requests that came while draining.
+	// RequestsWhileDraining counts the requests that arrived while the back end was draining.
 	RequestsWhileDraining int
 }
 
-// NewBackEnd returns a back end that holds version 1 of the given shards.
+// NewBackEnd returns a back end that is serving and holds version 1 of the given shards, in epoch 1.
 func NewBackEnd(
 	index Index, address string, slots int, latency Latency, total uint32, shards []uint32, random *rand.Rand,
 ) *BackEnd {
@@ -82,25 +83,25 @@
 	}
 }
 
-// Publish makes a version the newest; older ones beyond those kept go.
+// Publish adds a version as the newest one. Versions older than the newest versionsKept are removed.
 func (b *BackEnd) Publish(version uint64) {
 	b.NewestVersion = max(b.NewestVersion, version)
-	if b.NewestVersion >= versionsKept {
-		b.OldestVersion = max(b.OldestVersion, b.NewestVersion-versionsKept+1)
+	if b.NewestVersion >= retainedVersions {
+		b.OldestVersion = max(b.OldestVersion, b.NewestVersion-retainedVersions+1)
 	}
 }
 
-// Repartition gives the back end other shards in a new epoch. It holds only the newest version in it.
+// Repartition replaces the back end's shards by those of a new epoch, in which it holds only the newest version.
 func (b *BackEnd) Repartition(epoch uint64, total uint32, shards []uint32) {
 	b.Epoch, b.Total, b.Shards = epoch, total, shards
 	b.OldestVersion = b.NewestVersion
 	b.keys = b.Index.Split(total)
 }
 
-// Holding is what the back end says of itself.
+// Holding returns what the back end reports about its state, shards and versions.
 func (b *BackEnd) Holding() query.Holding {
 	state := b.State
-	if state == query.StateCold && b.warmed >= coldRequests {
+	if state == query.StateCold && b.requestsServed >= coldRequests {
 		state = query.StateServing
 	}
 	if b.ReportedState != query.StateUnknown {
@@ -111,8 +112,8 @@
 	}
 }
 
-// Arrive takes a request. Where it is refused, the result is final and works is false; otherwise it takes a slot for
-// the returned time, after which the caller calls Finish.
+// Arrive handles a request. If the request is refused, works is false and the result is final. Otherwise the request takes a slot:
+// the caller calls Finish after serviceTime and then delivers the result.
 func (b *BackEnd) Arrive(
 	attempt query.Attempt, remaining time.Duration,
 ) (result query.AttemptResult, serviceTime time.Duration, works bool) {
@@ -127,12 +128,12 @@
 		}
 		return result, 0, false
 	}
-	b.busy++
+	b.slotsInUse++
 	serviceTime = b.Latency.Draw(b.random, len(attempt.Shards))
-	if b.State == query.StateCold && b.warmed < coldRequests {
+	if b.State == query.StateCold && b.requestsServed < coldRequests {
 		serviceTime *= coldFactor
 	}
-	b.warmed++
+	b.requestsServed++
 	b.answer(&result, attempt)
 	return result, serviceTime, true
 }
@@ -154,7 +155,7 @@
 			return query.StatusNotHeld
 		}
 	}
-	if b.busy >= b.Slots {
+	if b.slotsInUse >= b.Slots {
 		return query.StatusShed
 	}
 	return query.StatusNone
@@ -176,7 +177,8 @@
 	}
 }
 
-// corrupt breaks an answer in a way that must be noticed: another snapshot, a shard that is missing, or crossed shards.
+// corrupt changes an answer in a way that a node must detect: another snapshot version, a missing shard, or a shard number that
+// does not exist.
 func (b *BackEnd) corrupt(result *query.AttemptResult) {
 	switch b.random.IntN(3) {
 	case 0:
@@ -188,10 +190,10 @@
 	}
 }
 
-// Finish frees the slot of a request, answered or cancelled.
+// Finish frees the slot of a request that was answered or cancelled.
 func (b *BackEnd) Finish() {
-	if b.busy == 0 {
-		panic("standin: a request finished that was not started")
+	if b.slotsInUse == 0 {
+		panic("standin: Finish was called without a request in flight")
 	}
-	b.busy--
+	b.slotsInUse--
 }
--- a/internal/standin/index.go
+++ b/internal/standin/index.go
@@ -1,8 +1,8 @@
-// Package standin holds models of what the own interface meets outside: an index, by which any answer can be checked, back ends,
-// and the key-value store. The servers of package rehearsal and the simulation use the same ones.
+// Package standin provides models of the systems around stiletrail's own interface: back ends, the key-value store, and an index
+// with known contents against which any answer can be checked. The servers of package rehearsal and the simulation share them.
 //
-// A model owns its state and has no lock: its user calls it from one goroutine at a time. It does no I/O, reads no clock and
-// draws from the source of randomness that it is given.
+// A model owns its state and is not safe for concurrent use. It does no I/O and reads no clock. Its randomness comes from the
+// source that the caller passes in.
 package standin
 
 import (
@@ -13,18 +13,18 @@
 	"stiletrail/internal/query"
 )
 
-// Index says what every shard of a service holds at every version, so that any answer can be checked.
+// Index defines the documents of every shard of a service at every version, so that any answer can be checked.
 type Index struct {
 	Service string
 	// Keys is the number of documents.
 	Keys int
 }
 
-// Key returns the key of a document.
+// Key returns the key of the document with this number.
 func (i Index) Key(number int) string { return fmt.Sprintf("%s/%05d", i.Service, number) }
 
-// Body returns the body of a document at a version as an answer to a query: it names all three, so that an answer to
-// another's query is noticed.
+// Body returns the body of a document at a version in the answer to a query. It contains the key, the version and the query, so
+// that an answer to another query is detected.
 func (i Index) Body(key string, version uint64, asked []byte) []byte {
 	body := make([]byte, 0, len(key)+len(asked)+24)
 	body = append(body, key...)
@@ -34,10 +34,10 @@
 	return append(body, asked...)
 }
 
-// Keyspace is the keys of each shard for a number of shards.
+// Keyspace holds the keys of each shard, by the shard's number.
 type Keyspace [][]string
 
-// Split returns which keys each of so many shards holds.
+// Split distributes the keys over total shards.
 func (i Index) Split(total uint32) Keyspace {
 	keys := make(Keyspace, total)
 	for number := range i.Keys {
@@ -48,7 +48,7 @@
 	return keys
 }
 
-// Shard returns what a shard answers to a query at a version.
+// Shard returns the documents of a shard in the answer to a query at a version.
 func (i Index) Shard(keys Keyspace, shard uint32, version uint64, asked []byte) query.ShardDocuments {
 	result := query.ShardDocuments{Shard: shard}
 	for _, key := range keys[shard] {
@@ -57,30 +57,30 @@
 	return result
 }
 
-// Answer is what a caller was told.
+// Answer is the answer to a search, as its caller received it.
 type Answer struct {
-	// Query is the query it answers.
+	// Query is the body of the search.
 	Query     []byte
 	Snapshot  query.Snapshot
 	Coverage  query.Coverage
 	Documents []query.Document
 }
 
-// Fault is something untrue in an answer.
+// Fault says what is wrong with an answer. Reports are keyed by these texts.
 type Fault string
 
-// The faults.
+// Faults that Check finds in an answer. FaultNone stands for a correct answer.
 const (
-	FaultNone      Fault = ""
-	FaultWrongContent     Fault = "documents of another snapshot or query"
-	FaultDuplicate   Fault = "a document twice"
-	FaultMissingDocument      Fault = "a document of an answered shard is missing"
-	FaultUnexpectedDocument   Fault = "a document that is not in the answered shards"
-	FaultCoverage  Fault = "answered and missing shards are not all shards"
-	FaultShardCount Fault = "the number of shards is not that of the epoch"
+	FaultNone               Fault = ""
+	FaultWrongContent       Fault = "documents of another snapshot or query"
+	FaultDuplicate          Fault = "a document twice"
+	FaultMissingDocument    Fault = "a document of an answered shard is missing"
+	FaultUnexpectedDocument Fault = "a document that is not in the answered shards"
+	FaultCoverage           Fault = "answered and missing shards are not all shards"
+	FaultShardCount         Fault = "the number of shards is not that of the epoch"
 )
 
-// Check returns what is untrue in an answer; totals gives the number of shards of each epoch.
+// Check returns the first fault found in an answer. totals holds the number of shards of each epoch.
 func (i Index) Check(answer Answer, totals map[uint64]uint32) Fault {
 	coverage := answer.Coverage
 	if coverage.Total != totals[answer.Snapshot.Epoch] {
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -7,7 +7,7 @@
 	"stiletrail/internal/platform"
 )
 
-// Store is a model of the key-value service.
+// Store is a model of the key-value store. Its era counts the restores after which version numbers were reused.
 type Store struct {
 	entries map[string]platform.Entry
 	version uint64
@@ -17,17 +17,17 @@
 // NewStore returns an empty store.
 func NewStore() *Store { return &Store{entries: map[string]platform.Entry{}} }
 
-// Get returns the entry of a key; one that is not there has the era alone.
+// Get returns the entry of a key. For an absent key only the era of the returned entry is set.
 func (s *Store) Get(key string) (platform.Entry, bool) {
 	entry, found := s.entries[key]
 	entry.Era = s.era
 	return entry, found
 }
 
-// Era of the store.
+// Era returns the era of the store.
 func (s *Store) Era() uint64 { return s.era }
 
-// List returns the entries with a prefix, in the order of keys.
+// List returns the entries whose keys have the prefix, sorted by key.
 func (s *Store) List(prefix string) []platform.Entry {
 	var entries []platform.Entry
 	for key, entry := range s.entries {
@@ -39,7 +39,8 @@
 	return entries
 }
 
-// CompareAndSwap writes if the key is still at the base, of version zero for absent.
+// CompareAndSwap writes a value if the stamp of the key's entry is still the base. The base of an absent key has version zero and
+// the era of the store. It returns the present entry and whether the value was written.
 func (s *Store) CompareAndSwap(key string, base platform.Stamp, value []byte) (platform.Entry, bool) {
 	present, _ := s.Get(key)
 	if present.Stamp != base {
@@ -51,10 +52,10 @@
 	return entry, true
 }
 
-// Delete removes a key, as when its lease lapses.
+// Delete removes a key, for example when its lease expires.
 func (s *Store) Delete(key string) { delete(s.entries, key) }
 
-// Backup returns a copy of what is stored, for a later Restore.
+// Backup returns a copy of all entries, for a later Restore or RestoreReusingVersions.
 func (s *Store) Backup() map[string]platform.Entry {
 	copied := make(map[string]platform.Entry, len(s.entries))
 	for key, entry := range s.entries {
@@ -63,7 +64,8 @@
 	return copied
 }
 
-// RestoreReusingVersions puts an older copy in place whose versions are given out again from there on, in another era.
+// RestoreReusingVersions replaces all entries by those of a backup and starts a new era. Version numbers given out since the backup
+// are used again.
 func (s *Store) RestoreReusingVersions(copied map[string]platform.Entry) {
 	s.entries, s.version = map[string]platform.Entry{}, 0
 	s.era++
@@ -74,7 +76,8 @@
 	}
 }
 
-// Restore puts an older copy in place, as after a loss of the service's data. Versions go on rising.
+// Restore replaces all entries by those of a backup, as after a loss of the store's data. Version numbers continue to rise: each
+// restored entry gets a new one.
 func (s *Store) Restore(copied map[string]platform.Entry) {
 	s.entries = make(map[string]platform.Entry, len(copied))
 	for key, entry := range copied {
--- a/internal/testio/address.go
+++ b/internal/testio/address.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// FreeAddress returns an address of this machine on which nobody listened a moment ago.
+// FreeAddress returns a loopback address whose port was free just before. Another process may take the port meanwhile.
 func FreeAddress(t testing.TB) string {
 	t.Helper()
 	return FreeAddresses(t, 1)[0]
 }
 
-// FreeAddresses returns so many different addresses of this machine on which nobody listened a moment ago.
+// FreeAddresses returns count different loopback addresses whose ports were free just before.
 func FreeAddresses(t testing.TB, count int) []string {
 	t.Helper()
 	addresses := make([]string, count)
--- a/internal/testio/output.go
+++ b/internal/testio/output.go
@@ -1,5 +1,5 @@
-// Package testio holds what tests of several packages need around their I/O: an output that is read while it is written, and
-// addresses on which nobody listens. Only tests import it.
+// Package testio provides I/O helpers for tests: an output buffer that may be read while it is written, and free loopback
+// addresses. Only tests import it.
 package testio
 
 import (
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// Output collects what is written to it. It may be read meanwhile.
+// Output collects all data written to it. It is safe for concurrent use.
 type Output struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -20,7 +20,7 @@
 	return o.text.Write(data)
 }
 
-// String returns all that was written so far.
+// String returns all data written so far.
 func (o *Output) String() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/test/deployment_test.go
+++ b/test/deployment_test.go
@@ -30,16 +30,16 @@
 	return response.StatusCode == http.StatusOK
 }
 
-func (n node) callers() stiletrailv1connect.QueryServiceClient {
+func (n node) queryClient() stiletrailv1connect.QueryServiceClient {
 	return stiletrailv1connect.NewQueryServiceClient(http.DefaultClient, "http://"+n.http)
 }
 
-func (n node) operators() stiletrailv1connect.OperatorServiceClient {
+func (n node) operatorClient() stiletrailv1connect.OperatorServiceClient {
 	return stiletrailv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+n.http)
 }
 
 func (n node) search(ctx context.Context) (*stiletrailv1.SearchResponse, *failure.Failure) {
-	response, err := n.callers().Search(ctx, connect.NewRequest(&stiletrailv1.SearchRequest{Service: "lookup", Query: []byte("q")}))
+	response, err := n.queryClient().Search(ctx, connect.NewRequest(&stiletrailv1.SearchRequest{Service: "lookup", Query: []byte("q")}))
 	if err != nil {
 		problem, _ := api.FromError(err)
 		return nil, problem
@@ -47,14 +47,14 @@
 	return response.Msg, nil
 }
 
-func (n node) complete() bool {
+func (n node) searchIsComplete() bool {
 	answer, problem := n.search(context.Background())
 	return problem == nil && answer.GetCoverage().GetShardsAnswered() == 4 && answer.GetCoverage().GetShardsTotal() == 4
 }
 
-// deployment is the platform, four back ends and three nodes in three zones.
+// deployment consists of the platform, four back ends and three nodes in three zones, each in its own process.
 type deployment struct {
-	// flags of all nodes beside those of their own.
+	// flags are passed to every node in addition to the node's own.
 	flags       []string
 	platform    *process
 	platformURL string
@@ -79,7 +79,7 @@
 		d.nodes = append(d.nodes, n)
 	}
 	for i := range d.nodes {
-		d.run(t, i)
+		d.startNode(t, i)
 	}
 	for _, n := range d.nodes {
 		eventually(t, "node is ready", n.ready)
@@ -87,8 +87,8 @@
 	return d
 }
 
-// run starts the process of a node.
-func (d *deployment) run(t *testing.T, number int) {
+// startNode starts the process of a node. A node that was stopped is started again at its addresses.
+func (d *deployment) startNode(t *testing.T, number int) {
 	t.Helper()
 	n := &d.nodes[number]
 	var seeds []string
@@ -102,11 +102,12 @@
 	n.process = start(t, "stiletraild", append(arguments, d.flags...)...)
 }
 
-// apply puts the intent into force everywhere with a deadline that tells changes apart.
-func (d *deployment) apply(t *testing.T, through int, deadline int) uint64 {
+// applyIntent plans and confirms the intent through a node and returns the accepted version. The deadline in milliseconds makes each
+// change different from the others.
+func (d *deployment) applyIntent(t *testing.T, through int, deadline int) uint64 {
 	t.Helper()
 	text := []byte(strings.Replace(d.intent, "deadline_milliseconds: 2000", fmt.Sprintf("deadline_milliseconds: %d", deadline), 1))
-	operators := d.nodes[through].operators()
+	operators := d.nodes[through].operatorClient()
 	plan, err := operators.Plan(context.Background(), connect.NewRequest(&stiletrailv1.PlanRequest{Intent: text}))
 	if err != nil {
 		t.Fatal(err)
@@ -121,10 +122,10 @@
 	return confirmed.Msg.GetVersion()
 }
 
-func (d *deployment) inForce(t *testing.T, through int, version uint64, on uint32) {
+func (d *deployment) awaitInForce(t *testing.T, through int, version uint64, on uint32) {
 	t.Helper()
 	eventually(t, "version is in force", func() bool {
-		status, err := d.nodes[through].operators().Status(context.Background(), connect.NewRequest(&stiletrailv1.StatusRequest{Service: "lookup"}))
+		status, err := d.nodes[through].operatorClient().Status(context.Background(), connect.NewRequest(&stiletrailv1.StatusRequest{Service: "lookup"}))
 		return err == nil && len(status.Msg.GetServices()) == 1 && status.Msg.GetServices()[0].GetVersion() == version &&
 			status.Msg.GetServices()[0].GetNodesInForce() >= on
 	})
--- a/test/process_test.go
+++ b/test/process_test.go
@@ -1,5 +1,5 @@
-// Package test runs the programs as separate processes on loopback. What happens next is decided by what is observed, never
-// by sleeping; every wait is bounded.
+// Package test runs the programs as separate processes on loopback. Tests wait until a condition is observed instead of sleeping
+// for a fixed time, and every wait has a limit.
 package test
 
 import (
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// patience bounds every wait; it is far above what any step needs.
+// patience is the limit of every wait. It is far above the time that any step takes.
 const patience = 60 * time.Second
 
-var binaries string
+var binaryDirectory string
 
 func TestMain(m *testing.M) {
 	directory, err := os.MkdirTemp("", "stiletrail")
 	if err != nil {
 		panic(err)
 	}
-	binaries = directory
+	binaryDirectory = directory
 	build := exec.Command("go", "build", "-o", directory+"/", "../cmd/...")
 	if output, err := build.CombinedOutput(); err != nil {
 		panic(string(output))
@@ -31,7 +31,7 @@
 	os.Exit(code)
 }
 
-// process is a program that a test started.
+// process is a program that a test has started. done is closed when it has ended.
 type process struct {
 	command *exec.Cmd
 	done    chan struct{}
@@ -39,7 +39,7 @@
 
 func start(t *testing.T, program string, arguments ...string) *process {
 	t.Helper()
-	p := &process{command: exec.Command(filepath.Join(binaries, program), arguments...), done: make(chan struct{})}
+	p := &process{command: exec.Command(filepath.Join(binaryDirectory, program), arguments...), done: make(chan struct{})}
 	log, err := os.Create(filepath.Join(t.TempDir(), program+".log"))
 	if err != nil {
 		t.Fatal(err)
@@ -76,12 +76,12 @@
 	select {
 	case <-p.done:
 	case <-time.After(patience):
-		t.Fatal("the process did not end")
+		t.Fatal("the process did not end within the time limit")
 	}
 	return p.command.ProcessState.ExitCode()
 }
 
-// eventually polls until a condition holds.
+// eventually polls every 10 ms until a condition holds. It fails the test if that takes longer than patience.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(patience); time.Now().Before(limit); time.Sleep(10 * time.Millisecond) {
@@ -89,5 +89,5 @@
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("condition was not met within the time limit: %s", what)
 }
--- a/test/programs_test.go
+++ b/test/programs_test.go
@@ -17,26 +17,27 @@
 	stiletrailv1 "stiletrail/api/stiletrail/v1"
 )
 
-// TestWholePath: plan, confirm, status, search and execute through separate processes and the command line.
+// TestWholePath checks plan, confirm, status, search and execute through separate processes, and the exit codes of the command
+// line.
 func TestWholePath(t *testing.T) {
 	d := deploy(t)
-	d.inForce(t, 1, d.apply(t, 0, 2000), 3)
+	d.awaitInForce(t, 1, d.applyIntent(t, 0, 2000), 3)
 	for _, n := range d.nodes {
-		eventually(t, "a search is complete", n.complete)
+		eventually(t, "a search is complete", n.searchIsComplete)
 	}
-	minted, err := d.nodes[0].callers().MintTicket(context.Background(), connect.NewRequest(&stiletrailv1.MintTicketRequest{}))
+	minted, err := d.nodes[0].queryClient().MintTicket(context.Background(), connect.NewRequest(&stiletrailv1.MintTicketRequest{}))
 	for limit := time.Now().Add(patience); err != nil && time.Now().Before(limit); time.Sleep(50 * time.Millisecond) {
-		minted, err = d.nodes[0].callers().MintTicket(context.Background(), connect.NewRequest(&stiletrailv1.MintTicketRequest{}))
+		minted, err = d.nodes[0].queryClient().MintTicket(context.Background(), connect.NewRequest(&stiletrailv1.MintTicketRequest{}))
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, n := range d.nodes {
-		done, err := n.callers().Execute(context.Background(), connect.NewRequest(&stiletrailv1.ExecuteRequest{
+		done, err := n.queryClient().Execute(context.Background(), connect.NewRequest(&stiletrailv1.ExecuteRequest{
 			Service: "lookup", Key: "k", Body: []byte("once"), Ticket: minted.Msg.GetTicket(), DeadlineMilliseconds: 5000,
 		}))
 		if err != nil || string(done.Msg.GetResult()) != "once" {
-			t.Errorf("execute: %v", err)
+			t.Errorf("execute with the same ticket through every node: error %v, want the result \"once\"", err)
 		}
 	}
 	for _, c := range []struct {
@@ -57,53 +58,57 @@
 	}
 }
 
-// TestNodeKilledAndReplaced: the others serve on, and a new process at the address is taken in.
+// TestNodeKilledAndReplaced checks that the other nodes continue to serve when a node is killed, and that a new process at its
+// address becomes a member again.
 func TestNodeKilledAndReplaced(t *testing.T) {
 	d := deploy(t)
-	d.inForce(t, 0, d.apply(t, 0, 2000), 3)
+	d.awaitInForce(t, 0, d.applyIntent(t, 0, 2000), 3)
 	d.nodes[2].signal(t, syscall.SIGKILL)
 	d.nodes[2].exitCode(t)
 	for _, n := range d.nodes[:2] {
-		eventually(t, "a search is complete without the killed node", n.complete)
+		eventually(t, "a search is complete without the killed node", n.searchIsComplete)
 	}
-	d.run(t, 2)
+	d.startNode(t, 2)
 	eventually(t, "the replaced node is ready", d.nodes[2].ready)
-	eventually(t, "a search at the replaced node is complete", d.nodes[2].complete)
-	d.inForce(t, 2, 1, 3)
+	eventually(t, "a search at the replaced node is complete", d.nodes[2].searchIsComplete)
+	d.awaitInForce(t, 2, 1, 3)
 }
 
-// TestNodeFrozen: a frozen node does not stop the others, and joins again when it wakes.
+// TestNodeFrozen checks that a suspended node does not prevent changes and searches at the others, and that it gets the missed
+// change when it resumes.
 func TestNodeFrozen(t *testing.T) {
 	d := deploy(t)
-	d.inForce(t, 0, d.apply(t, 0, 2000), 3)
+	d.awaitInForce(t, 0, d.applyIntent(t, 0, 2000), 3)
 	d.nodes[1].signal(t, syscall.SIGSTOP)
-	version := d.apply(t, 0, 2001)
-	d.inForce(t, 2, version, 2)
-	eventually(t, "a search is complete while a node is frozen", d.nodes[0].complete)
+	version := d.applyIntent(t, 0, 2001)
+	d.awaitInForce(t, 2, version, 2)
+	eventually(t, "a search is complete while a node is frozen", d.nodes[0].searchIsComplete)
 	d.nodes[1].signal(t, syscall.SIGCONT)
-	d.inForce(t, 1, version, 3)
-	eventually(t, "a search at the woken node is complete", d.nodes[1].complete)
+	d.awaitInForce(t, 1, version, 3)
+	eventually(t, "a search at the resumed node is complete", d.nodes[1].searchIsComplete)
 }
 
-// TestStoreStopped: searches go on without the store, a change is refused as not run, and the store is used again.
+// TestStoreStopped checks that searches are complete while the store's process is suspended, and that a change is accepted after it
+// has resumed.
 func TestStoreStopped(t *testing.T) {
 	d := deploy(t)
-	d.inForce(t, 0, d.apply(t, 0, 2000), 3)
+	d.awaitInForce(t, 0, d.applyIntent(t, 0, 2000), 3)
 	d.platform.signal(t, syscall.SIGSTOP)
 	for _, n := range d.nodes {
-		eventually(t, "a search is complete without the store", n.complete)
+		eventually(t, "a search is complete without the store", n.searchIsComplete)
 	}
 	d.platform.signal(t, syscall.SIGCONT)
-	d.inForce(t, 0, d.apply(t, 0, 2001), 3)
+	d.awaitInForce(t, 0, d.applyIntent(t, 0, 2001), 3)
 }
 
-// TestPlannedStopUnderLoad: SIGTERM cuts off nothing that is under way. Searches may wait for a slot for as long as they have: on a machine
-// that is too busy for eight callers without a pause, nodes refuse what would wait for longer, stop or no stop.
+// TestPlannedStopUnderLoad checks that a node stopped by SIGTERM fails no search in flight at the nodes. The queue wait is as long
+// as the searches' deadline: on a machine too busy for eight callers without pauses, nodes with a shorter wait would refuse
+// searches, with or without a stop.
 func TestPlannedStopUnderLoad(t *testing.T) {
 	d := deploy(t, "--queue-wait", "2s")
-	d.inForce(t, 0, d.apply(t, 0, 2000), 3)
+	d.awaitInForce(t, 0, d.applyIntent(t, 0, 2000), 3)
 	for _, n := range d.nodes {
-		eventually(t, "a search is complete", n.complete)
+		eventually(t, "a search is complete", n.searchIsComplete)
 	}
 	var searches sync.WaitGroup
 	stopped := make(chan struct{})
@@ -140,7 +145,7 @@
 	eventually(t, "load is served", enough(50))
 	d.nodes[2].signal(t, syscall.SIGTERM)
 	if code := d.nodes[2].exitCode(t); code != 0 {
-		t.Errorf("exit code %d of the stopped node", code)
+		t.Errorf("exit code %d of the stopped node, want 0", code)
 	}
 	mutex.Lock()
 	before := served
@@ -149,14 +154,14 @@
 	close(stopped)
 	searches.Wait()
 	if cut > 0 {
-		t.Errorf("%d of %d searches were cut", cut, served+cut)
+		t.Errorf("%d of %d searches failed or lost shards, want none", cut, served+cut)
 	}
 }
 
-// TestMalformedPeerInput closes its connection and hurts nobody else.
+// TestMalformedPeerInput checks that a node closes a peer connection on which it receives malformed data and continues to serve.
 func TestMalformedPeerInput(t *testing.T) {
 	d := deploy(t)
-	d.inForce(t, 0, d.apply(t, 0, 2000), 3)
+	d.awaitInForce(t, 0, d.applyIntent(t, 0, 2000), 3)
 	connection, err := net.Dial("tcp", d.nodes[0].peer)
 	if err != nil {
 		t.Fatal(err)
@@ -167,21 +172,21 @@
 	}
 	_ = connection.SetReadDeadline(time.Now().Add(patience))
 	if _, err := connection.Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
-		t.Errorf("the connection was not closed: %v", err)
+		t.Errorf("the node did not close the connection with malformed data: read error %v", err)
 	}
-	eventually(t, "a search is complete", d.nodes[0].complete)
+	eventually(t, "a search is complete", d.nodes[0].searchIsComplete)
 }
 
-// TestBadSettingsExitBeforeAnyPortOpens with all problems listed.
+// TestBadSettingsExitBeforeAnyPortOpens checks that a node with invalid settings ends with exit code 2 and lists all problems.
 func TestBadSettingsExitBeforeAnyPortOpens(t *testing.T) {
-	command := exec.Command(filepath.Join(binaries, "stiletraild"), "--http-address", "nowhere", "--zone", "a b")
+	command := exec.Command(filepath.Join(binaryDirectory, "stiletraild"), "--http-address", "nowhere", "--zone", "a b")
 	output, _ := command.CombinedOutput()
 	if command.ProcessState.ExitCode() != 2 {
-		t.Errorf("exit code %d", command.ProcessState.ExitCode())
+		t.Errorf("exit code %d with invalid settings, want 2", command.ProcessState.ExitCode())
 	}
 	for _, want := range []string{"http_address", "zone", "peer_address", "platform_url"} {
 		if !strings.Contains(string(output), want) {
-			t.Errorf("%s is not in %s", want, output)
+			t.Errorf("the output does not name the invalid setting %s: %s", want, output)
 		}
 	}
 }
