--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -1,7 +1,7 @@
 //go:build prove
 
-// Package mutation takes out one guard at a time in a copy of the source and checks that its proof fails. Run it with make
-// prove; docs/PROOF.md quotes what the proofs said.
+// Package mutation tests the tests. It removes one guard (a check or a rule) at a time in a copy of the source and verifies that
+// the test which covers the guard then fails. "make prove" runs it. docs/PROOF.md quotes the failure messages.
 package mutation
 
 import (
@@ -14,40 +14,40 @@
 	"testing"
 )
 
-// mutation replaces a piece of source, which must stand there exactly once.
+// mutation replaces a text of a source file, which must occur there exactly once. name says what is wrong with the mutated code.
 type mutation struct {
-	name string
-	file string
-	old  string
-	new  string
-	// pkg and test must fail with the mutation.
+	name        string
+	file        string
+	original    string
+	replacement string
+	// The test of this name in this package must fail with the mutation.
 	pkg  string
 	test string
 }
 
 var mutations = []mutation{
 	{
-		"no check of the snapshot of an answer", "internal/dispatch/outcome.go",
+		"the snapshot of an answer is not checked", "internal/dispatch/outcome.go",
 		"if !a.subQuery.request.Execute && result.Snapshot != a.subQuery.request.Snapshot {", "if false {",
 		"./internal/dispatch", "TestMismatchedAnswersAreRejected",
 	},
 	{
-		"results of an earlier plan are kept when the query is planned again", "internal/scatter/scatter.go",
+		"results of an earlier plan are kept when a query is planned again", "internal/scatter/scatter.go",
 		"	clear(q.results)\n	q.shards = make([]shard, plan.Total)\n", "	if uint32(len(q.shards)) != plan.Total {\n		q.shards = make([]shard, plan.Total)\n	}\n",
 		"./internal/simulation", "TestOneSnapshot",
 	},
 	{
-		"the number of shards is counted from those that are held", "internal/scatter/routing.go",
+		"the number of shards is taken from the shards that back ends hold", "internal/scatter/routing.go",
 		"			total = max(total, h.ShardsTotal)\n", "			total = max(total, uint32(len(h.Shards)))\n",
 		"./internal/simulation", "TestCoverageIsTrue",
 	},
 	{
-		"a second answer to a shard is passed on", "internal/dispatch/outcome.go",
+		"a second answer of a shard is passed on", "internal/dispatch/outcome.go",
 		"		if state.answered {\n			continue\n		}\n		state.answered = true\n", "		state.answered = true\n",
 		"./internal/dispatch", "TestSecondAnswerIsDropped",
 	},
 	{
-		"no replay window", "internal/dispatch/replay.go",
+		"repeated attempts are accepted", "internal/dispatch/replay.go",
 		"	return !window.accept(id.Sequence)\n", "	window.accept(id.Sequence)\n	return false\n",
 		"./internal/simulation", "TestAtMostOnce",
 	},
@@ -72,12 +72,12 @@
 		"./internal/dispatch", "TestDrainSignals",
 	},
 	{
-		"a leaving node gives up its groups at once", "internal/engine/groups.go",
+		"a leaving node gives up its groups immediately", "internal/engine/groups.go",
 		"	if e.leaving {\n		return\n	}\n	e.performDispatch(e.dispatcher.SetGroups", "	e.performDispatch(e.dispatcher.SetGroups",
 		"./internal/engine", "TestLeavingNodeServesOn",
 	},
 	{
-		"a leaving node stops at once", "internal/engine/leave.go",
+		"a leaving node stops with requests in flight", "internal/engine/leave.go",
 		"return e.leaving && busy == 0 && e.dispatcher.Idle() && now-e.leftAt >= e.settings.LeaveGrace", "return e.leaving && busy >= 0 && now >= 0",
 		"./internal/simulation", "TestPlannedStops",
 	},
@@ -97,42 +97,42 @@
 		"./internal/rollout", "TestOutcomes",
 	},
 	{
-		"a swap that lost is not read back", "internal/rollout/rollout.go",
+		"the entry is not read after a lost compare-and-swap", "internal/rollout/rollout.go",
 		"	if outcome == Done {\n		r.phase = reading\n		return Read{}\n	}\n", "	if outcome == Done {\n		return r.conflict(r.change.Base + 1)\n	}\n",
 		"./internal/rollout", "TestOutcomes",
 	},
 	{
-		"accepted is said before any peer holds the document", "internal/engine/confirm.go",
+		"a change is accepted before any peer has the document", "internal/engine/confirm.go",
 		"rollout.Spreading(len(peers))", "rollout.Spreading(0)",
 		"./internal/engine", "TestAcceptanceWaitsForCopies",
 	},
 	{
-		"relays trust their watch", "internal/engine/store.go",
+		"relays do not compare their copy with listings", "internal/engine/store.go",
 		"		if e.store.stamps[service] != entry.Stamp {", "		if e.store.stamps[service].Version == 0 {",
 		"./internal/engine", "TestListedChangesAreRead",
 	},
 	{
-		"zones that meet again do not refute", "internal/membership/update.go",
+		"a node does not refute its reported death after a partition", "internal/membership/update.go",
 		"	c.self.Incarnation = update.Incarnation + 1\n	c.enqueue(c.self.Address)\n}", "}",
 		"./internal/membership", "TestMemberRefutesUpdatesAboutItself",
 	},
 	{
-		"a fresh node serves before it knows the members", "internal/membership/probe.go",
+		"a new node serves before it knows the members", "internal/membership/probe.go",
 		"	return c.joined || alone || now-c.startedAt > joinTimeout", "	return c.joined || alone || now >= 0",
 		"./internal/membership", "TestJoinedAfterComparingViews",
 	},
 	{
-		"hedges go into full windows", "internal/dispatch/backend.go",
+		"hedges are sent to back ends with full concurrency windows", "internal/dispatch/backend.go",
 		"	return b.window.HasCapacity() && len(b.queue) == 0 && now >= b.notBefore", "	return now >= b.notBefore",
 		"./internal/dispatch", "TestNoHedgesIntoFullWindows",
 	},
 	{
-		"a fresh node serves at once", "internal/gossip/compare.go",
+		"a new node serves before peers have confirmed its configuration", "internal/gossip/compare.go",
 		"	c.ready = len(c.agreed) >= c.peersToAgree()\n", "	c.ready = true\n",
 		"./internal/gossip", "TestFreshNodeNeedsSeveralPeers",
 	},
 	{
-		"a node that was frozen goes on with what it knew", "internal/engine/call.go",
+		"a resumed node continues with outdated state", "internal/engine/call.go",
 		"	if frozen {\n		e.resume()\n	}\n", "	_ = frozen\n",
 		"./internal/engine", "TestFrozenNodeRefusesUntilItHasRejoined",
 	},
@@ -142,19 +142,19 @@
 		"./internal/backend", "TestAnswers",
 	},
 	{
-		"echoes are not compared", "internal/backend/answer.go",
+		"the generation and attempt number in an answer are not compared", "internal/backend/answer.go",
 		"if response.GetGeneration() != attempt.Generation || response.GetAttempt() != attempt.Number {", "if false {",
 		"./internal/backend", "TestAnswers",
 	},
 	{
-		"requests to back ends may be resent silently", "internal/backend/backend.go",
+		"the HTTP client may resend requests to back ends", "internal/backend/backend.go",
 		"response, err := c.clientFor(attempt.BackEnd).Query(httptrace.WithClientTrace(ctx, trace), connect.NewRequest(request))",
 		"outgoing := connect.NewRequest(request)\n	outgoing.Header().Set(\"Idempotency-Key\", \"1\")\n	response, err := c.clientFor(attempt.BackEnd).Query(httptrace.WithClientTrace(ctx, trace), outgoing)",
 		"./internal/backend", "TestNoSilentResend",
 	},
 }
 
-// TestGuardsAreProved fails for a mutation whose proof still passes.
+// TestGuardsAreProved checks that each mutation makes its test fail. A test that still passes does not cover the guard.
 func TestGuardsAreProved(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -163,12 +163,13 @@
 	for _, m := range allMutations() {
 		t.Run(strings.ReplaceAll(m.name, " ", "-"), func(t *testing.T) {
 			t.Parallel()
-			prove(t, root, m)
+			testWithoutGuard(t, root, m)
 		})
 	}
 }
 
-// TestGuardsAreFound: the text of each guard stands exactly once in its file. A guard that is not found proves nothing.
+// TestGuardsAreFound checks that the original text of each mutation occurs exactly once in its file. A change of the source that
+// loses the text would otherwise disable the mutation.
 func TestGuardsAreFound(t *testing.T) {
 	for _, m := range allMutations() {
 		source, err := os.ReadFile(filepath.Join("../..", m.file))
@@ -176,8 +177,8 @@
 			t.Errorf("%s: %v", m.name, err)
 			continue
 		}
-		if count := strings.Count(string(source), m.old); count != 1 {
-			t.Errorf("%s: the guard stands %d times in %s", m.name, count, m.file)
+		if count := strings.Count(string(source), m.original); count != 1 {
+			t.Errorf("%s: the source text of the guard occurs %d times in %s, want once", m.name, count, m.file)
 		}
 	}
 }
@@ -186,7 +187,8 @@
 	return slices.Concat(mutations, gatewayMutations, quarantineMutations, eraMutations)
 }
 
-// copySource copies what a proof is built from: neither the repository's history nor the records of measured runs.
+// copySource copies the repository without its history (.git) and without the records of measured runs (journal), which no test
+// needs.
 func copySource(t *testing.T, root, to string) {
 	t.Helper()
 	entries, err := os.ReadDir(root)
@@ -217,10 +219,10 @@
 	return os.WriteFile(to, content, 0o600)
 }
 
-// said matches the first complaint of a failing test.
-var said = regexp.MustCompile(`(?m)^\s+\w+_test\.go:\d+: (.*)$|^(panic: .*)$`)
+// failureMessage matches the first failure message or the panic in the output of a failing test.
+var failureMessage = regexp.MustCompile(`(?m)^\s+\w+_test\.go:\d+: (.*)$|^(panic: .*)$`)
 
-func prove(t *testing.T, root string, m mutation) {
+func testWithoutGuard(t *testing.T, root string, m mutation) {
 	t.Helper()
 	copied := t.TempDir()
 	copySource(t, root, copied)
@@ -229,10 +231,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if count := strings.Count(string(source), m.old); count != 1 {
-		t.Fatalf("the guard stands %d times in %s", count, m.file)
+	if count := strings.Count(string(source), m.original); count != 1 {
+		t.Fatalf("the source text of the guard occurs %d times in %s, want once", count, m.file)
 	}
-	mutated := strings.Replace(string(source), m.old, m.new, 1)
+	mutated := strings.Replace(string(source), m.original, m.replacement, 1)
 	if err := os.WriteFile(path, []byte(mutated), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -240,15 +242,15 @@
 	command.Dir = copied
 	output, err := command.CombinedOutput()
 	if err == nil {
-		t.Errorf("%s passes without its guard", m.test)
+		t.Errorf("%s passes without the guard that it covers, want a failure", m.test)
 		return
 	}
 	if strings.Contains(string(output), "[build failed]") || strings.Contains(string(output), "no tests to run") {
-		t.Fatalf("the mutation does not build: %s", output)
+		t.Fatalf("the mutated source does not build or the test does not exist: %s", output)
 	}
-	complaints := said.FindStringSubmatch(string(output))
-	if complaints == nil {
-		t.Fatalf("no complaint in: %s", output)
+	message := failureMessage.FindStringSubmatch(string(output))
+	if message == nil {
+		t.Fatalf("no failure message found in the output of the failing test: %s", output)
 	}
-	t.Logf("%s said: %s", m.test, strings.TrimSpace(complaints[1]+complaints[2]))
+	t.Logf("%s failed as expected: %s", m.test, strings.TrimSpace(message[1]+message[2]))
 }
