--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -50,12 +50,12 @@
 		"./platform", "TestChangesLostWithBackup",
 	},
 	{
-		"a zone whose evacuation is missing in a restored backup is restored at once", "internal/gateway/store_copy.go",
+		"a zone whose evacuation is missing in a restored backup is used again at once", "internal/gateway/store_copy.go",
 		"if left := c.records.RewriteRemaining(now); left > 0 {", "if left := c.records.RewriteRemaining(now); left > 0 && now < 0 {",
 		"./platform", "TestChangesLostWithBackup",
 	},
 	{
-		"a zone whose evacuation is not written again after a restore is never restored", "internal/gateway/maintain.go",
+		"a zone whose evacuation is not written again after a restore is never used again", "internal/gateway/maintain.go",
 		"	g.endEvacuationsDue(g.now())\n", "",
 		"./platform", "TestChangesLostWithBackup",
 	},
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -84,7 +84,7 @@
 	{
 		"a document replaces a newer one", "internal/catalog/catalog.go",
 		"if found && known.document.Version >= document.Version {", "if found && known.document.Version == document.Version {",
-		"./internal/simulation", "TestStoreRestoredFromOldCopy",
+		"./internal/simulation", "TestStoreRestoredFromOldBackup",
 	},
 	{
 		"the base of a plan is not checked", "internal/rollout/rollout.go",
--- a/internal/rehearsal/backend.go
+++ b/internal/rehearsal/backend.go
@@ -131,7 +131,7 @@
 	result, serviceTime, works := b.model.Arrive(attempt, remaining)
 	b.mutex.Unlock()
 	if works {
-		err := wait(ctx, serviceTime)
+		err := sleep(ctx, serviceTime)
 		b.WithModel(func(model *standin.BackEnd) { model.Finish() })
 		if err != nil {
 			return nil, err
@@ -140,7 +140,7 @@
 	return connect.NewResponse(toResponse(attempt, result)), nil
 }
 
-func wait(ctx context.Context, length time.Duration) error {
+func sleep(ctx context.Context, length time.Duration) error {
 	if length <= 0 {
 		return nil
 	}
--- a/internal/rehearsal/contract_test.go
+++ b/internal/rehearsal/contract_test.go
@@ -17,8 +17,8 @@
 	"stiletrail/internal/standin"
 )
 
-// patience bounds every wait of a test. It is far longer than any of them takes.
-const patience = time.Minute
+// testTimeout bounds every wait of a test. It is far longer than any of them takes.
+const testTimeout = time.Minute
 
 // TestPlatformContract checks the platform stand-in through the client of package platform: reads, writes, listings, and the
 // failure codes of a lost answer and of a platform that is down.
@@ -90,7 +90,7 @@
 	}
 	defer started.Close()
 	client := platform.NewClient(&http.Client{}, started.URL())
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	seen := make(chan platform.Entry, 1)
 	ended := make(chan error, 1)
@@ -130,7 +130,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(cluster.Close)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if err := cluster.WaitReady(ctx); err != nil {
 		t.Fatal(err)
@@ -232,7 +232,7 @@
 		t.Fatal(err)
 	}
 	defer started.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	client := platform.NewClient(&http.Client{}, started.URL())
 	key := platform.ServicePrefix + "lookup"
--- a/internal/rehearsal/deployment.go
+++ b/internal/rehearsal/deployment.go
@@ -33,7 +33,7 @@
 // quickstartDeployment returns small services, and two services whose searches cover many shards.
 func quickstartDeployment() Deployment {
 	small := ServiceOptions{BackEnds: 4, Slots: 5, Connections: 75, Latency: lookupLatency}
-	services := append(named("lookup", 4, small), named("trade", 6, small)...)
+	services := append(numberedServices("lookup", 4, small), numberedServices("trade", 6, small)...)
 	return Deployment{
 		Zones: []string{"zone-a", "zone-b", "zone-c"},
 		Services: append(services,
@@ -43,8 +43,8 @@
 	}
 }
 
-// named returns count services with the same options, named NAME-1, NAME-2 and so on.
-func named(name string, count int, shape ServiceOptions) []ServiceOptions {
+// numberedServices returns count services with the same options, numberedServices NAME-1, NAME-2 and so on.
+func numberedServices(name string, count int, shape ServiceOptions) []ServiceOptions {
 	shapes := make([]ServiceOptions, count)
 	for i := range shapes {
 		shapes[i] = shape
--- a/internal/rehearsal/keyvalue.go
+++ b/internal/rehearsal/keyvalue.go
@@ -19,7 +19,7 @@
 func (p *Platform) Get(
 	ctx context.Context, request *connect.Request[stiletrailv1.GetRequest],
 ) (*connect.Response[stiletrailv1.GetResponse], error) {
-	if err := p.enter(ctx); err != nil {
+	if err := p.applyFaults(ctx); err != nil {
 		return nil, err
 	}
 	p.mutex.Lock()
@@ -35,7 +35,7 @@
 func (p *Platform) List(
 	ctx context.Context, request *connect.Request[stiletrailv1.ListRequest],
 ) (*connect.Response[stiletrailv1.ListResponse], error) {
-	if err := p.enter(ctx); err != nil {
+	if err := p.applyFaults(ctx); err != nil {
 		return nil, err
 	}
 	p.mutex.Lock()
@@ -54,7 +54,7 @@
 func (p *Platform) CompareAndSwap(
 	ctx context.Context, request *connect.Request[stiletrailv1.CompareAndSwapRequest],
 ) (*connect.Response[stiletrailv1.CompareAndSwapResponse], error) {
-	if err := p.enter(ctx); err != nil {
+	if err := p.applyFaults(ctx); err != nil {
 		return nil, err
 	}
 	p.mutex.Lock()
@@ -93,7 +93,7 @@
 func (p *Platform) Watch(
 	ctx context.Context, request *connect.Request[stiletrailv1.WatchRequest], stream *connect.ServerStream[stiletrailv1.WatchResponse],
 ) error {
-	if err := p.enter(ctx); err != nil {
+	if err := p.applyFaults(ctx); err != nil {
 		return err
 	}
 	const queueLength = 256
--- a/internal/rehearsal/leases.go
+++ b/internal/rehearsal/leases.go
@@ -19,7 +19,7 @@
 func (p *Platform) GrantLease(
 	ctx context.Context, request *connect.Request[stiletrailv1.GrantLeaseRequest],
 ) (*connect.Response[stiletrailv1.GrantLeaseResponse], error) {
-	if err := p.enter(ctx); err != nil {
+	if err := p.applyFaults(ctx); err != nil {
 		return nil, err
 	}
 	p.mutex.Lock()
@@ -34,7 +34,7 @@
 func (p *Platform) KeepAlive(
 	ctx context.Context, request *connect.Request[stiletrailv1.KeepAliveRequest],
 ) (*connect.Response[stiletrailv1.KeepAliveResponse], error) {
-	if err := p.enter(ctx); err != nil {
+	if err := p.applyFaults(ctx); err != nil {
 		return nil, err
 	}
 	p.mutex.Lock()
--- a/internal/rehearsal/machines.go
+++ b/internal/rehearsal/machines.go
@@ -26,7 +26,7 @@
 func (p *Platform) ListMachines(
 	ctx context.Context, _ *connect.Request[stiletrailv1.ListMachinesRequest],
 ) (*connect.Response[stiletrailv1.ListMachinesResponse], error) {
-	if err := p.enter(ctx); err != nil {
+	if err := p.applyFaults(ctx); err != nil {
 		return nil, err
 	}
 	p.mutex.Lock()
--- a/internal/rehearsal/platform.go
+++ b/internal/rehearsal/platform.go
@@ -112,8 +112,8 @@
 
 var errPlatformDown = failure.New(failure.StoreUnavailable, "the platform stand-in is down")
 
-// enter applies the faults and the rate limit to a request. It also expires leases, so that the request does not see their keys.
-func (p *Platform) enter(ctx context.Context) error {
+// applyFaults applies the faults and the rate limit to a request. It also expires leases, so that the request does not see their keys.
+func (p *Platform) applyFaults(ctx context.Context) error {
 	p.mutex.Lock()
 	faults := p.faults
 	p.mutex.Unlock()
--- a/internal/simulation/copies_test.go
+++ b/internal/simulation/backups_test.go
@@ -16,7 +16,7 @@
 	w := newConfiguredWorld(t, 1, 5, 90*time.Second)
 	old := w.store.Backup()
 	const cutOff = "zone-c"
-	there := func(in bool) *simNode {
+	nodeInside := func(in bool) *simNode {
 		at := slices.IndexFunc(w.live, func(address string) bool { return (w.nodes[address].zone.Name == cutOff) == in })
 		return w.nodes[w.live[at]]
 	}
@@ -24,13 +24,13 @@
 	w.Run(time.Second)
 	wanted := w.IntentFor(w.services["lookup"])
 	wanted.DeadlineMilliseconds++
-	w.Change(there(false), wanted, "lost-with-the-copy")
+	w.Change(nodeInside(false), wanted, "lost-with-the-copy")
 	w.Run(5 * time.Second)
 	w.store.RestoreReusingVersions(old)
 	delete(w.isolated, cutOff)
 	w.Run(5 * time.Second)
 	wanted.DeadlineMilliseconds++
-	w.Change(there(true), wanted, "after-the-copy")
+	w.Change(nodeInside(true), wanted, "after-the-copy")
 	w.Run(5 * time.Second)
 	w.regionsPartitioned = false
 	w.Run(20 * time.Second)
@@ -43,17 +43,17 @@
 	checkNoViolations(t, w)
 }
 
-// TestStoreRestoredFromOldCopy checks a restore of the store from an old backup: nodes keep the configuration in force and raise
+// TestStoreRestoredFromOldBackup checks a restore of the store from an old backup: nodes keep the configuration in force and raise
 // an alarm, and the next change repairs the store. Versions continue to rise in one case and are reused in the other.
-func TestStoreRestoredFromOldCopy(t *testing.T) {
+func TestStoreRestoredFromOldBackup(t *testing.T) {
 	for name, restore := range map[string]func(*standin.Store, map[string]platform.Entry){
 		"versions continue to rise": (*standin.Store).Restore, "versions are reused": (*standin.Store).RestoreReusingVersions,
 	} {
-		t.Run(name, func(t *testing.T) { restoredFromOldCopy(t, restore) })
+		t.Run(name, func(t *testing.T) { testRestoreFromOldBackup(t, restore) })
 	}
 }
 
-func restoredFromOldCopy(t *testing.T, restore func(*standin.Store, map[string]platform.Entry)) {
+func testRestoreFromOldBackup(t *testing.T, restore func(*standin.Store, map[string]platform.Entry)) {
 	w := newConfiguredWorld(t, 1, 5, 60*time.Second)
 	old := w.store.Backup()
 	wanted := w.IntentFor(w.services["lookup"])
--- a/test/process_test.go
+++ b/test/process_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// patience is the limit of every wait. It is far above the time that any step takes.
-const patience = 60 * time.Second
+// testTimeout is the limit of every wait. It is far above the time that any step takes.
+const testTimeout = 60 * time.Second
 
 var binaryDirectory string
 
@@ -75,7 +75,7 @@
 	t.Helper()
 	select {
 	case <-p.done:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the process did not end within the time limit")
 	}
 	return p.command.ProcessState.ExitCode()
@@ -84,7 +84,7 @@
 // eventually polls every 10 ms until a condition holds. It fails the test if that takes longer than patience.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(patience); time.Now().Before(limit); time.Sleep(10 * time.Millisecond) {
+	for limit := time.Now().Add(testTimeout); time.Now().Before(limit); time.Sleep(10 * time.Millisecond) {
 		if holds() {
 			return
 		}
--- a/test/programs_test.go
+++ b/test/programs_test.go
@@ -26,7 +26,7 @@
 		eventually(t, "a search is complete", n.searchIsComplete)
 	}
 	minted, err := d.nodes[0].queryClient().MintTicket(context.Background(), connect.NewRequest(&stiletrailv1.MintTicketRequest{}))
-	for limit := time.Now().Add(patience); err != nil && time.Now().Before(limit); time.Sleep(50 * time.Millisecond) {
+	for limit := time.Now().Add(testTimeout); err != nil && time.Now().Before(limit); time.Sleep(50 * time.Millisecond) {
 		minted, err = d.nodes[0].queryClient().MintTicket(context.Background(), connect.NewRequest(&stiletrailv1.MintTicketRequest{}))
 	}
 	if err != nil {
@@ -113,7 +113,7 @@
 	var searches sync.WaitGroup
 	stopped := make(chan struct{})
 	var mutex sync.Mutex
-	served, cut := 0, 0
+	served, failed := 0, 0
 	for number := range 8 {
 		n := d.nodes[number%2]
 		searches.Go(func() {
@@ -126,7 +126,7 @@
 				answer, problem := n.search(context.Background())
 				mutex.Lock()
 				if problem != nil || answer.GetCoverage().GetShardsAnswered() < 4 {
-					cut++
+					failed++
 					t.Logf("node %s: %v %v", n.http, problem, answer.GetCoverage())
 				} else {
 					served++
@@ -153,8 +153,8 @@
 	eventually(t, "load is served after the stop", enough(before+50))
 	close(stopped)
 	searches.Wait()
-	if cut > 0 {
-		t.Errorf("%d of %d searches failed or lost shards, want none", cut, served+cut)
+	if failed > 0 {
+		t.Errorf("%d of %d searches failed or lost shards, want none", failed, served+failed)
 	}
 }
 
@@ -170,7 +170,7 @@
 	if _, err := connection.Write([]byte(strings.Repeat("GET / HTTP/1.1\r\n", 4))); err != nil {
 		t.Fatal(err)
 	}
-	_ = connection.SetReadDeadline(time.Now().Add(patience))
+	_ = connection.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := connection.Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
 		t.Errorf("the node did not close the connection with malformed data: read error %v", err)
 	}
