--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -36,7 +36,7 @@
 	Days    []string      `yaml:"days"`
 	// Seeds of the days. 0 stands for the seed that a day has by itself.
 	Seeds []uint64 `yaml:"seeds"`
-	// ChargeProcessor includes processor time in the measures. Processor time differs between runs with the same seed.
+	// ChargeProcessor makes the runs account for processor time. Runs with the same seed then give different results.
 	ChargeProcessor bool `yaml:"charge_processor"`
 }
 
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -19,7 +19,7 @@
 	Run
 	// Measures holds the measured values by name.
 	Measures map[string]float64 `json:"measures"`
-	// Broken names the rules that were violated in the run and the faults of the day.
+	// Broken names the rules that were violated in the run. An error that the run reported is added as "fault: ...".
 	Broken []string `json:"broken,omitempty"`
 	// Entry names the record of the run in the journal.
 	Entry string `json:"entry"`
--- a/internal/rehearsal/deployment.go
+++ b/internal/rehearsal/deployment.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// numberedServices returns count services with the same options, numberedServices NAME-1, NAME-2 and so on.
+// numberedServices returns count services with the same options and the names NAME-1, NAME-2 and so on.
 func numberedServices(name string, count int, shape ServiceOptions) []ServiceOptions {
 	shapes := make([]ServiceOptions, count)
 	for i := range shapes {
--- a/internal/rehearsal/platform.go
+++ b/internal/rehearsal/platform.go
@@ -1,6 +1,6 @@
-// Package rehearsal runs stiletrail's own interface on loopback. It serves the models of package standin over HTTP, starts
-// clusters of nodes in this process, generates load whose answers are all checked, and contains the quickstart, which uses all of
-// these.
+// Package rehearsal runs stiletrail's own RPC interface (package api) on loopback. It serves the models of package standin over
+// HTTP, starts clusters of nodes in this process, generates load whose answers are all checked, and contains the quickstart, which
+// uses all of these.
 //
 // A Platform and a BackEnd each own a port, a model and the mutex that guards it. A Cluster owns its nodes, back ends and
 // platform. The package runs in real time.
--- a/internal/standin/index.go
+++ b/internal/standin/index.go
@@ -1,4 +1,4 @@
-// Package standin provides models of the systems around stiletrail's own interface: back ends, the key-value store, and an index
+// Package standin provides models of the systems around stiletrail's own RPC interface: back ends, the key-value store, and an index
 // with known contents against which any answer can be checked. The servers of package rehearsal and the simulation share them.
 //
 // A model owns its state and is not safe for concurrent use. It does no I/O and reads no clock. Its randomness comes from the
