--- a/internal/gateway/crashing_fleet_test.go
+++ b/internal/gateway/crashing_fleet_test.go
@@ -321,8 +321,8 @@
 func checkServed(t *testing.T, counts *outcomeCount, minimum float64) {
 	t.Helper()
 	share := float64(counts.served) / float64(counts.sent)
-	t.Logf("share %.4f of %d searches was served", share, counts.sent)
+	t.Logf("%.4f of %d searches were served", share, counts.sent)
 	if share < minimum {
-		t.Errorf("share %.3f of %d searches was served, too few; the others ended with %v", share, counts.sent, counts.failed)
+		t.Errorf("%.3f of %d searches were served, too few; the others ended with %v", share, counts.sent, counts.failed)
 	}
 }
--- a/internal/gateway/simulation_faults_test.go
+++ b/internal/gateway/simulation_faults_test.go
@@ -14,7 +14,7 @@
 	b := s.randomBackEnd()
 	length := time.Duration(500+s.random.IntN(5000)) * time.Millisecond
 	nodeNumber := s.random.IntN(simulatedNodes)
-	store := s.cluster.stores[nodeNumber]
+	storeOfNode := s.cluster.stores[nodeNumber]
 	during := func(begin, finish func()) {
 		s.withLock(begin)
 		time.AfterFunc(length, func() { s.withLock(finish) })
@@ -46,7 +46,7 @@
 	case 5:
 		s.putNextVersion()
 	case 6:
-		during(func() { store.disconnected.Store(true) }, func() { store.disconnected.Store(false) })
+		during(func() { storeOfNode.disconnected.Store(true) }, func() { storeOfNode.disconnected.Store(false) })
 	case 7:
 		s.outages = append(s.outages, span{time.Now(), time.Now().Add(length + settleTime)})
 		s.cluster.store.update(func(store *fakeStore) { store.err = errUnavailable })
