--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -150,7 +150,7 @@
 // ConfigurationAge returns the time since the configuration in force was last known to equal the store's, and false if
 // it never was.
 func (e *Engine) ConfigurationAge(now time.Duration) (time.Duration, bool) {
-	return e.gossip.CatalogAge(now)
+	return e.gossip.ConfigurationAge(now)
 }
 
 // IsRelay reports whether the node reads the store on behalf of its zone. The caller should then watch the store.
--- a/internal/engine/search.go
+++ b/internal/engine/search.go
@@ -180,7 +180,7 @@
 	default:
 		e.Counters.Partial++
 	}
-	age, known := e.gossip.CatalogAge(e.now)
+	age, known := e.gossip.ConfigurationAge(e.now)
 	if !known {
 		age = -1
 	}
--- a/internal/engine/status.go
+++ b/internal/engine/status.go
@@ -111,7 +111,7 @@
 		return
 	}
 	delete(e.statuses, number)
-	age, known := e.gossip.CatalogAge(e.now)
+	age, known := e.gossip.ConfigurationAge(e.now)
 	if !known {
 		age = -1
 	}
--- a/internal/gossip/compare.go
+++ b/internal/gossip/compare.go
@@ -15,7 +15,7 @@
 
 func (c *Core) summary(now time.Duration, reply bool) *message.CatalogSummary {
 	age := int64(-1)
-	if elapsed, known := c.CatalogAge(now); known {
+	if elapsed, known := c.ConfigurationAge(now); known {
 		age = elapsed.Milliseconds()
 	}
 	return &message.CatalogSummary{Hash: c.catalog.Hash(), AgeMilliseconds: age, Ready: c.ready, Reply: reply}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -78,9 +78,9 @@
 // Ready reports whether requests may be served with the catalog.
 func (c *Core) Ready() bool { return c.ready }
 
-// CatalogAge returns the time since the catalog was last known to be equal to the store's. The second result is false
+// ConfigurationAge returns the time since the catalog was last known to be equal to the store's. The second result is false
 // if it never was.
-func (c *Core) CatalogAge(now time.Duration) (time.Duration, bool) {
+func (c *Core) ConfigurationAge(now time.Duration) (time.Duration, bool) {
 	if c.equalAt == neverEqual {
 		return 0, false
 	}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -60,19 +60,19 @@
 	}
 }
 
-// TestCatalogAge checks that the age of the catalog is unknown at first, is taken over from a peer with an equal
+// TestConfigurationAge checks that the age of the catalog is unknown at first, is taken over from a peer with an equal
 // catalog, grows with time, and is not taken over from a peer with another catalog.
-func TestCatalogAge(t *testing.T) {
+func TestConfigurationAge(t *testing.T) {
 	core := newCore("a")
-	if _, known := core.CatalogAge(time.Second); known {
+	if _, known := core.ConfigurationAge(time.Second); known {
 		t.Error("the age is known before a peer with an equal catalog reported one")
 	}
 	core.Receive(time.Minute, "a", &message.CatalogSummary{Hash: core.catalog.Hash(), AgeMilliseconds: 5000})
-	if age, known := core.CatalogAge(2 * time.Minute); !known || age != time.Minute+5*time.Second {
+	if age, known := core.ConfigurationAge(2 * time.Minute); !known || age != time.Minute+5*time.Second {
 		t.Errorf("age %s, known %t, want an age of 1m5s", age, known)
 	}
 	core.Receive(2*time.Minute, "a", &message.CatalogSummary{Hash: core.catalog.Hash() + 1, AgeMilliseconds: 0})
-	if age, _ := core.CatalogAge(2 * time.Minute); age != time.Minute+5*time.Second {
+	if age, _ := core.ConfigurationAge(2 * time.Minute); age != time.Minute+5*time.Second {
 		t.Errorf("a peer with another catalog changed the age to %s, want 1m5s", age)
 	}
 }
