--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -70,7 +70,7 @@
 	}
 	if connect.IsWireError(err) && remote.Code() == connect.CodeResourceExhausted {
 		// The connect library refused an oversized request before it reached a handler.
-		return failure.Refused(failure.InvalidArgument, remote.Message(), 0), nil
+		return failure.NewRefusal(failure.InvalidArgument, remote.Message(), 0), nil
 	}
 	return failure.Wrap(err, failure.OutcomeUnknown, "the node did not answer, or answered with an error without a detail"), nil
 }
--- a/internal/decisionlog/compatibility_test.go
+++ b/internal/decisionlog/compatibility_test.go
@@ -42,7 +42,7 @@
 		log.Request(call, ended(forward.Answer{TotalShards: 3, Reason: forward.TargetReached}, answered))
 		log.Request(call, ended(forward.Answer{TotalShards: 3, MissingShards: 1, Reason: forward.TargetReached}, answered, lost, open))
 		log.Request(call, &gateway.Result{
-			Answer:   forward.Answer{Failure: failure.Refused(failure.Overloaded, "", time.Second), Reason: forward.TurnedAway},
+			Answer:   forward.Answer{Failure: failure.NewRefusal(failure.Overloaded, "", time.Second), Reason: forward.TurnedAway},
 			Overload: admit.OverloadLevel{MissingShare: 1.9, ShedShare: 0.126, TurnedAwayShare: 0.5},
 		})
 		log.BackEndEjected(lost, lost.Outcome)
--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -99,7 +99,7 @@
 func TestTurnedAwayRequestLogsOverload(t *testing.T) {
 	lines := logged(func(log *decisionlog.Log) {
 		log.Request(&gateway.Call{ID: "request"}, &gateway.Result{
-			Answer:   forward.Answer{Failure: failure.Refused(failure.Overloaded, "", time.Second), Reason: forward.TurnedAway},
+			Answer:   forward.Answer{Failure: failure.NewRefusal(failure.Overloaded, "", time.Second), Reason: forward.TurnedAway},
 			Overload: admit.OverloadLevel{MissingShare: 1.9, ShedShare: 0.126, TurnedAwayShare: 0.5},
 		})
 	})
--- a/internal/engine/admit.go
+++ b/internal/engine/admit.go
@@ -27,7 +27,7 @@
 
 // notReady returns the refusal of a node that is not ready.
 func notReady(message string) *failure.Failure {
-	return failure.Refused(failure.NotReady, message, notReadyRetryAfter)
+	return failure.NewRefusal(failure.NotReady, message, notReadyRetryAfter)
 }
 
 // admit returns the refusal of a search or an execute that this node cannot accept now, or nil if it is admitted.
@@ -38,17 +38,17 @@
 	case !e.serving():
 		return notReady("the node has not finished loading the configuration and joining the other nodes")
 	case len(e.searches)+len(e.executes) >= e.settings.MaximumQueries:
-		return failure.Refused(failure.Overloaded, "the node has reached its maximum number of requests in flight", tooManyRetryAfter)
+		return failure.NewRefusal(failure.Overloaded, "the node has reached its maximum number of requests in flight", tooManyRetryAfter)
 	}
 	if document, found := e.catalog.Get(service); !found || document.Deleted {
-		return failure.Refused(failure.UnknownService, "the service is not in the catalog", 0)
+		return failure.NewRefusal(failure.UnknownService, "the service is not in the catalog", 0)
 	}
 	return nil
 }
 
 // leavingFailure returns the refusal of a node that is stopping, with the address of another node if one is known.
 func (e *Engine) leavingFailure() *failure.Failure {
-	result := failure.Refused(failure.Leaving, "the node is stopping; send the request to another node", 0)
+	result := failure.NewRefusal(failure.Leaving, "the node is stopping; send the request to another node", 0)
 	others := e.members.Pick(1, func(m membership.Member) bool { return m.State == membership.Alive })
 	if len(others) > 0 {
 		result.Alternative = others[0]
--- a/internal/engine/execute.go
+++ b/internal/engine/execute.go
@@ -196,7 +196,7 @@
 
 // refusedOutcome returns the outcome of a request that was proved not to have run.
 func refusedOutcome(code failure.Code, retryAfter time.Duration) ticket.Outcome {
-	return ticket.Outcome{Failure: failure.Refused(code, "no back end accepted the request", retryAfter)}
+	return ticket.Outcome{Failure: failure.NewRefusal(code, "no back end accepted the request", retryAfter)}
 }
 
 // unknownOutcome returns the outcome of a request that may have run.
--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -86,8 +86,8 @@
 	return &Failure{Code: code, Message: message, cause: eris.Wrap(cause, message)}
 }
 
-// Refused returns a failure of a request that no back end has run, with the time after which to retry.
-func Refused(code Code, message string, retryAfter time.Duration) *Failure {
+// NewRefusal returns a failure of a request that no back end has run, with the time after which to retry.
+func NewRefusal(code Code, message string, retryAfter time.Duration) *Failure {
 	return &Failure{Code: code, Message: message, NotRun: true, RetryAfter: retryAfter}
 }
 
--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -32,7 +32,7 @@
 	if r.retryAfter > 0 {
 		retryAfter = r.retryAfter
 	}
-	return failure.Refused(code, "no back end accepted the request", retryAfter)
+	return failure.NewRefusal(code, "no back end accepted the request", retryAfter)
 }
 
 // nothingRan reports whether no back end has run any of the request and no attempt is in flight. Only then may the
--- a/internal/gateway/refusals.go
+++ b/internal/gateway/refusals.go
@@ -36,7 +36,7 @@
 	if arrived < normalStartTime {
 		retryAfter = retryAfterStarting
 	}
-	return forward.Answer{Failure: failure.Refused(failure.NotReady, "the node has no configuration yet", retryAfter)}
+	return forward.Answer{Failure: failure.NewRefusal(failure.NotReady, "the node has no configuration yet", retryAfter)}
 }
 
 func failWithoutRoute() forward.Answer {
@@ -44,22 +44,22 @@
 }
 
 func refuseTooMany() forward.Answer {
-	return forward.Answer{Failure: failure.Refused(failure.Overloaded, "too many requests in flight", retryAfterTooMany)}
+	return forward.Answer{Failure: failure.NewRefusal(failure.Overloaded, "too many requests in flight", retryAfterTooMany)}
 }
 
 func refuseTurnedAway(decision admit.Decision) forward.Answer {
 	const message = "more requests than the back ends can answer in time"
 	return forward.Answer{
-		Failure: failure.Refused(failure.Overloaded, message, decision.RetryAfter.Duration()), Reason: forward.TurnedAway,
+		Failure: failure.NewRefusal(failure.Overloaded, message, decision.RetryAfter.Duration()), Reason: forward.TurnedAway,
 	}
 }
 
 func refuseQuarantined(left clock.Ms) *forward.Answer {
 	const message = "the request is quarantined, because it crashes the back ends that run it"
-	return &forward.Answer{Failure: failure.Refused(failure.Quarantined, message, left.Duration()), Reason: forward.Quarantined}
+	return &forward.Answer{Failure: failure.NewRefusal(failure.Quarantined, message, left.Duration()), Reason: forward.Quarantined}
 }
 
 func refuseUnderTrial() *forward.Answer {
 	const message = "the request has crashed back ends, and another call is trying it on one back end"
-	return &forward.Answer{Failure: failure.Refused(failure.Quarantined, message, retryAfterTrial), Reason: forward.Quarantined}
+	return &forward.Answer{Failure: failure.NewRefusal(failure.Quarantined, message, retryAfterTrial), Reason: forward.Quarantined}
 }
--- a/internal/intent/parse.go
+++ b/internal/intent/parse.go
@@ -66,14 +66,14 @@
 func Parse(text []byte) (Intent, error) {
 	var intent Intent
 	if len(text) > maximumSize {
-		return intent, failure.Refused(failure.InvalidArgument, "the intent is over 4 MiB", 0)
+		return intent, failure.NewRefusal(failure.InvalidArgument, "the intent is over 4 MiB", 0)
 	}
 	if err := yaml.NewDecoder(bytes.NewReader(text), yaml.Strict()).Decode(&intent); err != nil {
-		return intent, failure.Refused(failure.InvalidArgument, yaml.FormatError(err, false, true), 0)
+		return intent, failure.NewRefusal(failure.InvalidArgument, yaml.FormatError(err, false, true), 0)
 	}
 	file, err := parser.ParseBytes(text, 0)
 	if err != nil {
-		return intent, failure.Refused(failure.InvalidArgument, yaml.FormatError(err, false, true), 0)
+		return intent, failure.NewRefusal(failure.InvalidArgument, yaml.FormatError(err, false, true), 0)
 	}
 	validation := validator{file: file}
 	validation.checkIntent(intent)
@@ -89,7 +89,7 @@
 	for _, problem := range v.problems {
 		lines = append(lines, problem.String())
 	}
-	return failure.Refused(failure.InvalidArgument, strings.Join(lines, "; "), 0)
+	return failure.NewRefusal(failure.InvalidArgument, strings.Join(lines, "; "), 0)
 }
 
 // validator checks the fields of an intent and collects the problems.
--- a/internal/intent/plan.go
+++ b/internal/intent/plan.go
@@ -62,10 +62,10 @@
 // base version and expiry, or if the plan has expired.
 func CheckConfirmation(intent Intent, base uint64, expiresUnixSeconds int64, given string, nowUnixSeconds int64) error {
 	if digest(intent, base, expiresUnixSeconds) != given {
-		return failure.Refused(failure.PlanMismatch, "the digest is not that of the plan for this intent, base version and expiry", 0)
+		return failure.NewRefusal(failure.PlanMismatch, "the digest is not that of the plan for this intent, base version and expiry", 0)
 	}
 	if nowUnixSeconds > expiresUnixSeconds {
-		return failure.Refused(failure.PlanMismatch, "the plan has expired; plan again", 0)
+		return failure.NewRefusal(failure.PlanMismatch, "the plan has expired; plan again", 0)
 	}
 	return nil
 }
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -76,7 +76,7 @@
 	}
 	if request.GetOperation() == "" {
 		const problem = "operation: found nothing, allowed is an id of the operator's choice"
-		return wanted, failure.Refused(failure.InvalidArgument, problem, 0)
+		return wanted, failure.NewRefusal(failure.InvalidArgument, problem, 0)
 	}
 	return wanted, nil
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -149,7 +149,7 @@
 // does not list this operation, so the operation had no effect. It can have none later, because its base version is
 // replaced.
 func (r *Rollout) conflict(current uint64) Request {
-	result := failure.Refused(failure.Conflict, "the service was changed after the plan was made; plan again", 0)
+	result := failure.NewRefusal(failure.Conflict, "the service was changed after the plan was made; plan again", 0)
 	result.CurrentVersion = current
 	return r.end(Result{Failure: result})
 }
@@ -223,7 +223,7 @@
 func (r *Rollout) expire() Request {
 	if !r.writeSent {
 		const text = "the store could not be reached within 5 s; nothing changed"
-		return r.end(Result{Failure: failure.Refused(failure.StoreUnavailable, text, storeRetryAfter)})
+		return r.end(Result{Failure: failure.NewRefusal(failure.StoreUnavailable, text, storeRetryAfter)})
 	}
 	const text = "the store did not answer the write within 5 s; confirm again with the same operation id to learn the outcome"
 	unknown := failure.New(failure.OutcomeUnknown, text)
--- a/internal/scatter/finish.go
+++ b/internal/scatter/finish.go
@@ -83,7 +83,7 @@
 	if _, any := routing.ChoosePlan(0, nil); any {
 		code, text = failure.SnapshotUnavailable, "no back end of the service holds the requested minimum version"
 	}
-	q.emitAnswer(Answer{Coverage: routing.noCoverage(), Failure: failure.Refused(code, text, noPlanRetryAfter)})
+	q.emitAnswer(Answer{Coverage: routing.noCoverage(), Failure: failure.NewRefusal(code, text, noPlanRetryAfter)})
 }
 
 // These are the retry-after times of failed searches. Dispatchers may ask for a longer time, except with
@@ -111,7 +111,7 @@
 				code = failure.Overloaded
 			}
 		}
-		return failure.Refused(code, "no back end accepted the search", max(q.retryAfter, notRunRetryAfter))
+		return failure.NewRefusal(code, "no back end accepted the search", max(q.retryAfter, notRunRetryAfter))
 	}
 	result := failure.New(failure.CoverageTooLow, "fewer shards answered than the service's minimum coverage")
 	result.RetryAfter = max(q.retryAfter, lowCoverageRetryAfter)
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -45,7 +45,7 @@
 	first := &forward.Attempt{Replica: &replica.Replica{}, Purpose: forward.First, StartedAt: 40 * time.Millisecond}
 	metrics.Request(&gateway.Call{}, &gateway.Result{Attempts: []*forward.Attempt{first}, Arrived: 10 * time.Millisecond})
 	metrics.Request(&gateway.Call{}, &gateway.Result{Answer: forward.Answer{
-		Failure: failure.Refused(failure.Overloaded, "", 0), Reason: forward.AllRefused,
+		Failure: failure.NewRefusal(failure.Overloaded, "", 0), Reason: forward.AllRefused,
 	}})
 	recorder := httptest.NewRecorder()
 	metrics.ServeHTTP(recorder, nil)
--- a/internal/ticket/ticket.go
+++ b/internal/ticket/ticket.go
@@ -63,7 +63,7 @@
 }
 
 func invalid(message string) *failure.Failure {
-	return failure.Refused(failure.TicketInvalid, message, 0)
+	return failure.NewRefusal(failure.TicketInvalid, message, 0)
 }
 
 // Outcome is the outcome of a request. The table keeps it to answer the caller's resends.
@@ -163,7 +163,7 @@
 		return Rejected{failure.New(failure.OutcomeUnknown, "the ticket has expired")}
 	}
 	if len(t.entries) >= maximumOutcomes {
-		return Rejected{failure.Refused(failure.Overloaded, "too many tickets in use", fullRetryAfter)}
+		return Rejected{failure.NewRefusal(failure.Overloaded, "too many tickets in use", fullRetryAfter)}
 	}
 	t.entries[parsed.Sequence] = &entry{usedAt: now, digest: digest}
 	return Fresh{Sequence: parsed.Sequence}
--- a/internal/ticket/ticket_test.go
+++ b/internal/ticket/ticket_test.go
@@ -92,7 +92,7 @@
 	if !ok {
 		t.Fatalf("use of a new ticket gave %+v, want Fresh", use)
 	}
-	table.RecordOutcome(fresh.Sequence, Outcome{Failure: failure.Refused(failure.NotReady, "not ready", 0)})
+	table.RecordOutcome(fresh.Sequence, Outcome{Failure: failure.NewRefusal(failure.NotReady, "not ready", 0)})
 	use = table.Use(time.Second, ticket, []byte("a"))
 	if finished, ok := use.(Finished); !ok || finished.Outcome.Failure == nil || !finished.Outcome.Failure.NotRun {
 		t.Errorf("use gave %+v, want Finished with a failure that says not run", use)
