--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -70,7 +70,7 @@
 }
 
 // sendAll sends the messages that membership or gossip has returned.
-func (e *Engine) sendAll(sends []membership.Send) {
+func (e *Engine) sendAll(sends []membership.OutgoingMessage) {
 	for _, s := range sends {
 		e.send(s.To, s.Message)
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func (g *Gateway) sendMembership(sends []membership.Send) {
+func (g *Gateway) sendMembership(sends []membership.OutgoingMessage) {
 	for _, send := range sends {
 		g.fleet.transport.Send(send.To, send.Message)
 	}
--- a/internal/gossip/compare.go
+++ b/internal/gossip/compare.go
@@ -9,8 +9,8 @@
 )
 
 // Compare starts a comparison of the catalogs with one peer, for example a peer that has just become reachable again.
-func (c *Core) Compare(now time.Duration, peer string) membership.Send {
-	return membership.Send{To: peer, Message: c.summary(now, false)}
+func (c *Core) Compare(now time.Duration, peer string) membership.OutgoingMessage {
+	return membership.OutgoingMessage{To: peer, Message: c.summary(now, false)}
 }
 
 func (c *Core) summary(now time.Duration, reply bool) *message.CatalogSummary {
@@ -21,16 +21,16 @@
 	return &message.CatalogSummary{Hash: c.catalog.Hash(), AgeMilliseconds: age, Ready: c.ready, Reply: reply}
 }
 
-func (c *Core) receiveSummary(now time.Duration, from string, m *message.CatalogSummary) []membership.Send {
+func (c *Core) receiveSummary(now time.Duration, from string, m *message.CatalogSummary) []membership.OutgoingMessage {
 	if m.Hash != c.catalog.Hash() {
 		hashes := c.catalog.Hashes()
-		return []membership.Send{{To: from, Message: &message.CatalogBuckets{Hashes: hashes[:]}}}
+		return []membership.OutgoingMessage{{To: from, Message: &message.CatalogBuckets{Hashes: hashes[:]}}}
 	}
 	c.recordEqual(now, from, m)
 	if m.Reply {
 		return nil
 	}
-	return []membership.Send{{To: from, Message: c.summary(now, true)}}
+	return []membership.OutgoingMessage{{To: from, Message: c.summary(now, true)}}
 }
 
 // recordEqual records that a peer has an equal catalog. If the peer knows when its catalog was equal to the store's,
@@ -55,7 +55,7 @@
 }
 
 // receiveBuckets answers with the services and versions of those buckets whose hash differs from the peer's.
-func (c *Core) receiveBuckets(from string, m *message.CatalogBuckets) []membership.Send {
+func (c *Core) receiveBuckets(from string, m *message.CatalogBuckets) []membership.OutgoingMessage {
 	if len(m.Hashes) != catalog.Buckets {
 		return nil
 	}
@@ -72,12 +72,12 @@
 	if len(keys.Buckets) == 0 {
 		return nil
 	}
-	return []membership.Send{{To: from, Message: keys}}
+	return []membership.OutgoingMessage{{To: from, Message: keys}}
 }
 
 // receiveKeys sends the documents that the peer does not have or has in an older version, and requests those that the
 // peer has in a newer version.
-func (c *Core) receiveKeys(from string, m *message.CatalogKeys) []membership.Send {
+func (c *Core) receiveKeys(from string, m *message.CatalogKeys) []membership.OutgoingMessage {
 	peerVersions := make(map[string]uint64, len(m.Keys))
 	reply := &message.CatalogDocuments{}
 	for _, key := range m.Keys {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -78,8 +78,8 @@
 // Ready reports whether requests may be served with the catalog.
 func (c *Core) Ready() bool { return c.ready }
 
-// ConfigurationAge returns the time since the catalog was last known to be equal to the store's. The second result is false
-// if it never was.
+// ConfigurationAge returns the time since the catalog was last known to be equal to the store's. The second result is
+// false if it never was.
 func (c *Core) ConfigurationAge(now time.Duration) (time.Duration, bool) {
 	if c.equalAt == neverEqual {
 		return 0, false
@@ -104,7 +104,7 @@
 
 // Tick starts comparisons when they are due: one with a peer in this node's zone and one with a peer in another zone.
 // A node that is not ready compares with Settings.JoinPeers more peers, and four times as often.
-func (c *Core) Tick(now time.Duration) []membership.Send {
+func (c *Core) Tick(now time.Duration) []membership.OutgoingMessage {
 	if now < c.nextComparison {
 		return nil
 	}
@@ -116,15 +116,15 @@
 		c.nextComparison = now + c.settings.SummaryInterval/4
 		targets = append(targets, c.peers.Pick(c.settings.JoinPeers, usable)...)
 	}
-	var sends []membership.Send
+	var sends []membership.OutgoingMessage
 	for _, target := range targets {
-		sends = append(sends, membership.Send{To: target, Message: c.summary(now, false)})
+		sends = append(sends, membership.OutgoingMessage{To: target, Message: c.summary(now, false)})
 	}
 	return sends
 }
 
 // Receive handles a message of the catalog's kinds and returns the messages to send. It ignores other kinds.
-func (c *Core) Receive(now time.Duration, from string, m message.Message) []membership.Send {
+func (c *Core) Receive(now time.Duration, from string, m message.Message) []membership.OutgoingMessage {
 	switch m := m.(type) {
 	case *message.CatalogSummary:
 		return c.receiveSummary(now, from, m)
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -91,7 +91,7 @@
 				want[service] = max(want[service], version)
 			}
 		}
-		queue := []membership.Send{cores["a"].Compare(0, "b")}
+		queue := []membership.OutgoingMessage{cores["a"].Compare(0, "b")}
 		from := []string{"a"}
 		for steps := 0; len(queue) > 0; steps++ {
 			if steps > 100 {
--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -8,16 +8,16 @@
 
 // Push sends the document of a service to random peers: to Settings.Fanout peers in any zone, and to one peer outside
 // this node's zone. except is the address of a peer that is not among the former, because the document came from it.
-func (c *Core) Push(service string, except string) []membership.Send {
+func (c *Core) Push(service string, except string) []membership.OutgoingMessage {
 	zone := c.peers.Self().Zone
 	targets := c.peers.Pick(c.settings.Fanout, func(m membership.Member) bool { return m.Usable() && m.Address != except })
 	targets = append(targets, c.peers.Pick(1, func(m membership.Member) bool { return m.Usable() && m.Zone != zone })...)
-	var sends []membership.Send
+	var sends []membership.OutgoingMessage
 	for i, target := range targets {
 		if i > 0 && target == targets[0] {
 			continue
 		}
-		sends = append(sends, membership.Send{To: target, Message: c.Rumor(service)})
+		sends = append(sends, membership.OutgoingMessage{To: target, Message: c.Rumor(service)})
 	}
 	return sends
 }
@@ -33,8 +33,8 @@
 
 // sendNewer returns messages with the documents that are newer than the given versions, which the peer has. The first
 // documents are added to reply; further messages follow when a message is full.
-func (c *Core) sendNewer(to string, versions []message.ServiceVersion, reply *message.CatalogDocuments) []membership.Send {
-	var sends []membership.Send
+func (c *Core) sendNewer(to string, versions []message.ServiceVersion, reply *message.CatalogDocuments) []membership.OutgoingMessage {
+	var sends []membership.OutgoingMessage
 	count := 0
 	for _, key := range versions {
 		if c.catalog.Version(key.Service) <= key.Version {
@@ -47,18 +47,18 @@
 		}
 		count++
 		if count%c.settings.DocumentsPerMessage == 0 {
-			sends = append(sends, membership.Send{To: to, Message: reply})
+			sends = append(sends, membership.OutgoingMessage{To: to, Message: reply})
 			reply = &message.CatalogDocuments{}
 		}
 	}
 	if len(reply.Documents)+len(reply.Deltas)+len(reply.Wanted) > 0 {
-		sends = append(sends, membership.Send{To: to, Message: reply})
+		sends = append(sends, membership.OutgoingMessage{To: to, Message: reply})
 	}
 	return sends
 }
 
-func (c *Core) receiveDocuments(from string, m *message.CatalogDocuments) []membership.Send {
-	var sends []membership.Send
+func (c *Core) receiveDocuments(from string, m *message.CatalogDocuments) []membership.OutgoingMessage {
+	var sends []membership.OutgoingMessage
 	for _, encoded := range m.Documents {
 		if document, err := catalog.Decode(encoded); err == nil {
 			sends = append(sends, c.mergeDocument(document, from, m.Rumor)...)
@@ -72,19 +72,19 @@
 		}
 		if wanted != nil {
 			acknowledged = false
-			sends = append(sends, membership.Send{To: from, Message: wanted})
+			sends = append(sends, membership.OutgoingMessage{To: from, Message: wanted})
 		}
 	}
 	sends = append(sends, c.sendNewer(from, m.Wanted, &message.CatalogDocuments{})...)
 	if m.Operation != 0 && acknowledged {
-		sends = append(sends, membership.Send{To: from, Message: &message.CatalogAck{Operation: m.Operation}})
+		sends = append(sends, membership.OutgoingMessage{To: from, Message: &message.CatalogAck{Operation: m.Operation}})
 	}
 	return sends
 }
 
 // mergeDocument merges a document into the catalog. If the document was new and came as a rumor, it is pushed on to
 // peers.
-func (c *Core) mergeDocument(document catalog.Document, from string, rumor bool) []membership.Send {
+func (c *Core) mergeDocument(document catalog.Document, from string, rumor bool) []membership.OutgoingMessage {
 	if !c.catalog.Merge(document) {
 		return nil
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// Send is a message for a peer.
-type Send struct {
+// OutgoingMessage is a message for a peer.
+type OutgoingMessage struct {
 	To      string
 	Message message.Message
 }
@@ -241,7 +241,7 @@
 }
 
 // Leave marks this node as leaving and returns messages that announce this at once.
-func (c *Core) Leave() []Send {
+func (c *Core) Leave() []OutgoingMessage {
 	c.self.State = Leaving
 	c.self.Incarnation++
 	c.version++
@@ -250,17 +250,17 @@
 	return c.broadcast(c.settings.IndirectProbes * 2)
 }
 
-func (c *Core) broadcast(fanout int) []Send {
-	var sends []Send
+func (c *Core) broadcast(fanout int) []OutgoingMessage {
+	var sends []OutgoingMessage
 	for _, target := range c.pick(fanout, func(m Member) bool { return m.Usable() }) {
-		sends = append(sends, Send{To: target, Message: &message.Probe{Sequence: c.nextSequence(), Updates: c.piggyback()}})
+		sends = append(sends, OutgoingMessage{To: target, Message: &message.Probe{Sequence: c.nextSequence(), Updates: c.piggyback()}})
 	}
 	return sends
 }
 
 // Receive handles a message of this package's kinds from a peer. reconnected is true if the peer was not known as alive
 // before, for example because it was in a zone on the other side of a network partition.
-func (c *Core) Receive(now time.Duration, from string, m message.Message) (sends []Send, reconnected bool) {
+func (c *Core) Receive(now time.Duration, from string, m message.Message) (sends []OutgoingMessage, reconnected bool) {
 	known, found := c.Lookup(from)
 	reconnected = !found || known.State == Dead
 	switch m := m.(type) {
@@ -274,7 +274,7 @@
 		c.merge(m.Updates, now)
 		sequence := c.nextSequence()
 		c.relayed[sequence] = relay{origin: from, sequence: m.Sequence, at: now}
-		sends = []Send{{To: m.Target, Message: &message.Probe{Sequence: sequence, Updates: c.piggyback()}}}
+		sends = []OutgoingMessage{{To: m.Target, Message: &message.Probe{Sequence: sequence, Updates: c.piggyback()}}}
 	case *message.MemberSync:
 		c.merge(m.Updates, now)
 		c.viewReceived = c.viewReceived || !m.ReplyWanted || m.Complete
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -10,7 +10,7 @@
 
 // Tick performs the actions that are due. The caller calls it several times per probe interval. If the time since
 // the last tick shows that the process was frozen, no member is suspected because of that time.
-func (c *Core) Tick(now time.Duration) (sends []Send) {
+func (c *Core) Tick(now time.Duration) (sends []OutgoingMessage) {
 	wasFrozen := c.lastTick > 0 && now-c.lastTick > freezeIntervals*c.settings.ProbeInterval
 	c.lastTick = now
 	if wasFrozen {
@@ -72,7 +72,7 @@
 
 // checkPending requests indirect probes if the direct probe is not answered in time. It suspects the target if
 // those are not answered in time either.
-func (c *Core) checkPending(now time.Duration) []Send {
+func (c *Core) checkPending(now time.Duration) []OutgoingMessage {
 	if c.pending == nil {
 		return nil
 	}
@@ -96,18 +96,18 @@
 	return nil
 }
 
-func (c *Core) requestIndirectProbes() []Send {
-	var sends []Send
+func (c *Core) requestIndirectProbes() []OutgoingMessage {
+	var sends []OutgoingMessage
 	target := c.pending.target
 	helpers := c.pick(c.settings.IndirectProbes, func(m Member) bool { return m.State == Alive && m.Address != target })
 	for _, helper := range helpers {
 		request := &message.ProbeRequest{Sequence: c.pending.sequence, Target: target, Updates: c.piggyback()}
-		sends = append(sends, Send{To: helper, Message: request})
+		sends = append(sends, OutgoingMessage{To: helper, Message: request})
 	}
 	return sends
 }
 
-func (c *Core) startProbe(now time.Duration) []Send {
+func (c *Core) startProbe(now time.Duration) []OutgoingMessage {
 	if c.pending != nil {
 		return nil
 	}
@@ -122,7 +122,7 @@
 		// The target is told its state in this node's view, so that it can refute it.
 		updates = append(updates, toUpdate(found.member))
 	}
-	return []Send{{To: target, Message: &message.Probe{Sequence: c.pending.sequence, Updates: updates}}}
+	return []OutgoingMessage{{To: target, Message: &message.Probe{Sequence: c.pending.sequence, Updates: updates}}}
 }
 
 // nextTarget returns the member to probe. Usually that is the next one of a shuffled round through this node's
@@ -194,18 +194,18 @@
 	return time.Duration(timeout) * time.Duration(1+c.healthScore/2)
 }
 
-func (c *Core) answerProbe(from string, m *message.Probe) []Send {
+func (c *Core) answerProbe(from string, m *message.Probe) []OutgoingMessage {
 	updates := c.piggyback()
 	if known := c.records[from]; known != nil && known.member.State != Alive {
 		updates = append(updates, toUpdate(known.member))
 	}
-	return []Send{{To: from, Message: &message.ProbeAck{Sequence: m.Sequence, Updates: updates}}}
+	return []OutgoingMessage{{To: from, Message: &message.ProbeAck{Sequence: m.Sequence, Updates: updates}}}
 }
 
-func (c *Core) receiveAck(from string, m *message.ProbeAck) []Send {
+func (c *Core) receiveAck(from string, m *message.ProbeAck) []OutgoingMessage {
 	if relayed, ok := c.relayed[m.Sequence]; ok {
 		delete(c.relayed, m.Sequence)
-		return []Send{{To: relayed.origin, Message: &message.ProbeAck{Sequence: relayed.sequence, Updates: c.piggyback()}}}
+		return []OutgoingMessage{{To: relayed.origin, Message: &message.ProbeAck{Sequence: relayed.sequence, Updates: c.piggyback()}}}
 	}
 	if c.pending == nil || m.Sequence != c.pending.sequence {
 		return nil
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -15,7 +15,7 @@
 // startSync compares views with a seed that is not yet known as a member, or with a random member, usually of this
 // node's zone. It sends only the hash of the view, since views usually agree and are large if there are many
 // members.
-func (c *Core) startSync() []Send {
+func (c *Core) startSync() []OutgoingMessage {
 	if len(c.seeds) > 0 {
 		seed := c.seeds[c.random.IntN(len(c.seeds))]
 		if c.records[seed] == nil {
@@ -36,20 +36,20 @@
 	return c.compareWith(peers[0])
 }
 
-func (c *Core) compareWith(peer string) []Send {
+func (c *Core) compareWith(peer string) []OutgoingMessage {
 	updates := []message.MemberUpdate{toUpdate(c.self)}
-	return []Send{{To: peer, Message: &message.MemberSync{ReplyWanted: true, Hash: c.hash(), Updates: updates}}}
+	return []OutgoingMessage{{To: peer, Message: &message.MemberSync{ReplyWanted: true, Hash: c.hash(), Updates: updates}}}
 }
 
 // RequestView returns messages that ask a peer for its complete view.
-func (c *Core) RequestView(peer string) []Send {
-	return []Send{{To: peer, Message: &message.MemberSync{ReplyWanted: true, Updates: []message.MemberUpdate{toUpdate(c.self)}}}}
+func (c *Core) RequestView(peer string) []OutgoingMessage {
+	return []OutgoingMessage{{To: peer, Message: &message.MemberSync{ReplyWanted: true, Updates: []message.MemberUpdate{toUpdate(c.self)}}}}
 }
 
 // answerSync answers a comparison of views. If the message contains the peer's complete view, the answer contains
 // the newer or additional members of this node's view. If the hashes are equal, the answer says so. Otherwise it
 // contains this node's complete view, and the peer then answers with its newer or additional members.
-func (c *Core) answerSync(from string, m *message.MemberSync) []Send {
+func (c *Core) answerSync(from string, m *message.MemberSync) []OutgoingMessage {
 	switch {
 	case m.Complete:
 		return c.sendNewer(from, m.Updates)
@@ -57,13 +57,13 @@
 		return c.sendView(from, false)
 	case m.Hash == c.hash():
 		updates := []message.MemberUpdate{toUpdate(c.self)}
-		return []Send{{To: from, Message: &message.MemberSync{Hash: m.Hash, Updates: updates}}}
+		return []OutgoingMessage{{To: from, Message: &message.MemberSync{Hash: m.Hash, Updates: updates}}}
 	}
 	return c.sendView(from, true)
 }
 
 // sendNewer sends the members that supersede those in a peer's complete view, or that are missing there.
-func (c *Core) sendNewer(peer string, view []message.MemberUpdate) []Send {
+func (c *Core) sendNewer(peer string, view []message.MemberUpdate) []OutgoingMessage {
 	known := make(map[string]Member, len(view))
 	for _, update := range view {
 		known[update.Address] = fromUpdate(update)
@@ -80,7 +80,7 @@
 	return c.splitIntoMessages(peer, better, false)
 }
 
-func (c *Core) sendView(peer string, reply bool) []Send {
+func (c *Core) sendView(peer string, reply bool) []OutgoingMessage {
 	updates := []message.MemberUpdate{toUpdate(c.self)}
 	for _, address := range c.order {
 		updates = append(updates, toUpdate(c.records[address].member))
@@ -90,13 +90,13 @@
 
 // splitIntoMessages sends updates in messages of bounded size. If there are several, only the first asks for a
 // reply and none is marked as complete.
-func (c *Core) splitIntoMessages(peer string, updates []message.MemberUpdate, reply bool) []Send {
+func (c *Core) splitIntoMessages(peer string, updates []message.MemberUpdate, reply bool) []OutgoingMessage {
 	complete := reply && len(updates) <= syncChunk
-	var sends []Send
+	var sends []OutgoingMessage
 	for len(updates) > 0 {
 		chunk := updates[:min(len(updates), syncChunk)]
 		updates = updates[len(chunk):]
-		sends = append(sends, Send{To: peer, Message: &message.MemberSync{ReplyWanted: reply, Complete: complete, Updates: chunk}})
+		sends = append(sends, OutgoingMessage{To: peer, Message: &message.MemberSync{ReplyWanted: reply, Complete: complete, Updates: chunk}})
 		reply = false
 	}
 	return sends
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -18,7 +18,7 @@
 
 // reintroduce tells a peer that is not known as alive its state in this node's view, so that the peer can refute it
 // or introduce itself.
-func (c *Core) reintroduce(peer string) []Send {
+func (c *Core) reintroduce(peer string) []OutgoingMessage {
 	updates := []message.MemberUpdate{toUpdate(c.self)}
 	if found := c.records[peer]; found != nil {
 		if found.member.State != Dead {
@@ -26,7 +26,7 @@
 		}
 		updates = append(updates, toUpdate(found.member))
 	}
-	return []Send{{To: peer, Message: &message.MemberSync{ReplyWanted: true, Updates: updates}}}
+	return []OutgoingMessage{{To: peer, Message: &message.MemberSync{ReplyWanted: true, Updates: updates}}}
 }
 
 func (c *Core) merge(updates []message.MemberUpdate, now time.Duration) {
