--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -38,7 +38,7 @@
 	return g.fleet.pick(count)
 }
 
-func (g *Gateway) sendSpread(sends []spread.Send) {
+func (g *Gateway) sendSpread(sends []spread.OutgoingMessage) {
 	for _, send := range sends {
 		g.fleet.transport.Send(send.To, send.Message)
 	}
--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -66,7 +66,7 @@
 	},
 	{
 		"starting nodes do not request a configuration from peers", "internal/spread/era.go",
-		"	return []Send{{peer, &message.StoreRequest{}}}\n", "	return nil\n",
+		"	return []OutgoingMessage{{peer, &message.StoreRequest{}}}\n", "	return nil\n",
 		"./platform", "TestChangesLostWithBackup",
 	},
 	{
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -141,7 +141,7 @@
 	},
 	{
 		"a node does not request records from peers with newer ones", "internal/spread/spread.go",
-		"return []Send{{peer, &message.StoreRequest{Revision: c.revision}}}", "return []Send{{peer, &message.StoreDigest{}}}",
+		"return []OutgoingMessage{{peer, &message.StoreRequest{Revision: c.revision}}}", "return []OutgoingMessage{{peer, &message.StoreDigest{}}}",
 		"./internal/gateway", "TestNodeWithoutStoreAccess",
 	},
 	{
--- a/internal/spread/confirmation.go
+++ b/internal/spread/confirmation.go
@@ -95,16 +95,16 @@
 
 // Announce returns messages that send peers the changes after a revision that the store has just returned. If there
 // are no changes, it sends them a digest, which confirms their copies.
-func (c *Core) Announce(now time.Duration, peers []string, since history.Revision, records []message.StoreRecord) []Send {
+func (c *Core) Announce(now time.Duration, peers []string, since history.Revision, records []message.StoreRecord) []OutgoingMessage {
 	var m message.Message = c.digest(now)
 	if len(records) > 0 {
 		m = &message.StoreRecords{
 			Since: since, Revision: c.revision, Records: records, Confirmation: c.confirmation(now),
 		}
 	}
-	sends := make([]Send, 0, len(peers))
+	sends := make([]OutgoingMessage, 0, len(peers))
 	for _, peer := range peers {
-		sends = append(sends, Send{peer, m})
+		sends = append(sends, OutgoingMessage{peer, m})
 	}
 	return sends
 }
--- a/internal/spread/era.go
+++ b/internal/spread/era.go
@@ -61,7 +61,7 @@
 // requestRetained asks a peer for all of its records. It does so if the peer is at the same revision of the store
 // but has a newer configuration in force, which means that the peer retains a configuration that the store has
 // lost.
-func (c *Core) requestRetained(now time.Duration, peer string, version uint64) []Send {
+func (c *Core) requestRetained(now time.Duration, peer string, version uint64) []OutgoingMessage {
 	if version <= c.configurationVersion || now < c.nextRequestAt {
 		return nil
 	}
@@ -73,5 +73,5 @@
 	}
 	c.retainedRequests++
 	c.nextRequestAt = now + c.settings.AnswerTimeout
-	return []Send{{peer, &message.StoreRequest{}}}
+	return []OutgoingMessage{{peer, &message.StoreRequest{}}}
 }
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -47,8 +47,8 @@
 	deletedAt time.Duration
 }
 
-// Send is a message for a peer.
-type Send struct {
+// OutgoingMessage is a message for a peer.
+type OutgoingMessage struct {
 	To      string
 	Message message.Message
 }
@@ -174,7 +174,7 @@
 
 // Advance records that all changes up to a revision are known. If the revision is new, it returns digests for some
 // peers.
-func (c *Core) Advance(now time.Duration, revision history.Revision) []Send {
+func (c *Core) Advance(now time.Duration, revision history.Revision) []OutgoingMessage {
 	if !revision.After(c.revision) {
 		return nil
 	}
@@ -186,10 +186,10 @@
 	return c.digests(now, c.settings.Fanout)
 }
 
-func (c *Core) digests(now time.Duration, count int) []Send {
-	var sends []Send
+func (c *Core) digests(now time.Duration, count int) []OutgoingMessage {
+	var sends []OutgoingMessage
 	for _, peer := range c.peers(count) {
-		sends = append(sends, Send{peer, c.digest(now)})
+		sends = append(sends, OutgoingMessage{peer, c.digest(now)})
 	}
 	return sends
 }
@@ -200,8 +200,8 @@
 // Tick sends the digests and requests that are due. Parameter storeReachable says whether this node receives the
 // store's changes itself; if it does not, it asks peers without delay. Parameter watchersAnnounce says whether
 // watchers announce the changes to this node; its digests are then news to hardly any peer and are sent less often.
-func (c *Core) Tick(now time.Duration, storeReachable, watchersAnnounce bool) []Send {
-	var sends []Send
+func (c *Core) Tick(now time.Duration, storeReachable, watchersAnnounce bool) []OutgoingMessage {
+	var sends []OutgoingMessage
 	if now >= c.nextDigestAt {
 		c.nextDigestAt = now + c.settings.Interval
 		if watchersAnnounce {
@@ -215,7 +215,7 @@
 
 // requestRecords asks the peer with a later revision for its records, once PeerRequestDelay has passed without the
 // node's own watch bringing them.
-func (c *Core) requestRecords(now time.Duration, storeReachable bool) []Send {
+func (c *Core) requestRecords(now time.Duration, storeReachable bool) []OutgoingMessage {
 	if c.aheadPeer == "" {
 		return nil
 	}
@@ -229,12 +229,12 @@
 	peer := c.aheadPeer
 	c.aheadPeer = ""
 	c.nextRequestAt = now + c.settings.AnswerTimeout
-	return []Send{{peer, &message.StoreRequest{Revision: c.revision}}}
+	return []OutgoingMessage{{peer, &message.StoreRequest{Revision: c.revision}}}
 }
 
 // Received is the effect of a message from a peer.
 type Received struct {
-	Sends []Send
+	Sends []OutgoingMessage
 	// Records holds the received records that were newer than the known ones.
 	Records []message.StoreRecord
 	// Deleted holds the keys that were known and have been deleted.
@@ -263,7 +263,7 @@
 	c.receiveConfirmation(now, m.Revision, m.Confirmation)
 	switch order := m.Revision.Compare(c.revision); {
 	case order < 0:
-		return Received{Sends: []Send{{from, c.digest(now)}}}
+		return Received{Sends: []OutgoingMessage{{from, c.digest(now)}}}
 	case order > 0:
 		if c.aheadPeer == "" {
 			c.aheadSince = now
@@ -276,7 +276,7 @@
 
 // answerRequest sends the changes after the requested revision. It sends all records if the tombstones since that
 // revision have been discarded.
-func (c *Core) answerRequest(now time.Duration, to string, m *message.StoreRequest) []Send {
+func (c *Core) answerRequest(now time.Duration, to string, m *message.StoreRequest) []OutgoingMessage {
 	if !c.revision.After(m.Revision) {
 		return nil
 	}
@@ -290,7 +290,7 @@
 		}
 	}
 	sort.Slice(reply.Records, func(i, j int) bool { return reply.Records[i].Key < reply.Records[j].Key })
-	return []Send{{to, reply}}
+	return []OutgoingMessage{{to, reply}}
 }
 
 func (c *Core) receiveRecords(now time.Duration, from string, m *message.StoreRecords) Received {
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -65,7 +65,7 @@
 	})
 }
 
-func (w *world) deliver(from *node, sends []spread.Send) {
+func (w *world) deliver(from *node, sends []spread.OutgoingMessage) {
 	for _, send := range sends {
 		for _, to := range w.nodes {
 			if to.name == send.To {
@@ -241,7 +241,7 @@
 	}
 }
 
-func requests(sends []spread.Send) int {
+func requests(sends []spread.OutgoingMessage) int {
 	count := 0
 	for _, send := range sends {
 		if _, ok := send.Message.(*message.StoreRequest); ok {
