--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,6 @@
 // Package dispatch sends sub-queries to back ends. A search arrives at one node, its root, which splits it into
 // sub-queries, one per group of back ends. Each group is owned by one or more nodes, its dispatchers. Other nodes, its
-// deputies, serve it when no dispatcher answers. A dispatcher decides which replica gets which shards of a sub-query,
+// standbys, serve it when no dispatcher answers. A dispatcher decides which replica gets which shards of a sub-query,
 // when an attempt is hedged or retried, and which sub-queries are refused. An attempt is one request to one back end.
 //
 // The rules are in these files: admission and refusals in admit.go, the choice of a replica in choose.go, hedging in
@@ -9,7 +9,7 @@
 // back ends), outcome.go (answers) and finish.go (final answer).
 //
 // The package owns what the node knows of the back ends of its groups, the sub-queries that it serves and their
-// attempts. This state is in memory only. If the node is lost, roots ask a deputy, and a new owner starts with
+// attempts. This state is in memory only. If the node is lost, roots ask a standby, and a new owner starts with
 // concurrency windows of one. The package relies on package placement for the groups, on package limit for windows,
 // budgets and latencies, and on its caller for the current time and for making one call at a time. It does no I/O,
 // takes no locks and reads no clock. Invariants:
--- a/internal/dispatch/group.go
+++ b/internal/dispatch/group.go
@@ -12,7 +12,7 @@
 	"stiletrail/internal/placement"
 )
 
-// group is a group of back ends that this node owns, as a dispatcher or as a deputy.
+// group is a group of back ends that this node owns, as a dispatcher or as a standby.
 type group struct {
 	placement.Group
 	// version is the version of the service's document that defines the group. This node applied it at changedAt.
--- a/internal/engine/dispatcher.go
+++ b/internal/engine/dispatcher.go
@@ -32,21 +32,21 @@
 // PickDispatcher implements scatter.Environment. It picks the less loaded of two random nodes from the first of these
 // sets that is not empty, without the nodes excluded:
 //   - the dispatchers of the group that are not suspected;
-//   - with deputiesToo, its deputies that are not suspected;
-//   - the suspected dispatchers and, with deputiesToo, the suspected deputies;
-//   - with deputiesToo, the previous owners of the group.
-func (e *Engine) PickDispatcher(service string, group uint32, excluded []string, deputiesToo bool) (string, bool) {
-	dispatchers, deputies := e.table.Owners(service, group)
+//   - with includeStandbys, its standbys that are not suspected;
+//   - the suspected dispatchers and, with includeStandbys, the suspected standbys;
+//   - with includeStandbys, the previous owners of the group.
+func (e *Engine) PickDispatcher(service string, group uint32, excluded []string, includeStandbys bool) (string, bool) {
+	dispatchers, standbys := e.table.Owners(service, group)
 	candidates, silent := e.splitSilent(dispatchers, excluded)
-	if len(candidates) == 0 && deputiesToo {
-		var silentDeputies []string
-		candidates, silentDeputies = e.splitSilent(deputies, excluded)
-		silent = append(silent, silentDeputies...)
+	if len(candidates) == 0 && includeStandbys {
+		var silentStandbys []string
+		candidates, silentStandbys = e.splitSilent(standbys, excluded)
+		silent = append(silent, silentStandbys...)
 	}
 	if len(candidates) > 0 {
 		return e.lessLoaded(candidates), true
 	}
-	if len(silent) == 0 && deputiesToo {
+	if len(silent) == 0 && includeStandbys {
 		silent = e.previousOwners(service, group, excluded)
 	}
 	if len(silent) == 0 {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -6,7 +6,7 @@
 // comes from the source given to New.
 //
 // A search arrives at any node, which is its root: it splits the search into sub-queries and merges the answers. Each
-// group of back ends is owned by dispatchers, which are the nodes that send sub-queries to it, and by deputies, which
+// group of back ends is owned by dispatchers, which are the nodes that send sub-queries to it, and by standbys, which
 // do so when no dispatcher answers. A request that is not repeatable, called an execute, needs a ticket. It is handled
 // by the node that minted the ticket.
 //
--- a/internal/engine/execute.go
+++ b/internal/engine/execute.go
@@ -46,9 +46,9 @@
 	subQueryID query.ID
 	dispatcher string
 	tried      []string
-	// askDeputies is true if deputies may be asked too: the dispatcher was lost, or refused for another reason than
+	// askStandbys is true if standbys may be asked too: the dispatcher was lost, or refused for another reason than
 	// overload.
-	askDeputies bool
+	askStandbys bool
 	// waiters are sent the outcome: the sender of the request, and the senders of resends that arrived meanwhile.
 	waiters []waiter
 }
@@ -165,7 +165,7 @@
 		e.finishExecute(x, refusedOutcome(failure.NoReplica, noReplicaRetryAfter))
 		return
 	}
-	dispatcher, found := e.PickDispatcher(x.request.Service, group, x.tried, x.askDeputies)
+	dispatcher, found := e.PickDispatcher(x.request.Service, group, x.tried, x.askStandbys)
 	if !found || slices.Contains(x.tried, dispatcher) {
 		e.finishExecute(x, refusedOutcome(failure.Overloaded, allTriedRetryAfter))
 		return
@@ -231,7 +231,7 @@
 		return
 	}
 	delete(e.subQueryOwners, x.subQueryID)
-	x.askDeputies = m.Missing[0].Reason != query.ReasonOverloaded
+	x.askStandbys = m.Missing[0].Reason != query.ReasonOverloaded
 	e.dispatchExecute(x)
 }
 
@@ -244,7 +244,7 @@
 		e.finishExecute(x, unknownOutcome("the connection to the dispatcher was lost and the request may have run"))
 		return
 	}
-	x.askDeputies = true
+	x.askStandbys = true
 	e.dispatchExecute(x)
 }
 
--- a/internal/engine/route.go
+++ b/internal/engine/route.go
@@ -52,8 +52,8 @@
 		if !r.known[i] {
 			// No holdings are known yet, and an owner may not have learned that it owns the group. All owners are
 			// asked.
-			dispatchers, deputies := e.table.Owners(service, group.Number)
-			for _, owner := range slices.Concat(dispatchers, deputies) {
+			dispatchers, standbys := e.table.Owners(service, group.Number)
+			for _, owner := range slices.Concat(dispatchers, standbys) {
 				e.send(owner, request)
 			}
 			continue
--- a/internal/scatter/ask.go
+++ b/internal/scatter/ask.go
@@ -15,7 +15,7 @@
 	var order []target
 	perGroup := map[uint32]string{}
 	for _, number := range shards {
-		// Deputies send to the same back ends as the dispatcher. If these are overloaded, a deputy would only add to
+		// Standbys send to the same back ends as the dispatcher. If these are overloaded, a standby would only add to
 		// their load.
 		owner, found := q.nextTarget(number, perGroup, reason != query.ReasonOverloaded)
 		if !found {
@@ -36,7 +36,7 @@
 
 // nextTarget picks an untried group and dispatcher for a shard. perGroup holds the dispatchers picked so far by one
 // call of ask, so that shards of one group go to the same dispatcher.
-func (q *Query) nextTarget(number uint32, perGroup map[uint32]string, deputiesToo bool) (target, bool) {
+func (q *Query) nextTarget(number uint32, perGroup map[uint32]string, includeStandbys bool) (target, bool) {
 	state := &q.shards[number]
 	for _, group := range q.holders[number] {
 		var excluded []string
@@ -48,7 +48,7 @@
 		if dispatcher := perGroup[group]; dispatcher != "" && !slices.Contains(excluded, dispatcher) {
 			return target{group: group, dispatcher: dispatcher}, true
 		}
-		dispatcher, found := q.environment.PickDispatcher(q.request.Service, group, excluded, deputiesToo)
+		dispatcher, found := q.environment.PickDispatcher(q.request.Service, group, excluded, includeStandbys)
 		if found && !slices.Contains(excluded, dispatcher) {
 			perGroup[group] = dispatcher
 			return target{group: group, dispatcher: dispatcher}, true
--- a/internal/scatter/retry.go
+++ b/internal/scatter/retry.go
@@ -13,7 +13,7 @@
 // A query retries in these cases:
 //
 //	missing   A shard that a dispatcher reports missing is asked of another dispatcher or of a group that was not asked for
-//	          it. Deputies are asked only if the reason is not overload, because they would add to the load.
+//	          it. Standbys are asked only if the reason is not overload, because they would add to the load.
 //	lost      A shard whose dispatcher cannot be reached is retried in the same way. The dispatcher is suspected.
 //	silent    A dispatcher that has sent nothing until its silence timeout is suspected. Its shards are asked of a second
 //	          dispatcher, once and within the reissue budget of the node.
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -28,9 +28,9 @@
 type Environment interface {
 	// Routing returns what is known now of the service's back ends and their holdings.
 	Routing(service string) Routing
-	// PickDispatcher picks a node that dispatches to a group and is not excluded. With deputiesToo, it picks a deputy
+	// PickDispatcher picks a node that dispatches to a group and is not excluded. With includeStandbys, it picks a standby
 	// or a previous owner of the group if no dispatcher is left. It returns false if there is no such node.
-	PickDispatcher(service string, group uint32, excluded []string, deputiesToo bool) (string, bool)
+	PickDispatcher(service string, group uint32, excluded []string, includeStandbys bool) (string, bool)
 	// NextID returns a new unique id for a sub-query.
 	NextID() query.ID
 	// Region returns the region of the node.
