--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -94,9 +94,9 @@
 }
 
 // VerdictChanged implements gateway.DecisionLog.
-func (l *Log) VerdictChanged(fingerprint quarantine.Fingerprint, verdict quarantine.Verdict, source string, left clock.Ms) {
+func (l *Log) VerdictChanged(fingerprint quarantine.Fingerprint, verdict quarantine.Verdict, source string, remaining clock.Ms) {
 	l.warn(EventVerdictChanged, logrus.Fields{
-		fieldFingerprint: fingerprint.String(), fieldOutcome: verdict.String(), fieldReason: source, fieldRemaining: left,
+		fieldFingerprint: fingerprint.String(), fieldOutcome: verdict.String(), fieldReason: source, fieldRemaining: remaining,
 	})
 }
 
--- a/internal/gateway/decision_log.go
+++ b/internal/gateway/decision_log.go
@@ -22,8 +22,8 @@
 	// BackEndCrashed records that a back end crashed while it ran an attempt, and how long after the attempt was sent.
 	BackEndCrashed(call *Call, attempt *forward.Attempt, after clock.Ms)
 	// VerdictChanged records that the verdict on the requests of a fingerprint has changed. The source is "own", "peer"
-	// or "store". For a quarantine, left is how much longer it lasts.
-	VerdictChanged(fingerprint quarantine.Fingerprint, verdict quarantine.Verdict, source string, left clock.Ms)
+	// or "store". For a quarantine, remaining is how much longer it lasts.
+	VerdictChanged(fingerprint quarantine.Fingerprint, verdict quarantine.Verdict, source string, remaining clock.Ms)
 	// RetrialClaimed records that this node may send a quarantined request to one back end: one with a new version of the
 	// software, or, with an empty version, one on behalf of another caller.
 	RetrialClaimed(fingerprint quarantine.Fingerprint, version string)
--- a/internal/gateway/quarantine_evidence.go
+++ b/internal/gateway/quarantine_evidence.go
@@ -91,12 +91,12 @@
 // shares the evidence with other nodes.
 func (g *Gateway) verdictsChanged(now clock.Ms, change quarantine.Change, source string) {
 	for _, fingerprint := range change.VerdictChanged {
-		left, quarantined := g.quarantine.RemainingOf(now, fingerprint)
+		remaining, quarantined := g.quarantine.RemainingOf(now, fingerprint)
 		verdict := quarantine.Clear
 		if quarantined {
 			verdict = quarantine.Quarantined
 		}
-		g.log.VerdictChanged(fingerprint, verdict, source, left)
+		g.log.VerdictChanged(fingerprint, verdict, source, remaining)
 		if quarantined && source == sourceOwn {
 			g.quarantineWrites.schedule(fingerprint, now)
 		}
--- a/internal/gateway/quarantine_writes.go
+++ b/internal/gateway/quarantine_writes.go
@@ -83,10 +83,10 @@
 			delete(q.dueAt, fingerprint)
 		}
 	}
-	for fingerprint, left := range unstored {
+	for fingerprint, remaining := range unstored {
 		at, known := q.dueAt[fingerprint]
 		switch {
-		case left < minimumLease:
+		case remaining < minimumLease:
 		case !known:
 			jitter := min(peerWriteJitterPerNode*clock.Ms(max(nodes, 1)), maximumPeerWriteJitter)
 			q.dueAt[fingerprint] = now + peerWriteDelay + clock.Ms(q.random.Int64N(int64(jitter)))
@@ -150,8 +150,8 @@
 // takeClaimRewrites removes the claims that must be written again and returns their writes.
 func (q *quarantineWrites) takeClaimRewrites(now clock.Ms) (writes []StoreWrite) {
 	for key := range q.claimRewrites {
-		if left := q.claims[key] - now; left >= minimumLease {
-			writes = append(writes, claimWrite(key, left))
+		if remaining := q.claims[key] - now; remaining >= minimumLease {
+			writes = append(writes, claimWrite(key, remaining))
 		}
 	}
 	clear(q.claimRewrites)
--- a/internal/gateway/refusals.go
+++ b/internal/gateway/refusals.go
@@ -16,7 +16,7 @@
 //	the node has no configuration yet                       NOT_READY                 retryAfterStarting, retryAfterNotReady
 //	more than maximum_requests are in flight                OVERLOADED                retryAfterTooMany
 //	back ends cannot answer all in time (admit)             OVERLOADED   turned_away  admit.Decision.RetryAfter
-//	quarantined, and no retrial is due (checkQuarantine)    QUARANTINED  quarantined  quarantineState.left
+//	quarantined, and no retrial is due (checkQuarantine)    QUARANTINED  quarantined  quarantineState.remaining
 //	another call's trial takes too long (checkQuarantine)   QUARANTINED  quarantined  retryAfterTrial
 //
 // A request without a route gets UNKNOWN_SERVICE and no time to retry after, because a retry does not help.
@@ -54,9 +54,9 @@
 	}
 }
 
-func refuseQuarantined(left clock.Ms) *forward.Answer {
+func refuseQuarantined(remaining clock.Ms) *forward.Answer {
 	const message = "the request is quarantined, because it crashes the back ends that run it"
-	return &forward.Answer{Failure: failure.NewRefusal(failure.Quarantined, message, left.Duration()), Reason: forward.Quarantined}
+	return &forward.Answer{Failure: failure.NewRefusal(failure.Quarantined, message, remaining.Duration()), Reason: forward.Quarantined}
 }
 
 func refuseUnderTrial() *forward.Answer {
--- a/internal/gateway/starting.go
+++ b/internal/gateway/starting.go
@@ -24,8 +24,8 @@
 func (g *Gateway) holdUntil(call *Call, arrived time.Duration) time.Duration {
 	hold := g.settings.Load().StartingHold
 	if !call.Deadline.IsZero() {
-		left := call.Deadline.Sub(g.wallTime(arrived))
-		hold = min(hold, time.Duration(maximumHoldFraction*float64(left)))
+		remaining := call.Deadline.Sub(g.wallTime(arrived))
+		hold = min(hold, time.Duration(maximumHoldFraction*float64(remaining)))
 	}
 	return arrived + hold
 }
--- a/internal/gateway/store_copy.go
+++ b/internal/gateway/store_copy.go
@@ -174,8 +174,8 @@
 // delayEvacuationEnd reports whether the end of an evacuation must wait although the store does not list the evacuation. A
 // restored store may have lost it, and the evacuation would then be written again.
 func (c *storeCopy) delayEvacuationEnd(now time.Duration, key string) bool {
-	if left := c.records.RewriteRemaining(now); left > 0 {
-		c.pendingEvacuationEnds[key] = now + left.Duration()
+	if remaining := c.records.RewriteRemaining(now); remaining > 0 {
+		c.pendingEvacuationEnds[key] = now + remaining.Duration()
 		return true
 	}
 	delete(c.pendingEvacuationEnds, key)
--- a/internal/gateway/store_reading.go
+++ b/internal/gateway/store_reading.go
@@ -151,14 +151,14 @@
 	done, result := make(chan struct{}), make(chan bool, 1)
 	suspended := g.suspensions.next()
 	go func() {
-		for left := g.copyStaleIn(); left > 0; left = g.copyStaleIn() {
+		for remaining := g.copyStaleIn(); remaining > 0; remaining = g.copyStaleIn() {
 			select {
 			case <-done:
 				result <- false
 				return
 			case <-suspended:
 				suspended = g.suspensions.next()
-			case <-time.After(left.Duration()):
+			case <-time.After(remaining.Duration()):
 			}
 		}
 		cancel()
--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -37,7 +37,7 @@
 		case known.otherCaller && g.claimRetrial(ctx, known.fingerprint, ""):
 			return restriction{retrial: true}, nil
 		case known.verdict == quarantine.Quarantined:
-			return restriction{}, refuseQuarantined(known.left)
+			return restriction{}, refuseQuarantined(known.remaining)
 		case !known.trialRunning:
 			return restriction{}, nil
 		case g.now() >= until || ctx.Err() != nil:
@@ -60,8 +60,8 @@
 	verdict quarantine.Verdict
 	// trialRunning is set while another call sends the same request to one back end at a time.
 	trialRunning bool
-	// left is how much longer the request is quarantined, as far as this node knows now.
-	left clock.Ms
+	// remaining is how much longer the request is quarantined, as far as this node knows now.
+	remaining clock.Ms
 	// safeVersions are the versions of the back ends' software that are known to answer the request. untriedVersion is
 	// one that has not run it yet.
 	safeVersions   []string
@@ -81,7 +81,7 @@
 		return s
 	}
 	s.trialRunning = g.trials[call.Identity.Request] > 0
-	s.left, s.safeVersions = g.quarantine.Remaining(now, call.Identity), g.quarantine.SafeVersions(now, call.Identity)
+	s.remaining, s.safeVersions = g.quarantine.Remaining(now, call.Identity), g.quarantine.SafeVersions(now, call.Identity)
 	if s.verdict == quarantine.Quarantined {
 		g.findRetrial(now, call, route, &s)
 	}
@@ -99,9 +99,9 @@
 	switch {
 	case !other:
 	case wait > 0:
-		s.left = min(s.left, wait)
+		s.remaining = min(s.remaining, wait)
 	default:
-		s.left = min(s.left, otherCallerInterval)
+		s.remaining = min(s.remaining, otherCallerInterval)
 		s.otherCaller = true
 	}
 }
--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -51,7 +51,7 @@
 	},
 	{
 		"a zone whose evacuation is missing in a restored backup is used again at once", "internal/gateway/store_copy.go",
-		"if left := c.records.RewriteRemaining(now); left > 0 {", "if left := c.records.RewriteRemaining(now); left > 0 && now < 0 {",
+		"if remaining := c.records.RewriteRemaining(now); remaining > 0 {", "if remaining := c.records.RewriteRemaining(now); remaining > 0 && now < 0 {",
 		"./platform", "TestChangesLostWithBackup",
 	},
 	{
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -113,9 +113,9 @@
 }
 
 // VerdictChanged implements gateway.DecisionLog.
-func (m *Metrics) VerdictChanged(fingerprint quarantine.Fingerprint, verdict quarantine.Verdict, source string, left clock.Ms) {
+func (m *Metrics) VerdictChanged(fingerprint quarantine.Fingerprint, verdict quarantine.Verdict, source string, remaining clock.Ms) {
 	m.count("stiletrail_verdicts_total", "verdict", verdict.String())
-	m.DecisionLog.VerdictChanged(fingerprint, verdict, source, left)
+	m.DecisionLog.VerdictChanged(fingerprint, verdict, source, remaining)
 }
 
 // QuarantineNotWritten implements gateway.DecisionLog.
