--- a/internal/forward/schedule_test.go
+++ b/internal/forward/schedule_test.go
@@ -34,13 +34,13 @@
 		for step := 0; s.answer == nil && step < 300; step++ {
 			service := rapid.SampledFrom(services).Draw(rt, "service")
 			node.fullServices[service] = rapid.Bool().Draw(rt, "full")
-			node.excluded[service] = rapid.IntRange(0, 9).Draw(rt, "left out") == 0
+			node.excluded[service] = rapid.IntRange(0, 9).Draw(rt, "excluded") == 0
 			if len(s.sent) > 0 && rapid.Bool().Draw(rt, "an attempt ends") {
 				outcome := forward.Outcome{Kind: rapid.SampledFrom(kinds).Draw(rt, "kind")}
 				if outcome.Kind == forward.Answered || outcome.Kind == forward.Failed {
 					outcome.Response = &forward.Response{Status: 200, Signature: "s"}
 				}
-				if outcome.Kind == forward.Lost && rapid.Bool().Draw(rt, "back end ended") {
+				if outcome.Kind == forward.Lost && rapid.Bool().Draw(rt, "back end crashed") {
 					outcome.BackEndCrashed = true
 					node.verdict = rapid.SampledFrom(verdicts).Draw(rt, "verdict")
 				}
--- a/internal/message/evidence.go
+++ b/internal/message/evidence.go
@@ -59,7 +59,7 @@
 		c.uint32(&r.QuarantinedForMs)
 		list(c, &r.CrashedVersions, (*codec).string)
 		list(c, &r.SafeVersions, (*codec).string)
-		list(c, &r.CallerFingerprints, func(c *codec, asker *[16]byte) { c.fixed(asker) })
+		list(c, &r.CallerFingerprints, func(c *codec, caller *[16]byte) { c.fixed(caller) })
 	})
 }
 
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -313,7 +313,7 @@
 		ms := rapid.Uint32()
 		drawn := rapid.Custom(func(t *rapid.T) message.RequestEvidence {
 			evidence := message.RequestEvidence{
-				Fingerprint: [16]byte{rapid.Byte().Draw(t, "mark")}, Aggregate: rapid.Bool().Draw(t, "wide"),
+				Fingerprint: [16]byte{rapid.Byte().Draw(t, "fingerprint")}, Aggregate: rapid.Bool().Draw(t, "aggregate"),
 				Answered:      rapid.Bool().Draw(t, "answered"),
 				AnsweredAgoMs: ms.Draw(t, "answered ago"), QuarantineRemainingMs: ms.Draw(t, "left"),
 				CrashedVersions: rapid.SliceOf(text).Draw(t, "versions"),
