--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -23,7 +23,7 @@
 //   - quarantine_writes.go: quarantineWrites holds the quarantines to be written to the store, and the claims of
 //     retrials. quarantine_evidence.go: evidenceSchedule decides when evidence is sent to other nodes.
 //   - health_reports.go: healthReports holds the reports on slow and faulty back ends that go to other nodes.
-//   - maintain.go ends doubtful states whose time is over. suspensions.go tracks suspensions of the machine.
+//   - maintain.go ends doubtful states whose time has passed. suspensions.go tracks suspensions of the machine.
 //   - status.go and decision_log.go show the state to operators.
 package gateway
 
--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -46,7 +46,7 @@
 		"./internal/quarantine", "TestMemoryIsBounded",
 	},
 	{
-		"a request is identified by its caller's address alone", "internal/quarantine/mark.go",
+		"a request is identified by its caller's address alone", "internal/quarantine/fingerprint.go",
 		"Request:       FingerprintOf([]byte(requestKind), resource, parameters)", "Request:       FingerprintOf([]byte(requestKind), []byte(caller), resource, parameters)",
 		"./internal/gateway", "TestCrashingRequestVariants",
 	},
--- a/internal/networktest/conn.go
+++ b/internal/networktest/conn.go
@@ -20,8 +20,8 @@
 	deadline time.Time
 }
 
-// Silence makes one connection of a Network drop all data in both directions, without telling either end. Connections of another
-// type are ignored.
+// Silence makes one connection of a Network drop all data in both directions, without telling either end.
+// Connections of another type are ignored.
 func Silence(connection net.Conn) {
 	if c, ok := connection.(*conn); ok {
 		c.in.change(func() { c.in.silent = true })
--- a/internal/networktest/network.go
+++ b/internal/networktest/network.go
@@ -87,8 +87,8 @@
 	return n.dialled
 }
 
-// Silence makes all open connections drop all data from now on, in both directions. Neither end is told: writes succeed and reads
-// block. Connections opened later are not affected.
+// Silence makes all open connections drop all data from now on, in both directions. Neither end is told: writes
+// succeed and reads block. Connections opened later are not affected.
 func (n *Network) Silence() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -4,8 +4,8 @@
 // It decides whether a request is clear, suspect or quarantined (verdict.go), when a crash or an answer changes that
 // (outcome.go), and what a quarantined request may still do (exceptions.go).
 //
-// It owns the records that a node keeps of such requests (Core, record.go), the identity of a request (mark.go), and
-// the encodings of a quarantine in the store (store.go) and in messages between nodes (evidence.go).
+// It owns the records that a node keeps of such requests (Core, record.go), the identity of a request (fingerprint.go),
+// and the encodings of a quarantine in the store (store.go) and in messages between nodes (evidence.go).
 //
 // Callers supply times from one clock that never goes back, and serialise all calls, since a Core has no lock. The
 // package does no I/O, uses no random numbers and reads no clock.
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -280,7 +280,7 @@
 			}
 			w.step(time.Duration(rapid.IntRange(50, 8000).Draw(rt, "pass")) * time.Millisecond)
 			for _, n := range w.nodes {
-				checkNeverBack(rt, stored, n)
+				checkRevisionsNeverDecrease(rt, stored, n)
 			}
 		}
 		w.nodes[0].storeReachable = true
@@ -296,8 +296,8 @@
 	})
 }
 
-// checkNeverBack checks that within one life of a node's process no key goes back to an older revision.
-func checkNeverBack(rt *rapid.T, stored map[string]map[string]history.Revision, n *node) {
+// checkRevisionsNeverDecrease checks that no key goes back to an older revision while a node's process runs.
+func checkRevisionsNeverDecrease(rt *rapid.T, stored map[string]map[string]history.Revision, n *node) {
 	if stored[n.name] == nil {
 		stored[n.name] = map[string]history.Revision{}
 	}
--- a/test/process_test.go
+++ b/test/process_test.go
@@ -81,7 +81,7 @@
 	return p.command.ProcessState.ExitCode()
 }
 
-// eventually polls every 10 ms until a condition holds. It fails the test if that takes longer than patience.
+// eventually polls every 10 ms until a condition holds. It fails the test if that takes longer than testTimeout.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(testTimeout); time.Now().Before(limit); time.Sleep(10 * time.Millisecond) {
