--- a/internal/gateway/maintain.go
+++ b/internal/gateway/maintain.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// expireDoubtful ends the doubtful states whose time has passed. Doubtful back ends are removed. Back ends that a restored
-// store lists again are used again, and so are zones whose evacuation a restored store does not list.
+// expireDoubtful ends the doubtful states whose time has passed. Doubtful back ends are removed. Back ends that a
+// restored store lists again are used again, and so are zones whose evacuation a restored store does not list.
 func (g *Gateway) expireDoubtful() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/replica/doubt.go
+++ b/internal/replica/doubt.go
@@ -30,7 +30,8 @@
 	return true
 }
 
-// ExpireDoubtful removes the replicas whose entries vanished and whose time as doubtful has passed, and returns their ids.
+// ExpireDoubtful removes the replicas whose entries vanished and whose time as doubtful has passed, and returns
+// their ids.
 func (s *Set) ExpireDoubtful(now time.Duration) []string {
 	var expired []string
 	for id, known := range s.byID {
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -202,8 +202,9 @@
 	return r.end(Result{Version: r.document.Version, Copies: len(r.copies), CopyZones: len(r.zones)})
 }
 
-// Tick handles timeouts: it ends a rollout whose time limit has passed, and starts the next read after a pause. A rollout whose
-// document the store has accepted is accepted after acknowledgementTimeout, even if not all peers have acknowledged it.
+// Tick handles timeouts: it ends a rollout whose time limit has passed, and starts the next read after a pause. A
+// rollout whose document the store has accepted is accepted after acknowledgementTimeout, even if not all peers have
+// acknowledged it.
 func (r *Rollout) Tick(now time.Duration) Request {
 	switch {
 	case r.phase == ended:
