--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -149,7 +149,7 @@
 // does not list this operation, so the operation had no effect. It can have none later, because its base version is
 // replaced.
 func (r *Rollout) conflict(current uint64) Request {
-	result := failure.Refused(failure.Conflict, "the service was changed after the plan was made; plan again", 0)
+	result := failure.NewRefusal(failure.Conflict, "the service was changed after the plan was made; plan again", 0)
 	result.CurrentVersion = current
 	return r.end(Result{Failure: result})
 }
@@ -202,8 +202,9 @@
 	return r.end(Result{Version: r.document.Version, Copies: len(r.copies), CopyZones: len(r.zones)})
 }
 
-// Tick handles timeouts: it ends a rollout whose time is over, and starts the next read after a pause. A rollout whose
-// document the store has accepted is accepted after acknowledgementTimeout, even if not all peers have acknowledged it.
+// Tick handles timeouts: it ends a rollout whose time limit has passed, and starts the next read after a pause. A
+// rollout whose document the store has accepted is accepted after acknowledgementTimeout, even if not all peers have
+// acknowledged it.
 func (r *Rollout) Tick(now time.Duration) Request {
 	switch {
 	case r.phase == ended:
@@ -223,7 +224,7 @@
 func (r *Rollout) expire() Request {
 	if !r.writeSent {
 		const text = "the store could not be reached within 5 s; nothing changed"
-		return r.end(Result{Failure: failure.Refused(failure.StoreUnavailable, text, storeRetryAfter)})
+		return r.end(Result{Failure: failure.NewRefusal(failure.StoreUnavailable, text, storeRetryAfter)})
 	}
 	const text = "the store did not answer the write within 5 s; confirm again with the same operation id to learn the outcome"
 	unknown := failure.New(failure.OutcomeUnknown, text)
