--- a/internal/mutation/era_test.go
+++ b/internal/mutation/era_test.go
@@ -51,7 +51,7 @@
 	},
 	{
 		"a zone whose evacuation is missing in a restored backup is used again at once", "internal/gateway/store_copy.go",
-		"if left := c.records.RewriteRemaining(now); left > 0 {", "if left := c.records.RewriteRemaining(now); left > 0 && now < 0 {",
+		"if remaining := c.records.RewriteRemaining(now); remaining > 0 {", "if remaining := c.records.RewriteRemaining(now); remaining > 0 && now < 0 {",
 		"./platform", "TestChangesLostWithBackup",
 	},
 	{
@@ -66,7 +66,7 @@
 	},
 	{
 		"starting nodes do not request a configuration from peers", "internal/spread/era.go",
-		"	return []Send{{peer, &message.StoreRequest{}}}\n", "	return nil\n",
+		"	return []OutgoingMessage{{peer, &message.StoreRequest{}}}\n", "	return nil\n",
 		"./platform", "TestChangesLostWithBackup",
 	},
 	{
