--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -54,10 +54,10 @@
 	return s.gateway.Serve(context.Background(), &gateway.Call{ID: "id", Host: "h", Path: "/one/x", Deadline: time.Now().Add(4 * time.Second)})
 }
 
-// TestRequestsStayInAllowedRegions checks that first attempts, hedges and retries of a route that is restricted to
+// TestRequestsStayInRouteRegions checks that first attempts, hedges and retries of a route that is restricted to
 // the other region go there only. That must hold although the back ends in the gateway's own zone work, and although
 // the allowed ones are slow, refuse, lose answers or crash.
-func TestRequestsStayInAllowedRegions(t *testing.T) {
+func TestRequestsStayInRouteRegions(t *testing.T) {
 	behaviours := map[string]func(gateway.BackEndRequest) forward.Outcome{
 		"back ends answer":       answered,
 		"back ends refuse":       func(gateway.BackEndRequest) forward.Outcome { return forward.Outcome{Kind: forward.Refused} },
@@ -88,9 +88,9 @@
 	}
 }
 
-// TestNoBackEndInAllowedRegions checks that a request is refused at once, as not run and with a retry time, if no
+// TestNoBackEndInRouteRegions checks that a request is refused at once, as not run and with a retry time, if no
 // allowed region has a back end.
-func TestNoBackEndInAllowedRegions(t *testing.T) {
+func TestNoBackEndInRouteRegions(t *testing.T) {
 	withGateway(t, func(t *testing.T, s *fixture) {
 		for i := range shards {
 			s.store.put(gateway.Item{Key: fmt.Sprint("back ends/s", i, "-far"), Deleted: true})
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -374,7 +374,7 @@
 	{
 		"back ends of any region are picked", "internal/replica/pick.go",
 		"	if !o.Regions.Allows(r.region) {", "	if false {",
-		"./internal/gateway", "TestRequestsStayInAllowedRegions",
+		"./internal/gateway", "TestRequestsStayInRouteRegions",
 	},
 	{
 		"a configuration with an unknown region is put in force", "internal/gateway/store_changes.go",
