--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -8,7 +8,7 @@
 //	hedge.go    when a second replica is asked while an attempt is still in flight
 //	retry.go    when another replica is asked at once after a failed attempt
 //	pause.go    when a shard is asked again after a pause, and when it is given up
-//	caution.go  how a request is sent on after it has crashed back ends
+//	trials.go   how a request is sent on after it has crashed back ends
 //	finish.go   when the request is answered
 //	refusal.go  when it is refused as not run, and after which time the caller may retry
 //
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -8,18 +8,18 @@
 // methods of Gateway that use them either lock it or are called with it held.
 //
 // Requests:
-//   - call.go, serve.go, starting.go, trial.go, run.go, run_node.go and attempt.go take a call from its arrival to its
+//   - call.go, serve.go, starting.go, trial.go, run.go, node_view.go and attempt.go take a call from its arrival to its
 //     answer.
 //   - refusals.go has the answers to calls that are refused, outcome.go the names of outcomes.
 //
 // State of the node, one type for each subject:
 //   - store_copy.go: storeCopy holds what is known of the store and how old that is. store_reading.go makes the calls to
-//     the store, store_changes.go applies the changes that come from the store and from peers, and store_waits.go derives
-//     the timeouts. store_item.go and store.go describe the store as the adapter offers it. first_listing.go is about a
-//     node that starts.
+//     the store, store_changes.go applies the changes that come from the store and from peers, and propagation_times.go
+//     derives the timeouts. store_item.go and store.go describe the store as the adapter offers it. first_listing.go is
+//     about a node that starts.
 //   - fleet.go: fleet holds the other nodes. peers.go exchanges messages with them. watch_assignment.go decides which
-//     nodes watch the store for which others, and tell_tree.go which nodes forward a large change. fleet_share.go divides
-//     what the nodes share: the connections of back ends, the load on cold back ends, and the retry slack.
+//     nodes watch the store for which others, and change_tree.go which nodes forward a large change. fleet_share.go
+//     divides what the nodes share: the connections of back ends, the load on cold back ends, and the retry slack.
 //   - quarantine_writes.go: quarantineWrites holds the quarantines to be written to the store, and the claims of
 //     retrials. quarantine_evidence.go: evidenceSchedule decides when evidence is sent to other nodes.
 //   - health_reports.go: healthReports holds the reports on slow and faulty back ends that go to other nodes.
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -17,7 +17,7 @@
 //	answer       waits for the first listing of the store (starting.go) and finds the route
 //	serveRoute   refuses (refusals.go), or waits for a trial (trial.go) and for back ends (starting.go)
 //	requestRun   drives a forward.Request, which makes all other decisions (run.go), and runs its attempts (attempt.go)
-//	nodeView     gives the forward.Request access to the node's replicas, budgets and verdicts (run_node.go)
+//	nodeView     gives the forward.Request access to the node's replicas, budgets and verdicts (node_view.go)
 
 // Serve answers a call. The context ends when the caller disconnects.
 func (g *Gateway) Serve(ctx context.Context, call *Call) Result {
--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -17,7 +17,7 @@
 // checkQuarantine decides which back ends a request may be sent to, or refuses it (refusals.go):
 //   - A clear request may go to all back ends.
 //   - A suspected request for which no other call has a trial may go to all, but to one back end at a time
-//     (forward/caution.go).
+//     (forward/trials.go).
 //   - A suspected request for which another call has a trial waits until the trial ends, but not beyond until.
 //   - A quarantined request goes to back ends with versions of the software that are known to answer it. If there are
 //     none, one node may try it on one back end: with a version that has not yet run it, or for a caller that has not yet
--- a/internal/mutation/gateway_test.go
+++ b/internal/mutation/gateway_test.go
@@ -75,7 +75,7 @@
 		"./platform", "TestClientErrorsDoNotEject",
 	},
 	{
-		"contradictions between a back end and other replicas are not recorded", "internal/gateway/run_node.go",
+		"contradictions between a back end and other replicas are not recorded", "internal/gateway/node_view.go",
 		"	n.recordContradictions(attempt.Shard)\n", "",
 		"./platform", "TestBackEndThatFailsEveryRequestIsAvoided",
 	},
@@ -85,12 +85,12 @@
 		"./internal/follow", "TestEarlierEraIsAskedWithGrowingPauses",
 	},
 	{
-		"a large change is sent to all nodes at once", "internal/gateway/tell_tree.go",
+		"a large change is sent to all nodes at once", "internal/gateway/change_tree.go",
 		"	if !isLarge(records, len(receivers)) {", "	if true {",
 		"./internal/gateway", "TestLargeChangeLeavesLinkCapacity",
 	},
 	{
-		"a large change is not forwarded by the nodes that receive it", "internal/gateway/tell_tree.go",
+		"a large change is not forwarded by the nodes that receive it", "internal/gateway/change_tree.go",
 		"	for _, child := range position.children {", "	for _, child := range position.children[:0] {",
 		"./internal/gateway", "TestLargeChangeIsForwardedAtOnce",
 	},
--- a/internal/mutation/quarantine_test.go
+++ b/internal/mutation/quarantine_test.go
@@ -51,12 +51,12 @@
 		"./internal/gateway", "TestCrashingRequestVariants",
 	},
 	{
-		"attempts continue after two back ends have crashed", "internal/forward/caution.go",
+		"attempts continue after two back ends have crashed", "internal/forward/trials.go",
 		"if quarantine.CancelOthers(r.trials.suspected, r.trials.crashes) {", "if r.trials.suspected {",
 		"./internal/forward", "TestTwoCrashesCancelOthers",
 	},
 	{
-		"a quarantined request is tried on other back ends", "internal/forward/caution.go",
+		"a quarantined request is tried on other back ends", "internal/forward/trials.go",
 		"	if verdict == quarantine.Quarantined {\n", "	if verdict == quarantine.Quarantined && now < 0 {\n",
 		"./internal/gateway", "TestCrashingRequestVariants",
 	},
@@ -66,7 +66,7 @@
 		"./internal/forward", "TestSuspectedRequestIsTriedSerially",
 	},
 	{
-		"a quarantine retrial reaches several back ends", "internal/forward/caution.go",
+		"a quarantine retrial reaches several back ends", "internal/forward/trials.go",
 		"return r.trials.retrial && outcome.Kind != NotSent", "return false",
 		"./internal/forward", "TestRetrialReachesOneBackEnd",
 	},
